--- a/internal/httpcarrier/carrier.go
+++ b/internal/httpcarrier/carrier.go
@@ -39,18 +39,18 @@
 
 // Config is what a carrier is made from.
 type Config struct {
-	Quota *quota.Quota  // descriptors for connections to boxes
-	Idle  time.Duration // boxes close connections idle for this long, as the settings have it; 0 when not told
-	// RestWait is how long a request may wait for the rest of a connection that was used a moment ago. Opening another costs the
+	Quota              *quota.Quota  // descriptors for connections to boxes
+	BackendIdleTimeout time.Duration // boxes close connections idle for this long, as the settings have it; 0 when not told
+	// MaxSettleWait is how long a request may wait for the rest of a connection that was used a moment ago. Opening another costs the
 	// backend work.
-	RestWait time.Duration
-	Reports  bool           // answers may hold load reports
-	Bodies   *message.Store // room for answers; one that has none, or is over message.MaxBody, is passed on while it comes
-	Dial     func(ctx context.Context, addr string) (net.Conn, error)
-	DialOn   func(ctx context.Context, network, addr string) (net.Conn, error) // for boxes with several addresses, of any kind
-	Now      func() time.Time                                                  // what connections age by; nil for time.Now
-	Pause    func(ctx context.Context, d time.Duration) bool                   // waits; nil for timing.Sleep
-	Log      *slog.Logger
+	MaxSettleWait     time.Duration
+	AcceptLoadReports bool           // answers may hold load reports
+	Bodies            *message.Store // room for answers; one that has none, or is over message.MaxBody, is passed on while it comes
+	Dial              func(ctx context.Context, addr string) (net.Conn, error)
+	DialNetwork       func(ctx context.Context, network, addr string) (net.Conn, error) // for boxes with several addresses, of any kind
+	Now               func() time.Time                                                  // what connections age by; nil for time.Now
+	Sleep             func(ctx context.Context, d time.Duration) bool                   // waits; nil for timing.Sleep
+	Log               *slog.Logger
 }
 
 // Carrier is an engine.Carrier of message.Requests.
@@ -63,7 +63,7 @@
 
 // New returns a carrier with no connection.
 func New(cfg Config) *Carrier {
-	return &Carrier{pool: newPool(cfg), reports: cfg.Reports, bodies: cfg.Bodies, log: cfg.Log}
+	return &Carrier{pool: newPool(cfg), reports: cfg.AcceptLoadReports, bodies: cfg.Bodies, log: cfg.Log}
 }
 
 // Conns is how many connections there are, and how many of them carry nothing.
@@ -73,8 +73,8 @@
 	return n.pool.open, n.pool.rest.Len()
 }
 
-// Yield closes the connection that has carried nothing for longest, and tells whether there was one.
-func (n *Carrier) Yield() bool { return n.pool.spare() }
+// EvictIdle closes the connection that has carried nothing for longest, and tells whether there was one.
+func (n *Carrier) EvictIdle() bool { return n.pool.spare() }
 
 // Retire closes the connections to a box that carry nothing. Those that carry something follow.
 func (n *Carrier) Retire(b *engine.Backend) { n.pool.clear(n.pool.of(b), true) }
@@ -160,7 +160,7 @@
 		return engine.Result{Outcome: policy.Moot}, false
 	}
 	p := r.Body
-	if p != nil && p.Tier == bodies.Once && !p.Begun.CompareAndSwap(false, true) {
+	if p != nil && p.Tier == bodies.Once && !p.Started.CompareAndSwap(false, true) {
 		n.pool.put(c)
 		return engine.Result{Outcome: policy.Moot}, false // it is not kept, and an earlier attempt has begun to send it
 	}
@@ -173,11 +173,11 @@
 	if err == nil && p != nil && p.Memory == nil {
 		err = p.Send(ctx, c)
 		whole = err == nil
-		if errors.Is(err, message.ErrBody) || errors.Is(err, message.ErrClient) {
+		if errors.Is(err, message.ErrSpool) || errors.Is(err, message.ErrClient) {
 			n.pool.close(c) // the box has only a part
 			n.log.Warn("a body was not sent", "request", r.ID, "err", err)
 			if errors.Is(err, message.ErrClient) {
-				a.Abort(message.CutShort(err))
+				a.Abort(message.BodyTruncated(err))
 			}
 			return engine.Result{Outcome: policy.Moot}, false
 		}
@@ -188,13 +188,13 @@
 	stream := false
 	if err == nil {
 		resp, body, err = c.read(r.In.Method, func(size int64) bool {
-			if size > message.MaxBody || !n.bodies.Hold(size) {
+			if size > message.MaxBodyBytes || !n.bodies.Reserve(size) {
 				stream = true
 				return false
 			}
 			held = size
 			return true
-		}, n.bodies.Answer)
+		}, n.bodies.MaxAnswer)
 	}
 	switch {
 	case err == nil, errors.Is(err, errSpoilt):
@@ -230,7 +230,7 @@
 	}
 	if err != nil {
 		if held > 0 {
-			n.bodies.Free(held)
+			n.bodies.Release(held)
 		}
 		outcome := policy.Reset // unless shown otherwise it may have run
 		switch cause := context.Cause(ctx); {
@@ -251,9 +251,9 @@
 	}
 	res = n.judge(a.Backend, resp, body)
 	if p, ok := res.Reply.(*message.Reply); ok && held > 0 {
-		p.Holds(n.bodies, held)
+		p.AttachReservation(n.bodies, held)
 	} else if held > 0 {
-		n.bodies.Free(held)
+		n.bodies.Release(held)
 	}
 	return res, false
 }
@@ -268,7 +268,7 @@
 		body = p.Memory
 		req.ContentLength, req.Body = int64(len(body)), io.NopCloser(bytes.NewReader(body))
 	}
-	for _, name := range message.Headers {
+	for _, name := range message.RequestHeaders {
 		if v, ok := in.Header[name]; ok {
 			req.Header[name] = v
 		}
@@ -290,7 +290,7 @@
 // read reads one answer whole, before any of it goes on: one that breaks can still be tried again. Of a served one that
 // hold, asked with its size, has no room for, it reads the head. Larger ones than most are spoilt.
 func (c *backendConn) read(method string, hold func(size int64) bool, most int64) (*http.Response, []byte, error) {
-	c.cap.N = message.MaxHead + message.MaxBody
+	c.cap.N = message.MaxHeadBytes + message.MaxBodyBytes
 	for {
 		if _, err := c.in.Peek(1); err != nil {
 			return nil, nil, err
@@ -316,16 +316,16 @@
 			c.cap.N += resp.ContentLength
 			return resp, nil, nil
 		}
-		if resp.ContentLength > message.MaxBody {
+		if resp.ContentLength > message.MaxBodyBytes {
 			return nil, nil, fmt.Errorf("%w: %d bytes", errSpoilt, resp.ContentLength)
 		}
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !saysClose(head) {
 			return nil, nil, fmt.Errorf("%w: no length", errSpoilt)
 		}
 		// The connection's cap is never what ends a body: one that ends with its connection would pass as whole.
-		c.cap.N = chunkedFactor*message.MaxBody + message.MaxHead
-		body, err := io.ReadAll(io.LimitReader(resp.Body, message.MaxBody+1))
-		if err == nil && len(body) > message.MaxBody {
+		c.cap.N = chunkedFactor*message.MaxBodyBytes + message.MaxHeadBytes
+		body, err := io.ReadAll(io.LimitReader(resp.Body, message.MaxBodyBytes+1))
+		if err == nil && len(body) > message.MaxBodyBytes {
 			err = errors.New("too large a body")
 		}
 		if err != nil {
@@ -395,11 +395,11 @@
 // breaks off, the client sees it by its length.
 func (n *Carrier) flow(ctx context.Context, a *engine.Attempt, c *backendConn, resp *http.Response, giveUp func() bool) engine.Result {
 	res := n.judge(a.Backend, resp, nil)
-	f := message.NewFlow(resp.Body, c.Conn, resp.ContentLength)
+	f := message.NewAnswerStream(resp.Body, c.Conn, resp.ContentLength)
 	err := context.Canceled
-	if a.Deliver(&message.Reply{Header: resp.Header, Flow: f}) {
+	if a.Deliver(&message.Reply{Header: resp.Header, Stream: f}) {
 		select {
-		case err = <-f.Ended():
+		case err = <-f.Done():
 		case <-ctx.Done():
 			err = context.Cause(ctx)
 		}
--- a/internal/httpcarrier/pool.go
+++ b/internal/httpcarrier/pool.go
@@ -48,7 +48,7 @@
 }
 
 func newPool(cfg Config) *pool {
-	p := &pool{quota: cfg.Quota, dial: cfg.Dial, now: cfg.Now, pause: cfg.Pause, wait: cfg.RestWait}
+	p := &pool{quota: cfg.Quota, dial: cfg.Dial, now: cfg.Now, pause: cfg.Sleep, wait: cfg.MaxSettleWait}
 	if p.now == nil {
 		p.now = time.Now
 	}
@@ -56,10 +56,10 @@
 		p.pause = timing.Sleep
 	}
 	begun := time.Now()
-	p.reach = &reach.Dialer{Base: cfg.DialOn, Now: func() time.Duration { return time.Since(begun) }, Take: p.quota.Take, Give: p.quota.Give}
+	p.reach = &reach.Dialer{Base: cfg.DialNetwork, Now: func() time.Duration { return time.Since(begun) }, Take: p.quota.Take, Give: p.quota.Give}
 	// A request written to a connection that the box has just closed ends as a reset: retire it before.
-	p.idle = cfg.Idle * 9 / 10
-	p.told, p.start = cfg.Idle, p.now()
+	p.idle = cfg.BackendIdleTimeout * 9 / 10
+	p.told, p.start = cfg.BackendIdleTimeout, p.now()
 	p.ages = admission.NewAges(p.told, nil)
 	return p
 }
--- a/internal/httpfront/check.go
+++ b/internal/httpfront/check.go
@@ -43,7 +43,7 @@
 		}
 		return nil
 	}
-	for _, name := range message.Headers {
+	for _, name := range message.RequestHeaders {
 		if len(in.Header[name]) > 1 {
 			return no(bad, "%s: more than one", name)
 		}
--- a/internal/httpfront/chunked.go
+++ b/internal/httpfront/chunked.go
@@ -13,7 +13,7 @@
 	// its own takes 6, and extensions are allowed. net/http's reader bounds the sum of extensions too.
 	wireFactor = 20
 	// wireSlack is for the last chunk, the trailer and what lies behind.
-	wireSlack = 4 * message.MaxHead
+	wireSlack = 4 * message.MaxHeadBytes
 )
 
 // isChunked tells whether a request's body comes in chunks.
@@ -25,16 +25,16 @@
 	in := r.In
 	by := bodyDeadline(r, end, 0)
 	s.deadline(c, by)
-	c.cap.N = s.bodies.Most(r.Class)*wireFactor + wireSlack
+	c.cap.N = s.bodies.MaxBodySize(r.Class)*wireFactor + wireSlack
 	body, no := s.bodies.ReadUnsized(s.ctx, r.Class, in.Body, func(size int64) {
-		if size > message.MaxBody {
+		if size > message.MaxBodyBytes {
 			by = bodyDeadline(r, end, size)
 			s.deadline(c, by)
 		}
 	})
 	if no != nil {
 		if no.Status == http.StatusBadRequest && !time.Now().Before(by) { // the parser may hide the time-out
-			return message.LateBody()
+			return message.BodyTimedOut()
 		}
 		return no
 	}
--- a/internal/httpfront/framing_test.go
+++ b/internal/httpfront/framing_test.go
@@ -118,7 +118,7 @@
 	f.Fuzz(func(t *testing.T, lines []byte) {
 		var seen framing
 		text := headWith(string(lines))
-		capped := io.LimitReader(strings.NewReader(text+"0\r\n\r\n"), message.MaxHead)
+		capped := io.LimitReader(strings.NewReader(text+"0\r\n\r\n"), message.MaxHeadBytes)
 		in, err := http.ReadRequest(bufio.NewReader(scanned{capped, &seen}))
 		if err != nil || seen.check() != nil {
 			return
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -47,15 +47,15 @@
 
 // Config is what a front is made from.
 type Config struct {
-	Engine *engine.Engine
-	Bodies *message.Store
-	Clock  engine.Clock
-	Quota  *quota.Quota                 // descriptors for connections of clients,
-	Extra  int                          // and so many beyond them, for telling clients that there is no room
-	Asking int                          // connections that carry requests at a time
-	Shares map[string]float64           // requests a second that each tenant has a share in this node of
-	Waited func(net.Conn) time.Duration // how long a connection's latest bytes lay in the kernel; nil for sock.Waited
-	Log    *slog.Logger
+	Engine          *engine.Engine
+	Bodies          *message.Store
+	Clock           engine.Clock
+	Quota           *quota.Quota                 // descriptors for connections of clients,
+	RejectSlots     int                          // and so many beyond them, for telling clients that there is no room
+	MaxRequestConns int                          // connections that carry requests at a time
+	TenantShares    map[string]float64           // requests a second that each tenant has a share in this node of
+	ReceiveDelay    func(net.Conn) time.Duration // how long a connection's latest bytes lay in the kernel; nil for sock.Waited
+	Log             *slog.Logger
 }
 
 // Front is the connections of this node's clients. Where no descriptor is left for one, another that carries no request
@@ -86,10 +86,10 @@
 // New returns a front that answers nobody yet.
 func New(cfg Config) *Front {
 	s := &Front{engine: cfg.Engine, bodies: cfg.Bodies, clock: cfg.Clock, log: cfg.Log,
-		quota: cfg.Quota, extra: make(chan struct{}, max(1, cfg.Extra)), conns: map[*clientConn]struct{}{},
-		tenants: admission.NewTenants(cfg.Shares),
-		account: admission.NewClients(admission.Limits{Asking: cfg.Asking, Silent: silentTime, Slow: readTime})}
-	if s.waited = cfg.Waited; s.waited == nil {
+		quota: cfg.Quota, extra: make(chan struct{}, max(1, cfg.RejectSlots)), conns: map[*clientConn]struct{}{},
+		tenants: admission.NewTenants(cfg.TenantShares),
+		account: admission.NewClients(admission.Limits{Asking: cfg.MaxRequestConns, Silent: silentTime, Slow: readTime})}
+	if s.waited = cfg.ReceiveDelay; s.waited == nil {
 		s.waited = sock.Waited
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
@@ -113,7 +113,7 @@
 		c := &clientConn{Conn: conn, start: time.Now(), look: sock.NewLook(conn), seen: lastLook{look: sock.NewLook(conn)}}
 		c.cap.R, c.account.Owner, c.account.From = scanned{conn, &c.framing}, c, host(conn.RemoteAddr())
 		c.in = bufio.NewReader(&c.cap)
-		c.granted = s.quota.Claim(s.Yield)
+		c.granted = s.quota.Claim(s.EvictIdle)
 		s.mu.Lock()
 		if c.extra = !c.granted; c.extra {
 			c.over = !s.account.Behind(c.account.From) // one of a client that holds little is served all the same
@@ -151,11 +151,11 @@
 	return a.String()
 }
 
-// Yield closes a connection that carries no request, for another client's sake, and tells whether there was one.
-func (s *Front) Yield() bool { return s.yield(true) }
+// EvictIdle closes a connection that carries no request, for another client's sake, and tells whether there was one.
+func (s *Front) EvictIdle() bool { return s.yield(true) }
 
-// Lend is Yield for a box's sake: the last few new connections stay.
-func (s *Front) Lend() bool { return s.yield(false) }
+// EvictIdleForBackend is Yield for a box's sake: the last few new connections stay.
+func (s *Front) EvictIdleForBackend() bool { return s.yield(false) }
 
 func (s *Front) yield(client bool) bool {
 	s.mu.Lock()
@@ -347,7 +347,7 @@
 		return answer{status: http.StatusServiceUnavailable, body: []byte("too much at once\n"), retryAfter: 250 * time.Millisecond}, ""
 	}
 	if r.Body.IsDrained() {
-		c.cap.N = message.MaxHead
+		c.cap.N = message.MaxHeadBytes
 		if c.left() {
 			r.Release()
 			return answer{}, clientLeft
@@ -372,7 +372,7 @@
 		}
 	}
 	c.SetReadDeadline(time.Time{}) // no bound on waiting, also where the connection is to close behind this answer
-	c.cap.N = message.MaxHead
+	c.cap.N = message.MaxHeadBytes
 	left := make(chan bool, 1)
 	go func() { left <- c.watch() }()
 	select {
@@ -389,7 +389,7 @@
 		case a := <-r.Done():
 			t := told(a)
 			if t.flow != nil { // it began to come at this moment
-				t.flow.End(context.Canceled)
+				t.flow.Finish(context.Canceled)
 			}
 			t.reply.Release()
 		default:
--- a/internal/httpfront/front_test.go
+++ b/internal/httpfront/front_test.go
@@ -33,7 +33,7 @@
 		want time.Duration // from the request's first byte
 	}{
 		{0, 2500 * time.Millisecond},
-		{message.MaxBody, 2500 * time.Millisecond},
+		{message.MaxBodyBytes, 2500 * time.Millisecond},
 		{bodyRate / 2, 3 * time.Second},
 		{bodyRate, 3500 * time.Millisecond},
 		{100 * bodyRate, 4 * time.Second},
@@ -136,7 +136,7 @@
 	t.Parallel()
 	client, conn := tcpPair(t)
 	c := &clientConn{Conn: conn, look: sock.NewLook(conn)}
-	c.cap.R, c.cap.N = conn, message.MaxHead
+	c.cap.R, c.cap.N = conn, message.MaxHeadBytes
 	c.in = bufio.NewReader(&c.cap)
 	if _, err := io.WriteString(client, "x"); err != nil {
 		t.Fatal(err)
--- a/internal/httpfront/read.go
+++ b/internal/httpfront/read.go
@@ -11,7 +11,7 @@
 
 // read reads the next request. Both results are nil where there is none, or nobody to tell what is wrong with it.
 func (s *Front) read(c *clientConn) (*message.Request, *message.Rejection) {
-	c.cap.N = message.MaxHead
+	c.cap.N = message.MaxHeadBytes
 	end := c.start.Add(headTime)
 	if c.used {
 		s.deadline(c, time.Now().Add(idleTime))
@@ -142,7 +142,7 @@
 // but not longer than anybody waits for the answer.
 func bodyDeadline(r *message.Request, head time.Time, size int64) time.Time {
 	by := head.Add(bodyTime)
-	if size > message.MaxBody {
+	if size > message.MaxBodyBytes {
 		by = by.Add(time.Duration(size) * time.Second / bodyRate)
 		if up := r.Arrived.Add(r.Patience); up.Before(by) {
 			by = up
--- a/internal/httpfront/shutdown.go
+++ b/internal/httpfront/shutdown.go
@@ -85,8 +85,8 @@
 	s.log.Info(step, "connections", connections, "requests", s.engine.Open(), "after", time.Since(shutdown.Begun))
 }
 
-// Leaving tells whether the front was told to end.
-func (s *Front) Leaving() bool { return s.leaving.Load() }
+// ShuttingDown tells whether the front was told to end.
+func (s *Front) ShuttingDown() bool { return s.leaving.Load() }
 
 // carriesNone tells whether a connection in a state carries no request, not even one that is coming.
 func carriesNone(state admission.State) bool {
--- a/internal/httpfront/write.go
+++ b/internal/httpfront/write.go
@@ -18,7 +18,7 @@
 	status     int
 	header     http.Header // of a served request: what the box sent
 	body       []byte
-	flow       *message.Flow // in place of body, for one that is still coming
+	flow       *message.AnswerStream // in place of body, for one that is still coming
 	retryAfter time.Duration
 	reply      *message.Reply // whose room it holds; nil for none
 }
@@ -27,7 +27,7 @@
 func told(a engine.Answer) answer {
 	switch p := a.Payload.(type) {
 	case *message.Reply:
-		return answer{status: http.StatusOK, header: p.Header, body: p.Body, flow: p.Flow, reply: p}
+		return answer{status: http.StatusOK, header: p.Header, body: p.Body, flow: p.Stream, reply: p}
 	case *message.Rejection:
 		return answer{status: p.Status, body: []byte(p.Text + "\n")}
 	}
@@ -67,12 +67,12 @@
 		ContentLength: int64(len(a.body)), Body: io.NopCloser(bytes.NewReader(a.body))}
 	if f := a.flow; f != nil {
 		resp.ContentLength, resp.Body = f.Size, io.NopCloser(f)
-		out := bufio.NewWriterSize(message.Paced{Conn: c.Conn}, 32<<10)
+		out := bufio.NewWriterSize(message.WriteTimeoutConn{Conn: c.Conn}, 32<<10)
 		err := resp.Write(out)
 		if err == nil {
 			err = out.Flush()
 		}
-		f.End(err)
+		f.Finish(err)
 		return err
 	}
 	var b bytes.Buffer
@@ -80,7 +80,7 @@
 	if err := resp.Write(&b); err != nil {
 		return err
 	}
-	c.SetWriteDeadline(time.Now().Add(message.WriteTime))
+	c.SetWriteDeadline(time.Now().Add(message.IOTimeout))
 	_, err := c.Write(b.Bytes())
 	return err
 }
--- a/internal/jsonrpc/frame.go
+++ b/internal/jsonrpc/frame.go
@@ -12,8 +12,8 @@
 	"strings"
 )
 
-// MaxFrame is the largest message or batch, in bytes.
-const MaxFrame = 64 << 10
+// MaxFrameBytes is the largest message or batch, in bytes.
+const MaxFrameBytes = 64 << 10
 
 // maxHead is the largest head of a headed frame, in bytes.
 const maxHead = 1 << 10
@@ -22,8 +22,8 @@
 type Framing uint8
 
 const (
-	Lines  Framing = iota // JSON texts one after another, each ended by its own end; written with a newline behind each
-	Headed                // each behind a head of "Content-Length: N" and an empty line, as in the Language Server Protocol
+	Lines           Framing = iota // JSON texts one after another, each ended by its own end; written with a newline behind each
+	HeaderDelimited                // each behind a head of "Content-Length: N" and an empty line, as in the Language Server Protocol
 )
 
 // ErrFrame is what can't be told apart from what follows it: nothing more can be read from its stream.
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	if b[0] == 'C' || b[0] == 'c' {
-		r.last = Headed
+		r.last = HeaderDelimited
 		return r.headed()
 	}
 	r.last = Lines
@@ -102,8 +102,8 @@
 			return nil, fmt.Errorf("%w: %.40q is no header that is known here", ErrFrame, name)
 		}
 	}
-	if length < 0 || length > MaxFrame {
-		return nil, fmt.Errorf("%w: Content-Length is missing or over %d", ErrFrame, MaxFrame)
+	if length < 0 || length > MaxFrameBytes {
+		return nil, fmt.Errorf("%w: Content-Length is missing or over %d", ErrFrame, MaxFrameBytes)
 	}
 	frame := make([]byte, length)
 	if _, err := io.ReadFull(r.in, frame); err != nil {
@@ -128,8 +128,8 @@
 		if len(open) == 0 && !inString && len(frame) > 0 && space(b) {
 			return frame, nil // the same before white space
 		}
-		if frame = append(frame, b); len(frame) > MaxFrame {
-			return nil, fmt.Errorf("%w: over %d bytes", ErrFrame, MaxFrame)
+		if frame = append(frame, b); len(frame) > MaxFrameBytes {
+			return nil, fmt.Errorf("%w: over %d bytes", ErrFrame, MaxFrameBytes)
 		}
 		switch {
 		case inString:
@@ -169,9 +169,9 @@
 	return fmt.Errorf("%w: %w", ErrFrame, err)
 }
 
-// Append appends a message in a framing.
-func Append(out []byte, f Framing, message []byte) []byte {
-	if f == Headed {
+// AppendFrame appends a message in a framing.
+func AppendFrame(out []byte, f Framing, message []byte) []byte {
+	if f == HeaderDelimited {
 		out = append(out, "Content-Length: "...)
 		out = strconv.AppendInt(out, int64(len(message)), 10)
 		return append(append(out, "\r\n\r\n"...), message...)
--- a/internal/jsonrpc/jsonrpc_test.go
+++ b/internal/jsonrpc/jsonrpc_test.go
@@ -17,7 +17,7 @@
 // Frames of both kinds on one stream, wherever its bytes are split.
 func TestFrames(t *testing.T) {
 	want := []string{`{"a":"}\"]"}`, `[1,{"b":[]}]`, `17`, `"x y"`, `{}`, `{"c":1}`, `true`}
-	text := "\r\n " + want[0] + want[1] + "17 \"x y\" \n" + string(Append(nil, Headed, []byte(want[4]))) +
+	text := "\r\n " + want[0] + want[1] + "17 \"x y\" \n" + string(AppendFrame(nil, HeaderDelimited, []byte(want[4]))) +
 		"content-type: x\r\n"[:0] + "Content-Type: application/json\r\ncontent-length:  7\r\n\r\n" + want[5] + "true"
 	for size := 1; size < 20; size++ {
 		r := NewReader(bufio.NewReader(&chunks{[]byte(text), size}))
@@ -26,7 +26,7 @@
 			if err != nil || string(got) != w {
 				t.Fatalf("by %d bytes: frame %d is %q, %v; want %q", size, i, got, err, w)
 			}
-			if headed := i == 4 || i == 5; (r.Framing() == Headed) != headed {
+			if headed := i == 4 || i == 5; (r.Framing() == HeaderDelimited) != headed {
 				t.Errorf("frame %d: framing %v", i, r.Framing())
 			}
 		}
@@ -52,7 +52,7 @@
 }
 
 func TestFramesThatAreNone(t *testing.T) {
-	for _, text := range []string{"{]", "]", "{\"a\n\":1}", "{", `"`, strings.Repeat("[", MaxFrame+1), "Content-Length: x\r\n\r\n{}",
+	for _, text := range []string{"{]", "]", "{\"a\n\":1}", "{", `"`, strings.Repeat("[", MaxFrameBytes+1), "Content-Length: x\r\n\r\n{}",
 		"Content-Length: 2\r\n{}", "Content-Length: 5\r\n\r\n{}", "C", "Cookie: x\r\n\r\n{}", "Content-Length: 65537\r\n\r\n",
 		strings.Repeat("Content-Type: x\r\n", 100), "Content-Length: -1\r\n\r\n", "\r\n\r\nContent-Type: x\r\n\r\n{}"} {
 		if frame, err := reader(text).Next(); !errors.Is(err, ErrFrame) || strings.Contains(err.Error(), "\n") {
@@ -92,7 +92,7 @@
 				}
 				return
 			}
-			if len(frame) > MaxFrame {
+			if len(frame) > MaxFrameBytes {
 				t.Fatalf("a frame of %d bytes", len(frame))
 			}
 			members, _, err := Split(frame)
--- a/internal/jsonrpc/message.go
+++ b/internal/jsonrpc/message.go
@@ -32,8 +32,8 @@
 	Extra  jsontext.Value // of the member that Parse was told of
 }
 
-// Notification tells whether a request wants no answer.
-func (m *Message) Notification() bool { return m.ID == nil }
+// IsNotification tells whether a request wants no answer.
+func (m *Message) IsNotification() bool { return m.ID == nil }
 
 // decoders are kept for their bookkeeping of names, which costs more to make than a call to read.
 var decoders = sync.Pool{New: func() any { return new(jsontext.Decoder) }}
@@ -149,8 +149,8 @@
 	return append(out, '}')
 }
 
-// AppendErrorValue appends a response with an error object that is there already.
-func AppendErrorValue(out []byte, id, object jsontext.Value) []byte {
+// AppendErrorObject appends a response with an error object that is there already.
+func AppendErrorObject(out []byte, id, object jsontext.Value) []byte {
 	out = append(append(out, `{"jsonrpc":"2.0","id":`...), id...)
 	out = append(append(out, `,"error":`...), object...)
 	return append(out, '}')
@@ -167,7 +167,7 @@
 	if data != nil {
 		object = append(append(object, `,"data":`...), data...)
 	}
-	return AppendErrorValue(out, id, append(object, '}'))
+	return AppendErrorObject(out, id, append(object, '}'))
 }
 
 // AppendCall appends a request with an id, params that may be nil, and a member beyond the specification's unless its name
--- a/internal/message/body.go
+++ b/internal/message/body.go
@@ -19,12 +19,12 @@
 
 // Store holds the bodies of this node's requests.
 type Store struct {
-	classes  map[string]bodies.Class
-	usual    bodies.Class
-	spool    *bodies.Spool // nil without a disk
-	deadline time.Duration
-	Answer   int64 // the largest body of an answer; beyond the usual size it is streamed
-	clock    engine.Clock
+	classes   map[string]bodies.Class
+	usual     bodies.Class
+	spool     *bodies.Spool // nil without a disk
+	deadline  time.Duration
+	MaxAnswer int64 // the largest body of an answer; beyond the usual size it is streamed
+	clock     engine.Clock
 
 	mu     sync.Mutex
 	budget *bodies.Budget
@@ -34,7 +34,7 @@
 // NewStore returns the store of a node with so many megabytes of memory, 0 for any number, and settings of our own, which
 // may be nil. An error is one of the folder that they name.
 func NewStore(memoryMB int, own *settings.Bodies, clock engine.Clock) (*Store, error) {
-	s := &Store{classes: map[string]bodies.Class{}, usual: bodies.Class{Most: MaxBody, Memory: MaxBody}, Answer: MaxBody,
+	s := &Store{classes: map[string]bodies.Class{}, usual: bodies.Class{Most: MaxBodyBytes, Memory: MaxBodyBytes}, MaxAnswer: MaxBodyBytes,
 		clock: clock}
 	limits := bodies.Limits{Memory: 1 << 40, Heads: 1 << 40}
 	if memoryMB > 0 {
@@ -45,7 +45,7 @@
 		if own.Memory > 0 {
 			limits.Memory = int64(own.Memory)
 		}
-		s.Answer = max(s.Answer, int64(own.Answer))
+		s.MaxAnswer = max(s.MaxAnswer, int64(own.Answer))
 		for _, c := range own.Classes {
 			s.classes[c.Name] = bodies.Class{Most: int64(c.Most), Memory: int64(c.Memory), Disk: c.Disk, Once: c.Once}
 		}
@@ -88,22 +88,22 @@
 	return s.budget.Placed(t)
 }
 
-// Hold takes room in memory for size bytes that are no body, and tells whether there is any. Free gives it back.
-func (s *Store) Hold(size int64) bool {
+// Reserve takes room in memory for size bytes that are no body, and tells whether there is any. Free gives it back.
+func (s *Store) Reserve(size int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.budget.Hold(size)
 }
 
-// Free gives back what Hold took.
-func (s *Store) Free(size int64) {
+// Release gives back what Hold took.
+func (s *Store) Release(size int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budget.Release(size)
 }
 
-// Held is what heads and answers hold in memory, in bytes.
-func (s *Store) Held() int64 {
+// Reserved is what heads and answers hold in memory, in bytes.
+func (s *Store) Reserved() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.budget.Held()
@@ -156,12 +156,12 @@
 	// Once: the rest of it, behind what is kept.
 	ahead   []byte // read from the client already
 	client  io.Reader
-	Begun   atomic.Bool   // an attempt has begun to send it
+	Started atomic.Bool   // an attempt has begun to send it
 	Drained chan struct{} // closed when all of it was read from the client
 }
 
-// Free gives back what a body holds. It may be called again, and of none.
-func (p *Body) Free() {
+// Release gives back what a body holds. It may be called again, and of none.
+func (p *Body) Release() {
 	if p == nil || !p.held {
 		return
 	}
@@ -187,12 +187,12 @@
 	case bodies.Memory:
 		p.Memory = make([]byte, size)
 		if _, err := io.ReadFull(in.Body, p.Memory); err != nil {
-			p.Free()
-			return nil, CutShort(err)
+			p.Release()
+			return nil, BodyTruncated(err)
 		}
 	case bodies.Disk:
 		if no := p.spill(ctx, c, in.Body); no != nil {
-			p.Free()
+			p.Release()
 			return nil, no
 		}
 	case bodies.Once:
@@ -210,8 +210,8 @@
 	return &Rejection{Status: http.StatusServiceUnavailable, Text: err.Error(), RetryAfter: 250 * time.Millisecond}
 }
 
-// CutShort is the answer to a body that did not come whole.
-func CutShort(err error) *Rejection {
+// BodyTruncated is the answer to a body that did not come whole.
+func BodyTruncated(err error) *Rejection {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return &Rejection{Status: http.StatusRequestTimeout, Text: "the body did not come in time"}
 	}
@@ -234,7 +234,7 @@
 		chunk = make([]byte, min(left, chunkSize)) // a new one: a call that hangs goes on reading the last
 		if _, err := io.ReadFull(client, chunk); err != nil {
 			s.settled(true)
-			return CutShort(err)
+			return BodyTruncated(err)
 		}
 		err = s.call(ctx, func(ctx context.Context) error { return p.kept.Append(ctx, chunk) })
 	}
@@ -270,9 +270,9 @@
 }
 
 var (
-	// ErrBody is a body that was kept and can't be read back, ErrClient one that its client did not send whole: neither
+	// ErrSpool is a body that was kept and can't be read back, ErrClient one that its client did not send whole: neither
 	// is the box's doing.
-	ErrBody   = errors.New("the body can't be read back")
+	ErrSpool  = errors.New("the body can't be read back")
 	ErrClient = errors.New("the client's body did not come")
 )
 
@@ -286,7 +286,7 @@
 			err := p.kept.ReadAt(call, chunk, off)
 			cancel()
 			if err != nil {
-				return fmt.Errorf("%w: %w", ErrBody, err)
+				return fmt.Errorf("%w: %w", ErrSpool, err)
 			}
 			if _, err := to.Write(chunk); err != nil {
 				return err
--- a/internal/message/budget_test.go
+++ b/internal/message/budget_test.go
@@ -13,37 +13,37 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.SetLimits(bodies.Limits{Memory: 2 * HeadCost, Heads: HeadCost})
+	s.SetLimits(bodies.Limits{Memory: 2 * RequestOverheadBytes, Heads: RequestOverheadBytes})
 	defer s.Stop()
 	var a, b, c Request
 	if !s.Admit(&a) || !s.Admit(&b) {
 		t.Fatal("no room for two of three")
 	}
 	p := &Reply{}
-	if !s.Hold(HeadCost) {
+	if !s.Reserve(RequestOverheadBytes) {
 		t.Fatal("no room for an answer")
 	}
-	p.Holds(s, HeadCost)
+	p.AttachReservation(s, RequestOverheadBytes)
 	if s.Admit(&c) {
 		t.Error("a fourth is let in")
 	}
 	p.Release()
 	p.Release()
-	if !s.Admit(&c) || s.Hold(1) {
+	if !s.Admit(&c) || s.Reserve(1) {
 		t.Error("the answer's room did not come back once")
 	}
 	for _, r := range []*Request{&a, &b, &c} {
 		r.Release()
 		r.Release()
 	}
-	if tier, _ := s.place(s.usual, HeadCost); tier != bodies.Memory {
+	if tier, _ := s.place(s.usual, RequestOverheadBytes); tier != bodies.Memory {
 		t.Errorf("a body goes to %v", tier)
 	}
-	if tier, _ := s.place(s.usual, 2*HeadCost); tier != bodies.TooLarge || !s.Hold(HeadCost) {
+	if tier, _ := s.place(s.usual, 2*RequestOverheadBytes); tier != bodies.TooLarge || !s.Reserve(RequestOverheadBytes) {
 		t.Errorf("a body of what heads are sure of goes to %v", tier)
 	}
-	s.Free(HeadCost)
-	if n := s.Held(); n != 0 {
+	s.Release(RequestOverheadBytes)
+	if n := s.Reserved(); n != 0 {
 		t.Errorf("%d bytes are held by nobody", n)
 	}
 	var none *Reply
--- a/internal/message/flow.go
+++ b/internal/message/flow.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Flow is the body of an answer that goes on to the client while it comes from the box.
-type Flow struct {
+// AnswerStream is the body of an answer that goes on to the client while it comes from the box.
+type AnswerStream struct {
 	Size int64
 
 	body  io.Reader
@@ -17,17 +17,17 @@
 	ended chan error // holds one: how it ended
 }
 
-// NewFlow returns the flow of a body of a size that is read from body, which comes from a connection.
-func NewFlow(body io.Reader, from net.Conn, size int64) *Flow {
-	return &Flow{Size: size, body: body, from: from, ended: make(chan error, 1)}
+// NewAnswerStream returns the flow of a body of a size that is read from body, which comes from a connection.
+func NewAnswerStream(body io.Reader, from net.Conn, size int64) *AnswerStream {
+	return &AnswerStream{Size: size, body: body, from: from, ended: make(chan error, 1)}
 }
 
-// Ended gives how the answer's way to the client ended, once: nil where it is there whole.
-func (f *Flow) Ended() <-chan error { return f.ended }
+// Done gives how the answer's way to the client ended, once: nil where it is there whole.
+func (f *AnswerStream) Done() <-chan error { return f.ended }
 
 // Read reads from the box, which may not pause for longer than a client may.
-func (f *Flow) Read(p []byte) (int, error) {
-	f.from.SetReadDeadline(time.Now().Add(WriteTime))
+func (f *AnswerStream) Read(p []byte) (int, error) {
+	f.from.SetReadDeadline(time.Now().Add(IOTimeout))
 	n, err := f.body.Read(p)
 	if err != nil && err != io.EOF {
 		f.err = err
@@ -35,8 +35,8 @@
 	return n, err
 }
 
-// End tells the attempt how its answer's way to the client ended.
-func (f *Flow) End(err error) {
+// Finish tells the attempt how its answer's way to the client ended.
+func (f *AnswerStream) Finish(err error) {
 	switch {
 	case f.err != nil:
 		err = f.err
@@ -46,10 +46,10 @@
 	f.ended <- err
 }
 
-// Paced is a client's connection, to which no write may take longer than WriteTime.
-type Paced struct{ net.Conn }
+// WriteTimeoutConn is a client's connection, to which no write may take longer than WriteTime.
+type WriteTimeoutConn struct{ net.Conn }
 
-func (p Paced) Write(b []byte) (int, error) {
-	p.SetWriteDeadline(time.Now().Add(WriteTime))
+func (p WriteTimeoutConn) Write(b []byte) (int, error) {
+	p.SetWriteDeadline(time.Now().Add(IOTimeout))
 	return p.Conn.Write(b)
 }
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	MaxBody = 64 << 10 // bytes of a request's or an answer's body, but where settings of our own allow more
-	MaxHead = 16 << 10 // bytes of a head
+	MaxBodyBytes = 64 << 10 // bytes of a request's or an answer's body, but where settings of our own allow more
+	MaxHeadBytes = 16 << 10 // bytes of a head
 
-	// WriteTime is for how long a client may pause while it sends or reads.
-	WriteTime = 2 * time.Second
+	// IOTimeout is for how long a client may pause while it sends or reads.
+	IOTimeout = 2 * time.Second
 
-	// HeadCost is what a request holds beside its body, in bytes: the buffer that its head came in, the head as it was
+	// RequestOverheadBytes is what a request holds beside its body, in bytes: the buffer that its head came in, the head as it was
 	// read, and the buffer that it goes out by.
-	HeadCost  = 4<<10 + MaxHead + 1<<10
-	chunkSize = 32 << 10
+	RequestOverheadBytes = 4<<10 + MaxHeadBytes + 1<<10
+	chunkSize            = 32 << 10
 )
 
-// Headers are those that a request may carry, besides its length and host; PROTOCOL knows no others.
-var Headers = []string{"X-Request-Id", "X-Class", "X-Tenant", "X-Deadline", "X-Retry", "X-Cost-Hint", "X-Extras", "Idempotency-Key"}
+// RequestHeaders are those that a request may carry, besides its length and host; PROTOCOL knows no others.
+var RequestHeaders = []string{"X-Request-Id", "X-Class", "X-Tenant", "X-Deadline", "X-Retry", "X-Cost-Hint", "X-Extras", "Idempotency-Key"}
 
 // Request is one request of a client. It is its own payload.
 type Request struct {
@@ -37,7 +37,7 @@
 
 // Admit takes room for a request, apart from its body, and tells whether there is any.
 func (s *Store) Admit(r *Request) bool {
-	if !s.Hold(HeadCost) {
+	if !s.Reserve(RequestOverheadBytes) {
 		return false
 	}
 	r.store = s
@@ -46,9 +46,9 @@
 
 // Release gives back what the request holds. It may be called again.
 func (r *Request) Release() {
-	r.Body.Free()
+	r.Body.Release()
 	if r.store != nil {
-		r.store.Free(HeadCost)
+		r.store.Release(RequestOverheadBytes)
 		r.store = nil
 	}
 }
@@ -57,19 +57,19 @@
 type Reply struct {
 	Header http.Header
 	Body   []byte
-	Flow   *Flow // in place of Body, for one that is still coming
+	Stream *AnswerStream // in place of Body, for one that is still coming
 
 	store *Store // whose room for size bytes it holds; nil for none
 	size  int64
 }
 
-// Holds has a reply give back size bytes of a store's room once it is released.
-func (p *Reply) Holds(s *Store, size int64) { p.store, p.size = s, size }
+// AttachReservation has a reply give back size bytes of a store's room once it is released.
+func (p *Reply) AttachReservation(s *Store, size int64) { p.store, p.size = s, size }
 
 // Release gives back what the reply holds. It may be called again, and of none.
 func (p *Reply) Release() {
 	if p != nil && p.store != nil {
-		p.store.Free(p.size)
+		p.store.Release(p.size)
 		p.store = nil
 	}
 }
--- a/internal/message/unsized.go
+++ b/internal/message/unsized.go
@@ -30,18 +30,18 @@
 func (s *Store) ReadUnsized(ctx context.Context, class string, client io.Reader, grown func(size int64)) (*Body, *Rejection) {
 	u := &unsized{body: &Body{store: s, Tier: bodies.Memory, held: true}, class: s.class(class), client: client, grown: grown}
 	if no := u.read(ctx); no != nil {
-		u.body.Free()
+		u.body.Release()
 		return nil, no
 	}
 	if u.size == 0 {
-		u.body.Free()
+		u.body.Release()
 		return nil, nil
 	}
 	return u.body, nil
 }
 
-// Most is the largest body that a class allows, in bytes.
-func (s *Store) Most(class string) int64 { return s.class(class).Most }
+// MaxBodySize is the largest body that a class allows, in bytes.
+func (s *Store) MaxBodySize(class string) int64 { return s.class(class).Most }
 
 // Len is a body's length in bytes, 0 for none.
 func (p *Body) Len() int64 {
@@ -82,7 +82,7 @@
 		case errors.Is(err, io.EOF):
 			return nil
 		case err != nil:
-			return CutShort(err)
+			return BodyTruncated(err)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 	case errors.Is(err, io.EOF):
 		return nil
 	default:
-		return CutShort(err)
+		return BodyTruncated(err)
 	}
 }
 
@@ -195,7 +195,7 @@
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
-		return CutShort(err)
+		return BodyTruncated(err)
 	}
 }
 
@@ -210,5 +210,5 @@
 	return n, err
 }
 
-// LateBody is the answer to a body that did not come in time.
-func LateBody() *Rejection { return CutShort(os.ErrDeadlineExceeded) }
+// BodyTimedOut is the answer to a body that did not come in time.
+func BodyTimedOut() *Rejection { return BodyTruncated(os.ErrDeadlineExceeded) }
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -106,7 +106,7 @@
 	}, b.entry("s-1"))
 	if d != nil {
 		r.bodies.UseDisk(d, settings.Disk{Workers: 4, Deadline: tomlfile.Duration(wait)})
-		r.bodies.SetLimits(bodies.Limits{Memory: roomForBodies, Heads: 60 * message.HeadCost, Disk: 2 << 20})
+		r.bodies.SetLimits(bodies.Limits{Memory: roomForBodies, Heads: 60 * message.RequestOverheadBytes, Disk: 2 << 20})
 	}
 	return r
 }
@@ -121,7 +121,7 @@
 func (r *rig) empty(t *testing.T, d *disk) {
 	t.Helper()
 	wait(t, "the room of all bodies", func() bool {
-		return r.bodies.Held() == 0 && r.bodies.Used(bodies.Memory) == 0 && r.bodies.Used(bodies.Disk) == 0
+		return r.bodies.Reserved() == 0 && r.bodies.Used(bodies.Memory) == 0 && r.bodies.Used(bodies.Disk) == 0
 	})
 	wait(t, "the close of all files", func() bool {
 		d.mu.Lock()
@@ -372,11 +372,11 @@
 func TestUsualBodies(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, newRegistry(t), settingsJSON, nil, newBox(t, echo).entry("s-1"))
-	q := big("r1", message.MaxBody)
+	q := big("r1", message.MaxBodyBytes)
 	if resp, body := r.dial(t).ask(q); resp.StatusCode != 200 || body != q.echoed() {
 		t.Errorf("%d", resp.StatusCode)
 	}
-	if resp, _ := r.dial(t).ask(big("r2", message.MaxBody+1)); resp.StatusCode != 413 {
+	if resp, _ := r.dial(t).ask(big("r2", message.MaxBodyBytes+1)); resp.StatusCode != 413 {
 		t.Errorf("%d", resp.StatusCode)
 	}
 }
@@ -445,7 +445,7 @@
 		return reply(c, 200, "", strings.Repeat("x", 30<<10))
 	})
 	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-	r.bodies.SetLimits(bodies.Limits{Memory: 2 * message.HeadCost, Heads: message.HeadCost})
+	r.bodies.SetLimits(bodies.Limits{Memory: 2 * message.RequestOverheadBytes, Heads: message.RequestOverheadBytes})
 	var held []*client
 	for i := range 2 {
 		c := r.dial(t)
@@ -458,7 +458,7 @@
 		t.Errorf("third: %d, %d bytes", resp.StatusCode, len(body))
 	}
 	// Its client has the last byte before the node has closed its book on it: until then its head's room is taken.
-	wait(t, "the third's room", func() bool { return r.bodies.Held() <= 2*message.HeadCost })
+	wait(t, "the third's room", func() bool { return r.bodies.Reserved() <= 2*message.RequestOverheadBytes })
 	c := r.dial(t)
 	c.send(view("held-2").text())
 	wait(t, "three at the box", func() bool { return len(b.requests()) == 4 })
--- a/internal/node/chunked_test.go
+++ b/internal/node/chunked_test.go
@@ -42,7 +42,7 @@
 	b := newBox(t, echo)
 	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
 	usual := quote("x").body
-	largest := strings.Repeat("a door ", message.MaxBody)[:message.MaxBody]
+	largest := strings.Repeat("a door ", message.MaxBodyBytes)[:message.MaxBodyBytes]
 	endless := strings.Repeat("e", 4000)
 	for i, c := range []struct {
 		name, lines, body, wire string
@@ -145,7 +145,7 @@
 		{"a trailer that is a length", "Trailer: Content-Length\r\n" + codingLine, chunk + end, 400},
 		{"a size that overflows", codingLine, "10000000000000006\r\na door\r\n" + end, 400},
 		{"the largest size, and little of it", codingLine, "ffffffffffffffff\r\na door\r\n" + end, 408},
-		{"the largest size, and much of it", codingLine, "ffffffffffffffff\r\n" + strings.Repeat("x", message.MaxBody+1), 413},
+		{"the largest size, and much of it", codingLine, "ffffffffffffffff\r\n" + strings.Repeat("x", message.MaxBodyBytes+1), 413},
 		// RFC 9112, 7.1.1, has a reader pass over this blank; net/http's does not.
 		{"a blank before an extension", codingLine, "6 ;a=b\r\na door\r\n" + end, 400},
 		{"a negative size", codingLine, "-6\r\na door\r\n" + end, 400},
@@ -161,8 +161,8 @@
 		{"a chunk shorter than told", codingLine, "7\r\na door\r\n" + end, 400},
 		{"a trailer that does not end", codingLine, chunk + "0\r\nX-A: " + strings.Repeat("a", 8000) + "\r\n\r\n", 400},
 		{"a trailer that is none", codingLine, chunk + "0\r\nnone\r\n\r\n", 400},
-		{"a body over the most", codingLine, inChunks(strings.Repeat("x", message.MaxBody+1), 1000), 413},
-		{"a body over the most in one chunk", codingLine, inChunks(strings.Repeat("x", message.MaxBody+1), 1<<20), 413},
+		{"a body over the most", codingLine, inChunks(strings.Repeat("x", message.MaxBodyBytes+1), 1000), 413},
+		{"a body over the most in one chunk", codingLine, inChunks(strings.Repeat("x", message.MaxBodyBytes+1), 1<<20), 413},
 	} {
 		cl := r.dial(t)
 		go io.WriteString(cl, q.chunkedHead(c.lines)+c.wire+hidden) // the node may answer and close before it has read all
@@ -350,7 +350,7 @@
 	t.Parallel()
 	b := newBox(t, echo)
 	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-	r.bodies.SetLimits(bodies.Limits{Memory: 40 << 10, Heads: 10 * message.HeadCost})
+	r.bodies.SetLimits(bodies.Limits{Memory: 40 << 10, Heads: 10 * message.RequestOverheadBytes})
 	held := r.dial(t)
 	held.send(big("held", 20<<10).chunkedHead(codingLine) + "5000\r\n" + strings.Repeat("x", 20<<10) + "\r\n")
 	wait(t, "the first body's room", func() bool { return r.bodies.Used(bodies.Memory) == 32<<10 })
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -136,7 +136,7 @@
 		}
 	}
 	r.leave()
-	wait(t, "the node's leaving", r.front.Leaving)
+	wait(t, "the node's leaving", r.front.ShuttingDown)
 	text := quote("late").text()
 	coming.send(text[:len(text)-3]) // its head is there, and a part of its body
 	if _, err := resting.in.ReadByte(); err != io.EOF {
--- a/internal/node/forms_test.go
+++ b/internal/node/forms_test.go
@@ -184,7 +184,7 @@
 func TestAnswerIsNotCutByWhatIsAroundIt(t *testing.T) {
 	t.Parallel()
 	hints := strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: </"+strings.Repeat("a", 900)+">\r\n\r\n", 18)
-	longest := strings.Repeat("x", message.MaxBody)
+	longest := strings.Repeat("x", message.MaxBodyBytes)
 	for _, c := range []struct{ name, text, want string }{
 		{"no length", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + longest, longest},
 		{"hints, no length", hints + "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + longest, longest},
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -145,11 +145,11 @@
 	if dial == nil {
 		dial = func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) }
 	}
-	n.carrier = httpcarrier.New(httpcarrier.Config{Quota: boxes, Idle: cfg.Settings.ConnIdle, RestWait: cfg.restWait(),
-		Reports: cfg.Settings.Reports, Bodies: n.bodies, Log: log, Now: cfg.now, Pause: cfg.pause, Dial: dial, DialOn: dialer.DialContext})
+	n.carrier = httpcarrier.New(httpcarrier.Config{Quota: boxes, BackendIdleTimeout: cfg.Settings.ConnIdle, MaxSettleWait: cfg.restWait(),
+		AcceptLoadReports: cfg.Settings.Reports, Bodies: n.bodies, Log: log, Now: cfg.now, Sleep: cfg.pause, Dial: dial, DialNetwork: dialer.DialContext})
 	var carrier engine.Carrier = n.carrier
 	if own.JSONRPC.Listen != "" {
-		n.rpc = rpccarrier.New(rpccarrier.Config{Conns: own.JSONRPC.Conns, Quota: boxes, Beside: own.JSONRPC.Beside, Reports: cfg.Settings.Reports,
+		n.rpc = rpccarrier.New(rpccarrier.Config{MaxConnsPerBackend: own.JSONRPC.Conns, Quota: boxes, SendMetadata: own.JSONRPC.Beside, AcceptLoadReports: cfg.Settings.Reports,
 			Dial: dial, Log: log})
 		carrier = carriers{n.carrier, n.rpc}
 	}
@@ -160,12 +160,12 @@
 		return nil, err
 	}
 	n.front = httpfront.New(httpfront.Config{Engine: n.engine, Bodies: n.bodies, Clock: clock,
-		Quota: both.Side(admission.ClientSide), Extra: cfg.extra(), Asking: cfg.Sockets / 3, Shares: cfg.shares(), Waited: cfg.waited, Log: log})
-	both.Yields(admission.ClientSide, func() bool { return n.front.Lend() || n.rpcs != nil && n.rpcs.Yield() })
-	both.Yields(admission.BoxSide, n.carrier.Yield)
+		Quota: both.Side(admission.ClientSide), RejectSlots: cfg.extra(), MaxRequestConns: cfg.Sockets / 3, TenantShares: cfg.shares(), ReceiveDelay: cfg.waited, Log: log})
+	both.Yields(admission.ClientSide, func() bool { return n.front.EvictIdleForBackend() || n.rpcs != nil && n.rpcs.EvictIdle() })
+	both.Yields(admission.BoxSide, n.carrier.EvictIdle)
 	if n.rpc != nil {
 		n.rpcs = rpcfront.New(rpcfront.Config{Engine: n.engine, Quota: both.Side(admission.ClientSide),
-			Methods: cfg.methods(), Inflight: own.JSONRPC.Inflight, Batch: own.JSONRPC.Batch, Idle: own.JSONRPC.Idle.D(), Log: log})
+			Methods: cfg.methods(), MaxInflight: own.JSONRPC.Inflight, MaxBatch: own.JSONRPC.Batch, IdleTimeout: own.JSONRPC.Idle.D(), Log: log})
 	}
 	var ctx context.Context
 	ctx, n.stop = context.WithCancel(context.Background())
@@ -252,7 +252,7 @@
 				patience = c.Deadline
 			}
 		}
-		out[m.Name] = rpcfront.Method{Class: m.Class, Patience: patience, Tenant: jsontext.Pointer(m.Tenant),
+		out[m.Name] = rpcfront.Method{Class: m.Class, ClientTimeout: patience, Tenant: jsontext.Pointer(m.Tenant),
 			Key: jsontext.Pointer(m.Key), Deadline: jsontext.Pointer(m.Deadline)}
 	}
 	return out
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -132,7 +132,7 @@
 		{"a negative length", strings.Replace(save("x").text(), "Length: 8", "Length: -8", 1), 400},
 		{"a huge length", strings.Replace(save("x").text(), "Length: 8", "Length: 99999999999999999999", 1), 400},
 		{"two lengths", with("Content-Length: 7"), 400},
-		{"a body too large", without(func(q *call) { q.body = strings.Repeat("x", message.MaxBody+1) }), 413},
+		{"a body too large", without(func(q *call) { q.body = strings.Repeat("x", message.MaxBodyBytes+1) }), 413},
 		{"a body too large that is not sent", strings.Replace(save("x").text(), "Length: 8", "Length: 60000000", 1), 413},
 		{"cut short", strings.TrimSuffix(save("x").text(), "ow"), 400},
 		{"chunks that are none", "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: x\r\nX-Class: quote\r\nX-Deadline: 50000m\r\n" +
@@ -145,7 +145,7 @@
 		{"another protocol", strings.Replace(save("x").text(), "HTTP/1.1", "HTTP/1.0", 1), 505},
 		{"no host", strings.Replace(save("x").text(), "Host: backend.local\r\n", "", 1), 400},
 		{"noise", "\x16\x03\x01\x02\x00\x01\r\n\r\n", 400},
-		{"an endless head", "GET /api HTTP/1.1\r\n" + strings.Repeat("X-A: b\r\n", message.MaxHead), 431},
+		{"an endless head", "GET /api HTTP/1.1\r\n" + strings.Repeat("X-A: b\r\n", message.MaxHeadBytes), 431},
 		{"an expectation", with("Expect: much"), 417},
 	} {
 		cl := r.dial(t)
@@ -165,7 +165,7 @@
 		}
 	}
 	large := save("whole")
-	large.body = strings.Repeat("x", message.MaxBody)
+	large.body = strings.Repeat("x", message.MaxBodyBytes)
 	if resp, _ := r.dial(t).ask(large); resp.StatusCode != 200 {
 		t.Errorf("the largest body: answered %d", resp.StatusCode)
 	}
@@ -256,7 +256,7 @@
 		}, 500, 503},
 		{"a head without end", func(c net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n")
-			_, err := io.WriteString(c, strings.Repeat("X-A: b\r\n", message.MaxHead+message.MaxBody))
+			_, err := io.WriteString(c, strings.Repeat("X-A: b\r\n", message.MaxHeadBytes+message.MaxBodyBytes))
 			return err == nil
 		}, 500, 503},
 		{"an answer said to be huge", func(c net.Conn, _ *http.Request, _ int) bool {
@@ -275,7 +275,7 @@
 			return true
 		}, 200, 200},
 		{"an answer too large", func(c net.Conn, _ *http.Request, _ int) bool {
-			return reply(c, 200, "", strings.Repeat("x", message.MaxBody+1))
+			return reply(c, 200, "", strings.Repeat("x", message.MaxBodyBytes+1))
 		}, 500, 503},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -708,7 +708,7 @@
 	wait(t, "the request at the backend", func() bool { return len(b.requests()) == 1 })
 	late, silent := r.dial(t), r.dial(t)
 	r.leave()
-	wait(t, "the node's leaving", r.front.Leaving)
+	wait(t, "the node's leaving", r.front.ShuttingDown)
 	if resp, body := late.ask(quote("late")); resp.StatusCode != 200 || body != "done late" || resp.Close {
 		t.Errorf("a request after SIGTERM: %d %q, close %v", resp.StatusCode, body, resp.Close)
 	}
@@ -753,7 +753,7 @@
 	r := newRig(t, newRegistry(t), short, nil, b.entry("s-1"))
 	c := r.dial(t)
 	r.leave()
-	wait(t, "the node's leaving", r.front.Leaving)
+	wait(t, "the node's leaving", r.front.ShuttingDown)
 	if resp, _ := c.ask(quote("stuck")); resp.StatusCode != 500 || !resp.Close {
 		t.Errorf("a request that no backend answers: %d, close %v; want 500 and a close", resp.StatusCode, resp.Close)
 	}
@@ -773,7 +773,7 @@
 	r := newRig(t, newRegistry(t), short, nil, b.entry("s-1"))
 	c := r.dial(t)
 	r.leave()
-	wait(t, "the node's leaving", r.front.Leaving)
+	wait(t, "the node's leaving", r.front.ShuttingDown)
 	text := quote("half").text()
 	c.send(text[:len(text)-1])
 	if resp, body := c.answer(); resp.StatusCode != 503 || !resp.Close || !strings.Contains(body, "ends") {
--- a/internal/node/rpc_test.go
+++ b/internal/node/rpc_test.go
@@ -265,7 +265,7 @@
 			c := dialRPC(t, addr)
 			last := `{"jsonrpc":"2.0","method":"sum","params":[1],"id":"last"}`
 			if headed {
-				c.send(string(jsonrpc.Append(nil, jsonrpc.Headed, []byte(x.send))))
+				c.send(string(jsonrpc.AppendFrame(nil, jsonrpc.HeaderDelimited, []byte(x.send))))
 			} else {
 				c.send(x.send + "\n")
 			}
@@ -291,7 +291,7 @@
 				continue
 			}
 			if headed {
-				c.send(string(jsonrpc.Append(nil, jsonrpc.Headed, []byte(last))))
+				c.send(string(jsonrpc.AppendFrame(nil, jsonrpc.HeaderDelimited, []byte(last))))
 			} else {
 				c.send(last)
 			}
@@ -637,7 +637,7 @@
 	c.send(`{"jsonrpc":"2.0","id":1,"method":"sendQuote","params":{"n":1}}`)
 	wait(t, "the quote at the box", func() bool { return b.calls("sendQuote") == 1 })
 	r.leave()
-	wait(t, "the front's leaving", r.rpcs.Leaving)
+	wait(t, "the front's leaving", r.rpcs.ShuttingDown)
 	c.send(`{"jsonrpc":"2.0","id":2,"method":"sendQuote","params":{"n":2}}`)
 	if got := c.line(); !strings.Contains(got, `"code":-32001`) || !strings.Contains(got, `"id":2`) {
 		t.Errorf("a call after SIGTERM: %s", got)
--- a/internal/rpccarrier/carrier.go
+++ b/internal/rpccarrier/carrier.go
@@ -29,12 +29,12 @@
 
 // Config is what a carrier is made from.
 type Config struct {
-	Conns   int // connections to one box at a time
-	Quota   *quota.Quota
-	Beside  bool // boxes are told a call's id, deadline, key and tenant in a member of the node's own
-	Reports bool // answers may hold load reports
-	Dial    func(ctx context.Context, addr string) (net.Conn, error)
-	Log     *slog.Logger
+	MaxConnsPerBackend int // connections to one box at a time
+	Quota              *quota.Quota
+	SendMetadata       bool // boxes are told a call's id, deadline, key and tenant in a member of the node's own
+	AcceptLoadReports  bool // answers may hold load reports
+	Dial               func(ctx context.Context, addr string) (net.Conn, error)
+	Log                *slog.Logger
 }
 
 // Carrier is an engine.Carrier of Calls.
@@ -146,7 +146,7 @@
 	until, _ := ctx.Deadline()
 	var beside []byte
 	member := ""
-	if n.cfg.Beside {
+	if n.cfg.SendMetadata {
 		member = extra
 		beside, err = json.Marshal(told{Request: c.ID, DeadlineUS: time.Until(until).Microseconds(), Key: c.Key, Tenant: c.Tenant})
 	}
@@ -160,7 +160,7 @@
 		<-l.writing
 		return early()
 	}
-	text := jsonrpc.Append(nil, jsonrpc.Lines, jsonrpc.AppendCall(nil, id, c.Method, c.Params, member, beside))
+	text := jsonrpc.AppendFrame(nil, jsonrpc.Lines, jsonrpc.AppendCall(nil, id, c.Method, c.Params, member, beside))
 	last := time.Now().Add(min(writeTime, time.Until(until)))
 	if !a.By.IsZero() && a.By.Before(last) {
 		last = a.By
@@ -182,7 +182,7 @@
 		if !ok {
 			return engine.Result{Outcome: policy.Reset} // its last byte was written: it may have run
 		}
-		res, err := judge(&m, n.cfg.Reports)
+		res, err := judge(&m, n.cfg.AcceptLoadReports)
 		if err != nil {
 			n.cfg.Log.Debug("an answer makes no sense", "box", a.Backend.ID, "err", err)
 		}
@@ -213,7 +213,7 @@
 				best, least = l, calls
 			}
 		}
-		full := len(ls.all)+ls.dialing >= n.cfg.Conns
+		full := len(ls.all)+ls.dialing >= n.cfg.MaxConnsPerBackend
 		if best != nil && (least == 0 || full) {
 			n.mu.Unlock()
 			return best, nil
--- a/internal/rpcfront/front.go
+++ b/internal/rpcfront/front.go
@@ -47,22 +47,22 @@
 
 // Method is what the settings say of a method.
 type Method struct {
-	Class    string
-	Patience time.Duration    // of a call that tells none
-	Tenant   jsontext.Pointer // RFC 6901, into params; "" for none
-	Key      jsontext.Pointer
-	Deadline jsontext.Pointer // to a number of milliseconds
+	Class         string
+	ClientTimeout time.Duration    // of a call that tells none
+	Tenant        jsontext.Pointer // RFC 6901, into params; "" for none
+	Key           jsontext.Pointer
+	Deadline      jsontext.Pointer // to a number of milliseconds
 }
 
 // Config is what a front is made from.
 type Config struct {
-	Engine   *engine.Engine
-	Quota    *quota.Quota
-	Methods  map[string]Method
-	Inflight int           // open calls on one connection; with more, nothing is read from it
-	Batch    int           // members of a batch at the most
-	Idle     time.Duration // a connection with no open call is closed after so long
-	Log      *slog.Logger
+	Engine      *engine.Engine
+	Quota       *quota.Quota
+	Methods     map[string]Method
+	MaxInflight int           // open calls on one connection; with more, nothing is read from it
+	MaxBatch    int           // members of a batch at the most
+	IdleTimeout time.Duration // a connection with no open call is closed after so long
+	Log         *slog.Logger
 }
 
 // Front is the connections of this node's JSON-RPC clients.
@@ -134,8 +134,8 @@
 	return err
 }
 
-// Leaving tells whether the front was told to end.
-func (f *Front) Leaving() bool { return f.leaving.Load() }
+// ShuttingDown tells whether the front was told to end.
+func (f *Front) ShuttingDown() bool { return f.leaving.Load() }
 
 func (f *Front) each(do func(*conn)) {
 	f.mu.Lock()
@@ -160,9 +160,9 @@
 			time.Sleep(acceptAgain)
 			continue
 		}
-		c := &conn{Conn: nc, front: f, slots: make(chan struct{}, f.cfg.Inflight), open: map[string]bool{}}
+		c := &conn{Conn: nc, front: f, slots: make(chan struct{}, f.cfg.MaxInflight), open: map[string]bool{}}
 		c.ctx, c.cancel = context.WithCancel(context.Background())
-		if !f.cfg.Quota.Claim(f.Yield) {
+		if !f.cfg.Quota.Claim(f.EvictIdle) {
 			c.write(jsonrpc.AppendError(nil, jsonrpc.Null, Refused, "no room for a connection", refusal(refuseWait)))
 			c.Close()
 			continue
@@ -184,8 +184,8 @@
 	}
 }
 
-// Yield closes the connection that has had no open call for longest, for another's sake, and tells whether there was one.
-func (f *Front) Yield() bool {
+// EvictIdle closes the connection that has had no open call for longest, for another's sake, and tells whether there was one.
+func (f *Front) EvictIdle() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	first := f.rest.Front()
@@ -269,7 +269,7 @@
 	in := bufio.NewReader(c.Conn)
 	r := jsonrpc.NewReader(in)
 	for first := true; ; first = false {
-		wait := c.front.cfg.Idle
+		wait := c.front.cfg.IdleTimeout
 		if first {
 			wait = firstTime
 		}
@@ -339,9 +339,9 @@
 // late for that fail alone.
 func (c *conn) batch(members []jsontext.Value, arrived time.Time) {
 	f := c.front
-	if len(members) == 0 || len(members) > f.cfg.Batch {
+	if len(members) == 0 || len(members) > f.cfg.MaxBatch {
 		c.write(jsonrpc.AppendError(nil, jsonrpc.Null, jsonrpc.InvalidRequest, "Invalid Request",
-			quote(fmt.Sprintf("a batch has 1 to %d members", f.cfg.Batch))))
+			quote(fmt.Sprintf("a batch has 1 to %d members", f.cfg.MaxBatch))))
 		return
 	}
 	b := &answers{conn: c, due: 1, parts: make([][]byte, len(members))}
@@ -417,7 +417,7 @@
 func (c *conn) parse(v jsontext.Value, arrived time.Time) (call *rpccarrier.Call, id jsontext.Value, no []byte) {
 	m, err := jsonrpc.Parse(v, "")
 	refuse := func(code int, text, why string) []byte {
-		if m.Notification() {
+		if m.IsNotification() {
 			return []byte{} // it is owed no answer, and nothing is done
 		}
 		return jsonrpc.AppendError(nil, m.ID, code, text, quote(why))
@@ -435,7 +435,7 @@
 		return nil, nil, refuse(jsonrpc.MethodNotFound, "Method not found", m.Method)
 	}
 	call = &rpccarrier.Call{Method: m.Method, Params: m.Params, Request: engine.Request{Class: how.Class,
-		Arrived: arrived, Patience: how.Patience, Needs: engine.SpeaksRPC}}
+		Arrived: arrived, Patience: how.ClientTimeout, Needs: engine.SpeaksRPC}}
 	call.Payload = call
 	// The engine's ids are those of HTTP clients too: a byte that no header can hold keeps the two apart.
 	call.ID = "\x00" + strconv.FormatUint(c.front.serial.Add(1), 36)
@@ -462,7 +462,7 @@
 			call.Patience = min(call.Patience, time.Duration(ms*float64(time.Millisecond)))
 		}
 	}
-	if m.Notification() {
+	if m.IsNotification() {
 		return call, nil, nil
 	}
 	c.mu.Lock()
@@ -551,7 +551,7 @@
 	}
 	if r, ok := a.Payload.(*rpccarrier.Reply); ok {
 		if r.Error != nil {
-			return jsonrpc.AppendErrorValue(nil, id, r.Error)
+			return jsonrpc.AppendErrorObject(nil, id, r.Error)
 		}
 		return jsonrpc.AppendResult(nil, id, r.Result)
 	}
@@ -585,7 +585,7 @@
 	c.writing.Lock()
 	defer c.writing.Unlock()
 	c.SetWriteDeadline(time.Now().Add(writeTime))
-	if _, err := c.Write(jsonrpc.Append(nil, f, message)); err != nil {
+	if _, err := c.Write(jsonrpc.AppendFrame(nil, f, message)); err != nil {
 		c.Close() // a part of it may be written: nothing can follow
 	}
 }
