--- a/internal/httpcarrier/addresses_test.go
+++ b/internal/httpcarrier/addresses_test.go
@@ -22,14 +22,14 @@
 	"craneglade/policy"
 )
 
-// breaks is a connection that breaks after so many bytes of what is written.
-type breaks struct {
+// breakingConn is a connection that breaks after so many bytes of what is written.
+type breakingConn struct {
 	net.Conn
 	after int
 	pause time.Duration
 }
 
-func (c *breaks) Write(p []byte) (int, error) {
+func (c *breakingConn) Write(p []byte) (int, error) {
 	time.Sleep(c.pause)
 	if len(p) <= c.after {
 		return c.Conn.Write(p)
@@ -39,7 +39,7 @@
 
 // A connection that breaks before a request's last byte has it go on to the box's next address, once and with what is left of its time;
 // one that breaks after it ends the attempt as one that may have run.
-func TestTheLastByteDecides(t *testing.T) {
+func TestNextAddressOnlyBeforeLastByteIsWritten(t *testing.T) {
 	for _, c := range []struct {
 		after int
 		want  policy.Outcome
@@ -69,39 +69,39 @@
 			}
 			wg.Go(func() {
 				defer ln.Close()
-				if its, err := ln.Accept(); err == nil {
-					serve(its, addr != "/first")
+				if accepted, err := ln.Accept(); err == nil {
+					serve(accepted, addr != "/first")
 				}
 			})
-			mine, err := net.Dial("tcp", ln.Addr().String())
+			conn, err := net.Dial("tcp", ln.Addr().String())
 			if err != nil {
 				return nil, err
 			}
 			if addr == "/first" {
-				return &breaks{mine, c.after, 50 * time.Millisecond}, nil
+				return &breakingConn{conn, c.after, 50 * time.Millisecond}, nil
 			}
-			return mine, nil
+			return conn, nil
 		}
 		bodies, err := message.NewStore(0, &settings.Bodies{}, engine.NewClock())
 		if err != nil {
 			t.Fatal(err)
 		}
 		n := New(Config{Quota: quota.New(0, 0).Side(admission.BoxSide), Bodies: bodies, DialNetwork: dial, Log: slog.New(slog.DiscardHandler)})
-		box := &engine.Backend{ID: "b"}
-		box.SetAddrs([]string{"unix:/first", "127.0.0.1:1"})
+		backend := &engine.Backend{ID: "b"}
+		backend.SetAddrs([]string{"unix:/first", "127.0.0.1:1"})
 		in, _ := http.NewRequest("POST", "http://x/api", strings.NewReader("a door"))
 		m := &message.Request{In: in, Body: &message.Body{Memory: []byte("a door")}}
 		m.Payload = m
-		res := n.Carry(t.Context(), &engine.Attempt{Request: &m.Request, Backend: box, Wait: time.Second, Effect: policy.Unsafe})
+		res := n.Carry(t.Context(), &engine.Attempt{Request: &m.Request, Backend: backend, Wait: time.Second, Effect: policy.Unsafe})
 		n.Stop()
 		wg.Wait()
 		if res.Outcome != c.want || len(got) != c.sent {
 			t.Errorf("broken after %d bytes: %v, %d at the second address; want %v, %d", c.after, res.Outcome, len(got), c.want, c.sent)
 		}
 		for _, r := range got {
-			left, _ := strconv.Atoi(strings.TrimSuffix(r.Header.Get("X-Deadline"), "u"))
-			if left <= 0 || left > 950_000 {
-				t.Errorf("the second address was told %d us of 1 s, 50 ms of which had gone", left)
+			remaining, _ := strconv.Atoi(strings.TrimSuffix(r.Header.Get("X-Deadline"), "u"))
+			if remaining <= 0 || remaining > 950_000 {
+				t.Errorf("the second address was told %d us of 1 s, 50 ms of which had gone", remaining)
 			}
 		}
 		bodies.Stop()
--- a/internal/httpcarrier/carrier.go
+++ b/internal/httpcarrier/carrier.go
@@ -26,16 +26,16 @@
 )
 
 var (
-	errTimeout = errors.New("the attempt's time is up")
-	errLate    = errors.New("backends may drop the repeat no more")
+	errTimeout      = errors.New("the attempt's time is up")
+	errRepeatWindow = errors.New("backends may drop the repeat no more")
 )
 
-// chunkedFactor bounds what an answer in chunks may take on the wire, in bytes for each of its body: one byte in a chunk
+// maxChunkedFactor bounds what an answer in chunks may take on the wire, in bytes for each of its body: one byte in a chunk
 // of its own takes 6.
-const chunkedFactor = 8
+const maxChunkedFactor = 8
 
-// answerTime is how long an answer may take from its first byte to its last.
-const answerTime = 250 * time.Millisecond
+// answerTimeout is how long an answer may take from its first byte to its last.
+const answerTimeout = 250 * time.Millisecond
 
 // Config is what a carrier is made from.
 type Config struct {
@@ -67,24 +67,24 @@
 }
 
 // Conns is how many connections there are, and how many of them carry nothing.
-func (n *Carrier) Conns() (open, rest int) {
+func (n *Carrier) Conns() (open, idle int) {
 	n.pool.mu.Lock()
 	defer n.pool.mu.Unlock()
-	return n.pool.open, n.pool.rest.Len()
+	return n.pool.open, n.pool.idleConns.Len()
 }
 
 // EvictIdle closes the connection that has carried nothing for longest, and tells whether there was one.
-func (n *Carrier) EvictIdle() bool { return n.pool.spare() }
+func (n *Carrier) EvictIdle() bool { return n.pool.closeOldestIdle() }
 
 // Retire closes the connections to a box that carry nothing. Those that carry something follow.
-func (n *Carrier) Retire(b *engine.Backend) { n.pool.clear(n.pool.of(b), true) }
+func (n *Carrier) Retire(b *engine.Backend) { n.pool.closeIdle(n.pool.backend(b), true) }
 
 // Reach tells whether a connection to a box comes up while ctx lasts, and keeps it for requests if it does.
 func (n *Carrier) Reach(ctx context.Context, b *engine.Backend) bool {
 	if b.Shut() {
 		return false
 	}
-	c, err := n.pool.connect(ctx, n.pool.of(b), b)
+	c, err := n.pool.connect(ctx, n.pool.backend(b), b)
 	if err != nil {
 		return false
 	}
@@ -112,13 +112,13 @@
 	if !ok {
 		return engine.Result{Outcome: policy.Moot} // another protocol's: never sent
 	}
-	b := n.pool.of(a.Backend)
-	heard := b.heard.Load()
+	b := n.pool.backend(a.Backend)
+	answersBefore := b.answers.Load()
 	// A request whose last byte was not written goes on to the box's next address, within the same time.
 	wait := a.Wait
-	for again := len(a.Backend.Addrs()); ; again-- {
-		res, part := n.send(ctx, a, r, wait, b, heard, fresh)
-		if !part || again <= 1 {
+	for remaining := len(a.Backend.Addrs()); ; remaining-- {
+		res, unsent := n.send(ctx, a, r, wait, b, answersBefore, fresh)
+		if !unsent || remaining <= 1 {
 			return res
 		}
 		if end, ok := ctx.Deadline(); ok { // the box is told what is left
@@ -129,18 +129,18 @@
 
 // send is one try of carry on one connection. part tells that the request can't have reached the box whole, and may go out on another
 // connection of the same attempt.
-func (n *Carrier) send(ctx context.Context, a *engine.Attempt, r *message.Request, wait time.Duration, b *kept, heard int64, fresh *bool) (res engine.Result, part bool) {
-	begun := time.Now()
+func (n *Carrier) send(ctx context.Context, a *engine.Attempt, r *message.Request, wait time.Duration, b *backendPool, answersBefore int64, fresh *bool) (res engine.Result, unsent bool) {
+	start := time.Now()
 	until := ctx
 	if !a.By.IsZero() {
 		var cancel context.CancelFunc
-		until, cancel = context.WithDeadlineCause(ctx, a.By, errLate)
+		until, cancel = context.WithDeadlineCause(ctx, a.By, errRepeatWindow)
 		defer cancel()
 	}
 	c, err := n.pool.get(until, b, a.Backend, a.Effect == policy.Unsafe)
-	*fresh = *fresh || c == nil && !errors.Is(err, errSockets) || c != nil && c.rested == 0
+	*fresh = *fresh || c == nil && !errors.Is(err, errNoDescriptor) || c != nil && c.idleFor == 0
 	switch {
-	case errors.Is(err, errSockets), errors.Is(err, reach.ErrStopped), sock.IsOwnTrouble(err), err != nil && errors.Is(context.Cause(until), errLate):
+	case errors.Is(err, errNoDescriptor), errors.Is(err, reach.ErrStopped), sock.IsOwnTrouble(err), err != nil && errors.Is(context.Cause(until), errRepeatWindow):
 		return engine.Result{Outcome: policy.Moot}, false // not the backend's doing, and not to be held against it
 	case err != nil && context.Cause(ctx) == nil, errors.Is(context.Cause(ctx), errTimeout):
 		return engine.Result{Outcome: policy.ConnectFailed}, false
@@ -148,7 +148,7 @@
 		return engine.Result{Outcome: policy.Canceled}, false
 	}
 	// Opening it or its rest took time, and the backend is told what is left.
-	text, err := encode(r, max(wait-time.Since(begun), time.Microsecond))
+	text, err := encode(r, max(wait-time.Since(start), time.Microsecond))
 	if err != nil {
 		n.pool.put(c)
 		n.log.Warn("a request can't be written", "err", err)
@@ -164,15 +164,15 @@
 		n.pool.put(c)
 		return engine.Result{Outcome: policy.Moot}, false // it is not kept, and an earlier attempt has begun to send it
 	}
-	giveUp := context.AfterFunc(ctx, func() { c.Close() })
+	stopCancel := context.AfterFunc(ctx, func() { c.Close() })
 	if !a.By.IsZero() {
 		c.SetWriteDeadline(a.By) // an error shows in Write
 	}
 	sent, err := c.Write(text)
-	whole := sent == len(text)
+	complete := sent == len(text)
 	if err == nil && p != nil && p.Memory == nil {
 		err = p.Send(ctx, c)
-		whole = err == nil
+		complete = err == nil
 		if errors.Is(err, message.ErrSpool) || errors.Is(err, message.ErrClient) {
 			n.pool.close(c) // the box has only a part
 			n.log.Warn("a body was not sent", "request", r.ID, "err", err)
@@ -184,7 +184,7 @@
 	}
 	var resp *http.Response
 	var body []byte
-	var held int64
+	var reserved int64
 	stream := false
 	if err == nil {
 		resp, body, err = c.read(r.In.Method, func(size int64) bool {
@@ -192,68 +192,68 @@
 				stream = true
 				return false
 			}
-			held = size
+			reserved = size
 			return true
 		}, n.bodies.MaxAnswer)
 	}
 	switch {
-	case err == nil, errors.Is(err, errSpoilt):
-		n.pool.learn(c, true)
+	case err == nil, errors.Is(err, errInvalidAnswer):
+		n.pool.noteReuse(c, true)
 	case context.Cause(ctx) == nil: // it ended by the backend's doing, before a byte
-		n.pool.learn(c, false)
+		n.pool.noteReuse(c, false)
 	}
 	if c.addr != "" {
 		switch {
-		case err == nil, errors.Is(err, errSpoilt):
+		case err == nil, errors.Is(err, errInvalidAnswer):
 			n.pool.reach.Answered(c.addr)
-		case !whole:
+		case !complete:
 			n.pool.reach.Failed(c.addr)
 		case errors.Is(context.Cause(ctx), errTimeout):
 			n.pool.reach.Silent(c.addr)
 		}
 	}
 	if err == nil && stream {
-		b.heard.Add(1)
-		return n.flow(ctx, a, c, resp, giveUp), false
+		b.answers.Add(1)
+		return n.streamAnswer(ctx, a, c, resp, stopCancel), false
 	}
 	if !a.By.IsZero() {
 		c.SetWriteDeadline(time.Time{})
 	}
 	// The answer stands, however its connection ends; but only a sound one is used again.
-	if giveUp() && err == nil && !resp.Close && len(resp.TransferEncoding) == 0 && c.in.Buffered() == 0 {
+	if stopCancel() && err == nil && !resp.Close && len(resp.TransferEncoding) == 0 && c.in.Buffered() == 0 {
 		n.pool.put(c)
 	} else {
 		n.pool.close(c)
 	}
-	if err == nil || errors.Is(err, errSpoilt) {
-		b.heard.Add(1)
+	if err == nil || errors.Is(err, errInvalidAnswer) {
+		b.answers.Add(1)
 	}
 	if err != nil {
-		if held > 0 {
-			n.bodies.Release(held)
+		if reserved > 0 {
+			n.bodies.Release(reserved)
 		}
 		outcome := policy.Reset // unless shown otherwise it may have run
 		switch cause := context.Cause(ctx); {
 		case cause != nil && !errors.Is(cause, errTimeout):
 			return engine.Result{Outcome: policy.Canceled}, false
-		case !whole:
+		case !complete:
 			outcome = policy.ConnectFailed // its last byte was never written
 		case cause != nil:
 			outcome = policy.TimedOut
 		}
-		if outcome == policy.TimedOut && b.heard.Load() == heard {
+		if outcome == policy.TimedOut && b.answers.Load() == answersBefore {
 			// Nothing came back from this backend for the whole of the attempt. When a machine was cut off, each
 			// connection kept from before would swallow one more request, and reset one when it is back.
-			n.pool.clear(b, false)
+			n.pool.closeIdle(b, false)
 		}
 		n.log.Debug("an attempt broke off", "box", a.Backend.ID, "err", err)
-		return engine.Result{Outcome: outcome}, c.addr != "" && !whole && ctx.Err() == nil && (p == nil || p.Memory != nil)
+		return engine.Result{Outcome: outcome}, c.addr != "" && !complete && ctx.Err() == nil && (p == nil || p.Memory != nil)
 	}
-	res = n.judge(a.Backend, resp, body)
-	if p, ok := res.Reply.(*message.Reply); ok && held > 0 {
-		p.AttachReservation(n.bodies, held)
-	} else if held > 0 {
-		n.bodies.Release(held)
+	res = n.classify(a.Backend, resp, body)
+	if p, ok := res.Reply.(*message.Reply); ok && reserved > 0 {
+		p.AttachReservation(n.bodies, reserved)
+	} else if reserved > 0 {
+		n.bodies.Release(reserved)
 	}
 	return res, false
 }
@@ -284,27 +284,27 @@
 	return bytes.Replace(b.Bytes(), []byte("\r\nContent-Length: 0\r\n"), fmt.Appendf(nil, "\r\nContent-Length: %d\r\n", in.ContentLength), 1), nil
 }
 
-// errSpoilt is an answer that can't be the backend's answer to the request. The request may have run.
-var errSpoilt = errors.New("a spoilt answer")
+// errInvalidAnswer is an answer that can't be the backend's answer to the request. The request may have run.
+var errInvalidAnswer = errors.New("a spoilt answer")
 
 // read reads one answer whole, before any of it goes on: one that breaks can still be tried again. Of a served one that
 // hold, asked with its size, has no room for, it reads the head. Larger ones than most are spoilt.
-func (c *backendConn) read(method string, hold func(size int64) bool, most int64) (*http.Response, []byte, error) {
-	c.cap.N = message.MaxHeadBytes + message.MaxBodyBytes
+func (c *backendConn) read(method string, reserve func(size int64) bool, maxSize int64) (*http.Response, []byte, error) {
+	c.limit.N = message.MaxHeadBytes + message.MaxBodyBytes
 	for {
 		if _, err := c.in.Peek(1); err != nil {
 			return nil, nil, err
 		}
-		if err := c.SetReadDeadline(time.Now().Add(answerTime)); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(answerTimeout)); err != nil {
 			return nil, nil, err
 		}
 		head := c.head()
 		resp, err := http.ReadResponse(c.in, &http.Request{Method: method})
 		if err != nil {
-			return nil, nil, fmt.Errorf("%w: %w", errSpoilt, err)
+			return nil, nil, fmt.Errorf("%w: %w", errInvalidAnswer, err)
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, nil, fmt.Errorf("%w: it switches protocols", errSpoilt)
+			return nil, nil, fmt.Errorf("%w: it switches protocols", errInvalidAnswer)
 		}
 		if resp.StatusCode < 200 { // informational: the answer follows, perhaps after a while
 			if err := c.SetReadDeadline(time.Time{}); err != nil {
@@ -312,24 +312,24 @@
 			}
 			continue
 		}
-		if resp.StatusCode == http.StatusOK && resp.ContentLength > 0 && resp.ContentLength <= most && !hold(resp.ContentLength) {
-			c.cap.N += resp.ContentLength
+		if resp.StatusCode == http.StatusOK && resp.ContentLength > 0 && resp.ContentLength <= maxSize && !reserve(resp.ContentLength) {
+			c.limit.N += resp.ContentLength
 			return resp, nil, nil
 		}
 		if resp.ContentLength > message.MaxBodyBytes {
-			return nil, nil, fmt.Errorf("%w: %d bytes", errSpoilt, resp.ContentLength)
+			return nil, nil, fmt.Errorf("%w: %d bytes", errInvalidAnswer, resp.ContentLength)
 		}
-		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !saysClose(head) {
-			return nil, nil, fmt.Errorf("%w: no length", errSpoilt)
+		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !hasConnectionClose(head) {
+			return nil, nil, fmt.Errorf("%w: no length", errInvalidAnswer)
 		}
 		// The connection's cap is never what ends a body: one that ends with its connection would pass as whole.
-		c.cap.N = chunkedFactor*message.MaxBodyBytes + message.MaxHeadBytes
+		c.limit.N = maxChunkedFactor*message.MaxBodyBytes + message.MaxHeadBytes
 		body, err := io.ReadAll(io.LimitReader(resp.Body, message.MaxBodyBytes+1))
 		if err == nil && len(body) > message.MaxBodyBytes {
 			err = errors.New("too large a body")
 		}
 		if err != nil {
-			return nil, nil, fmt.Errorf("%w: %w", errSpoilt, err)
+			return nil, nil, fmt.Errorf("%w: %w", errInvalidAnswer, err)
 		}
 		return resp, body, c.SetReadDeadline(time.Time{})
 	}
@@ -352,9 +352,9 @@
 	}
 }
 
-// saysClose tells whether a head says that the connection ends with its answer: only then its end is that of an answer without a
+// hasConnectionClose tells whether a head says that the connection ends with its answer: only then its end is that of an answer without a
 // length. net/http takes the header off what it has parsed.
-func saysClose(head []byte) bool {
+func hasConnectionClose(head []byte) bool {
 	for line := range strings.Lines(string(head)) {
 		name, value, _ := strings.Cut(line, ":")
 		if !strings.EqualFold(name, "Connection") {
@@ -369,8 +369,8 @@
 	return false
 }
 
-// judge tells what an answer means.
-func (n *Carrier) judge(b *engine.Backend, resp *http.Response, body []byte) engine.Result {
+// classify tells what an answer means.
+func (n *Carrier) classify(b *engine.Backend, resp *http.Response, body []byte) engine.Result {
 	res := engine.Result{Outcome: policy.Failed}
 	if reports := resp.Header["X-Load"]; len(reports) > 0 && n.reports {
 		load, err := wire.DecodeLoad(reports[0])
@@ -380,9 +380,9 @@
 			n.log.Debug("a load report makes no sense", "box", b.ID, "reports", reports)
 		}
 	}
-	turned := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
+	unavailable := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
 	switch {
-	case turned && resp.Header.Get("X-Not-Run") == "1":
+	case unavailable && resp.Header.Get("X-Not-Run") == "1":
 		res.Outcome = policy.Full
 	case resp.StatusCode == http.StatusOK:
 		res.Outcome = policy.OK
@@ -391,10 +391,10 @@
 	return res
 }
 
-// flow passes on an answer that is too large to be held. Once it has begun the request has its final answer; where that
+// streamAnswer passes on an answer that is too large to be held. Once it has begun the request has its final answer; where that
 // breaks off, the client sees it by its length.
-func (n *Carrier) flow(ctx context.Context, a *engine.Attempt, c *backendConn, resp *http.Response, giveUp func() bool) engine.Result {
-	res := n.judge(a.Backend, resp, nil)
+func (n *Carrier) streamAnswer(ctx context.Context, a *engine.Attempt, c *backendConn, resp *http.Response, stopCancel func() bool) engine.Result {
+	res := n.classify(a.Backend, resp, nil)
 	f := message.NewAnswerStream(resp.Body, c.Conn, resp.ContentLength)
 	err := context.Canceled
 	if a.Deliver(&message.Reply{Header: resp.Header, Stream: f}) {
@@ -404,7 +404,7 @@
 			err = context.Cause(ctx)
 		}
 	}
-	if giveUp() && err == nil && !resp.Close && c.in.Buffered() == 0 && c.SetReadDeadline(time.Time{}) == nil {
+	if stopCancel() && err == nil && !resp.Close && c.in.Buffered() == 0 && c.SetReadDeadline(time.Time{}) == nil {
 		n.pool.put(c)
 	} else {
 		n.pool.close(c)
--- a/internal/httpfront/check.go
+++ b/internal/httpfront/check.go
@@ -14,56 +14,56 @@
 // check tells what is wrong with a request, by its head alone.
 func (s *Front) check(r *message.Request) *message.Rejection {
 	in := r.In
-	no := func(status int, format string, args ...any) *message.Rejection {
+	reject := func(status int, format string, args ...any) *message.Rejection {
 		return &message.Rejection{Status: status, Text: fmt.Sprintf(format, args...)}
 	}
-	bad := http.StatusBadRequest
+	badRequest := http.StatusBadRequest
 	switch expect := in.Header.Get("Expect"); {
 	case !in.ProtoAtLeast(1, 1):
-		return no(http.StatusHTTPVersionNotSupported, "only HTTP/1.1 is spoken here")
+		return reject(http.StatusHTTPVersionNotSupported, "only HTTP/1.1 is spoken here")
 	case in.Host == "":
-		return no(bad, "Host: missing")
+		return reject(badRequest, "Host: missing")
 	case expect != "" && !strings.EqualFold(expect, "100-continue"):
-		return no(http.StatusExpectationFailed, "Expect: %q is not known", expect)
+		return reject(http.StatusExpectationFailed, "Expect: %q is not known", expect)
 	case in.Method != http.MethodGet && in.Method != http.MethodPost:
-		return no(http.StatusMethodNotAllowed, "a request is a GET or a POST")
+		return reject(http.StatusMethodNotAllowed, "a request is a GET or a POST")
 	case in.Method == http.MethodGet && in.ContentLength != 0:
-		return no(bad, "a GET has no body")
+		return reject(badRequest, "a GET has no body")
 	case in.Method == http.MethodPost && !isChunked(in) && in.Header.Get("Content-Length") == "":
-		return no(http.StatusLengthRequired, "Content-Length: missing")
+		return reject(http.StatusLengthRequired, "Content-Length: missing")
 	}
 	for name := range in.Header {
 		if strings.Contains(name, " ") { // net/http lets it pass, so that "Transfer-Encoding :" is not one
-			return no(bad, "%q is no name of a header", name)
+			return reject(badRequest, "%q is no name of a header", name)
 		}
 	}
 	if in.URL.Path == "/ready" {
 		if in.ContentLength != 0 {
-			return no(bad, "a question for readiness has no body")
+			return reject(badRequest, "a question for readiness has no body")
 		}
 		return nil
 	}
 	for _, name := range message.RequestHeaders {
 		if len(in.Header[name]) > 1 {
-			return no(bad, "%s: more than one", name)
+			return reject(badRequest, "%s: more than one", name)
 		}
 	}
 	r.ID, r.Class, r.Tenant = in.Header.Get("X-Request-Id"), in.Header.Get("X-Class"), in.Header.Get("X-Tenant")
 	r.Repeat = in.Header.Get("X-Retry") == "1"
-	if r.ID == "" || len(r.ID) > maxID {
-		return no(bad, "X-Request-Id: missing or too long")
+	if r.ID == "" || len(r.ID) > maxIDBytes {
+		return reject(badRequest, "X-Request-Id: missing or too long")
 	}
 	var err error
 	if r.Patience, err = parseDeadline(in.Header.Get("X-Deadline")); err != nil {
-		return no(bad, "X-Deadline: %v", err)
+		return reject(badRequest, "X-Deadline: %v", err)
 	}
 	effect, known := s.engine.Effect(r.Class)
 	if !known {
-		return no(bad, "X-Class: no such class")
+		return reject(badRequest, "X-Class: no such class")
 	}
 	key := in.Header.Get("Idempotency-Key") != ""
 	if (in.Method == http.MethodGet) != (effect == policy.Safe) || effect == policy.Keyed && !key || effect == policy.Unsafe && key {
-		return no(bad, "method or Idempotency-Key: not those of the class")
+		return reject(badRequest, "method or Idempotency-Key: not those of the class")
 	}
 	return nil
 }
--- a/internal/httpfront/conn.go
+++ b/internal/httpfront/conn.go
@@ -17,90 +17,90 @@
 type closeReason string
 
 const (
-	clientLeft        closeReason = "its client left before its answer"
-	nothingCame       closeReason = "no request came on it"
-	noRequest         closeReason = "what came on it was no request"
-	dropped           closeReason = "it made room for another, or the node ends"
-	idIsOpen          closeReason = "its request had the id of an open one"
-	answerNotTaken    closeReason = "its client did not take its answer"
-	lastAnswer        closeReason = "its last answer was given"
-	endedBehindAnswer closeReason = "it made room behind its answer, or the node ends"
+	clientDisconnected closeReason = "its client left before its answer"
+	noFurtherRequest   closeReason = "no request came on it"
+	invalidRequest     closeReason = "what came on it was no request"
+	evicted            closeReason = "it made room for another, or the node ends"
+	duplicateID        closeReason = "its request had the id of an open one"
+	answerNotRead      closeReason = "its client did not take its answer"
+	lastAnswerSent     closeReason = "its last answer was given"
+	evictedAfterAnswer closeReason = "it made room behind its answer, or the node ends"
 )
 
 // clientConn is one connection of a client.
 type clientConn struct {
 	net.Conn
 	start time.Time
-	cap   io.LimitedReader // between the socket and in: nobody sends without end
+	limit io.LimitedReader // between the socket and in: nobody sends without end
 	in    *bufio.Reader
 	// framing looks at what is read from the socket, beside in.
-	framing framing
-	over    bool // there were too many already when it came
-	extra   bool // it is one of those beyond the room
+	framing        framing
+	overLimit      bool // there were too many already when it came
+	usesRejectSlot bool // it is one of those beyond the room
 
-	look    *sock.Look // for the connection's own goroutine
-	seen    lastLook   // for attempts
-	used    bool       // a request on it has been answered
-	flooded []byte     // where what came behind a request and can't be kept was read to; nil where nothing was dropped
+	probe        *sock.Look // for the connection's own goroutine
+	attemptProbe closeProbe // for attempts
+	answered     bool       // a request on it has been answered
+	discardBuf   []byte     // where what came behind a request and can't be kept was read to; nil where nothing was dropped
 
 	// Guarded by clients.mu.
-	account admission.Conn
-	closing bool // it made room for another, or the node leaves
-	granted bool // it has a descriptor of the room
+	account       admission.Conn
+	closing       bool // it made room for another, or the node leaves
+	hasDescriptor bool // it has a descriptor of the room
 }
 
-// more reads some of what comes behind a request.
-func (c *clientConn) more() error {
+// readAhead reads some of what comes behind a request.
+func (c *clientConn) readAhead() error {
 	if n := c.in.Buffered(); n < c.in.Size() {
 		_, err := c.in.Peek(n + 1)
 		return err
 	}
-	if c.flooded == nil {
-		c.flooded = make([]byte, 16<<10)
+	if c.discardBuf == nil {
+		c.discardBuf = make([]byte, 16<<10)
 	}
-	_, err := c.Conn.Read(c.flooded)
+	_, err := c.Conn.Read(c.discardBuf)
 	return err
 }
 
-// left tells, without waiting, whether the client has closed its connection behind the request that was read.
-func (c *clientConn) left() bool {
-	for read := 0; read < floodSize; read += len(c.flooded) {
-		switch c.look.Pending() {
+// clientClosed tells, without waiting, whether the client has closed its connection behind the request that was read.
+func (c *clientConn) clientClosed() bool {
+	for read := 0; read < fastDiscardBytes; read += len(c.discardBuf) {
+		switch c.probe.Pending() {
 		case sock.Nothing:
 			return false
 		case sock.Ended:
 			return true
 		}
 		c.SetReadDeadline(time.Time{}) // what bounded the request's reading, or made room for another, is no close
-		if c.more() != nil {
+		if c.readAhead() != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// lastLook is a look at a connection for several goroutines.
-type lastLook struct {
-	mu   sync.Mutex
-	look *sock.Look
+// closeProbe is a look at a connection for several goroutines.
+type closeProbe struct {
+	mu    sync.Mutex
+	probe *sock.Look
 }
 
 // ended tells, without waiting, whether the other side has closed its connection and all that it sent before was read.
-func (l *lastLook) ended() bool {
+func (l *closeProbe) ended() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.look.Pending() == sock.Ended
+	return l.probe.Pending() == sock.Ended
 }
 
-// watch reads on while a request is being answered, and tells whether the client has closed its connection; not where a
+// watchForClose reads on while a request is being answered, and tells whether the client has closed its connection; not where a
 // deadline in the past ends it.
-func (c *clientConn) watch() (gone bool) {
-	for read := 0; ; read += len(c.flooded) {
-		if err := c.more(); err != nil {
+func (c *clientConn) watchForClose() (closed bool) {
+	for read := 0; ; read += len(c.discardBuf) {
+		if err := c.readAhead(); err != nil {
 			return !errors.Is(err, os.ErrDeadlineExceeded)
 		}
-		if read >= floodSize {
-			time.Sleep(floodRest)
+		if read >= fastDiscardBytes {
+			time.Sleep(discardPause)
 		}
 	}
 }
--- a/internal/httpfront/framing.go
+++ b/internal/httpfront/framing.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// maxFramingLine is how much of a header line is looked at, in bytes: more than any valid name and list of codings need.
-	maxFramingLine = 128
-	chunkedCoding  = "chunked"
+	// maxFramingLineBytes is how much of a header line is looked at, in bytes: more than any valid name and list of codings need.
+	maxFramingLineBytes = 128
+	chunkedCoding       = "chunked"
 )
 
 // framing reads from the bytes of a request's head which header fields say where its body ends. net/http drops a
@@ -20,14 +20,14 @@
 // one line's start, however long the head is, and sees line ends, folded lines and the head's end where net/http does. Empty
 // lines before the request line are passed over, as readers of requests do before they hand it to net/http.
 type framing struct {
-	line    []byte   // the start of the line that is coming
-	cut     bool     // the line is longer
-	lines   int      // complete ones, with the request line
-	ended   bool     // the empty line behind the head has come
-	coding  bool     // the latest field is a Transfer-Encoding: a folded line belongs to it
-	lengths int      // Content-Length fields
-	codings []string // the values of the Transfer-Encoding fields
-	long    bool     // one of them is longer than is looked at
+	line      []byte   // the start of the line that is coming
+	truncated bool     // the line is longer
+	lines     int      // complete ones, with the request line
+	ended     bool     // the empty line behind the head has come
+	inCoding  bool     // the latest field is a Transfer-Encoding: a folded line belongs to it
+	lengths   int      // Content-Length fields
+	codings   []string // the values of the Transfer-Encoding fields
+	tooLong   bool     // one of them is longer than is looked at
 }
 
 // reset makes it ready for the next head.
@@ -36,10 +36,10 @@
 // scan looks at the next bytes of the connection; those behind the head are passed over.
 func (f *framing) scan(p []byte) {
 	for len(p) > 0 && !f.ended {
-		part, rest, whole := bytes.Cut(p, []byte("\n"))
-		room := maxFramingLine - len(f.line)
-		f.cut = f.cut || len(part) > room
-		f.line = append(f.line, part[:min(len(part), room)]...)
+		text, rest, whole := bytes.Cut(p, []byte("\n"))
+		space := maxFramingLineBytes - len(f.line)
+		f.truncated = f.truncated || len(text) > space
+		f.line = append(f.line, text[:min(len(text), space)]...)
 		if !whole {
 			return
 		}
@@ -50,8 +50,8 @@
 
 // endLine takes in the line that has come.
 func (f *framing) endLine() {
-	line, cut := bytes.TrimSuffix(f.line, []byte("\r")), f.cut
-	f.line, f.cut = f.line[:0], false
+	line, truncated := bytes.TrimSuffix(f.line, []byte("\r")), f.truncated
+	f.line, f.truncated = f.line[:0], false
 	if f.lines == 0 && len(line) == 0 {
 		return
 	}
@@ -61,29 +61,29 @@
 	case len(line) == 0:
 		f.ended = true
 	case line[0] == ' ' || line[0] == '\t':
-		if f.coding {
+		if f.inCoding {
 			last := &f.codings[len(f.codings)-1]
-			f.long = f.long || cut || len(*last)+len(line) > maxFramingLine
-			if !f.long {
+			f.tooLong = f.tooLong || truncated || len(*last)+len(line) > maxFramingLineBytes
+			if !f.tooLong {
 				*last += string(line)
 			}
 		}
 	default:
-		f.field(line, cut)
+		f.field(line, truncated)
 	}
 }
 
 // field takes in the first line of a header field. A name with blanks round it counts: others may take it for the name.
-func (f *framing) field(line []byte, cut bool) {
+func (f *framing) field(line []byte, truncated bool) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	name = bytes.TrimSpace(name)
-	f.coding = false
+	f.inCoding = false
 	switch {
 	case equalName(name, "Content-Length"):
 		f.lengths++
 	case equalName(name, "Transfer-Encoding"):
-		f.coding = true
-		f.long = f.long || cut
+		f.inCoding = true
+		f.tooLong = f.tooLong || truncated
 		if len(f.codings) < 2 { // two are too many already
 			f.codings = append(f.codings, string(value))
 		}
@@ -104,7 +104,7 @@
 	if f.lengths > 0 {
 		return &message.Rejection{Status: http.StatusBadRequest, Text: "Content-Length and Transfer-Encoding: only one may tell the length"}
 	}
-	unknown, chunked := f.long, 0
+	unknown, chunked := f.tooLong, 0
 	last := ""
 	for _, coding := range strings.Split(strings.Join(f.codings, ","), ",") {
 		last = strings.ToLower(strings.Trim(coding, " \t"))
@@ -125,13 +125,13 @@
 	return nil
 }
 
-// scanned is a connection whose bytes are looked at as they are read.
-type scanned struct {
+// scanningReader is a connection whose bytes are looked at as they are read.
+type scanningReader struct {
 	io.Reader
 	framing *framing
 }
 
-func (s scanned) Read(p []byte) (int, error) {
+func (s scanningReader) Read(p []byte) (int, error) {
 	n, err := s.Reader.Read(p)
 	s.framing.scan(p[:n])
 	return n, err
--- a/internal/httpfront/framing_test.go
+++ b/internal/httpfront/framing_test.go
@@ -62,12 +62,12 @@
 			if bytewise {
 				from = iotest.OneByteReader(from)
 			}
-			if _, err := io.Copy(io.Discard, scanned{from, &f}); err != nil {
+			if _, err := io.Copy(io.Discard, scanningReader{from, &f}); err != nil {
 				t.Fatal(err)
 			}
 			status := 0
-			if no := f.check(); no != nil {
-				status = no.Status
+			if rej := f.check(); rej != nil {
+				status = rej.Status
 			}
 			if status != c.want || !f.ended {
 				t.Errorf("%s (byte by byte: %v): %d, want %d", c.name, bytewise, status, c.want)
@@ -86,25 +86,25 @@
 			if bytewise {
 				from = iotest.OneByteReader(from)
 			}
-			if _, err := io.Copy(io.Discard, scanned{from, &f}); err != nil {
+			if _, err := io.Copy(io.Discard, scanningReader{from, &f}); err != nil {
 				t.Fatal(err)
 			}
-			if no := f.check(); no == nil || no.Status != http.StatusBadRequest || !f.ended {
-				t.Errorf("%q (byte by byte: %v): %v, want 400", lead, bytewise, no)
+			if rej := f.check(); rej == nil || rej.Status != http.StatusBadRequest || !f.ended {
+				t.Errorf("%q (byte by byte: %v): %v, want 400", lead, bytewise, rej)
 			}
 		}
 	}
 }
 
 // The next head starts anew.
-func TestFramingOfTheNextHead(t *testing.T) {
+func TestFramingIsResetBetweenHeads(t *testing.T) {
 	t.Parallel()
 	var f framing
 	f.scan([]byte(headWith("Transfer-Encoding: gzip\r\nContent-Length: 1\r\n")))
 	f.reset()
 	f.scan([]byte(headWith("Transfer-Encoding: chunked\r\n")))
-	if no := f.check(); no != nil {
-		t.Errorf("%d %s", no.Status, no.Text)
+	if rej := f.check(); rej != nil {
+		t.Errorf("%d %s", rej.Status, rej.Text)
 	}
 }
 
@@ -119,7 +119,7 @@
 		var seen framing
 		text := headWith(string(lines))
 		capped := io.LimitReader(strings.NewReader(text+"0\r\n\r\n"), message.MaxHeadBytes)
-		in, err := http.ReadRequest(bufio.NewReader(scanned{capped, &seen}))
+		in, err := http.ReadRequest(bufio.NewReader(scanningReader{capped, &seen}))
 		if err != nil || seen.check() != nil {
 			return
 		}
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -21,28 +21,28 @@
 )
 
 const (
-	maxID = 256
+	maxIDBytes = 256
 	// maxEmptyLines is how many empty lines before a request are passed over. They count towards the size of its head.
 	maxEmptyLines = 4
-	// bodyRate is what a body beyond the usual size has to come at, in bytes a second.
-	bodyRate = 1 << 20
-	// acceptFor is how long after SIGTERM connections are still accepted: whoever deals them out notices only after a while.
-	acceptFor   = 500 * time.Millisecond
-	acceptAgain = 5 * time.Millisecond
+	// minBodyBytesPerSecond is what a body beyond the usual size has to come at, in bytes a second.
+	minBodyBytesPerSecond = 1 << 20
+	// acceptAfterShutdown is how long after SIGTERM connections are still accepted: whoever deals them out notices only after a while.
+	acceptAfterShutdown = 500 * time.Millisecond
+	acceptRetryDelay    = 5 * time.Millisecond
 	// A client is owed an error or a close within 3 s of connecting, whatever it sends or doesn't.
-	headTime = 1500 * time.Millisecond // for a first request's head from the connection's start, for others from its first byte
-	bodyTime = time.Second             // from there to the last byte
-	readTime = 50 * time.Millisecond   // within this of a request's first byte most are there
-	// silentTime is how long a new connection may say nothing before it makes room first: a request comes on its heels.
-	silentTime = 200 * time.Millisecond
-	// idleTime is how long a connection is kept that carries no request. Some clients keep theirs for good.
-	idleTime   = 5 * time.Second
-	lingerTime = 100 * time.Millisecond // for a client to read its last answer before its connection is reset
-	lingerSize = 256 << 10              // and how much of what it goes on sending is read meanwhile
+	headTimeout   = 1500 * time.Millisecond // for a first request's head from the connection's start, for others from its first byte
+	bodyTimeout   = time.Second             // from there to the last byte
+	slowReadAfter = 50 * time.Millisecond   // within this of a request's first byte most are there
+	// silentTimeout is how long a new connection may say nothing before it makes room first: a request comes on its heels.
+	silentTimeout = 200 * time.Millisecond
+	// idleTimeout is how long a connection is kept that carries no request. Some clients keep theirs for good.
+	idleTimeout   = 5 * time.Second
+	lingerTimeout = 100 * time.Millisecond // for a client to read its last answer before its connection is reset
+	lingerBytes   = 256 << 10              // and how much of what it goes on sending is read meanwhile
 	// Of what comes behind a request that is being answered, a connection's buffer is kept; the rest is read and dropped, as a
 	// client's close can lie behind it: so much as fast as it comes, and then at a pace that leaves a core to others.
-	floodSize = 1 << 20
-	floodRest = time.Millisecond
+	fastDiscardBytes = 1 << 20
+	discardPause     = time.Millisecond
 )
 
 // Config is what a front is made from.
@@ -62,19 +62,19 @@
 // makes room; where there is none the new one's request is refused, and while all that are kept for that are in use new
 // ones wait in the backlog.
 type Front struct {
-	engine  *engine.Engine
-	bodies  *message.Store
-	clock   engine.Clock
-	waited  func(net.Conn) time.Duration
-	log     *slog.Logger
-	leaving atomic.Bool     // the node is to end
-	closing atomic.Bool     // and connections are to
-	ctx     context.Context // ends when the front has
-	stop    context.CancelFunc
+	engine       *engine.Engine
+	bodies       *message.Store
+	clock        engine.Clock
+	receiveDelay func(net.Conn) time.Duration
+	log          *slog.Logger
+	shuttingDown atomic.Bool     // the node is to end
+	closing      atomic.Bool     // and connections are to
+	ctx          context.Context // ends when the front has
+	stop         context.CancelFunc
 
-	quota *quota.Quota
-	extra chan struct{}
-	wg    sync.WaitGroup // connections
+	quota       *quota.Quota
+	rejectSlots chan struct{}
+	wg          sync.WaitGroup // connections
 
 	mu       sync.Mutex
 	account  *admission.Clients // decides who may stay
@@ -86,11 +86,11 @@
 // New returns a front that answers nobody yet.
 func New(cfg Config) *Front {
 	s := &Front{engine: cfg.Engine, bodies: cfg.Bodies, clock: cfg.Clock, log: cfg.Log,
-		quota: cfg.Quota, extra: make(chan struct{}, max(1, cfg.RejectSlots)), conns: map[*clientConn]struct{}{},
+		quota: cfg.Quota, rejectSlots: make(chan struct{}, max(1, cfg.RejectSlots)), conns: map[*clientConn]struct{}{},
 		tenants: admission.NewTenants(cfg.TenantShares),
-		account: admission.NewClients(admission.Limits{Asking: cfg.MaxRequestConns, Silent: silentTime, Slow: readTime})}
-	if s.waited = cfg.ReceiveDelay; s.waited == nil {
-		s.waited = sock.Waited
+		account: admission.NewClients(admission.Limits{Asking: cfg.MaxRequestConns, Silent: silentTimeout, Slow: slowReadAfter})}
+	if s.receiveDelay = cfg.ReceiveDelay; s.receiveDelay == nil {
+		s.receiveDelay = sock.Waited
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	return s
@@ -99,26 +99,26 @@
 // accept takes in connections until ln is closed.
 func (s *Front) accept(ln net.Listener) error {
 	for {
-		s.extra <- struct{}{}
+		s.rejectSlots <- struct{}{}
 		conn, err := ln.Accept()
 		if err != nil {
-			<-s.extra
+			<-s.rejectSlots
 			if !sock.AcceptGoesOn(err) {
 				return err
 			}
 			s.log.Debug("a connection was not accepted", "err", err)
-			time.Sleep(acceptAgain)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		c := &clientConn{Conn: conn, start: time.Now(), look: sock.NewLook(conn), seen: lastLook{look: sock.NewLook(conn)}}
-		c.cap.R, c.account.Owner, c.account.From = scanned{conn, &c.framing}, c, host(conn.RemoteAddr())
-		c.in = bufio.NewReader(&c.cap)
-		c.granted = s.quota.Claim(s.EvictIdle)
+		c := &clientConn{Conn: conn, start: time.Now(), probe: sock.NewLook(conn), attemptProbe: closeProbe{probe: sock.NewLook(conn)}}
+		c.limit.R, c.account.Owner, c.account.From = scanningReader{conn, &c.framing}, c, host(conn.RemoteAddr())
+		c.in = bufio.NewReader(&c.limit)
+		c.hasDescriptor = s.quota.Claim(s.EvictIdle)
 		s.mu.Lock()
-		if c.extra = !c.granted; c.extra {
-			c.over = !s.account.Behind(c.account.From) // one of a client that holds little is served all the same
+		if c.usesRejectSlot = !c.hasDescriptor; c.usesRejectSlot {
+			c.overLimit = !s.account.Behind(c.account.From) // one of a client that holds little is served all the same
 		} else {
-			<-s.extra
+			<-s.rejectSlots
 		}
 		s.conns[c] = struct{}{}
 		s.account.Add(s.now(), &c.account)
@@ -126,15 +126,15 @@
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
-			reason := s.talk(c)
+			reason := s.serveConn(c)
 			c.Close()
 			s.log.Debug("connection closed", "client", c.RemoteAddr(), "reason", reason, "lasted", time.Since(c.start))
 			s.mu.Lock()
-			s.forget(c)
-			s.release(c)
+			s.untrack(c)
+			s.releaseDescriptor(c)
 			s.mu.Unlock()
-			if c.extra {
-				<-s.extra
+			if c.usesRejectSlot {
+				<-s.rejectSlots
 			}
 		}()
 	}
@@ -152,60 +152,60 @@
 }
 
 // EvictIdle closes a connection that carries no request, for another client's sake, and tells whether there was one.
-func (s *Front) EvictIdle() bool { return s.yield(true) }
+func (s *Front) EvictIdle() bool { return s.evictIdle(true) }
 
 // EvictIdleForBackend is Yield for a box's sake: the last few new connections stay.
-func (s *Front) EvictIdleForBackend() bool { return s.yield(false) }
+func (s *Front) EvictIdleForBackend() bool { return s.evictIdle(false) }
 
-func (s *Front) yield(client bool) bool {
+func (s *Front) evictIdle(forClient bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	spare := s.account.Spare(s.now(), client, func(c *admission.Conn) bool { return sock.Pending(c.Owner.(*clientConn).Conn) != sock.Nothing })
+	spare := s.account.Spare(s.now(), forClient, func(c *admission.Conn) bool { return sock.Pending(c.Owner.(*clientConn).Conn) != sock.Nothing })
 	if spare != nil {
-		s.drop(spare.Owner.(*clientConn))
+		s.evict(spare.Owner.(*clientConn))
 	}
 	return spare != nil
 }
 
-// release gives a connection's descriptor back. s.mu is held.
-func (s *Front) release(c *clientConn) {
-	if c.granted {
-		c.granted = false
+// releaseDescriptor gives a connection's descriptor back. s.mu is held.
+func (s *Front) releaseDescriptor(c *clientConn) {
+	if c.hasDescriptor {
+		c.hasDescriptor = false
 		s.quota.Give()
 	}
 }
 
-// sheds notes how long a request had waited to be read, and tells whether the node is so far behind that it should refuse
+// shouldShed notes how long a request had waited to be read, and tells whether the node is so far behind that it should refuse
 // it at once.
-func (s *Front) sheds(late time.Duration, r *message.Request) bool {
+func (s *Front) shouldShed(delay time.Duration, r *message.Request) bool {
 	rank, classes := s.engine.Rank(r.Class)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	s.pressure.Seen(now, late)
-	part := s.pressure.Shed(now, rank, classes)
-	return part > 0 && rand.Float64() < part
+	s.pressure.Seen(now, delay)
+	fraction := s.pressure.Shed(now, rank, classes)
+	return fraction > 0 && rand.Float64() < fraction
 }
 
-// forget takes a connection off those that count. s.mu is held.
-func (s *Front) forget(c *clientConn) {
+// untrack takes a connection off those that count. s.mu is held.
+func (s *Front) untrack(c *clientConn) {
 	delete(s.conns, c)
 	s.account.Close(&c.account)
 }
 
-// drop takes a connection off those that count and ends its reading, so that it closes. A request that has just been
+// evict takes a connection off those that count and ends its reading, so that it closes. A request that has just been
 // read is still answered. s.mu is held.
-func (s *Front) drop(c *clientConn) {
+func (s *Front) evict(c *clientConn) {
 	if !c.closing {
 		c.closing = true
-		s.forget(c)
-		s.release(c)
+		s.untrack(c)
+		s.releaseDescriptor(c)
 		c.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// deadline bounds the next reads from a connection, unless it is closing.
-func (s *Front) deadline(c *clientConn, t time.Time) {
+// setReadDeadline bounds the next reads from a connection, unless it is closing.
+func (s *Front) setReadDeadline(c *clientConn, t time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !c.closing {
@@ -213,8 +213,8 @@
 	}
 }
 
-// reading notes the first byte of a request, whose head is to come by a time.
-func (s *Front) reading(c *clientConn, end time.Time) {
+// noteRequestStart notes the first byte of a request, whose head is to come by a time.
+func (s *Front) noteRequestStart(c *clientConn, end time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.account.Read(s.now(), &c.account)
@@ -231,8 +231,8 @@
 	s.tenants.Change(changes)
 }
 
-// begin notes that a request is to be answered, and tells whether its connection still counts.
-func (s *Front) begin(c *clientConn, r *message.Request) bool {
+// startAnswer notes that a request is to be answered, and tells whether its connection still counts.
+func (s *Front) startAnswer(c *clientConn, r *message.Request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r.ID != "" {
@@ -242,27 +242,27 @@
 	return !c.closing
 }
 
-// leaves tells whether a connection's next answer is to be its last. Where clients' room for requests runs short, an
+// closesAfterAnswer tells whether a connection's next answer is to be its last. Where clients' room for requests runs short, an
 // idle one is closed for it, or this one leaves.
-func (s *Front) leaves(c *clientConn) bool {
+func (s *Front) closesAfterAnswer(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	leave, drop := s.account.Answer(&c.account)
-	if drop != nil {
-		s.drop(drop.Owner.(*clientConn))
+	closeAfter, victim := s.account.Answer(&c.account)
+	if victim != nil {
+		s.evict(victim.Owner.(*clientConn))
 	}
-	return leave
+	return closeAfter
 }
 
-// dropped tells whether a connection has made room for another, or for the node's end.
-func (s *Front) dropped(c *clientConn) bool {
+// isEvicted tells whether a connection has made room for another, or for the node's end.
+func (s *Front) isEvicted(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return c.closing
 }
 
-// rejected notes that a connection brought no request.
-func (s *Front) rejected(c *clientConn) {
+// noteRejection notes that a connection brought no request.
+func (s *Front) noteRejection(c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !c.closing { // one that made room said nothing for want of time
@@ -270,136 +270,136 @@
 	}
 }
 
-// rest notes that a connection waits for its next request, and tells whether it may.
-func (s *Front) rest(c *clientConn) bool {
+// markIdle notes that a connection waits for its next request, and tells whether it may.
+func (s *Front) markIdle(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.used = true
+	c.answered = true
 	s.account.Idle(s.now(), &c.account)
 	return !c.closing && !s.closing.Load() // its answer may have been worded just before the node's connections were to end
 }
 
-// talk answers one request after the other, and tells why there is none after the last.
-func (s *Front) talk(c *clientConn) closeReason {
+// serveConn answers one request after the other, and tells why there is none after the last.
+func (s *Front) serveConn(c *clientConn) closeReason {
 	for {
-		r, no := s.read(c)
-		if no != nil {
-			return s.turnAway(c, no)
+		r, rej := s.read(c)
+		if rej != nil {
+			return s.reject(c, rej)
 		}
 		if r == nil {
-			return s.ended(c)
+			return s.endReason(c)
 		}
-		if !s.begin(c, r) && !s.leaving.Load() {
-			c.over = true
+		if !s.startAnswer(c, r) && !s.shuttingDown.Load() {
+			c.overLimit = true
 		}
-		a, gone := s.answer(c, r)
-		last := r.In.Close || c.over || c.extra || s.closing.Load() || !r.Body.IsDrained() || c.flooded != nil || gone == "" && s.leaves(c)
-		if gone != "" {
-			return gone
+		a, reason := s.answer(c, r)
+		last := r.In.Close || c.overLimit || c.usesRejectSlot || s.closing.Load() || !r.Body.IsDrained() || c.discardBuf != nil || reason == "" && s.closesAfterAnswer(c)
+		if reason != "" {
+			return reason
 		}
 		err := c.write(r.In, a, last)
 		a.reply.Release()
 		if err != nil {
-			return answerNotTaken
+			return answerNotRead
 		}
 		if last {
 			c.linger()
-			return lastAnswer
+			return lastAnswerSent
 		}
-		if !s.rest(c) {
-			return endedBehindAnswer
+		if !s.markIdle(c) {
+			return evictedAfterAnswer
 		}
 	}
 }
 
-// turnAway answers what came on a connection and is no request.
-func (s *Front) turnAway(c *clientConn, no *message.Rejection) closeReason {
-	reason := noRequest
-	if s.dropped(c) { // its client was cut off in the middle of a request, by no fault of its own
-		no = &message.Rejection{Status: http.StatusServiceUnavailable, Text: "this connection ends"}
-		reason = dropped
+// reject answers what came on a connection and is no request.
+func (s *Front) reject(c *clientConn, rej *message.Rejection) closeReason {
+	reason := invalidRequest
+	if s.isEvicted(c) { // its client was cut off in the middle of a request, by no fault of its own
+		rej = &message.Rejection{Status: http.StatusServiceUnavailable, Text: "this connection ends"}
+		reason = evicted
 	}
-	if no.Status != http.StatusServiceUnavailable { // want of room here is not its client's doing
-		s.rejected(c)
+	if rej.Status != http.StatusServiceUnavailable { // want of room here is not its client's doing
+		s.noteRejection(c)
 	}
-	c.reject(no)
+	c.reject(rej)
 	return reason
 }
 
-// ended notes a connection on which nothing more came.
-func (s *Front) ended(c *clientConn) closeReason {
-	if !c.used {
-		s.rejected(c)
+// endReason notes a connection on which nothing more came.
+func (s *Front) endReason(c *clientConn) closeReason {
+	if !c.answered {
+		s.noteRejection(c)
 	}
-	if s.dropped(c) {
-		return dropped
+	if s.isEvicted(c) {
+		return evicted
 	}
-	return nothingCame
+	return noFurtherRequest
 }
 
 // answer gives a request exactly one answer, unless its client leaves before: gone tells why its connection ends without.
-func (s *Front) answer(c *clientConn, r *message.Request) (a answer, gone closeReason) {
+func (s *Front) answer(c *clientConn, r *message.Request) (a answer, reason closeReason) {
 	if r.ID == "" {
 		return answer{status: s.readiness()}, ""
 	}
-	if c.over || r.Shed { // nothing was sent: refusing is harmless, whatever the class
+	if c.overLimit || r.Shed { // nothing was sent: refusing is harmless, whatever the class
 		r.Release()
 		return answer{status: http.StatusServiceUnavailable, body: []byte("too much at once\n"), retryAfter: 250 * time.Millisecond}, ""
 	}
 	if r.Body.IsDrained() {
-		c.cap.N = message.MaxHeadBytes
-		if c.left() {
+		c.limit.N = message.MaxHeadBytes
+		if c.clientClosed() {
 			r.Release()
-			return answer{}, clientLeft
+			return answer{}, clientDisconnected
 		}
 	}
-	r.Left = c.seen.ended
+	r.Left = c.attemptProbe.ended
 	if !s.engine.Begin(&r.Request) {
 		r.Release()
 		c.reject(&message.Rejection{Status: http.StatusConflict, Text: "X-Request-Id: a request with this id is open"})
-		return answer{}, idIsOpen
+		return answer{}, duplicateID
 	}
 	select {
 	case a := <-r.Done():
-		return told(a), ""
+		return toAnswer(a), ""
 	default:
 	}
 	if !r.Body.IsDrained() { // an attempt reads the client's connection
 		select {
 		case a := <-r.Done():
-			return told(a), ""
+			return toAnswer(a), ""
 		case <-r.Body.Drained:
 		}
 	}
 	c.SetReadDeadline(time.Time{}) // no bound on waiting, also where the connection is to close behind this answer
-	c.cap.N = message.MaxHeadBytes
-	left := make(chan bool, 1)
-	go func() { left <- c.watch() }()
+	c.limit.N = message.MaxHeadBytes
+	closed := make(chan bool, 1)
+	go func() { closed <- c.watchForClose() }()
 	select {
 	case a := <-r.Done():
 		c.SetReadDeadline(time.Unix(1, 0)) // ends the look for a client that leaves
-		<-left
-		return told(a), ""
-	case gone := <-left:
+		<-closed
+		return toAnswer(a), ""
+	case gone := <-closed:
 		if !gone { // by nobody but the node's end
-			return told(<-r.Done()), ""
+			return toAnswer(<-r.Done()), ""
 		}
 		s.engine.Cancel(&r.Request)
 		select {
 		case a := <-r.Done():
-			t := told(a)
-			if t.flow != nil { // it began to come at this moment
-				t.flow.Finish(context.Canceled)
+			t := toAnswer(a)
+			if t.stream != nil { // it began to come at this moment
+				t.stream.Finish(context.Canceled)
 			}
 			t.reply.Release()
 		default:
 		}
-		return answer{}, clientLeft
+		return answer{}, clientDisconnected
 	}
 }
 
 func (s *Front) readiness() int {
-	if !s.engine.Ready() || s.leaving.Load() {
+	if !s.engine.Ready() || s.shuttingDown.Load() {
 		return http.StatusServiceUnavailable
 	}
 	return http.StatusOK
--- a/internal/httpfront/front_test.go
+++ b/internal/httpfront/front_test.go
@@ -17,7 +17,7 @@
 )
 
 func TestTimesOwedToClients(t *testing.T) {
-	if headTime+bodyTime > 2800*time.Millisecond || idleTime < 2*time.Second {
+	if headTimeout+bodyTimeout > 2800*time.Millisecond || idleTimeout < 2*time.Second {
 		t.Error("3 s are owed to a bad client, 2 s to a connection between requests")
 	}
 }
@@ -26,7 +26,7 @@
 // client's patience.
 func TestTimeOfABody(t *testing.T) {
 	arrived := time.Unix(1000, 0)
-	head := arrived.Add(headTime)
+	head := arrived.Add(headTimeout)
 	r := &message.Request{Request: engine.Request{Arrived: arrived, Patience: 4 * time.Second}}
 	for _, c := range []struct {
 		size int64
@@ -34,9 +34,9 @@
 	}{
 		{0, 2500 * time.Millisecond},
 		{message.MaxBodyBytes, 2500 * time.Millisecond},
-		{bodyRate / 2, 3 * time.Second},
-		{bodyRate, 3500 * time.Millisecond},
-		{100 * bodyRate, 4 * time.Second},
+		{minBodyBytesPerSecond / 2, 3 * time.Second},
+		{minBodyBytesPerSecond, 3500 * time.Millisecond},
+		{100 * minBodyBytesPerSecond, 4 * time.Second},
 	} {
 		if got := bodyDeadline(r, head, c.size).Sub(arrived); got != c.want {
 			t.Errorf("%d bytes: %v, want %v", c.size, got, c.want)
@@ -45,7 +45,7 @@
 }
 
 // A node that is far behind refuses the cheapest class, harmlessly, before anything is done for it.
-func TestFarBehind(t *testing.T) {
+func TestOverloadShedsCheapestClassFirst(t *testing.T) {
 	t.Parallel()
 	clock := engine.NewClock()
 	e, err := engine.New(engine.Config{Clock: clock, Log: slog.New(slog.DiscardHandler), Settings: policy.Settings{
@@ -55,15 +55,15 @@
 	}
 	defer e.Stop()
 	f := New(Config{Engine: e, Clock: clock, Log: slog.New(slog.DiscardHandler)})
-	asks := func(class string) *message.Request {
+	request := func(class string) *message.Request {
 		return &message.Request{Request: engine.Request{Class: class}}
 	}
 	for i := range 400 { // waits between where the cheapest class is refused and where the next is
-		if f.sheds(145*time.Millisecond, asks("save")) {
+		if f.shouldShed(145*time.Millisecond, request("save")) {
 			t.Fatalf("the dearest class is refused at request %d", i)
 		}
 	}
-	if !f.sheds(145*time.Millisecond, asks("view")) {
+	if !f.shouldShed(145*time.Millisecond, request("view")) {
 		t.Error("the cheapest class is not refused")
 	}
 }
@@ -77,8 +77,8 @@
 	f.account.Add(f.now(), &c.account)
 	f.account.Begin(f.now(), &c.account, false)
 	f.closing.Store(true)
-	f.closeWith(carriesNone) // passes over it: it is being answered
-	if f.rest(c) {
+	f.closeMatching(hasNoRequest) // passes over it: it is being answered
+	if f.markIdle(c) {
 		t.Error("it may rest")
 	}
 }
@@ -108,7 +108,7 @@
 func TestLastLookSeesAClose(t *testing.T) {
 	t.Parallel()
 	client, server := tcpPair(t)
-	l := lastLook{look: sock.NewLook(server)}
+	l := closeProbe{probe: sock.NewLook(server)}
 	if l.ended() {
 		t.Error("a connection that stands has ended")
 	}
@@ -132,27 +132,27 @@
 
 // A deadline that has passed is no client's close: a request whose connection made room for another while its last bytes came is
 // still answered, also where something lies behind it.
-func TestAPassedDeadlineIsNoClose(t *testing.T) {
+func TestExpiredDeadlineIsNotAClose(t *testing.T) {
 	t.Parallel()
 	client, conn := tcpPair(t)
-	c := &clientConn{Conn: conn, look: sock.NewLook(conn)}
-	c.cap.R, c.cap.N = conn, message.MaxHeadBytes
-	c.in = bufio.NewReader(&c.cap)
+	c := &clientConn{Conn: conn, probe: sock.NewLook(conn)}
+	c.limit.R, c.limit.N = conn, message.MaxHeadBytes
+	c.in = bufio.NewReader(&c.limit)
 	if _, err := io.WriteString(client, "x"); err != nil {
 		t.Fatal(err)
 	}
-	for c.look.Pending() != sock.Bytes {
+	for c.probe.Pending() != sock.Bytes {
 		time.Sleep(time.Millisecond)
 	}
 	c.SetReadDeadline(time.Unix(1, 0))
-	if c.left() {
+	if c.clientClosed() {
 		t.Fatal("it counts as closed")
 	}
 	client.Close()
-	for c.look.Pending() != sock.Ended {
+	for c.probe.Pending() != sock.Ended {
 		time.Sleep(time.Millisecond)
 	}
-	if !c.left() {
+	if !c.clientClosed() {
 		t.Error("a close does not count")
 	}
 }
@@ -162,14 +162,14 @@
 	t.Parallel()
 	f := New(Config{Clock: engine.NewClock(), Log: slog.New(slog.DiscardHandler)})
 	client, conn := tcpPair(t)
-	c := &clientConn{Conn: conn, start: time.Now(), look: sock.NewLook(conn)}
-	c.cap.R, c.account.Owner = conn, c
-	c.in = bufio.NewReader(&c.cap)
+	c := &clientConn{Conn: conn, start: time.Now(), probe: sock.NewLook(conn)}
+	c.limit.R, c.account.Owner = conn, c
+	c.in = bufio.NewReader(&c.limit)
 	f.account.Add(f.now(), &c.account)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f.talk(c)
+		f.serveConn(c)
 		c.Close()
 	}()
 	if _, err := io.WriteString(client, "GET /api HTTP/1.1\r\nHost"); err != nil {
@@ -178,7 +178,7 @@
 	for cut := false; !cut; time.Sleep(time.Millisecond) {
 		f.mu.Lock()
 		if cut = c.account.State() == admission.Reading; cut {
-			f.drop(c)
+			f.evict(c)
 		}
 		f.mu.Unlock()
 	}
--- a/internal/httpfront/read.go
+++ b/internal/httpfront/read.go
@@ -11,38 +11,38 @@
 
 // read reads the next request. Both results are nil where there is none, or nobody to tell what is wrong with it.
 func (s *Front) read(c *clientConn) (*message.Request, *message.Rejection) {
-	c.cap.N = message.MaxHeadBytes
-	end := c.start.Add(headTime)
-	if c.used {
-		s.deadline(c, time.Now().Add(idleTime))
+	c.limit.N = message.MaxHeadBytes
+	end := c.start.Add(headTimeout)
+	if c.answered {
+		s.setReadDeadline(c, time.Now().Add(idleTimeout))
 	} else {
-		s.deadline(c, end)
+		s.setReadDeadline(c, end)
 	}
 	c.framing.reset()
 	if buffered, err := c.in.Peek(c.in.Buffered()); err == nil {
 		c.framing.scan(buffered)
 	}
-	behind, no, err := c.awaitRequest()
-	if err != nil || no != nil {
-		return nil, no
+	pipelined, rej, err := c.awaitRequest()
+	if err != nil || rej != nil {
+		return nil, rej
 	}
 	r := &message.Request{Request: engine.Request{Arrived: time.Now()}}
 	r.Payload = r
-	if c.used {
-		end = r.Arrived.Add(headTime)
+	if c.answered {
+		end = r.Arrived.Add(headTimeout)
 	}
 	// Its client's time has run since it came to this machine, not since it was read here.
-	late := time.Duration(0)
-	if !behind {
-		late = s.waited(c.Conn)
+	delay := time.Duration(0)
+	if !pipelined {
+		delay = s.receiveDelay(c.Conn)
 	}
-	r.Arrived = r.Arrived.Add(-late)
-	s.reading(c, end)
-	if r.In, no = c.readHead(end); no != nil {
-		return nil, no
+	r.Arrived = r.Arrived.Add(-delay)
+	s.noteRequestStart(c, end)
+	if r.In, rej = c.readHead(end); rej != nil {
+		return nil, rej
 	}
-	if no := s.check(r); no != nil {
-		return nil, no
+	if rej := s.check(r); rej != nil {
+		return nil, rej
 	}
 	if isChunked(r.In) != (len(c.framing.codings) > 0) { // net/http and framing read the head unlike: nobody knows where it ends
 		return nil, &message.Rejection{Status: http.StatusBadRequest, Text: "Transfer-Encoding: unclear"}
@@ -50,20 +50,20 @@
 	if r.ID == "" { // a question for the node's readiness
 		return r, nil
 	}
-	r.Shed = s.sheds(late, r)
+	r.Shed = s.shouldShed(delay, r)
 	if !s.bodies.Admit(r) {
 		return nil, &message.Rejection{Status: http.StatusServiceUnavailable, Text: "no memory is left for a request", RetryAfter: 250 * time.Millisecond}
 	}
-	if no := s.readBody(c, r, end); no != nil {
+	if rej := s.readBody(c, r, end); rej != nil {
 		r.Release()
-		return nil, no
+		return nil, rej
 	}
 	return r, nil
 }
 
 // awaitRequest waits for the first byte of a request and passes over empty lines before it (RFC 9112, 2.2). buffered tells
 // whether that byte had come before it was waited for. An error means that there is no request.
-func (c *clientConn) awaitRequest() (buffered bool, no *message.Rejection, err error) {
+func (c *clientConn) awaitRequest() (buffered bool, rej *message.Rejection, err error) {
 	for lines := 0; ; lines++ {
 		buffered = c.in.Buffered() > 0
 		length, err := c.emptyLine()
@@ -106,11 +106,11 @@
 	if err != nil && !time.Now().Before(end) { // the parser may hide the time-out
 		return nil, &message.Rejection{Status: http.StatusRequestTimeout, Text: "the head did not come in time"}
 	}
-	if err != nil && c.cap.N <= 0 {
+	if err != nil && c.limit.N <= 0 {
 		return nil, &message.Rejection{Status: http.StatusRequestHeaderFieldsTooLarge, Text: "the head is too large"}
 	}
-	if no := c.framing.check(); no != nil {
-		return nil, no
+	if rej := c.framing.check(); rej != nil {
+		return nil, rej
 	}
 	if err != nil {
 		return nil, &message.Rejection{Status: http.StatusBadRequest, Text: err.Error()}
@@ -125,28 +125,28 @@
 		return nil
 	}
 	if in.Header.Get("Expect") != "" {
-		c.SetWriteDeadline(end.Add(bodyTime))
+		c.SetWriteDeadline(end.Add(bodyTimeout))
 		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // an error shows when the body is read
 	}
 	if isChunked(in) {
 		return s.readChunked(c, r, end)
 	}
-	s.deadline(c, bodyDeadline(r, end, in.ContentLength))
-	c.cap.N = in.ContentLength
-	var no *message.Rejection
-	r.Body, no = s.bodies.Read(s.ctx, r.Class, in)
-	return no
+	s.setReadDeadline(c, bodyDeadline(r, end, in.ContentLength))
+	c.limit.N = in.ContentLength
+	var rej *message.Rejection
+	r.Body, rej = s.bodies.Read(s.ctx, r.Class, in)
+	return rej
 }
 
 // bodyDeadline is by when a request's body of a size, in bytes, is to be there. One beyond the usual size may take longer,
 // but not longer than anybody waits for the answer.
-func bodyDeadline(r *message.Request, head time.Time, size int64) time.Time {
-	by := head.Add(bodyTime)
+func bodyDeadline(r *message.Request, headDeadline time.Time, size int64) time.Time {
+	deadline := headDeadline.Add(bodyTimeout)
 	if size > message.MaxBodyBytes {
-		by = by.Add(time.Duration(size) * time.Second / bodyRate)
-		if up := r.Arrived.Add(r.Patience); up.Before(by) {
-			by = up
+		deadline = deadline.Add(time.Duration(size) * time.Second / minBodyBytesPerSecond)
+		if timeout := r.Arrived.Add(r.Patience); timeout.Before(deadline) {
+			deadline = timeout
 		}
 	}
-	return by
+	return deadline
 }
--- a/internal/httpfront/shutdown.go
+++ b/internal/httpfront/shutdown.go
@@ -12,11 +12,11 @@
 	"craneglade/internal/sock"
 )
 
-// closeEvery is how often, once all that was taken is to be answered, connections are closed whose request goes on coming.
-const closeEvery = 20 * time.Millisecond
+// closeInterval is how often, once all that was taken is to be answered, connections are closed whose request goes on coming.
+const closeInterval = 20 * time.Millisecond
 
-// backlogTime is how long connections that came before the listener is to close are still accepted, where the process is late.
-const backlogTime = 200 * time.Millisecond
+// backlogTimeout is how long connections that came before the listener is to close are still accepted, where the process is late.
+const backlogTimeout = 200 * time.Millisecond
 
 // Serve answers clients on ln until ctx ends and then until all that was taken is answered.
 func (s *Front) Serve(ctx context.Context, ln net.Listener) error {
@@ -28,20 +28,20 @@
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 	}
-	return s.leave(ln, accepted)
+	return s.shutDown(ln, accepted)
 }
 
-// leave ends the front, whose accept loop tells its end on accepted. Connections go on coming for a while, and clients go on
+// shutDown ends the front, whose accept loop tells its end on accepted. Connections go on coming for a while, and clients go on
 // using those that they have. What a node answers until it is killed is not missing elsewhere: it serves them for as long as
 // their answers can still be in time, and has answered all before it may be killed.
-func (s *Front) leave(ln net.Listener, accepted <-chan error) error {
+func (s *Front) shutDown(ln net.Listener, accepted <-chan error) error {
 	shutdown := s.engine.Shutdown(time.Now())
-	s.leaving.Store(true)
+	s.shuttingDown.Store(true)
 	s.log.Info("leaving: serving the connections that there are, then finishing what was taken", "serves", shutdown.Serves,
 		"answered_after", shutdown.Answered, "may_be_killed_after", shutdown.Killed)
-	time.Sleep(time.Until(shutdown.Begun.Add(acceptFor)))
-	err := sock.CloseListener(ln, backlogTime)
-	s.tell("listener closed", &shutdown)
+	time.Sleep(time.Until(shutdown.Begun.Add(acceptAfterShutdown)))
+	err := sock.CloseListener(ln, backlogTimeout)
+	s.logStep("listener closed", &shutdown)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -60,25 +60,25 @@
 			return true
 		}
 	}
-	if reached(max(acceptFor, shutdown.Serves)) {
-		s.closing.Store(true)    // each answer now tells its client to close
-		s.closeWith(carriesNone) // and the clients of connections that carry no request turn to other nodes
-		s.tell("closed the connections that carry no request", &shutdown)
+	if reached(max(acceptAfterShutdown, shutdown.Serves)) {
+		s.closing.Store(true)         // each answer now tells its client to close
+		s.closeMatching(hasNoRequest) // and the clients of connections that carry no request turn to other nodes
+		s.logStep("closed the connections that carry no request", &shutdown)
 	}
-	for after := max(acceptFor, shutdown.Answered); after < shutdown.Last && reached(after); after += closeEvery {
-		s.closeWith(isIncomplete) // what comes whole is answered, and one that goes on coming is not waited for
+	for after := max(acceptAfterShutdown, shutdown.Answered); after < shutdown.Last && reached(after); after += closeInterval {
+		s.closeMatching(isIncomplete) // what comes whole is answered, and one that goes on coming is not waited for
 	}
 	if reached(shutdown.Last) { // the last deadline has passed
-		s.tell("breaking off what nobody has read", &shutdown)
-		s.cut()
+		s.logStep("breaking off what nobody has read", &shutdown)
+		s.closeAll()
 	}
 	<-ended
-	s.tell("left: all that was taken is answered", &shutdown)
+	s.logStep("left: all that was taken is answered", &shutdown)
 	return err
 }
 
-// tell logs a step of a shutdown.
-func (s *Front) tell(step string, shutdown *engine.Shutdown) {
+// logStep logs a step of a shutdown.
+func (s *Front) logStep(step string, shutdown *engine.Shutdown) {
 	s.mu.Lock()
 	connections := len(s.conns)
 	s.mu.Unlock()
@@ -86,29 +86,29 @@
 }
 
 // ShuttingDown tells whether the front was told to end.
-func (s *Front) ShuttingDown() bool { return s.leaving.Load() }
+func (s *Front) ShuttingDown() bool { return s.shuttingDown.Load() }
 
-// carriesNone tells whether a connection in a state carries no request, not even one that is coming.
-func carriesNone(state admission.State) bool {
+// hasNoRequest tells whether a connection in a state carries no request, not even one that is coming.
+func hasNoRequest(state admission.State) bool {
 	return state != admission.Busy && state != admission.Reading
 }
 
 // isIncomplete tells whether no whole request has come on a connection in a state.
 func isIncomplete(state admission.State) bool { return state != admission.Busy }
 
-// closeWith closes the connections whose states are such. Where bytes wait to be read they may be a request: that is answered.
-func (s *Front) closeWith(such func(admission.State) bool) {
+// closeMatching closes the connections whose states are such. Where bytes wait to be read they may be a request: that is answered.
+func (s *Front) closeMatching(matches func(admission.State) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if such(c.account.State()) && sock.Pending(c.Conn) != sock.Bytes {
-			s.drop(c)
+		if matches(c.account.State()) && sock.Pending(c.Conn) != sock.Bytes {
+			s.evict(c)
 		}
 	}
 }
 
-// cut breaks off all connections.
-func (s *Front) cut() {
+// closeAll breaks off all connections.
+func (s *Front) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
--- a/internal/httpfront/write.go
+++ b/internal/httpfront/write.go
@@ -18,16 +18,16 @@
 	status     int
 	header     http.Header // of a served request: what the box sent
 	body       []byte
-	flow       *message.AnswerStream // in place of body, for one that is still coming
+	stream     *message.AnswerStream // in place of body, for one that is still coming
 	retryAfter time.Duration
 	reply      *message.Reply // whose room it holds; nil for none
 }
 
-// told is an answer of the engine as clients are told it.
-func told(a engine.Answer) answer {
+// toAnswer is an answer of the engine as clients are told it.
+func toAnswer(a engine.Answer) answer {
 	switch p := a.Payload.(type) {
 	case *message.Reply:
-		return answer{status: http.StatusOK, header: p.Header, body: p.Body, flow: p.Stream, reply: p}
+		return answer{status: http.StatusOK, header: p.Header, body: p.Body, stream: p.Stream, reply: p}
 	case *message.Rejection:
 		return answer{status: p.Status, body: []byte(p.Text + "\n")}
 	}
@@ -38,8 +38,8 @@
 }
 
 // reject answers what is no request.
-func (c *clientConn) reject(no *message.Rejection) {
-	if c.write(nil, answer{status: no.Status, body: []byte(no.Text + "\n"), retryAfter: no.RetryAfter}, true) == nil {
+func (c *clientConn) reject(rej *message.Rejection) {
+	if c.write(nil, answer{status: rej.Status, body: []byte(rej.Text + "\n"), retryAfter: rej.RetryAfter}, true) == nil {
 		c.linger()
 	}
 }
@@ -50,8 +50,8 @@
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.CloseWrite()
 	}
-	c.SetReadDeadline(time.Now().Add(lingerTime))
-	io.CopyN(io.Discard, c.Conn, lingerSize)
+	c.SetReadDeadline(time.Now().Add(lingerTimeout))
+	io.CopyN(io.Discard, c.Conn, lingerBytes)
 }
 
 // write sends an answer; an error means that the client has left or does not read.
@@ -65,7 +65,7 @@
 	}
 	resp := http.Response{StatusCode: a.status, ProtoMajor: 1, ProtoMinor: 1, Header: h, Request: in, Close: last,
 		ContentLength: int64(len(a.body)), Body: io.NopCloser(bytes.NewReader(a.body))}
-	if f := a.flow; f != nil {
+	if f := a.stream; f != nil {
 		resp.ContentLength, resp.Body = f.Size, io.NopCloser(f)
 		out := bufio.NewWriterSize(message.WriteTimeoutConn{Conn: c.Conn}, 32<<10)
 		err := resp.Write(out)
--- a/internal/jsonrpc/frame.go
+++ b/internal/jsonrpc/frame.go
@@ -15,8 +15,8 @@
 // MaxFrameBytes is the largest message or batch, in bytes.
 const MaxFrameBytes = 64 << 10
 
-// maxHead is the largest head of a headed frame, in bytes.
-const maxHead = 1 << 10
+// maxHeadBytes is the largest head of a headed frame, in bytes.
+const maxHeadBytes = 1 << 10
 
 // Framing is how messages follow one another on a stream.
 type Framing uint8
@@ -32,15 +32,15 @@
 // Reader reads frames from a stream. The framing of each is told by its first byte: a JSON text can't begin with a letter
 // of "Content-Length".
 type Reader struct {
-	in   *bufio.Reader
-	last Framing
+	in          *bufio.Reader
+	lastFraming Framing
 }
 
 // NewReader returns a reader of a stream.
 func NewReader(in *bufio.Reader) *Reader { return &Reader{in: in} }
 
 // Framing is that of the latest frame.
-func (r *Reader) Framing() Framing { return r.last }
+func (r *Reader) Framing() Framing { return r.lastFraming }
 
 // Wait returns once the first byte of a frame is there, or with the stream's error.
 func (r *Reader) Wait() error {
@@ -49,7 +49,7 @@
 		if err != nil {
 			return err
 		}
-		if !space(b[0]) {
+		if !isSpace(b[0]) {
 			return nil
 		}
 		r.in.Discard(1)
@@ -67,22 +67,22 @@
 		return nil, err
 	}
 	if b[0] == 'C' || b[0] == 'c' {
-		r.last = HeaderDelimited
-		return r.headed()
+		r.lastFraming = HeaderDelimited
+		return r.readHeaderDelimited()
 	}
-	r.last = Lines
-	return r.text()
+	r.lastFraming = Lines
+	return r.readText()
 }
 
-func (r *Reader) headed() ([]byte, error) {
+func (r *Reader) readHeaderDelimited() ([]byte, error) {
 	length, read := -1, 0
 	for {
 		line, err := r.in.ReadSlice('\n')
-		if read += len(line); read > maxHead {
-			return nil, fmt.Errorf("%w: a head of over %d bytes", ErrFrame, maxHead)
+		if read += len(line); read > maxHeadBytes {
+			return nil, fmt.Errorf("%w: a head of over %d bytes", ErrFrame, maxHeadBytes)
 		}
 		if err != nil {
-			return nil, cut(err)
+			return nil, wrapReadError(err)
 		}
 		text := strings.TrimRight(string(line), "\r\n")
 		if text == "" {
@@ -107,13 +107,13 @@
 	}
 	frame := make([]byte, length)
 	if _, err := io.ReadFull(r.in, frame); err != nil {
-		return nil, cut(err)
+		return nil, wrapReadError(err)
 	}
 	return frame, nil
 }
 
-// text finds the end of a JSON text. It checks no more than what that needs: brackets that match, strings that end.
-func (r *Reader) text() ([]byte, error) {
+// readText finds the end of a JSON text. It checks no more than what that needs: brackets that match, strings that end.
+func (r *Reader) readText() ([]byte, error) {
 	var frame []byte
 	var open []byte // the closing brackets that are due
 	inString, escaped := false, false
@@ -123,9 +123,9 @@
 			if err == io.EOF && len(open) == 0 && !inString && len(frame) > 0 {
 				return frame, nil // a number, a string or a word at the stream's end
 			}
-			return nil, cut(err)
+			return nil, wrapReadError(err)
 		}
-		if len(open) == 0 && !inString && len(frame) > 0 && space(b) {
+		if len(open) == 0 && !inString && len(frame) > 0 && isSpace(b) {
 			return frame, nil // the same before white space
 		}
 		if frame = append(frame, b); len(frame) > MaxFrameBytes {
@@ -160,9 +160,9 @@
 	}
 }
 
-func space(b byte) bool { return b == ' ' || b == '\t' || b == '\r' || b == '\n' }
+func isSpace(b byte) bool { return b == ' ' || b == '\t' || b == '\r' || b == '\n' }
 
-func cut(err error) error {
+func wrapReadError(err error) error {
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
--- a/internal/jsonrpc/jsonrpc_test.go
+++ b/internal/jsonrpc/jsonrpc_test.go
@@ -15,12 +15,12 @@
 func reader(text string) *Reader { return NewReader(bufio.NewReader(strings.NewReader(text))) }
 
 // Frames of both kinds on one stream, wherever its bytes are split.
-func TestFrames(t *testing.T) {
+func TestFramesAreSplitWhereverTheStreamBreaks(t *testing.T) {
 	want := []string{`{"a":"}\"]"}`, `[1,{"b":[]}]`, `17`, `"x y"`, `{}`, `{"c":1}`, `true`}
 	text := "\r\n " + want[0] + want[1] + "17 \"x y\" \n" + string(AppendFrame(nil, HeaderDelimited, []byte(want[4]))) +
 		"content-type: x\r\n"[:0] + "Content-Type: application/json\r\ncontent-length:  7\r\n\r\n" + want[5] + "true"
 	for size := 1; size < 20; size++ {
-		r := NewReader(bufio.NewReader(&chunks{[]byte(text), size}))
+		r := NewReader(bufio.NewReader(&chunkReader{[]byte(text), size}))
 		for i, w := range want {
 			got, err := r.Next()
 			if err != nil || string(got) != w {
@@ -36,22 +36,22 @@
 	}
 }
 
-// chunks gives its bytes a few at a time.
-type chunks struct {
-	left []byte
-	size int
+// chunkReader gives its bytes a few at a time.
+type chunkReader struct {
+	remaining []byte
+	size      int
 }
 
-func (c *chunks) Read(p []byte) (int, error) {
-	if len(c.left) == 0 {
+func (c *chunkReader) Read(p []byte) (int, error) {
+	if len(c.remaining) == 0 {
 		return 0, io.EOF
 	}
-	n := copy(p, c.left[:min(len(c.left), c.size)])
-	c.left = c.left[n:]
+	n := copy(p, c.remaining[:min(len(c.remaining), c.size)])
+	c.remaining = c.remaining[n:]
 	return n, nil
 }
 
-func TestFramesThatAreNone(t *testing.T) {
+func TestMalformedFramesAreRejected(t *testing.T) {
 	for _, text := range []string{"{]", "]", "{\"a\n\":1}", "{", `"`, strings.Repeat("[", MaxFrameBytes+1), "Content-Length: x\r\n\r\n{}",
 		"Content-Length: 2\r\n{}", "Content-Length: 5\r\n\r\n{}", "C", "Cookie: x\r\n\r\n{}", "Content-Length: 65537\r\n\r\n",
 		strings.Repeat("Content-Type: x\r\n", 100), "Content-Length: -1\r\n\r\n", "\r\n\r\nContent-Type: x\r\n\r\n{}"} {
--- a/internal/jsonrpc/message.go
+++ b/internal/jsonrpc/message.go
@@ -206,12 +206,12 @@
 				if err != nil {
 					return nil, false
 				}
-				here := name.String() == token
+				matched := name.String() == token
 				value, err := d.ReadValue()
 				if err != nil {
 					return nil, false
 				}
-				if here {
+				if matched {
 					v = value
 					break
 				}
--- a/internal/message/body.go
+++ b/internal/message/body.go
@@ -17,39 +17,39 @@
 	"craneglade/internal/settings"
 )
 
-// Store holds the bodies of this node's requests.
+// Store holds the request bodies of this node and accounts for the memory and disk space that requests and answers use.
 type Store struct {
-	classes   map[string]bodies.Class
-	usual     bodies.Class
-	spool     *bodies.Spool // nil without a disk
-	deadline  time.Duration
-	MaxAnswer int64 // the largest body of an answer; beyond the usual size it is streamed
-	clock     engine.Clock
+	classes      map[string]bodies.Class
+	defaultClass bodies.Class
+	spool        *bodies.Spool // nil if no disk is configured
+	diskTimeout  time.Duration
+	MaxAnswer    int64 // largest answer body in bytes; one above MaxBodyBytes is streamed
+	clock        engine.Clock
 
-	mu     sync.Mutex
-	budget *bodies.Budget
-	door   bodies.Door
+	mu          sync.Mutex
+	budget      *bodies.Budget
+	diskBreaker bodies.Door
 }
 
-// NewStore returns the store of a node with so many megabytes of memory, 0 for any number, and settings of our own, which
-// may be nil. An error is one of the folder that they name.
-func NewStore(memoryMB int, own *settings.Bodies, clock engine.Clock) (*Store, error) {
-	s := &Store{classes: map[string]bodies.Class{}, usual: bodies.Class{Most: MaxBodyBytes, Memory: MaxBodyBytes}, MaxAnswer: MaxBodyBytes,
+// NewStore returns the store of a node with memoryMB megabytes of memory, or without a limit if memoryMB is 0. The body
+// settings cfg may be nil. It fails if the spool folder that cfg names can't be used.
+func NewStore(memoryMB int, cfg *settings.Bodies, clock engine.Clock) (*Store, error) {
+	s := &Store{classes: map[string]bodies.Class{}, defaultClass: bodies.Class{Most: MaxBodyBytes, Memory: MaxBodyBytes}, MaxAnswer: MaxBodyBytes,
 		clock: clock}
 	limits := bodies.Limits{Memory: 1 << 40, Heads: 1 << 40}
 	if memoryMB > 0 {
 		limits.Memory = int64(memoryMB) << 20 / 4
 		limits.Heads = limits.Memory / 2
 	}
-	if own != nil {
-		if own.Memory > 0 {
-			limits.Memory = int64(own.Memory)
+	if cfg != nil {
+		if cfg.Memory > 0 {
+			limits.Memory = int64(cfg.Memory)
 		}
-		s.MaxAnswer = max(s.MaxAnswer, int64(own.Answer))
-		for _, c := range own.Classes {
+		s.MaxAnswer = max(s.MaxAnswer, int64(cfg.Answer))
+		for _, c := range cfg.Classes {
 			s.classes[c.Name] = bodies.Class{Most: int64(c.Most), Memory: int64(c.Memory), Disk: c.Disk, Once: c.Once}
 		}
-		if d := own.Disk; d.Folder != "" {
+		if d := cfg.Disk; d.Folder != "" {
 			dir, err := bodies.NewDir(d.Folder)
 			if err != nil {
 				return nil, err
@@ -62,54 +62,54 @@
 	return s, nil
 }
 
-// UseDisk has bodies kept in a folder, with the workers and the time for each call that d names.
+// UseDisk enables spooling of bodies to files, with the number of workers and the timeout of each call from d.
 func (s *Store) UseDisk(files bodies.FS, d settings.Disk) {
-	s.spool, s.deadline = bodies.NewSpool(files, d.Workers), d.Deadline.D()
+	s.spool, s.diskTimeout = bodies.NewSpool(files, d.Workers), d.Deadline.D()
 }
 
-// SetLimits replaces what all bodies together may hold. Only for a store that holds none.
+// SetLimits replaces the limits on the total size of all bodies. The store must be empty.
 func (s *Store) SetLimits(l bodies.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budget = bodies.NewBudget(l)
 }
 
-// Used is what the bodies in a tier hold, in bytes.
+// Used returns the number of bytes that the bodies in a tier use.
 func (s *Store) Used(t bodies.Tier) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.budget.Used(t)
 }
 
-// Placed is how many bodies a tier was given.
+// Placed returns the number of bodies that were placed in a tier so far.
 func (s *Store) Placed(t bodies.Tier) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.budget.Placed(t)
 }
 
-// Reserve takes room in memory for size bytes that are no body, and tells whether there is any. Free gives it back.
+// Reserve reserves size bytes of memory for a head or an answer and reports whether they were available. Release returns them.
 func (s *Store) Reserve(size int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.budget.Hold(size)
 }
 
-// Release gives back what Hold took.
+// Release returns size bytes that Reserve took.
 func (s *Store) Release(size int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budget.Release(size)
 }
 
-// Reserved is what heads and answers hold in memory, in bytes.
+// Reserved returns the memory reserved for heads and answers, in bytes.
 func (s *Store) Reserved() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.budget.Held()
 }
 
-// Stop ends the workers. A call that hangs in the file system outlives it.
+// Stop ends the disk workers. It does not wait for a call that hangs in the file system.
 func (s *Store) Stop() {
 	if s.spool != nil {
 		s.spool.Close()
@@ -120,69 +120,69 @@
 	if c, ok := s.classes[name]; ok {
 		return c
 	}
-	return s.usual
+	return s.defaultClass
 }
 
-// place takes room for a body. The disk is not tried while its door is closed.
+// place reserves space for a body in the first tier that has enough. The disk is skipped while its circuit breaker is open.
 func (s *Store) place(c bodies.Class, size int64) (bodies.Tier, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budget.Shut(s.spool == nil)
 	tier, err := s.budget.Place(c, size)
-	if tier == bodies.Disk && !s.door.Open(s.clock.Now()) {
+	if tier == bodies.Disk && !s.diskBreaker.Open(s.clock.Now()) {
 		tier, err = s.budget.Fall(c, size)
 	}
 	return tier, err
 }
 
-// fall gives a body that the disk did not take to the next tier.
-func (s *Store) fall(c bodies.Class, size int64) (bodies.Tier, error) {
+// placeInNextTier records a disk failure and moves a body that could not be spooled to the next tier.
+func (s *Store) placeInNextTier(c bodies.Class, size int64) (bodies.Tier, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.door.Done(s.clock.Now(), false)
+	s.diskBreaker.Done(s.clock.Now(), false)
 	return s.budget.Fall(c, size)
 }
 
-// Body is a request's body.
+// Body is the body of a request.
 type Body struct {
-	store *Store
-	Tier  bodies.Tier
-	size  int64
-	held  bool // room was taken for it
+	store    *Store
+	Tier     bodies.Tier
+	size     int64
+	reserved bool // space in the budget is reserved for it
 
-	Memory []byte       // the whole of it, where it is held there
-	kept   *bodies.Kept // on disk; with Once, what had been written when the disk failed
+	Memory  []byte       // the complete body, in the memory tier
+	spooled *bodies.Kept // on disk; in tier Once, what had been written when the disk failed
 
-	// Once: the rest of it, behind what is kept.
-	ahead   []byte // read from the client already
-	client  io.Reader
-	Started atomic.Bool   // an attempt has begun to send it
-	Drained chan struct{} // closed when all of it was read from the client
+	// Tier Once: the rest of the body, after the spooled part.
+	buffered []byte // already read from the client
+	client   io.Reader
+	Started  atomic.Bool   // an attempt has started to send it
+	Drained  chan struct{} // closed once the complete body was read from the client
 }
 
-// Release gives back what a body holds. It may be called again, and of none.
+// Release frees the space that a body uses. It may be called repeatedly, and on nil.
 func (p *Body) Release() {
-	if p == nil || !p.held {
+	if p == nil || !p.reserved {
 		return
 	}
-	p.held = false
-	if p.kept != nil {
-		p.kept.Close()
+	p.reserved = false
+	if p.spooled != nil {
+		p.spooled.Close()
 	}
 	p.store.mu.Lock()
 	defer p.store.mu.Unlock()
 	p.store.budget.Free(p.Tier, p.size)
 }
 
-// Read reads a body from its client into the tier that has room for it; a body that is not kept stays with the client
-// until an attempt sends it.
+// Read reads a body of known length from its client into the first tier that has space for it. A body in tier Once is not
+// read yet: an attempt streams it from the client.
 func (s *Store) Read(ctx context.Context, class string, in *http.Request) (*Body, *Rejection) {
 	c, size := s.class(class), in.ContentLength
 	tier, err := s.place(c, size)
 	if err != nil {
-		return nil, turnedAway(size > c.Most, err)
+		return nil, rejectBody(size > c.Most, err)
 	}
-	p := &Body{store: s, Tier: tier, size: size, held: true}
+	p := &Body{store: s, Tier: tier, size: size, reserved: true}
 	switch tier {
 	case bodies.Memory:
 		p.Memory = make([]byte, size)
@@ -191,9 +191,9 @@
 			return nil, BodyTruncated(err)
 		}
 	case bodies.Disk:
-		if no := p.spill(ctx, c, in.Body); no != nil {
+		if rej := p.spill(ctx, c, in.Body); rej != nil {
 			p.Release()
-			return nil, no
+			return nil, rej
 		}
 	case bodies.Once:
 		p.stream(in.Body)
@@ -201,89 +201,89 @@
 	return p, nil
 }
 
-// turnedAway is the answer to a request whose body has no place. Nothing of it was sent: refusing it is harmless,
-// whatever its class.
-func turnedAway(tooLarge bool, err error) *Rejection {
+// rejectBody returns the answer to a request whose body can't be stored. Nothing was sent to a backend, so the client may
+// safely retry, whatever the class.
+func rejectBody(tooLarge bool, err error) *Rejection {
 	if tooLarge {
 		return &Rejection{Status: http.StatusRequestEntityTooLarge, Text: "Content-Length: " + err.Error()}
 	}
 	return &Rejection{Status: http.StatusServiceUnavailable, Text: err.Error(), RetryAfter: 250 * time.Millisecond}
 }
 
-// BodyTruncated is the answer to a body that did not come whole.
+// BodyTruncated returns the answer to a request whose body could not be read completely.
 func BodyTruncated(err error) *Rejection {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return &Rejection{Status: http.StatusRequestTimeout, Text: "the body did not come in time"}
 	}
-	return &Rejection{Status: http.StatusBadRequest, Text: "body: " + err.Error()} // what came is not what the client meant
+	return &Rejection{Status: http.StatusBadRequest, Text: "body: " + err.Error()} // the body is incomplete and must not be forwarded
 }
 
 func (p *Body) stream(client io.Reader) {
 	p.client, p.Drained = client, make(chan struct{})
 }
 
-// spill writes a body to disk as it comes. Where the disk fails, what is there already and the rest go to the next tier.
+// spill writes a body to disk as it arrives. If the disk fails, the part already written and the rest move to the next tier.
 func (p *Body) spill(ctx context.Context, c bodies.Class, client io.Reader) *Rejection {
 	s := p.store
-	var chunk []byte // read, and not written
-	err := s.call(ctx, func(ctx context.Context) (err error) {
-		p.kept, err = s.spool.Begin(ctx, p.size)
+	var chunk []byte // read from the client, not yet written
+	err := s.withDiskTimeout(ctx, func(ctx context.Context) (err error) {
+		p.spooled, err = s.spool.Begin(ctx, p.size)
 		return err
 	})
-	for left := p.size; err == nil && left > 0; left -= int64(len(chunk)) {
-		chunk = make([]byte, min(left, chunkSize)) // a new one: a call that hangs goes on reading the last
+	for remaining := p.size; err == nil && remaining > 0; remaining -= int64(len(chunk)) {
+		chunk = make([]byte, min(remaining, chunkBytes)) // a new buffer each time: a hanging write may still read the last one
 		if _, err := io.ReadFull(client, chunk); err != nil {
-			s.settled(true)
+			s.noteDiskResult(true)
 			return BodyTruncated(err)
 		}
-		err = s.call(ctx, func(ctx context.Context) error { return p.kept.Append(ctx, chunk) })
+		err = s.withDiskTimeout(ctx, func(ctx context.Context) error { return p.spooled.Append(ctx, chunk) })
 	}
 	if err == nil {
-		s.settled(true)
+		s.noteDiskResult(true)
 		return nil
 	}
-	tier, none := s.fall(c, p.size)
-	if none != nil {
-		p.held = false // given back by fall
-		if p.kept != nil {
-			p.kept.Close()
+	tier, placeErr := s.placeInNextTier(c, p.size)
+	if placeErr != nil {
+		p.reserved = false // the budget has released it
+		if p.spooled != nil {
+			p.spooled.Close()
 		}
-		return turnedAway(false, fmt.Errorf("%w: %w", none, err))
+		return rejectBody(false, fmt.Errorf("%w: %w", placeErr, err))
 	}
-	p.Tier, p.ahead = tier, chunk
+	p.Tier, p.buffered = tier, chunk
 	p.stream(client)
 	return nil
 }
 
-// call gives a call to the disk the time that it may take.
-func (s *Store) call(ctx context.Context, f func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, s.deadline)
+// withDiskTimeout runs one disk operation under the disk timeout.
+func (s *Store) withDiskTimeout(ctx context.Context, f func(context.Context) error) error {
+	ctx, cancel := context.WithTimeout(ctx, s.diskTimeout)
 	defer cancel()
 	return f(ctx)
 }
 
-// settled notes that a body's way to the disk has ended without its fault.
-func (s *Store) settled(ok bool) {
+// noteDiskResult reports to the circuit breaker whether the disk worked for a body that is no longer being written.
+func (s *Store) noteDiskResult(ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.door.Done(s.clock.Now(), ok)
+	s.diskBreaker.Done(s.clock.Now(), ok)
 }
 
 var (
-	// ErrSpool is a body that was kept and can't be read back, ErrClient one that its client did not send whole: neither
-	// is the box's doing.
+	// ErrSpool reports that a spooled body can't be read back, ErrClient that a client did not send its whole body or
+	// that writing to a client failed. Neither is a failure of the backend.
 	ErrSpool  = errors.New("the body can't be read back")
 	ErrClient = errors.New("the client's body did not come")
 )
 
-// Send writes a body that is not in memory. An error that wraps ErrBody or ErrClient is not the backend's doing; after
-// any error the last byte was not written.
+// Send writes a body that is not in memory to a backend's connection. An error that wraps ErrSpool or ErrClient is not a
+// failure of the backend. After any error the last byte was not written.
 func (p *Body) Send(ctx context.Context, to net.Conn) error {
-	if p.kept != nil {
-		for off := int64(0); off < p.kept.Size(); {
-			chunk := make([]byte, min(chunkSize, p.kept.Size()-off))
-			call, cancel := context.WithTimeout(ctx, p.store.deadline)
-			err := p.kept.ReadAt(call, chunk, off)
+	if p.spooled != nil {
+		for off := int64(0); off < p.spooled.Size(); {
+			chunk := make([]byte, min(chunkBytes, p.spooled.Size()-off))
+			callCtx, cancel := context.WithTimeout(ctx, p.store.diskTimeout)
+			err := p.spooled.ReadAt(callCtx, chunk, off)
 			cancel()
 			if err != nil {
 				return fmt.Errorf("%w: %w", ErrSpool, err)
@@ -297,35 +297,35 @@
 	if p.Tier != bodies.Once {
 		return nil
 	}
-	if len(p.ahead) > 0 {
-		if _, err := to.Write(p.ahead); err != nil {
+	if len(p.buffered) > 0 {
+		if _, err := to.Write(p.buffered); err != nil {
 			return err
 		}
 	}
-	chunk := make([]byte, chunkSize)
-	left := p.size - int64(len(p.ahead))
-	if p.kept != nil {
-		left -= p.kept.Size()
+	chunk := make([]byte, chunkBytes)
+	remaining := p.size - int64(len(p.buffered))
+	if p.spooled != nil {
+		remaining -= p.spooled.Size()
 	}
-	for left > 0 {
-		n, err := p.client.Read(chunk[:min(left, chunkSize)])
-		left -= int64(n)
-		if left == 0 {
-			close(p.Drained) // before its last byte goes out: what answers it finds the client's connection free
+	for remaining > 0 {
+		n, err := p.client.Read(chunk[:min(remaining, chunkBytes)])
+		remaining -= int64(n)
+		if remaining == 0 {
+			close(p.Drained) // before the last byte is sent: whoever handles the answer must find the client's connection free
 		}
 		if n > 0 {
 			if _, err := to.Write(chunk[:n]); err != nil {
 				return err
 			}
 		}
-		if err != nil && left > 0 {
+		if err != nil && remaining > 0 {
 			return fmt.Errorf("%w: %w", ErrClient, err)
 		}
 	}
 	return nil
 }
 
-// IsDrained tells whether all of a body that is not kept was read from its client, so that the next request can be.
+// IsDrained reports whether the complete body was read from the client, so that the next request can be read.
 func (p *Body) IsDrained() bool {
 	if p == nil || p.Drained == nil {
 		return true
--- a/internal/message/budget_test.go
+++ b/internal/message/budget_test.go
@@ -7,8 +7,9 @@
 	"craneglade/internal/engine"
 )
 
-// Heads, bodies and answers share one total: what one of them holds the others do not get, and all is given back, once.
-func TestOneTotal(t *testing.T) {
+// Heads, bodies and answers share one memory budget: memory that one of them uses is not available to the others, and each
+// reservation is returned exactly once.
+func TestMemoryBudgetIsSharedByHeadsBodiesAndAnswers(t *testing.T) {
 	s, err := NewStore(0, nil, engine.NewClock())
 	if err != nil {
 		t.Fatal(err)
@@ -17,34 +18,34 @@
 	defer s.Stop()
 	var a, b, c Request
 	if !s.Admit(&a) || !s.Admit(&b) {
-		t.Fatal("no room for two of three")
+		t.Fatal("two of three requests were not admitted")
 	}
 	p := &Reply{}
 	if !s.Reserve(RequestOverheadBytes) {
-		t.Fatal("no room for an answer")
+		t.Fatal("memory for an answer was not available")
 	}
 	p.AttachReservation(s, RequestOverheadBytes)
 	if s.Admit(&c) {
-		t.Error("a fourth is let in")
+		t.Error("a request was admitted over the limit")
 	}
 	p.Release()
 	p.Release()
 	if !s.Admit(&c) || s.Reserve(1) {
-		t.Error("the answer's room did not come back once")
+		t.Error("the memory of the answer was not returned exactly once")
 	}
 	for _, r := range []*Request{&a, &b, &c} {
 		r.Release()
 		r.Release()
 	}
-	if tier, _ := s.place(s.usual, RequestOverheadBytes); tier != bodies.Memory {
-		t.Errorf("a body goes to %v", tier)
+	if tier, _ := s.place(s.defaultClass, RequestOverheadBytes); tier != bodies.Memory {
+		t.Errorf("a body is placed in %v, want memory", tier)
 	}
-	if tier, _ := s.place(s.usual, 2*RequestOverheadBytes); tier != bodies.TooLarge || !s.Reserve(RequestOverheadBytes) {
-		t.Errorf("a body of what heads are sure of goes to %v", tier)
+	if tier, _ := s.place(s.defaultClass, 2*RequestOverheadBytes); tier != bodies.TooLarge || !s.Reserve(RequestOverheadBytes) {
+		t.Errorf("a body that needs the share guaranteed to heads is placed in %v", tier)
 	}
 	s.Release(RequestOverheadBytes)
 	if n := s.Reserved(); n != 0 {
-		t.Errorf("%d bytes are held by nobody", n)
+		t.Errorf("%d bytes are still reserved after all was released", n)
 	}
 	var none *Reply
 	none.Release()
--- a/internal/message/flow.go
+++ b/internal/message/flow.go
@@ -7,48 +7,49 @@
 	"time"
 )
 
-// AnswerStream is the body of an answer that goes on to the client while it comes from the box.
+// AnswerStream is the body of an answer that is forwarded to the client while it is read from the backend.
 type AnswerStream struct {
-	Size int64
+	Size int64 // in bytes
 
-	body  io.Reader
-	from  net.Conn
-	err   error      // of reading from the box
-	ended chan error // holds one: how it ended
+	body    io.Reader
+	conn    net.Conn
+	readErr error      // from reading from the backend
+	done    chan error // capacity 1: the result of forwarding
 }
 
-// NewAnswerStream returns the flow of a body of a size that is read from body, which comes from a connection.
-func NewAnswerStream(body io.Reader, from net.Conn, size int64) *AnswerStream {
-	return &AnswerStream{Size: size, body: body, from: from, ended: make(chan error, 1)}
+// NewAnswerStream returns a stream of size bytes that are read from body; conn is the backend's connection below it.
+func NewAnswerStream(body io.Reader, conn net.Conn, size int64) *AnswerStream {
+	return &AnswerStream{Size: size, body: body, conn: conn, done: make(chan error, 1)}
 }
 
-// Done gives how the answer's way to the client ended, once: nil where it is there whole.
-func (f *AnswerStream) Done() <-chan error { return f.ended }
+// Done returns a channel that receives one value when forwarding has ended: nil if the client got the complete answer.
+func (f *AnswerStream) Done() <-chan error { return f.done }
 
-// Read reads from the box, which may not pause for longer than a client may.
+// Read reads from the backend. It fails if nothing arrives within IOTimeout, the limit for clients too.
 func (f *AnswerStream) Read(p []byte) (int, error) {
-	f.from.SetReadDeadline(time.Now().Add(IOTimeout))
+	f.conn.SetReadDeadline(time.Now().Add(IOTimeout))
 	n, err := f.body.Read(p)
 	if err != nil && err != io.EOF {
-		f.err = err
+		f.readErr = err
 	}
 	return n, err
 }
 
-// Finish tells the attempt how its answer's way to the client ended.
+// Finish reports to the attempt how forwarding the answer ended. A read error from the backend takes precedence over err.
 func (f *AnswerStream) Finish(err error) {
 	switch {
-	case f.err != nil:
-		err = f.err
+	case f.readErr != nil:
+		err = f.readErr
 	case err != nil:
 		err = fmt.Errorf("%w: %w", ErrClient, err)
 	}
-	f.ended <- err
+	f.done <- err
 }
 
-// WriteTimeoutConn is a client's connection, to which no write may take longer than WriteTime.
+// WriteTimeoutConn is a client's connection on which each write is limited to IOTimeout.
 type WriteTimeoutConn struct{ net.Conn }
 
+// Write writes b to the connection within IOTimeout.
 func (p WriteTimeoutConn) Write(b []byte) (int, error) {
 	p.SetWriteDeadline(time.Now().Add(IOTimeout))
 	return p.Conn.Write(b)
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,5 +1,6 @@
-// Package message is an HTTP/1.1 request and its answer as the front and the carrier share them: the one reads what the
-// other sends, and the other way round. Bodies are held in the tiers of package bodies.
+// Package message defines the HTTP/1.1 requests and answers that the front and the carrier exchange. The front reads
+// requests that the carrier sends, and the carrier reads answers that the front writes. Bodies are stored in the tiers of
+// package bodies.
 package message
 
 import (
@@ -10,32 +11,33 @@
 )
 
 const (
-	MaxBodyBytes = 64 << 10 // bytes of a request's or an answer's body, but where settings of our own allow more
-	MaxHeadBytes = 16 << 10 // bytes of a head
+	MaxBodyBytes = 64 << 10 // size of a request's or an answer's body, unless the body settings allow more
+	MaxHeadBytes = 16 << 10 // size of a request's or an answer's head
 
-	// IOTimeout is for how long a client may pause while it sends or reads.
+	// IOTimeout is how long a client may pause while it reads an answer, and a backend while it sends a streamed one.
 	IOTimeout = 2 * time.Second
 
-	// RequestOverheadBytes is what a request holds beside its body, in bytes: the buffer that its head came in, the head as it was
-	// read, and the buffer that it goes out by.
+	// RequestOverheadBytes is the memory that a request uses besides its body: the read buffer of its head, the parsed head
+	// and the write buffer.
 	RequestOverheadBytes = 4<<10 + MaxHeadBytes + 1<<10
-	chunkSize            = 32 << 10
+	chunkBytes           = 32 << 10
 )
 
-// RequestHeaders are those that a request may carry, besides its length and host; PROTOCOL knows no others.
+// RequestHeaders are the headers of a request that are forwarded to a backend, besides its length and host. The protocol
+// between clients, nodes and backends defines no others.
 var RequestHeaders = []string{"X-Request-Id", "X-Class", "X-Tenant", "X-Deadline", "X-Retry", "X-Cost-Hint", "X-Extras", "Idempotency-Key"}
 
-// Request is one request of a client. It is its own payload.
+// Request is an HTTP request of a client. It is its own engine payload.
 type Request struct {
 	engine.Request
 	In   *http.Request
-	Body *Body // nil for none
-	Shed bool  // the node is so far behind that it refuses it
+	Body *Body // nil if there is none
+	Shed bool  // the node is overloaded and refuses the request
 
-	store *Store // whose room for HeadCost it holds; nil for none
+	store *Store // where RequestOverheadBytes are reserved; nil if none are
 }
 
-// Admit takes room for a request, apart from its body, and tells whether there is any.
+// Admit reserves the memory for a request without its body and reports whether it was available.
 func (s *Store) Admit(r *Request) bool {
 	if !s.Reserve(RequestOverheadBytes) {
 		return false
@@ -44,7 +46,7 @@
 	return true
 }
 
-// Release gives back what the request holds. It may be called again.
+// Release frees the memory and disk space of the request. It may be called repeatedly.
 func (r *Request) Release() {
 	r.Body.Release()
 	if r.store != nil {
@@ -53,20 +55,20 @@
 	}
 }
 
-// Reply is a box's answer.
+// Reply is a backend's answer.
 type Reply struct {
 	Header http.Header
 	Body   []byte
-	Stream *AnswerStream // in place of Body, for one that is still coming
+	Stream *AnswerStream // instead of Body, for an answer that is still being received
 
-	store *Store // whose room for size bytes it holds; nil for none
+	store *Store // where size bytes are reserved; nil if none are
 	size  int64
 }
 
-// AttachReservation has a reply give back size bytes of a store's room once it is released.
+// AttachReservation makes Release return size bytes that were reserved in s.
 func (p *Reply) AttachReservation(s *Store, size int64) { p.store, p.size = s, size }
 
-// Release gives back what the reply holds. It may be called again, and of none.
+// Release returns the memory reserved for the reply. It may be called repeatedly, and on nil.
 func (p *Reply) Release() {
 	if p != nil && p.store != nil {
 		p.store.Release(p.size)
@@ -74,8 +76,8 @@
 	}
 }
 
-// Rejection is the answer to what is no request, or whose body has no place. Its connection is closed: what follows on
-// it can't be told from the rest of that request.
+// Rejection is the node's answer to a malformed request or to one whose body can't be stored. The connection is closed
+// after it, as the next request can't be told apart from the rest of the rejected one.
 type Rejection struct {
 	Status     int
 	Text       string
--- a/internal/message/unsized.go
+++ b/internal/message/unsized.go
@@ -11,27 +11,27 @@
 	"craneglade/internal/bodies"
 )
 
-// firstRoom is what a body whose size nobody told has room for at first, in bytes. Most are no larger.
-const firstRoom = 4 << 10
+// initialBytes is the initial buffer size for a body of unknown length. Most bodies fit.
+const initialBytes = 4 << 10
 
-// unsized is a body whose size nobody told, while it is read.
-type unsized struct {
+// unsizedReader reads a body of unknown length.
+type unsizedReader struct {
 	body   *Body
 	class  bodies.Class
 	client io.Reader
-	grown  func(size int64)
-	size   int64 // read so far
+	onGrow func(size int64)
+	size   int64 // bytes read so far
 }
 
-// ReadUnsized reads a body whose size its client does not tell, to its end. Its length has to be told to the backend, so
-// it is read whole whatever its tier: into memory, which is taken in growing steps, then onto disk, and where its class
-// allows no disk but streaming, into memory up to the class's most. grown is called with the size so far as it grows. The
+// ReadUnsized reads a body of unknown length to its end. The backend must be sent a length, so the body is read completely
+// in every tier: into memory, which is reserved in growing steps, then to disk. If the class allows no disk but streaming,
+// it is read into memory up to the maximum size of the class. onGrow is called with the size so far after each read. The
 // result is nil for an empty body.
-func (s *Store) ReadUnsized(ctx context.Context, class string, client io.Reader, grown func(size int64)) (*Body, *Rejection) {
-	u := &unsized{body: &Body{store: s, Tier: bodies.Memory, held: true}, class: s.class(class), client: client, grown: grown}
-	if no := u.read(ctx); no != nil {
+func (s *Store) ReadUnsized(ctx context.Context, class string, client io.Reader, onGrow func(size int64)) (*Body, *Rejection) {
+	u := &unsizedReader{body: &Body{store: s, Tier: bodies.Memory, reserved: true}, class: s.class(class), client: client, onGrow: onGrow}
+	if rej := u.read(ctx); rej != nil {
 		u.body.Release()
-		return nil, no
+		return nil, rej
 	}
 	if u.size == 0 {
 		u.body.Release()
@@ -40,10 +40,10 @@
 	return u.body, nil
 }
 
-// MaxBodySize is the largest body that a class allows, in bytes.
+// MaxBodySize returns the size of the largest body that a class allows, in bytes.
 func (s *Store) MaxBodySize(class string) int64 { return s.class(class).Most }
 
-// Len is a body's length in bytes, 0 for none.
+// Len returns the length of a body in bytes, 0 for nil.
 func (p *Body) Len() int64 {
 	switch {
 	case p == nil:
@@ -51,27 +51,27 @@
 	case p.Memory != nil:
 		return int64(len(p.Memory))
 	case p.Tier == bodies.Disk:
-		return p.kept.Size()
+		return p.spooled.Size()
 	}
 	return p.size
 }
 
-// read reads into memory for as long as there is room, and then onto disk.
-func (u *unsized) read(ctx context.Context) *Rejection {
+// read reads into memory as long as space is available, and then to disk.
+func (u *unsizedReader) read(ctx context.Context) *Rejection {
 	p := u.body
 	for {
 		if len(p.Memory) == cap(p.Memory) {
 			if u.size == u.class.Most {
-				return u.nothingMore()
+				return u.expectEnd()
 			}
 			tier, err := u.extend(false)
 			if err != nil {
-				return turnedAway(false, err)
+				return rejectBody(false, err)
 			}
 			if tier == bodies.Disk {
-				moved, no := u.moveToDisk(ctx)
-				if moved || no != nil {
-					return no
+				moved, rej := u.moveToDisk(ctx)
+				if moved || rej != nil {
+					return rej
 				}
 			}
 		}
@@ -87,15 +87,15 @@
 	}
 }
 
-func (u *unsized) add(n int) {
+func (u *unsizedReader) add(n int) {
 	if n > 0 {
 		u.size += int64(n)
-		u.grown(u.size)
+		u.onGrow(u.size)
 	}
 }
 
-// nothingMore makes sure that a body of the most bytes that are allowed ends there.
-func (u *unsized) nothingMore() *Rejection {
+// expectEnd checks that a body that has reached the maximum size has ended.
+func (u *unsizedReader) expectEnd() *Rejection {
 	switch n, err := io.ReadFull(u.client, make([]byte, 1)); {
 	case n > 0:
 		return u.tooLarge()
@@ -106,46 +106,46 @@
 	}
 }
 
-func (u *unsized) tooLarge() *Rejection {
+func (u *unsizedReader) tooLarge() *Rejection {
 	return &Rejection{Status: http.StatusRequestEntityTooLarge, Text: fmt.Sprintf("a body of more than %d bytes", u.class.Most)}
 }
 
-// extend takes the next step of room, in memory or on disk; there only in memory where the disk just failed.
-func (u *unsized) extend(diskFailed bool) (bodies.Tier, error) {
+// extend reserves the next step of space, in memory or on disk; only in memory if diskFailed.
+func (u *unsizedReader) extend(diskFailed bool) (bodies.Tier, error) {
 	p, s := u.body, u.body.store
-	room := min(max(2*p.size, firstRoom), u.class.Most)
+	newSize := min(max(2*p.size, initialBytes), u.class.Most)
 	if p.size < u.class.Memory {
-		room = min(room, u.class.Memory)
+		newSize = min(newSize, u.class.Memory)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budget.Shut(s.spool == nil || diskFailed)
-	tier, err := s.budget.Extend(u.class, p.size, room)
-	if tier == bodies.Disk && !s.door.Open(s.clock.Now()) {
+	tier, err := s.budget.Extend(u.class, p.size, newSize)
+	if tier == bodies.Disk && !s.diskBreaker.Open(s.clock.Now()) {
 		s.budget.Free(bodies.Disk, u.class.Most)
 		s.budget.Shut(true)
-		tier, err = s.budget.Extend(u.class, p.size, room)
+		tier, err = s.budget.Extend(u.class, p.size, newSize)
 	}
 	if err == nil && tier == bodies.Memory {
-		p.Memory = append(make([]byte, 0, room), p.Memory...)
-		p.size = room
+		p.Memory = append(make([]byte, 0, newSize), p.Memory...)
+		p.size = newSize
 	}
 	return tier, err
 }
 
-// moveToDisk writes what has been read, and then the rest, to a file with room for the most that the class allows. Where
-// the disk does not take even what has been read, the body goes on in memory if its class may be streamed.
-func (u *unsized) moveToDisk(ctx context.Context) (moved bool, no *Rejection) {
+// moveToDisk writes what has been read so far, and then the rest, to a file of the maximum size of the class. If writing
+// what has been read fails, the body stays in memory, provided that its class may be streamed.
+func (u *unsizedReader) moveToDisk(ctx context.Context) (moved bool, rej *Rejection) {
 	p, s := u.body, u.body.store
-	err := s.call(ctx, func(ctx context.Context) (err error) {
-		p.kept, err = s.spool.Begin(ctx, u.class.Most)
+	err := s.withDiskTimeout(ctx, func(ctx context.Context) (err error) {
+		p.spooled, err = s.spool.Begin(ctx, u.class.Most)
 		return err
 	})
 	if err == nil && len(p.Memory) > 0 {
-		err = s.call(ctx, func(ctx context.Context) error { return p.kept.Append(ctx, p.Memory) })
+		err = s.withDiskTimeout(ctx, func(ctx context.Context) error { return p.spooled.Append(ctx, p.Memory) })
 	}
 	if err != nil {
-		return false, u.backToMemory(err)
+		return false, u.fallBackToMemory(err)
 	}
 	s.mu.Lock()
 	s.budget.Free(bodies.Memory, p.size)
@@ -154,44 +154,45 @@
 	return true, u.spill(ctx)
 }
 
-// backToMemory gives the room on a disk that failed back, and takes the next step in memory instead.
-func (u *unsized) backToMemory(failed error) *Rejection {
+// fallBackToMemory releases the space on a failed disk and reserves the next step in memory instead.
+func (u *unsizedReader) fallBackToMemory(failed error) *Rejection {
 	p, s := u.body, u.body.store
-	if p.kept != nil {
-		p.kept.Close()
-		p.kept = nil
+	if p.spooled != nil {
+		p.spooled.Close()
+		p.spooled = nil
 	}
 	s.mu.Lock()
-	s.door.Done(s.clock.Now(), false)
+	s.diskBreaker.Done(s.clock.Now(), false)
 	s.budget.Free(bodies.Disk, u.class.Most)
 	s.mu.Unlock()
 	if _, err := u.extend(true); err != nil {
-		return turnedAway(false, fmt.Errorf("%w: %w", err, failed))
+		return rejectBody(false, fmt.Errorf("%w: %w", err, failed))
 	}
 	return nil
 }
 
-// spill writes the rest of a body to its file. A disk that fails now has what came before: the request is refused.
-func (u *unsized) spill(ctx context.Context) *Rejection {
+// spill writes the rest of a body to its file. If the disk fails now, the part already written is lost and the request is
+// refused.
+func (u *unsizedReader) spill(ctx context.Context) *Rejection {
 	p, s := u.body, u.body.store
 	for {
-		chunk := make([]byte, chunkSize) // a new one: a call that hangs goes on reading the last
+		chunk := make([]byte, chunkBytes) // a new buffer each time: a hanging write may still read the last one
 		n, err := fill(u.client, chunk)
 		u.add(n)
 		if u.size > u.class.Most {
-			s.settled(true)
+			s.noteDiskResult(true)
 			return u.tooLarge()
 		}
 		if n > 0 {
-			if failed := s.call(ctx, func(ctx context.Context) error { return p.kept.Append(ctx, chunk[:n]) }); failed != nil {
-				s.settled(false)
-				return turnedAway(false, failed)
+			if failed := s.withDiskTimeout(ctx, func(ctx context.Context) error { return p.spooled.Append(ctx, chunk[:n]) }); failed != nil {
+				s.noteDiskResult(false)
+				return rejectBody(false, failed)
 			}
 		}
 		if err == nil {
 			continue
 		}
-		s.settled(true)
+		s.noteDiskResult(true)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -199,8 +200,8 @@
 	}
 }
 
-// fill reads until p is full or an error comes, which it returns as it is: io.ReadFull's end in the middle of p could not be
-// told from a body that is cut short.
+// fill reads until p is full or an error occurs, and returns that error unchanged. io.ReadFull would return the same error
+// for the end of the body in the middle of p as for a truncated body.
 func fill(from io.Reader, p []byte) (n int, err error) {
 	for n < len(p) && err == nil {
 		var more int
@@ -210,5 +211,5 @@
 	return n, err
 }
 
-// BodyTimedOut is the answer to a body that did not come in time.
+// BodyTimedOut returns the answer to a request whose body did not arrive in time.
 func BodyTimedOut() *Rejection { return BodyTruncated(os.ErrDeadlineExceeded) }
--- a/internal/rpccarrier/call.go
+++ b/internal/rpccarrier/call.go
@@ -27,40 +27,40 @@
 	Error  jsontext.Value // an error object that is the application's own word
 }
 
-// extra is the member of calls to boxes and of their answers that is the node's own, and not the client's.
-const extra = "craneglade"
+// metadataMember is the member of calls to boxes and of their answers that is the node's own, and not the client's.
+const metadataMember = "craneglade"
 
-// told is what a box is told beside a call.
-type told struct {
+// requestMetadata is what a box is told beside a call.
+type requestMetadata struct {
 	Request    string `json:"request"`          // the same in each attempt of a request
 	DeadlineUS int64  `json:"deadline_us"`      // nobody waits any more after this
 	Key        string `json:"key,omitempty"`    // idempotency key
 	Tenant     string `json:"tenant,omitempty"` //
 }
 
-// tells is what a box tells beside an answer.
-type tells struct {
+// answerMetadata is what a box tells beside an answer.
+type answerMetadata struct {
 	Load   json.RawMessage `json:"load"`    // a load report, as X-Load has it
 	NotRun bool            `json:"not_run"` // of an error: the call was turned away and never ran
 }
 
-// judge tells what an answer means. An error object with a code that the specification keeps for servers (-32603, -32000 to
+// classify tells what an answer means. An error object with a code that the specification keeps for servers (-32603, -32000 to
 // -32099) is the box's failure, and the call may have run; any other is an answer of the application, as a result is.
-func judge(m *jsonrpc.Message, reports bool) (engine.Result, error) {
+func classify(m *jsonrpc.Message, reports bool) (engine.Result, error) {
 	res := engine.Result{Outcome: policy.Failed}
-	var t tells
+	var metadata answerMetadata
 	if m.Extra != nil {
-		if err := json.Unmarshal(m.Extra, &t); err != nil {
-			return res, fmt.Errorf("%s: %w", extra, err)
+		if err := json.Unmarshal(m.Extra, &metadata); err != nil {
+			return res, fmt.Errorf("%s: %w", metadataMember, err)
 		}
 	}
-	var report error
-	if t.Load != nil && reports {
-		res.Load, report = wire.DecodeLoad(string(t.Load))
+	var reportErr error
+	if metadata.Load != nil && reports {
+		res.Load, reportErr = wire.DecodeLoad(string(metadata.Load))
 	}
 	if m.Result != nil {
 		res.Outcome, res.Reply = policy.OK, &Reply{Result: m.Result}
-		return res, report
+		return res, reportErr
 	}
 	var object struct {
 		Code    *int64  `json:"code"`
@@ -71,11 +71,11 @@
 	}
 	code := *object.Code
 	switch {
-	case t.NotRun:
+	case metadata.NotRun:
 		res.Outcome = policy.Full
 	case code == jsonrpc.InternalError || code <= -32000 && code >= -32099:
 	default:
 		res.Outcome, res.Reply = policy.OK, &Reply{Error: m.Error}
 	}
-	return res, report
+	return res, reportErr
 }
--- a/internal/rpccarrier/carrier.go
+++ b/internal/rpccarrier/carrier.go
@@ -18,13 +18,13 @@
 	"craneglade/policy"
 )
 
-// writeTime is how long one call may take to be written.
-const writeTime = 2 * time.Second
+// writeTimeout is how long one call may take to be written.
+const writeTimeout = 2 * time.Second
 
 var (
-	errTimeout = errors.New("the attempt's time is up")
-	errBroken  = errors.New("the connection broke")
-	errNoRoom  = errors.New("no descriptor is left for a connection to a box")
+	errTimeout      = errors.New("the attempt's time is up")
+	errConnClosed   = errors.New("the connection broke")
+	errNoDescriptor = errors.New("no descriptor is left for a connection to a box")
 )
 
 // Config is what a carrier is made from.
@@ -39,17 +39,17 @@
 
 // Carrier is an engine.Carrier of Calls.
 type Carrier struct {
-	cfg  Config
-	wg   sync.WaitGroup // readers
-	next atomic.Uint64  // ids: none comes twice, so that a box that mixes up its connections still answers nobody else
+	cfg    Config
+	wg     sync.WaitGroup // readers
+	lastID atomic.Uint64  // ids: none comes twice, so that a box that mixes up its connections still answers nobody else
 
-	mu    sync.Mutex
-	boxes map[*engine.Backend]*links
-	ended bool
+	mu       sync.Mutex
+	backends map[*engine.Backend]*backendLinks
+	stopped  bool
 }
 
-// links are the connections to a box.
-type links struct {
+// backendLinks are the connections to a box.
+type backendLinks struct {
 	all     []*link
 	dialing int
 	dialed  chan struct{} // closed when the next dial has ended
@@ -60,27 +60,27 @@
 type link struct {
 	net.Conn
 	carrier *Carrier
-	of      *links
+	backend *backendLinks
 
 	writing chan struct{} // holds one: whoever takes it writes
 
-	mu     sync.Mutex
-	calls  map[string]chan jsonrpc.Message
-	heard  uint64 // messages that came
-	doubt  bool   // nothing came for the whole of an attempt: no new calls
-	broken bool
+	mu       sync.Mutex
+	calls    map[string]chan jsonrpc.Message
+	received uint64 // messages that came
+	suspect  bool   // nothing came for the whole of an attempt: no new calls
+	broken   bool
 }
 
 // New returns a carrier with no connection.
 func New(cfg Config) *Carrier {
-	return &Carrier{cfg: cfg, boxes: map[*engine.Backend]*links{}}
+	return &Carrier{cfg: cfg, backends: map[*engine.Backend]*backendLinks{}}
 }
 
 // Retire closes the connections to a box that carry nothing, and the others once they carry nothing.
 func (n *Carrier) Retire(b *engine.Backend) {
 	n.mu.Lock()
-	ls := n.boxes[b]
-	delete(n.boxes, b)
+	ls := n.backends[b]
+	delete(n.backends, b)
 	var all []*link
 	if ls != nil {
 		ls.retired = true
@@ -88,16 +88,16 @@
 	}
 	n.mu.Unlock()
 	for _, l := range all {
-		l.done()
+		l.closeIfUnused()
 	}
 }
 
 // Stop closes all connections and returns when nothing reads from them. No attempt may be under way or follow.
 func (n *Carrier) Stop() {
 	n.mu.Lock()
-	n.ended = true
+	n.stopped = true
 	var all []*link
-	for _, ls := range n.boxes {
+	for _, ls := range n.backends {
 		all = append(all, ls.all...)
 	}
 	n.mu.Unlock()
@@ -117,22 +117,22 @@
 	if !ok || a.Backend.RPC == "" {
 		return engine.Result{Outcome: policy.Moot}
 	}
-	early := func() engine.Result { // it was never sent
+	notSent := func() engine.Result { // it was never sent
 		if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, errTimeout) {
 			return engine.Result{Outcome: policy.Canceled}
 		}
 		return engine.Result{Outcome: policy.ConnectFailed}
 	}
-	l, err := n.link(ctx, a.Backend)
-	if errors.Is(err, errNoRoom) || err != nil && !a.MayBegin() {
+	l, err := n.acquire(ctx, a.Backend)
+	if errors.Is(err, errNoDescriptor) || err != nil && !a.MayBegin() {
 		return engine.Result{Outcome: policy.Moot}
 	} else if err != nil {
-		return early()
+		return notSent()
 	}
 	select {
 	case l.writing <- struct{}{}:
 	case <-ctx.Done():
-		return early()
+		return notSent()
 	}
 	// The moment before its first byte goes out: a drain whose grace ended meanwhile, a client that left or a repeat that comes too late stops it.
 	if !a.MayBegin() {
@@ -141,31 +141,31 @@
 	}
 	if ctx.Err() != nil {
 		<-l.writing
-		return early()
+		return notSent()
 	}
 	until, _ := ctx.Deadline()
-	var beside []byte
+	var metadata []byte
 	member := ""
 	if n.cfg.SendMetadata {
-		member = extra
-		beside, err = json.Marshal(told{Request: c.ID, DeadlineUS: time.Until(until).Microseconds(), Key: c.Key, Tenant: c.Tenant})
+		member = metadataMember
+		metadata, err = json.Marshal(requestMetadata{Request: c.ID, DeadlineUS: time.Until(until).Microseconds(), Key: c.Key, Tenant: c.Tenant})
 	}
 	if err != nil {
 		<-l.writing
 		n.cfg.Log.Warn("a call can't be written", "err", err)
 		return engine.Result{Outcome: policy.Moot}
 	}
-	id, answer, heard, ok := l.open()
+	id, answer, receivedBefore, ok := l.register()
 	if !ok {
 		<-l.writing
-		return early()
+		return notSent()
 	}
-	text := jsonrpc.AppendFrame(nil, jsonrpc.Lines, jsonrpc.AppendCall(nil, id, c.Method, c.Params, member, beside))
-	last := time.Now().Add(min(writeTime, time.Until(until)))
-	if !a.By.IsZero() && a.By.Before(last) {
-		last = a.By
+	text := jsonrpc.AppendFrame(nil, jsonrpc.Lines, jsonrpc.AppendCall(nil, id, c.Method, c.Params, member, metadata))
+	writeDeadline := time.Now().Add(min(writeTimeout, time.Until(until)))
+	if !a.By.IsZero() && a.By.Before(writeDeadline) {
+		writeDeadline = a.By
 	}
-	l.SetWriteDeadline(last) // an error shows in Write
+	l.SetWriteDeadline(writeDeadline) // an error shows in Write
 	sent, err := l.Write(text)
 	<-l.writing
 	if err != nil {
@@ -174,7 +174,7 @@
 		}
 		l.Close() // a part of a message may stand on it: what follows could not be told apart
 		if sent < len(text) {
-			return early()
+			return notSent()
 		}
 	}
 	select {
@@ -182,39 +182,39 @@
 		if !ok {
 			return engine.Result{Outcome: policy.Reset} // its last byte was written: it may have run
 		}
-		res, err := judge(&m, n.cfg.AcceptLoadReports)
+		res, err := classify(&m, n.cfg.AcceptLoadReports)
 		if err != nil {
 			n.cfg.Log.Debug("an answer makes no sense", "box", a.Backend.ID, "err", err)
 		}
 		return res
 	case <-ctx.Done():
 	}
-	l.givenUp(id, heard)
+	l.abandon(id, receivedBefore)
 	if errors.Is(context.Cause(ctx), errTimeout) {
 		return engine.Result{Outcome: policy.TimedOut}
 	}
 	return engine.Result{Outcome: policy.Canceled}
 }
 
-// link returns the connection to a box with the fewest calls, or opens one where all have some and there may be more.
-func (n *Carrier) link(ctx context.Context, b *engine.Backend) (*link, error) {
-	var ls *links
+// acquire returns the connection to a box with the fewest calls, or opens one where all have some and there may be more.
+func (n *Carrier) acquire(ctx context.Context, b *engine.Backend) (*link, error) {
+	var ls *backendLinks
 	var best *link
 	for {
 		n.mu.Lock()
-		if ls = n.boxes[b]; ls == nil {
-			ls = &links{dialed: make(chan struct{})}
-			n.boxes[b] = ls
+		if ls = n.backends[b]; ls == nil {
+			ls = &backendLinks{dialed: make(chan struct{})}
+			n.backends[b] = ls
 		}
 		best = nil
-		least := 0
+		minCalls := 0
 		for _, l := range ls.all {
-			if calls, ok := l.load(); ok && (best == nil || calls < least) {
-				best, least = l, calls
+			if calls, ok := l.openCalls(); ok && (best == nil || calls < minCalls) {
+				best, minCalls = l, calls
 			}
 		}
 		full := len(ls.all)+ls.dialing >= n.cfg.MaxConnsPerBackend
-		if best != nil && (least == 0 || full) {
+		if best != nil && (minCalls == 0 || full) {
 			n.mu.Unlock()
 			return best, nil
 		}
@@ -243,74 +243,74 @@
 		}
 		return nil, err
 	}
-	if n.ended || ls.retired {
+	if n.stopped || ls.retired {
 		l.Close()
 		n.cfg.Quota.Give()
-		return nil, errBroken
+		return nil, errConnClosed
 	}
 	ls.all = append(ls.all, l)
 	n.wg.Go(l.read)
 	return l, nil
 }
 
-func (n *Carrier) connect(ctx context.Context, ls *links, addr string) (*link, error) {
+func (n *Carrier) connect(ctx context.Context, ls *backendLinks, addr string) (*link, error) {
 	if !n.cfg.Quota.Claim(nil) {
-		return nil, errNoRoom
+		return nil, errNoDescriptor
 	}
 	conn, err := n.cfg.Dial(ctx, addr)
 	if err != nil {
 		n.cfg.Quota.Give()
 		return nil, err
 	}
-	return &link{Conn: conn, carrier: n, of: ls, writing: make(chan struct{}, 1), calls: map[string]chan jsonrpc.Message{}}, nil
+	return &link{Conn: conn, carrier: n, backend: ls, writing: make(chan struct{}, 1), calls: map[string]chan jsonrpc.Message{}}, nil
 }
 
-// load is how many calls a link carries, and whether it takes more.
-func (l *link) load() (calls int, ok bool) {
+// openCalls is how many calls a link carries, and whether it takes more.
+func (l *link) openCalls() (calls int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.calls), !l.broken && !l.doubt
+	return len(l.calls), !l.broken && !l.suspect
 }
 
-// open makes an id for a call that nobody else has on this connection.
-func (l *link) open() (id string, answer <-chan jsonrpc.Message, heard uint64, ok bool) {
+// register makes an id for a call that nobody else has on this connection.
+func (l *link) register() (id string, answer <-chan jsonrpc.Message, received uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.broken {
 		return "", nil, 0, false
 	}
-	id = strconv.FormatUint(l.carrier.next.Add(1), 36)
+	id = strconv.FormatUint(l.carrier.lastID.Add(1), 36)
 	c := make(chan jsonrpc.Message, 1)
 	l.calls[id] = c
-	return id, c, l.heard, true
+	return id, c, l.received, true
 }
 
 func (l *link) forget(id string) {
 	l.mu.Lock()
 	delete(l.calls, id)
 	l.mu.Unlock()
-	l.done()
+	l.closeIfUnused()
 }
 
-// givenUp forgets a call whose answer nobody waits for any more. Where nothing came back on the connection since it was
+// abandon forgets a call whose answer nobody waits for any more. Where nothing came back on the connection since it was
 // sent, its machine may be gone: it is not trusted with another.
-func (l *link) givenUp(id string, heard uint64) {
+func (l *link) abandon(id string, receivedBefore uint64) {
 	l.mu.Lock()
 	delete(l.calls, id)
-	l.doubt = l.doubt || l.heard == heard
+	l.suspect = l.suspect || l.received == receivedBefore
 	l.mu.Unlock()
-	l.done()
+	l.closeIfUnused()
 }
 
-// done closes a connection that carries nothing and will not.
-func (l *link) done() {
+// closeIfUnused closes a connection that carries nothing and will not.
+func (l *link) closeIfUnused() {
 	l.carrier.mu.Lock()
-	retired := l.of.retired
+	retired := l.backend.retired
 	l.carrier.mu.Unlock()
 	l.mu.Lock()
-	over := len(l.calls) == 0 && (retired || l.doubt)
+	unused := len(l.calls) == 0 && (retired || l.suspect)
 	l.mu.Unlock()
-	if over {
+	if unused {
 		l.Close()
 	}
 }
@@ -329,7 +329,7 @@
 			break // what follows can't be trusted
 		}
 		for _, v := range members {
-			l.answer(jsonrpc.Parse(v, extra))
+			l.deliver(jsonrpc.Parse(v, metadataMember))
 		}
 	}
 	l.Close()
@@ -342,9 +342,9 @@
 	l.mu.Unlock()
 	n := l.carrier
 	n.mu.Lock()
-	for i, x := range l.of.all {
+	for i, x := range l.backend.all {
 		if x == l {
-			l.of.all = append(l.of.all[:i], l.of.all[i+1:]...)
+			l.backend.all = append(l.backend.all[:i], l.backend.all[i+1:]...)
 			break
 		}
 	}
@@ -352,11 +352,11 @@
 	n.cfg.Quota.Give()
 }
 
-// answer hands a message to its call. One of no open call is dropped: an answer that came late, or twice.
-func (l *link) answer(m jsonrpc.Message, err error) {
+// deliver hands a message to its call. One of no open call is dropped: an answer that came late, or twice.
+func (l *link) deliver(m jsonrpc.Message, err error) {
 	id, ok := jsonrpc.Text(m.ID)
 	l.mu.Lock()
-	l.heard++
+	l.received++
 	c := l.calls[id]
 	if ok && c != nil {
 		delete(l.calls, id)
@@ -371,5 +371,5 @@
 		l.carrier.cfg.Log.Debug("an answer that nobody waits for", "err", err)
 		return
 	}
-	l.done()
+	l.closeIfUnused()
 }
--- a/internal/rpcfront/front.go
+++ b/internal/rpcfront/front.go
@@ -34,15 +34,15 @@
 )
 
 const (
-	acceptFor   = 500 * time.Millisecond // after the node is told to end
-	backlogTime = 200 * time.Millisecond // and longer, where connections wait to be accepted
-	acceptAgain = 5 * time.Millisecond   // after an error of accept that says nothing of the listener
-	frameTime   = 2500 * time.Millisecond
-	firstTime   = 10 * time.Second // for the first byte on a new connection
-	writeTime   = 2 * time.Second
-	lingerTime  = 100 * time.Millisecond
-	lingerSize  = 256 << 10
-	refuseWait  = 250 * time.Millisecond
+	acceptAfterShutdown = 500 * time.Millisecond // after the node is told to end
+	backlogTimeout      = 200 * time.Millisecond // and longer, where connections wait to be accepted
+	acceptRetryDelay    = 5 * time.Millisecond   // after an error of accept that says nothing of the listener
+	frameTimeout        = 2500 * time.Millisecond
+	firstByteTimeout    = 10 * time.Second // for the first byte on a new connection
+	writeTimeout        = 2 * time.Second
+	lingerTimeout       = 100 * time.Millisecond
+	lingerBytes         = 256 << 10
+	refuseRetryAfter    = 250 * time.Millisecond
 )
 
 // Method is what the settings say of a method.
@@ -67,14 +67,14 @@
 
 // Front is the connections of this node's JSON-RPC clients.
 type Front struct {
-	cfg     Config
-	leaving atomic.Bool
-	serial  atomic.Uint64 // of calls
-	wg      sync.WaitGroup
-
-	mu    sync.Mutex
-	conns map[*conn]struct{}
-	rest  list.List // of *conn: those with no open call, the longest first
+	cfg          Config
+	shuttingDown atomic.Bool
+	lastCall     atomic.Uint64 // of calls
+	wg           sync.WaitGroup
+
+	mu        sync.Mutex
+	conns     map[*conn]struct{}
+	idleConns list.List // of *conn: those with no open call, the longest first
 }
 
 // New returns a front that answers nobody yet.
@@ -91,14 +91,14 @@
 	calls   sync.WaitGroup
 
 	// Guarded by Front.mu.
-	place   *list.Element // in rest
-	granted bool          // it has a descriptor of the room
-
-	mu      sync.Mutex
-	open    map[string]bool // ids of open calls, as they came
-	count   int             // open calls
-	ending  bool            // it ends once no call is open
-	framing jsonrpc.Framing
+	idleElement   *list.Element // in rest
+	hasDescriptor bool          // it has a descriptor of the room
+
+	mu        sync.Mutex
+	openIDs   map[string]bool // ids of open calls, as they came
+	openCalls int             // open calls
+	closing   bool            // it ends once no call is open
+	framing   jsonrpc.Framing
 }
 
 // Serve answers clients on ln until ctx ends, and then, as the engine's departure has it, until all that was taken is
@@ -112,13 +112,13 @@
 	case <-ctx.Done():
 	}
 	shutdown := f.cfg.Engine.Shutdown(time.Now())
-	f.leaving.Store(true)
-	time.Sleep(time.Until(shutdown.Begun.Add(acceptFor)))
-	err := sock.CloseListener(ln, backlogTime)
+	f.shuttingDown.Store(true)
+	time.Sleep(time.Until(shutdown.Begun.Add(acceptAfterShutdown)))
+	err := sock.CloseListener(ln, backlogTimeout)
 	if e := <-failed; !errors.Is(e, net.ErrClosed) {
 		err = errors.Join(err, e)
 	}
-	f.each((*conn).end)
+	f.forEach((*conn).closeWhenIdle)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -129,15 +129,15 @@
 		return err
 	case <-time.After(time.Until(shutdown.Begun.Add(shutdown.Last))):
 	}
-	f.each(func(c *conn) { c.Close() })
+	f.forEach(func(c *conn) { c.Close() })
 	<-done
 	return err
 }
 
 // ShuttingDown tells whether the front was told to end.
-func (f *Front) ShuttingDown() bool { return f.leaving.Load() }
+func (f *Front) ShuttingDown() bool { return f.shuttingDown.Load() }
 
-func (f *Front) each(do func(*conn)) {
+func (f *Front) forEach(do func(*conn)) {
 	f.mu.Lock()
 	all := make([]*conn, 0, len(f.conns))
 	for c := range f.conns {
@@ -157,28 +157,28 @@
 				return err
 			}
 			f.cfg.Log.Debug("a connection was not accepted", "err", err)
-			time.Sleep(acceptAgain)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		c := &conn{Conn: nc, front: f, slots: make(chan struct{}, f.cfg.MaxInflight), open: map[string]bool{}}
+		c := &conn{Conn: nc, front: f, slots: make(chan struct{}, f.cfg.MaxInflight), openIDs: map[string]bool{}}
 		c.ctx, c.cancel = context.WithCancel(context.Background())
 		if !f.cfg.Quota.Claim(f.EvictIdle) {
-			c.write(jsonrpc.AppendError(nil, jsonrpc.Null, Refused, "no room for a connection", refusal(refuseWait)))
+			c.write(jsonrpc.AppendError(nil, jsonrpc.Null, Refused, "no room for a connection", refusalData(refuseRetryAfter)))
 			c.Close()
 			continue
 		}
 		f.mu.Lock()
-		f.conns[c], c.granted = struct{}{}, true
-		c.place = f.rest.PushBack(c)
+		f.conns[c], c.hasDescriptor = struct{}{}, true
+		c.idleElement = f.idleConns.PushBack(c)
 		f.mu.Unlock()
 		f.wg.Go(func() {
-			c.talk()
+			c.serve()
 			c.cancel() // the client is gone: what is open is given up
 			c.calls.Wait()
 			c.Close()
 			f.mu.Lock()
 			delete(f.conns, c)
-			f.drop(c)
+			f.release(c)
 			f.mu.Unlock()
 		})
 	}
@@ -188,96 +188,96 @@
 func (f *Front) EvictIdle() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	first := f.rest.Front()
+	first := f.idleConns.Front()
 	if first == nil {
 		return false
 	}
 	c := first.Value.(*conn)
-	f.drop(c)
+	f.release(c)
 	c.Close()
 	return true
 }
 
-// drop takes a connection off those that rest and gives its descriptor back. f.mu is held.
-func (f *Front) drop(c *conn) {
-	f.wake(c)
-	if c.granted {
-		c.granted = false
+// release takes a connection off those that rest and gives its descriptor back. f.mu is held.
+func (f *Front) release(c *conn) {
+	f.markBusy(c)
+	if c.hasDescriptor {
+		c.hasDescriptor = false
 		f.cfg.Quota.Give()
 	}
 }
 
-// wake takes a connection off those that rest. f.mu is held.
-func (f *Front) wake(c *conn) {
-	if c.place != nil {
-		f.rest.Remove(c.place)
-		c.place = nil
+// markBusy takes a connection off those that rest. f.mu is held.
+func (f *Front) markBusy(c *conn) {
+	if c.idleElement != nil {
+		f.idleConns.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
 
-// end has a connection end once no call on it is open.
-func (c *conn) end() {
+// closeWhenIdle has a connection end once no call on it is open.
+func (c *conn) closeWhenIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ending = true
-	if c.count == 0 {
+	c.closing = true
+	if c.openCalls == 0 {
 		c.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// begin counts an open call; done is its end.
-func (c *conn) begin() {
+// callStarted counts an open call; done is its end.
+func (c *conn) callStarted() {
 	c.mu.Lock()
-	c.count++
-	first := c.count == 1
+	c.openCalls++
+	first := c.openCalls == 1
 	c.mu.Unlock()
 	if first {
 		c.front.mu.Lock()
-		c.front.wake(c)
+		c.front.markBusy(c)
 		c.front.mu.Unlock()
 	}
 }
 
-func (c *conn) done() {
+func (c *conn) callDone() {
 	f := c.front
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.count--; c.count > 0 {
+	if c.openCalls--; c.openCalls > 0 {
 		return
 	}
-	if c.granted && c.place == nil {
-		c.place = f.rest.PushBack(c)
+	if c.hasDescriptor && c.idleElement == nil {
+		c.idleElement = f.idleConns.PushBack(c)
 	}
-	if c.ending {
+	if c.closing {
 		c.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// deadline bounds reading, unless the connection is to end.
-func (c *conn) deadline(t time.Time) {
+// setReadDeadline bounds reading, unless the connection is to end.
+func (c *conn) setReadDeadline(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.ending || c.count > 0 {
+	if !c.closing || c.openCalls > 0 {
 		c.SetReadDeadline(t)
 	}
 }
 
-// talk reads calls until the connection ends, or what came can't be told apart any more.
-func (c *conn) talk() {
+// serve reads calls until the connection ends, or what came can't be told apart any more.
+func (c *conn) serve() {
 	in := bufio.NewReader(c.Conn)
 	r := jsonrpc.NewReader(in)
 	for first := true; ; first = false {
 		wait := c.front.cfg.IdleTimeout
 		if first {
-			wait = firstTime
+			wait = firstByteTimeout
 		}
-		c.deadline(time.Now().Add(wait))
+		c.setReadDeadline(time.Now().Add(wait))
 		if err := r.Wait(); err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				c.mu.Lock()
-				busy := c.count > 0 && !c.ending
+				busy := c.openCalls > 0 && !c.closing
 				c.mu.Unlock()
 				if busy { // it waits for answers: that is no idleness
 					continue
@@ -286,7 +286,7 @@
 			return
 		}
 		arrived := time.Now()
-		c.deadline(arrived.Add(frameTime))
+		c.setReadDeadline(arrived.Add(frameTimeout))
 		frame, err := r.Next()
 		c.mu.Lock()
 		c.framing = r.Framing()
@@ -304,7 +304,7 @@
 			return
 		}
 		if !batch {
-			c.one(members[0], arrived)
+			c.single(members[0], arrived)
 			continue
 		}
 		c.batch(members, arrived)
@@ -317,15 +317,15 @@
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.CloseWrite()
 	}
-	c.SetReadDeadline(time.Now().Add(lingerTime))
-	io.CopyN(io.Discard, c.Conn, lingerSize)
+	c.SetReadDeadline(time.Now().Add(lingerTimeout))
+	io.CopyN(io.Discard, c.Conn, lingerBytes)
 }
 
-// one answers a message that stands by itself.
-func (c *conn) one(v jsontext.Value, arrived time.Time) {
-	call, id, no := c.parse(v, arrived)
-	if no != nil {
-		c.write(no)
+// single answers a message that stands by itself.
+func (c *conn) single(v jsontext.Value, arrived time.Time) {
+	call, id, errAnswer := c.parse(v, arrived)
+	if errAnswer != nil {
+		c.write(errAnswer)
 		return
 	}
 	c.start(call, id, func(answer []byte) {
@@ -344,54 +344,54 @@
 			quote(fmt.Sprintf("a batch has 1 to %d members", f.cfg.MaxBatch))))
 		return
 	}
-	b := &answers{conn: c, due: 1, parts: make([][]byte, len(members))}
-	type begun struct {
+	b := &batchAnswer{conn: c, pending: 1, parts: make([][]byte, len(members))}
+	type startedCall struct {
 		call *rpccarrier.Call
 		id   jsontext.Value
 		at   int
 	}
-	var calls []begun
+	var calls []startedCall
 	shortest := time.Duration(0)
 	for i, v := range members {
-		call, id, no := c.parse(v, arrived)
-		if no != nil {
-			b.parts[i] = no
+		call, id, errAnswer := c.parse(v, arrived)
+		if errAnswer != nil {
+			b.parts[i] = errAnswer
 			continue
 		}
 		if shortest == 0 || call.Patience < shortest {
 			shortest = call.Patience
 		}
-		calls = append(calls, begun{call, id, i})
+		calls = append(calls, startedCall{call, id, i})
 	}
 	for _, x := range calls {
 		x.call.Patience = shortest
-		b.more()
+		b.addPending()
 		c.start(x.call, x.id, func(answer []byte) { b.set(x.at, answer) })
 	}
 	b.set(-1, nil)
 }
 
-// answers collects those of a batch.
-type answers struct {
-	conn  *conn
-	mu    sync.Mutex
-	due   int
-	parts [][]byte // nil for what is owed no answer
+// batchAnswer collects those of a batch.
+type batchAnswer struct {
+	conn    *conn
+	mu      sync.Mutex
+	pending int
+	parts   [][]byte // nil for what is owed no answer
 }
 
-func (b *answers) more() {
+func (b *batchAnswer) addPending() {
 	b.mu.Lock()
-	b.due++
+	b.pending++
 	b.mu.Unlock()
 }
 
-func (b *answers) set(i int, answer []byte) {
+func (b *batchAnswer) set(i int, answer []byte) {
 	b.mu.Lock()
 	if i >= 0 {
 		b.parts[i] = answer
 	}
-	b.due--
-	last := b.due == 0
+	b.pending--
+	last := b.pending == 0
 	b.mu.Unlock()
 	if !last {
 		return
@@ -414,7 +414,7 @@
 }
 
 // parse reads a message. What is no call of a known method is answered with no.
-func (c *conn) parse(v jsontext.Value, arrived time.Time) (call *rpccarrier.Call, id jsontext.Value, no []byte) {
+func (c *conn) parse(v jsontext.Value, arrived time.Time) (call *rpccarrier.Call, id jsontext.Value, errAnswer []byte) {
 	m, err := jsonrpc.Parse(v, "")
 	refuse := func(code int, text, why string) []byte {
 		if m.IsNotification() {
@@ -423,38 +423,38 @@
 		return jsonrpc.AppendError(nil, m.ID, code, text, quote(why))
 	}
 	if err != nil {
-		m.ID = idOf(m.ID) // what is no request is no notification
+		m.ID = idOrNull(m.ID) // what is no request is no notification
 		return nil, nil, refuse(jsonrpc.InvalidRequest, "Invalid Request", err.Error())
 	}
 	if m.Method == "" && (m.Result != nil || m.Error != nil) {
 		m.ID = jsonrpc.Null
 		return nil, nil, refuse(jsonrpc.InvalidRequest, "Invalid Request", "nothing was asked of this client")
 	}
-	how, ok := c.front.cfg.Methods[m.Method]
+	method, ok := c.front.cfg.Methods[m.Method]
 	if !ok {
 		return nil, nil, refuse(jsonrpc.MethodNotFound, "Method not found", m.Method)
 	}
-	call = &rpccarrier.Call{Method: m.Method, Params: m.Params, Request: engine.Request{Class: how.Class,
-		Arrived: arrived, Patience: how.ClientTimeout, Needs: engine.SpeaksRPC}}
+	call = &rpccarrier.Call{Method: m.Method, Params: m.Params, Request: engine.Request{Class: method.Class,
+		Arrived: arrived, Patience: method.ClientTimeout, Needs: engine.SpeaksRPC}}
 	call.Payload = call
 	// The engine's ids are those of HTTP clients too: a byte that no header can hold keeps the two apart.
-	call.ID = "\x00" + strconv.FormatUint(c.front.serial.Add(1), 36)
-	if how.Tenant != "" {
-		if t, ok := jsonrpc.Find(m.Params, how.Tenant); ok {
+	call.ID = "\x00" + strconv.FormatUint(c.front.lastCall.Add(1), 36)
+	if method.Tenant != "" {
+		if t, ok := jsonrpc.Find(m.Params, method.Tenant); ok {
 			call.Tenant, _ = jsonrpc.Text(t)
 		}
 	}
-	if how.Key != "" {
-		if k, ok := jsonrpc.Find(m.Params, how.Key); ok {
+	if method.Key != "" {
+		if k, ok := jsonrpc.Find(m.Params, method.Key); ok {
 			call.Key, _ = jsonrpc.Text(k)
 		}
 	}
-	effect, _ := c.front.cfg.Engine.Effect(how.Class)
+	effect, _ := c.front.cfg.Engine.Effect(method.Class)
 	if effect == policy.Keyed && call.Key == "" {
-		return nil, nil, refuse(jsonrpc.InvalidParams, "Invalid params", "no idempotency key at "+string(how.Key))
+		return nil, nil, refuse(jsonrpc.InvalidParams, "Invalid params", "no idempotency key at "+string(method.Key))
 	}
-	if how.Deadline != "" {
-		if d, ok := jsonrpc.Find(m.Params, how.Deadline); ok {
+	if method.Deadline != "" {
+		if d, ok := jsonrpc.Find(m.Params, method.Deadline); ok {
 			ms, err := strconv.ParseFloat(string(d), 64)
 			if err != nil || !(ms > 0 && ms <= 1e9) {
 				return nil, nil, refuse(jsonrpc.InvalidParams, "Invalid params", "the deadline is milliseconds above 0")
@@ -468,12 +468,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if m.ID.Kind() != 'n' {
-		if c.open[string(m.ID)] {
+		if c.openIDs[string(m.ID)] {
 			// With the same id the client would take this for the answer of the one that is open.
 			m.ID = jsonrpc.Null
 			return nil, nil, refuse(jsonrpc.InvalidRequest, "Invalid Request", "a call with this id is open")
 		}
-		c.open[string(m.ID)] = true
+		c.openIDs[string(m.ID)] = true
 	}
 	return call, m.ID, nil
 }
@@ -482,25 +482,25 @@
 // slowed at its socket. answer is called once, with nil for a notification or a client that has left.
 func (c *conn) start(call *rpccarrier.Call, id jsontext.Value, answer func([]byte)) {
 	f := c.front
-	if !c.slot(call.Arrived.Add(call.Patience)) {
-		c.finish(id, answer, jsonrpc.AppendError(nil, idOf(id), Refused, "too many calls are open", refusal(refuseWait)))
+	if !c.acquireSlot(call.Arrived.Add(call.Patience)) {
+		c.finish(id, answer, jsonrpc.AppendError(nil, idOrNull(id), Refused, "too many calls are open", refusalData(refuseRetryAfter)))
 		return
 	}
-	if f.leaving.Load() {
+	if f.shuttingDown.Load() {
 		<-c.slots
-		c.finish(id, answer, jsonrpc.AppendError(nil, idOf(id), Refused, "the node is leaving", refusal(refuseWait)))
+		c.finish(id, answer, jsonrpc.AppendError(nil, idOrNull(id), Refused, "the node is leaving", refusalData(refuseRetryAfter)))
 		return
 	}
-	c.begin()
+	c.callStarted()
 	c.calls.Add(1)
 	f.cfg.Engine.Begin(&call.Request) // its id is new
 	go func() {
 		defer c.calls.Done()
-		defer c.done()
+		defer c.callDone()
 		defer func() { <-c.slots }()
 		select {
 		case a := <-call.Done():
-			c.finish(id, answer, told(id, a))
+			c.finish(id, answer, encodeAnswer(id, a))
 		case <-c.ctx.Done():
 			f.cfg.Engine.Cancel(&call.Request)
 			c.finish(id, answer, nil)
@@ -508,24 +508,24 @@
 	}()
 }
 
-// slot takes one of the connection's open calls, if one is free by a time.
-func (c *conn) slot(by time.Time) bool {
+// acquireSlot takes one of the connection's open calls, if one is free by a time.
+func (c *conn) acquireSlot(deadline time.Time) bool {
 	select {
 	case c.slots <- struct{}{}:
 		return true
 	default:
 	}
-	late := time.NewTimer(time.Until(by))
-	defer late.Stop()
+	timer := time.NewTimer(time.Until(deadline))
+	defer timer.Stop()
 	select {
 	case c.slots <- struct{}{}:
 		return true
-	case <-late.C:
+	case <-timer.C:
 		return false
 	}
 }
 
-func idOf(id jsontext.Value) jsontext.Value {
+func idOrNull(id jsontext.Value) jsontext.Value {
 	if id == nil {
 		return jsonrpc.Null
 	}
@@ -538,14 +538,14 @@
 		text = nil
 	} else {
 		c.mu.Lock()
-		delete(c.open, string(id))
+		delete(c.openIDs, string(id))
 		c.mu.Unlock()
 	}
 	answer(text)
 }
 
-// told is an answer of the engine as clients are told it.
-func told(id jsontext.Value, a engine.Answer) []byte {
+// encodeAnswer is an answer of the engine as clients are told it.
+func encodeAnswer(id jsontext.Value, a engine.Answer) []byte {
 	if id == nil {
 		return nil
 	}
@@ -556,13 +556,13 @@
 		return jsonrpc.AppendResult(nil, id, r.Result)
 	}
 	if a.Kind == engine.Refused {
-		return jsonrpc.AppendError(nil, id, Refused, "refused", refusal(a.RetryAfter))
+		return jsonrpc.AppendError(nil, id, Refused, "refused", refusalData(a.RetryAfter))
 	}
 	return jsonrpc.AppendError(nil, id, Failed, "failed", jsontext.Value(`{"repeat":"unknown"}`))
 }
 
-// refusal is the data of an error Refused.
-func refusal(after time.Duration) jsontext.Value {
+// refusalData is the data of an error Refused.
+func refusalData(after time.Duration) jsontext.Value {
 	return fmt.Appendf(nil, `{"repeat":"harmless","retry_after_s":%s}`, strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 }
 
@@ -584,7 +584,7 @@
 	c.mu.Unlock()
 	c.writing.Lock()
 	defer c.writing.Unlock()
-	c.SetWriteDeadline(time.Now().Add(writeTime))
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := c.Write(jsonrpc.AppendFrame(nil, f, message)); err != nil {
 		c.Close() // a part of it may be written: nothing can follow
 	}
