--- a/internal/httpfront/check.go
+++ b/internal/httpfront/check.go
@@ -11,7 +11,7 @@
 	"craneglade/policy"
 )
 
-// check tells what is wrong with a request, by its head alone.
+// check validates a request by its head alone and sets its id, class, tenant and timeout. It returns nil for a valid one.
 func (s *Front) check(r *message.Request) *message.Rejection {
 	in := r.In
 	reject := func(status int, format string, args ...any) *message.Rejection {
@@ -33,7 +33,7 @@
 		return reject(http.StatusLengthRequired, "Content-Length: missing")
 	}
 	for name := range in.Header {
-		if strings.Contains(name, " ") { // net/http lets it pass, so that "Transfer-Encoding :" is not one
+		if strings.Contains(name, " ") { // net/http accepts such a name, and so takes "Transfer-Encoding :" for another header
 			return reject(badRequest, "%q is no name of a header", name)
 		}
 	}
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// parseDeadline reads a number and its unit: m for milliseconds or u for microseconds.
+// parseDeadline parses a number followed by its unit: m for milliseconds or u for microseconds.
 func parseDeadline(s string) (time.Duration, error) {
 	unit := time.Millisecond
 	digits, ok := strings.CutSuffix(s, "m")
--- a/internal/httpfront/chunked.go
+++ b/internal/httpfront/chunked.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// maxWireFactor bounds what a body in chunks may take on the wire, in bytes for each of its own: one byte in a chunk of
-	// its own takes 6, and extensions are allowed. net/http's reader bounds the sum of extensions too.
+	// maxWireFactor limits the size of a chunked body on the wire, in bytes for each byte of content: one byte in a chunk
+	// of its own takes 6, and chunk extensions are allowed. net/http's reader limits the total of extensions too.
 	maxWireFactor = 20
-	// wireSlackBytes is for the last chunk, the trailer and what lies behind.
+	// wireSlackBytes allows for the last chunk, the trailer and the start of the next request.
 	wireSlackBytes = 4 * message.MaxHeadBytes
 )
 
-// isChunked tells whether a request's body comes in chunks.
+// isChunked reports whether a request has a chunked body.
 func isChunked(in *http.Request) bool { return slices.Contains(in.TransferEncoding, chunkedCoding) }
 
-// readChunked reads a body in chunks whole, as its length has to be told to the backend. It has the time that bodies
-// have, and where it grows beyond the usual size the time that a body of the size so far has.
+// readChunked reads a chunked body completely, as the backend must be sent its length. The deadline is that of any body;
+// once the body grows beyond MaxBodyBytes, it is that of a body of the size read so far.
 func (s *Front) readChunked(c *clientConn, r *message.Request, end time.Time) *message.Rejection {
 	in := r.In
 	deadline := bodyDeadline(r, end, 0)
@@ -33,7 +33,7 @@
 		}
 	})
 	if rej != nil {
-		if rej.Status == http.StatusBadRequest && !time.Now().Before(deadline) { // the parser may hide the time-out
+		if rej.Status == http.StatusBadRequest && !time.Now().Before(deadline) { // the parser may hide the timeout
 			return message.BodyTimedOut()
 		}
 		return rej
--- a/internal/httpfront/conn.go
+++ b/internal/httpfront/conn.go
@@ -13,7 +13,7 @@
 	"craneglade/internal/sock"
 )
 
-// closeReason says why a connection of a client ended, for the log.
+// closeReason is why a client connection ended, for the log.
 type closeReason string
 
 const (
@@ -27,29 +27,29 @@
 	evictedAfterAnswer closeReason = "it made room behind its answer, or the node ends"
 )
 
-// clientConn is one connection of a client.
+// clientConn is a connection of a client.
 type clientConn struct {
 	net.Conn
 	start time.Time
-	limit io.LimitedReader // between the socket and in: nobody sends without end
+	limit io.LimitedReader // between the socket and in: limits what is read
 	in    *bufio.Reader
-	// framing looks at what is read from the socket, beside in.
+	// framing scans the bytes that in reads from the socket.
 	framing        framing
-	overLimit      bool // there were too many already when it came
-	usesRejectSlot bool // it is one of those beyond the room
+	overLimit      bool // the node was at its connection limit when it was accepted
+	usesRejectSlot bool // it has a reject slot instead of a descriptor from the quota
 
-	probe        *sock.Look // for the connection's own goroutine
-	attemptProbe closeProbe // for attempts
-	answered     bool       // a request on it has been answered
-	discardBuf   []byte     // where what came behind a request and can't be kept was read to; nil where nothing was dropped
+	probe        *sock.Look // used by the connection's own goroutine
+	attemptProbe closeProbe // used by attempts
+	answered     bool       // a request on it was answered
+	discardBuf   []byte     // buffer for discarded data that followed a request; nil if none was discarded
 
-	// Guarded by clients.mu.
+	// Guarded by Front.mu.
 	account       admission.Conn
-	closing       bool // it made room for another, or the node leaves
-	hasDescriptor bool // it has a descriptor of the room
+	closing       bool // it was evicted for another, or the node shuts down
+	hasDescriptor bool // it counts against the descriptor quota
 }
 
-// readAhead reads some of what comes behind a request.
+// readAhead reads data that follows a request: into the buffer while it has space, then into discardBuf.
 func (c *clientConn) readAhead() error {
 	if n := c.in.Buffered(); n < c.in.Size() {
 		_, err := c.in.Peek(n + 1)
@@ -62,7 +62,7 @@
 	return err
 }
 
-// clientClosed tells, without waiting, whether the client has closed its connection behind the request that was read.
+// clientClosed reports, without blocking, whether the client closed the connection after the request that was read.
 func (c *clientConn) clientClosed() bool {
 	for read := 0; read < fastDiscardBytes; read += len(c.discardBuf) {
 		switch c.probe.Pending() {
@@ -71,7 +71,7 @@
 		case sock.Ended:
 			return true
 		}
-		c.SetReadDeadline(time.Time{}) // what bounded the request's reading, or made room for another, is no close
+		c.SetReadDeadline(time.Time{}) // an expired deadline, of reading the request or of an eviction, must not count as a close
 		if c.readAhead() != nil {
 			return true
 		}
@@ -79,21 +79,21 @@
 	return false
 }
 
-// closeProbe is a look at a connection for several goroutines.
+// closeProbe checks a connection for a close. It may be used by several goroutines.
 type closeProbe struct {
 	mu    sync.Mutex
 	probe *sock.Look
 }
 
-// ended tells, without waiting, whether the other side has closed its connection and all that it sent before was read.
+// ended reports, without blocking, whether the peer closed the connection and all that it sent before was read.
 func (l *closeProbe) ended() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.probe.Pending() == sock.Ended
 }
 
-// watchForClose reads on while a request is being answered, and tells whether the client has closed its connection; not where a
-// deadline in the past ends it.
+// watchForClose keeps reading while a request is being answered and reports whether the client closed the connection. A
+// read deadline in the past ends it and is not a close.
 func (c *clientConn) watchForClose() (closed bool) {
 	for read := 0; ; read += len(c.discardBuf) {
 		if err := c.readAhead(); err != nil {
--- a/internal/httpfront/framing.go
+++ b/internal/httpfront/framing.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// maxFramingLineBytes is how much of a header line is looked at, in bytes: more than any valid name and list of codings need.
+	// maxFramingLineBytes is how much of a header line is examined: more than any valid field name and list of codings needs.
 	maxFramingLineBytes = 128
 	chunkedCoding       = "chunked"
 )
 
-// framing reads from the bytes of a request's head which header fields say where its body ends. net/http drops a
-// Content-Length beside a Transfer-Encoding (RFC 9112, 6.3), and with it the sign of a request that is smuggled. It holds
-// one line's start, however long the head is, and sees line ends, folded lines and the head's end where net/http does. Empty
-// lines before the request line are passed over, as readers of requests do before they hand it to net/http.
+// framing scans the raw bytes of a request's head for the header fields that define where its body ends. net/http drops a
+// Content-Length next to a Transfer-Encoding (RFC 9112, 6.3), and with it the sign of request smuggling. It buffers the
+// start of one line only, however long the head is, and finds line ends, folded lines and the end of the head where net/http
+// does. Empty lines before the request line are skipped, as they are before the request is passed to net/http.
 type framing struct {
-	line      []byte   // the start of the line that is coming
-	truncated bool     // the line is longer
-	lines     int      // complete ones, with the request line
-	ended     bool     // the empty line behind the head has come
-	inCoding  bool     // the latest field is a Transfer-Encoding: a folded line belongs to it
-	lengths   int      // Content-Length fields
-	codings   []string // the values of the Transfer-Encoding fields
-	tooLong   bool     // one of them is longer than is looked at
+	line      []byte   // start of the current line
+	truncated bool     // the current line is longer than line
+	lines     int      // number of complete lines, including the request line
+	ended     bool     // the empty line after the head was seen
+	inCoding  bool     // the last field is a Transfer-Encoding, and a folded line continues it
+	lengths   int      // number of Content-Length fields
+	codings   []string // values of the Transfer-Encoding fields
+	tooLong   bool     // one of them is longer than maxFramingLineBytes
 }
 
-// reset makes it ready for the next head.
+// reset prepares f for the next head.
 func (f *framing) reset() { *f = framing{line: f.line[:0]} }
 
-// scan looks at the next bytes of the connection; those behind the head are passed over.
+// scan processes the next bytes of the connection. It ignores those after the head.
 func (f *framing) scan(p []byte) {
 	for len(p) > 0 && !f.ended {
 		text, rest, whole := bytes.Cut(p, []byte("\n"))
@@ -48,7 +48,7 @@
 	}
 }
 
-// endLine takes in the line that has come.
+// endLine processes a complete line.
 func (f *framing) endLine() {
 	line, truncated := bytes.TrimSuffix(f.line, []byte("\r")), f.truncated
 	f.line, f.truncated = f.line[:0], false
@@ -73,7 +73,7 @@
 	}
 }
 
-// field takes in the first line of a header field. A name with blanks round it counts: others may take it for the name.
+// field processes the first line of a header field. White space around its name is ignored, as other parsers may ignore it.
 func (f *framing) field(line []byte, truncated bool) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	name = bytes.TrimSpace(name)
@@ -84,19 +84,19 @@
 	case equalName(name, "Transfer-Encoding"):
 		f.inCoding = true
 		f.tooLong = f.tooLong || truncated
-		if len(f.codings) < 2 { // two are too many already
+		if len(f.codings) < 2 { // two are already an error
 			f.codings = append(f.codings, string(value))
 		}
 	}
 }
 
-// equalName compares a header's name without an allocation where the length tells.
+// equalName compares a header name without regard to case. It does not allocate if the lengths differ.
 func equalName(name []byte, want string) bool {
 	return len(name) == len(want) && strings.EqualFold(string(name), want)
 }
 
-// check tells what is wrong with how the head frames its body: nothing where there is no Transfer-Encoding, or where
-// chunked is the only coding, once, without a length beside it. RFC 9112, 6.1 and 6.3, has the other cases.
+// check validates the framing of the body. It returns nil if there is no Transfer-Encoding, or if chunked is the only
+// coding, given once and without a Content-Length. The other cases follow RFC 9112, 6.1 and 6.3.
 func (f *framing) check() *message.Rejection {
 	if len(f.codings) == 0 {
 		return nil
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// scanningReader is a connection whose bytes are looked at as they are read.
+// scanningReader passes the bytes that are read from a connection to framing.
 type scanningReader struct {
 	io.Reader
 	framing *framing
--- a/internal/httpfront/framing_test.go
+++ b/internal/httpfront/framing_test.go
@@ -11,11 +11,12 @@
 	"craneglade/internal/message"
 )
 
-// headWith is a request's head with header lines of its own, each with its line end.
+// headWith returns a request head with additional header lines, each including its line end.
 func headWith(lines string) string {
 	return "POST /api HTTP/1.1\r\nHost: backend.local\r\n" + lines + "\r\n"
 }
 
+// The framing of each head is judged alike, whether it arrives in one read or byte by byte.
 func TestFramingOfAHead(t *testing.T) {
 	t.Parallel()
 	padding := strings.Repeat("X-Padding: "+strings.Repeat("p", 900)+"\r\n", 12)
@@ -76,7 +77,7 @@
 	}
 }
 
-// Empty lines before the request line are no end of the head: what frames the body is still seen, in one piece or in many.
+// Empty lines before the request line must not be taken for the end of the head, or the header fields after them are missed.
 func TestFramingBehindEmptyLines(t *testing.T) {
 	t.Parallel()
 	for _, lead := range []string{"\r\n", "\n", "\r\n\n\r\n"} {
@@ -96,7 +97,7 @@
 	}
 }
 
-// The next head starts anew.
+// Fields of one head must not count for the next one on the connection.
 func TestFramingIsResetBetweenHeads(t *testing.T) {
 	t.Parallel()
 	var f framing
@@ -108,8 +109,8 @@
 	}
 }
 
-// FuzzFramingAgreesWithTheParser holds framing against net/http: a head that both take is one in which they see the same
-// framing, and a Content-Length that net/http kept was seen.
+// FuzzFramingAgreesWithTheParser compares framing with net/http: if both accept a head, they find the same framing, and
+// framing has seen a Content-Length that net/http kept.
 func FuzzFramingAgreesWithTheParser(f *testing.F) {
 	for _, lines := range []string{"Transfer-Encoding: chunked\r\n", "Transfer-Encoding:\n chunked\nX: y\r\n", "Content-Length : 3\r\n", "\r\r\n",
 		" X: y\r\n", "A: b\r\n \r\nTransfer-Encoding: chunked\r\n", "Transfer-Encoding\t: chunked\r\n", "X\x00: y\r\n"} {
@@ -125,14 +126,14 @@
 		}
 		for name := range in.Header {
 			if strings.Contains(name, " ") {
-				return // refused for that
+				return // such a request is rejected
 			}
 		}
 		if isChunked(in) != (len(seen.codings) > 0) {
-			t.Errorf("%q: net/http has chunks %v, framing %q", text, isChunked(in), seen.codings)
+			t.Errorf("%q: chunked is %v to net/http, codings in framing are %q", text, isChunked(in), seen.codings)
 		}
 		if length := in.Header["Content-Length"]; len(length) > 0 && seen.lengths == 0 {
-			t.Errorf("%q: a length of %q was not seen", text, length)
+			t.Errorf("%q: Content-Length %q was not seen", text, length)
 		}
 	})
 }
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -1,5 +1,5 @@
-// Package httpfront answers clients over HTTP/1.1, as PROTOCOL has it between clients and nodes: it reads requests, hands
-// them to the engine and writes the one answer of each. Who may hold a connection is decided by package admission.
+// Package httpfront serves clients over HTTP/1.1, as PROTOCOL specifies it between clients and nodes: it reads requests,
+// passes them to the engine and writes exactly one answer to each. Package admission decides which connections may stay open.
 package httpfront
 
 import (
@@ -21,69 +21,72 @@
 )
 
 const (
-	maxIDBytes = 256
-	// maxEmptyLines is how many empty lines before a request are passed over. They count towards the size of its head.
+	maxIDBytes = 256 // of an X-Request-Id
+	// maxEmptyLines is how many empty lines before a request are skipped. They count towards the size of its head.
 	maxEmptyLines = 4
-	// minBodyBytesPerSecond is what a body beyond the usual size has to come at, in bytes a second.
+	// minBodyBytesPerSecond is the rate at which a body larger than message.MaxBodyBytes must arrive.
 	minBodyBytesPerSecond = 1 << 20
-	// acceptAfterShutdown is how long after SIGTERM connections are still accepted: whoever deals them out notices only after a while.
+	// acceptAfterShutdown is how long after SIGTERM connections are still accepted: whatever distributes connections over the
+	// nodes notices the shutdown with a delay.
 	acceptAfterShutdown = 500 * time.Millisecond
-	acceptRetryDelay    = 5 * time.Millisecond
-	// A client is owed an error or a close within 3 s of connecting, whatever it sends or doesn't.
-	headTimeout   = 1500 * time.Millisecond // for a first request's head from the connection's start, for others from its first byte
-	bodyTimeout   = time.Second             // from there to the last byte
-	slowReadAfter = 50 * time.Millisecond   // within this of a request's first byte most are there
-	// silentTimeout is how long a new connection may say nothing before it makes room first: a request comes on its heels.
+	acceptRetryDelay    = 5 * time.Millisecond // after a temporary accept error
+	// The protocol guarantees a client an error or a close within 3 s of connecting, whatever it sends or does not send.
+	headTimeout   = 1500 * time.Millisecond // for the head: of a first request from the connection's start, of others from the first byte
+	bodyTimeout   = time.Second             // from the head's deadline to the last byte
+	slowReadAfter = 50 * time.Millisecond   // most requests are complete within this of their first byte; slower ones are evicted earlier
+	// silentTimeout is how long a new connection may send nothing before it becomes one of the first to be evicted: a request
+	// normally follows the connect at once.
 	silentTimeout = 200 * time.Millisecond
-	// idleTimeout is how long a connection is kept that carries no request. Some clients keep theirs for good.
+	// idleTimeout is how long an idle connection is kept open. Some clients never close theirs.
 	idleTimeout   = 5 * time.Second
-	lingerTimeout = 100 * time.Millisecond // for a client to read its last answer before its connection is reset
-	lingerBytes   = 256 << 10              // and how much of what it goes on sending is read meanwhile
-	// Of what comes behind a request that is being answered, a connection's buffer is kept; the rest is read and dropped, as a
-	// client's close can lie behind it: so much as fast as it comes, and then at a pace that leaves a core to others.
+	lingerTimeout = 100 * time.Millisecond // for the client to read its last answer before the connection is reset
+	lingerBytes   = 256 << 10              // what is read of further data from the client meanwhile
+	// Data that follows a request while it is answered is kept up to the size of the connection's buffer. The rest is read
+	// and discarded, as the client's close may follow it: the first fastDiscardBytes at full speed, the rest with a pause
+	// after each read so that it does not occupy a core.
 	fastDiscardBytes = 1 << 20
 	discardPause     = time.Millisecond
 )
 
-// Config is what a front is made from.
+// Config configures a Front.
 type Config struct {
 	Engine          *engine.Engine
 	Bodies          *message.Store
 	Clock           engine.Clock
-	Quota           *quota.Quota                 // descriptors for connections of clients,
-	RejectSlots     int                          // and so many beyond them, for telling clients that there is no room
-	MaxRequestConns int                          // connections that carry requests at a time
-	TenantShares    map[string]float64           // requests a second that each tenant has a share in this node of
-	ReceiveDelay    func(net.Conn) time.Duration // how long a connection's latest bytes lay in the kernel; nil for sock.Waited
+	Quota           *quota.Quota                 // descriptors for client connections
+	RejectSlots     int                          // connections beyond the quota, to refuse clients with an answer
+	MaxRequestConns int                          // open connections that carry or have carried a request
+	TenantShares    map[string]float64           // quota of each tenant at this node, in requests per second
+	ReceiveDelay    func(net.Conn) time.Duration // how long the last bytes waited in the kernel; nil for sock.Waited
 	Log             *slog.Logger
 }
 
-// Front is the connections of this node's clients. Where no descriptor is left for one, another that carries no request
-// makes room; where there is none the new one's request is refused, and while all that are kept for that are in use new
-// ones wait in the backlog.
+// Front serves the client connections of this node. If no descriptor is available for a new connection, one without a
+// request is evicted. If there is none, the request of the new connection is refused, and while all reject slots are in use
+// new connections wait in the listener's backlog.
 type Front struct {
 	engine       *engine.Engine
 	bodies       *message.Store
 	clock        engine.Clock
 	receiveDelay func(net.Conn) time.Duration
 	log          *slog.Logger
-	shuttingDown atomic.Bool     // the node is to end
-	closing      atomic.Bool     // and connections are to
-	ctx          context.Context // ends when the front has
+	shuttingDown atomic.Bool     // the node is shutting down
+	closing      atomic.Bool     // connections are being closed
+	ctx          context.Context // ends when Serve returns
 	stop         context.CancelFunc
 
 	quota       *quota.Quota
 	rejectSlots chan struct{}
-	wg          sync.WaitGroup // connections
+	wg          sync.WaitGroup // open connections
 
 	mu       sync.Mutex
-	account  *admission.Clients // decides who may stay
+	account  *admission.Clients // decides which connections stay open
 	pressure admission.Pressure
 	tenants  *admission.Tenants
 	conns    map[*clientConn]struct{}
 }
 
-// New returns a front that answers nobody yet.
+// New returns a front. It serves nobody until Serve is called.
 func New(cfg Config) *Front {
 	s := &Front{engine: cfg.Engine, bodies: cfg.Bodies, clock: cfg.Clock, log: cfg.Log,
 		quota: cfg.Quota, rejectSlots: make(chan struct{}, max(1, cfg.RejectSlots)), conns: map[*clientConn]struct{}{},
@@ -96,7 +99,7 @@
 	return s
 }
 
-// accept takes in connections until ln is closed.
+// accept accepts connections until ln is closed.
 func (s *Front) accept(ln net.Listener) error {
 	for {
 		s.rejectSlots <- struct{}{}
@@ -106,7 +109,7 @@
 			if !sock.AcceptGoesOn(err) {
 				return err
 			}
-			s.log.Debug("a connection was not accepted", "err", err)
+			s.log.Debug("accept failed; retrying", "err", err)
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -116,7 +119,7 @@
 		c.hasDescriptor = s.quota.Claim(s.EvictIdle)
 		s.mu.Lock()
 		if c.usesRejectSlot = !c.hasDescriptor; c.usesRejectSlot {
-			c.overLimit = !s.account.Behind(c.account.From) // one of a client that holds little is served all the same
+			c.overLimit = !s.account.Behind(c.account.From) // a client with fewer connections than average is served all the same
 		} else {
 			<-s.rejectSlots
 		}
@@ -140,10 +143,10 @@
 	}
 }
 
-// now is the time for the account.
+// now returns the time that the account uses.
 func (s *Front) now() time.Duration { return s.clock.Since() }
 
-// host is an address without its port.
+// host returns an address without its port.
 func host(a net.Addr) string {
 	if t, ok := a.(*net.TCPAddr); ok {
 		return t.IP.String()
@@ -151,10 +154,12 @@
 	return a.String()
 }
 
-// EvictIdle closes a connection that carries no request, for another client's sake, and tells whether there was one.
+// EvictIdle closes a connection that carries no request to free its descriptor for another client, and reports whether it
+// found one.
 func (s *Front) EvictIdle() bool { return s.evictIdle(true) }
 
-// EvictIdleForBackend is Yield for a box's sake: the last few new connections stay.
+// EvictIdleForBackend is like EvictIdle, but frees the descriptor for a backend connection and spares the last few new
+// connections.
 func (s *Front) EvictIdleForBackend() bool { return s.evictIdle(false) }
 
 func (s *Front) evictIdle(forClient bool) bool {
@@ -167,7 +172,7 @@
 	return spare != nil
 }
 
-// releaseDescriptor gives a connection's descriptor back. s.mu is held.
+// releaseDescriptor returns a connection's descriptor to the quota. s.mu is held.
 func (s *Front) releaseDescriptor(c *clientConn) {
 	if c.hasDescriptor {
 		c.hasDescriptor = false
@@ -175,8 +180,8 @@
 	}
 }
 
-// shouldShed notes how long a request had waited to be read, and tells whether the node is so far behind that it should refuse
-// it at once.
+// shouldShed records how long a request waited to be read and reports whether the node is so overloaded that it should
+// refuse the request at once.
 func (s *Front) shouldShed(delay time.Duration, r *message.Request) bool {
 	rank, classes := s.engine.Rank(r.Class)
 	s.mu.Lock()
@@ -187,14 +192,14 @@
 	return fraction > 0 && rand.Float64() < fraction
 }
 
-// untrack takes a connection off those that count. s.mu is held.
+// untrack removes a connection from those that count. s.mu is held.
 func (s *Front) untrack(c *clientConn) {
 	delete(s.conns, c)
 	s.account.Close(&c.account)
 }
 
-// evict takes a connection off those that count and ends its reading, so that it closes. A request that has just been
-// read is still answered. s.mu is held.
+// evict removes a connection from those that count and ends its reads, so that it closes. A request that has just been read
+// is still answered. s.mu is held.
 func (s *Front) evict(c *clientConn) {
 	if !c.closing {
 		c.closing = true
@@ -204,7 +209,7 @@
 	}
 }
 
-// setReadDeadline bounds the next reads from a connection, unless it is closing.
+// setReadDeadline sets the read deadline of a connection, unless it is closing.
 func (s *Front) setReadDeadline(c *clientConn, t time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,7 +218,7 @@
 	}
 }
 
-// noteRequestStart notes the first byte of a request, whose head is to come by a time.
+// noteRequestStart records the first byte of a request, whose head must arrive by end.
 func (s *Front) noteRequestStart(c *clientConn, end time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,15 +228,15 @@
 	}
 }
 
-// ChangeShares changes the shares of tenants in this node. The lock that it takes is that of all connections: the caller
-// hands in few changes at a time.
+// ChangeShares changes the quotas of tenants at this node. It holds the lock that all connections share, so the caller
+// should pass few changes at a time.
 func (s *Front) ChangeShares(changes []admission.ShareChange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tenants.Change(changes)
 }
 
-// startAnswer notes that a request is to be answered, and tells whether its connection still counts.
+// startAnswer records that a request will be answered and reports whether its connection was not evicted.
 func (s *Front) startAnswer(c *clientConn, r *message.Request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,8 +247,8 @@
 	return !c.closing
 }
 
-// closesAfterAnswer tells whether a connection's next answer is to be its last. Where clients' room for requests runs short, an
-// idle one is closed for it, or this one leaves.
+// closesAfterAnswer reports whether a connection closes after its next answer. At the limit of connections with requests, an
+// idle one is closed instead, or else this one.
 func (s *Front) closesAfterAnswer(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -254,32 +259,32 @@
 	return closeAfter
 }
 
-// isEvicted tells whether a connection has made room for another, or for the node's end.
+// isEvicted reports whether a connection was evicted for another or by the shutdown.
 func (s *Front) isEvicted(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return c.closing
 }
 
-// noteRejection notes that a connection brought no request.
+// noteRejection records against the client's address that a connection carried no valid request.
 func (s *Front) noteRejection(c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !c.closing { // one that made room said nothing for want of time
+	if !c.closing { // an evicted connection had no time to send one
 		s.account.Rejected(s.now(), &c.account)
 	}
 }
 
-// markIdle notes that a connection waits for its next request, and tells whether it may.
+// markIdle records that a connection waits for its next request and reports whether it may stay open.
 func (s *Front) markIdle(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.answered = true
 	s.account.Idle(s.now(), &c.account)
-	return !c.closing && !s.closing.Load() // its answer may have been worded just before the node's connections were to end
+	return !c.closing && !s.closing.Load() // closing may have been set after the answer was prepared without "Connection: close"
 }
 
-// serveConn answers one request after the other, and tells why there is none after the last.
+// serveConn answers the requests of a connection one after the other and returns why it ended.
 func (s *Front) serveConn(c *clientConn) closeReason {
 	for {
 		r, rej := s.read(c)
@@ -312,21 +317,21 @@
 	}
 }
 
-// reject answers what came on a connection and is no request.
+// reject answers a malformed request, or one that can't be stored.
 func (s *Front) reject(c *clientConn, rej *message.Rejection) closeReason {
 	reason := invalidRequest
-	if s.isEvicted(c) { // its client was cut off in the middle of a request, by no fault of its own
+	if s.isEvicted(c) { // evicted in the middle of a request, through no fault of the client
 		rej = &message.Rejection{Status: http.StatusServiceUnavailable, Text: "this connection ends"}
 		reason = evicted
 	}
-	if rej.Status != http.StatusServiceUnavailable { // want of room here is not its client's doing
+	if rej.Status != http.StatusServiceUnavailable { // a lack of space is not the client's fault
 		s.noteRejection(c)
 	}
 	c.reject(rej)
 	return reason
 }
 
-// endReason notes a connection on which nothing more came.
+// endReason returns why a connection without a further request ended, and counts it as a rejection if it never had one.
 func (s *Front) endReason(c *clientConn) closeReason {
 	if !c.answered {
 		s.noteRejection(c)
@@ -337,12 +342,12 @@
 	return noFurtherRequest
 }
 
-// answer gives a request exactly one answer, unless its client leaves before: gone tells why its connection ends without.
+// answer returns the one answer of a request. If the connection ends without one, reason says why.
 func (s *Front) answer(c *clientConn, r *message.Request) (a answer, reason closeReason) {
 	if r.ID == "" {
 		return answer{status: s.readiness()}, ""
 	}
-	if c.overLimit || r.Shed { // nothing was sent: refusing is harmless, whatever the class
+	if c.overLimit || r.Shed { // nothing was sent to a backend: the client may safely retry, whatever the class
 		r.Release()
 		return answer{status: http.StatusServiceUnavailable, body: []byte("too much at once\n"), retryAfter: 250 * time.Millisecond}, ""
 	}
@@ -364,31 +369,31 @@
 		return toAnswer(a), ""
 	default:
 	}
-	if !r.Body.IsDrained() { // an attempt reads the client's connection
+	if !r.Body.IsDrained() { // an attempt is still reading the body from the client's connection
 		select {
 		case a := <-r.Done():
 			return toAnswer(a), ""
 		case <-r.Body.Drained:
 		}
 	}
-	c.SetReadDeadline(time.Time{}) // no bound on waiting, also where the connection is to close behind this answer
+	c.SetReadDeadline(time.Time{}) // watching has no deadline, also if the connection closes after this answer
 	c.limit.N = message.MaxHeadBytes
 	closed := make(chan bool, 1)
 	go func() { closed <- c.watchForClose() }()
 	select {
 	case a := <-r.Done():
-		c.SetReadDeadline(time.Unix(1, 0)) // ends the look for a client that leaves
+		c.SetReadDeadline(time.Unix(1, 0)) // ends watchForClose
 		<-closed
 		return toAnswer(a), ""
 	case gone := <-closed:
-		if !gone { // by nobody but the node's end
+		if !gone { // the read deadline was set by an eviction or the shutdown
 			return toAnswer(<-r.Done()), ""
 		}
 		s.engine.Cancel(&r.Request)
 		select {
 		case a := <-r.Done():
 			t := toAnswer(a)
-			if t.stream != nil { // it began to come at this moment
+			if t.stream != nil { // streaming started just now
 				t.stream.Finish(context.Canceled)
 			}
 			t.reply.Release()
@@ -398,6 +403,7 @@
 	}
 }
 
+// readiness returns the status of an answer to /ready.
 func (s *Front) readiness() int {
 	if !s.engine.Ready() || s.shuttingDown.Load() {
 		return http.StatusServiceUnavailable
--- a/internal/httpfront/front_test.go
+++ b/internal/httpfront/front_test.go
@@ -16,14 +16,15 @@
 	"craneglade/policy"
 )
 
+// The protocol guarantees that a client with a bad request is answered within 3 s and an idle connection stays for 2 s.
 func TestTimesOwedToClients(t *testing.T) {
 	if headTimeout+bodyTimeout > 2800*time.Millisecond || idleTimeout < 2*time.Second {
-		t.Error("3 s are owed to a bad client, 2 s to a connection between requests")
+		t.Error("head and body timeouts must end before 3 s, and an idle connection must stay for 2 s")
 	}
 }
 
-// A body has its second behind the head; a larger one has the time that its size so far allows, but no more than its
-// client's patience.
+// A body has one second after the head's deadline. A larger one has the time that its size so far allows, but no more than
+// the client timeout.
 func TestTimeOfABody(t *testing.T) {
 	arrived := time.Unix(1000, 0)
 	head := arrived.Add(headTimeout)
@@ -44,7 +45,7 @@
 	}
 }
 
-// A node that is far behind refuses the cheapest class, harmlessly, before anything is done for it.
+// An overloaded node refuses the class of the lowest utility before it spends any work on a request, and keeps serving others.
 func TestOverloadShedsCheapestClassFirst(t *testing.T) {
 	t.Parallel()
 	clock := engine.NewClock()
@@ -58,18 +59,18 @@
 	request := func(class string) *message.Request {
 		return &message.Request{Request: engine.Request{Class: class}}
 	}
-	for i := range 400 { // waits between where the cheapest class is refused and where the next is
+	for i := range 400 { // a delay above the limit of the cheapest class and below that of the next
 		if f.shouldShed(145*time.Millisecond, request("save")) {
-			t.Fatalf("the dearest class is refused at request %d", i)
+			t.Fatalf("the class of the highest utility is refused at request %d", i)
 		}
 	}
 	if !f.shouldShed(145*time.Millisecond, request("view")) {
-		t.Error("the cheapest class is not refused")
+		t.Error("the class of the lowest utility is not refused")
 	}
 }
 
-// A connection whose answer was worded before the node's connections were to end, and written after, does not go on resting: nobody
-// would come to end it.
+// A connection whose answer was prepared before the shutdown closed the idle connections, and written after it, must not
+// become idle: nothing would close it any more.
 func TestNoConnectionRestsOnceAllAreToEnd(t *testing.T) {
 	t.Parallel()
 	f := New(Config{Clock: engine.NewClock(), Log: slog.New(slog.DiscardHandler)})
@@ -77,13 +78,13 @@
 	f.account.Add(f.now(), &c.account)
 	f.account.Begin(f.now(), &c.account, false)
 	f.closing.Store(true)
-	f.closeMatching(hasNoRequest) // passes over it: it is being answered
+	f.closeMatching(hasNoRequest) // skips this connection: it is being answered
 	if f.markIdle(c) {
-		t.Error("it may rest")
+		t.Error("the connection may become idle")
 	}
 }
 
-// tcpPair is both ends of a connection.
+// tcpPair returns both ends of a TCP connection.
 func tcpPair(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -104,13 +105,13 @@
 	return client, server
 }
 
-// An attempt sees a client's close on its socket; what a client sends behind its request is none.
+// An attempt notices the client's close on its socket. Data that the client sends after its request is not a close.
 func TestLastLookSeesAClose(t *testing.T) {
 	t.Parallel()
 	client, server := tcpPair(t)
 	l := closeProbe{probe: sock.NewLook(server)}
 	if l.ended() {
-		t.Error("a connection that stands has ended")
+		t.Error("an open connection counts as closed")
 	}
 	if _, err := client.Write([]byte("x")); err != nil {
 		t.Fatal(err)
@@ -119,19 +120,19 @@
 		t.Fatal(err)
 	}
 	if l.ended() {
-		t.Error("a connection on which something came has ended")
+		t.Error("an open connection counts as closed after data arrived")
 	}
 	client.Close()
-	if n, err := server.Read(make([]byte, 1)); err != io.EOF { // the close is there, and its front has read it
+	if n, err := server.Read(make([]byte, 1)); err != io.EOF { // the close has arrived and the front has read it
 		t.Fatalf("read %d, %v", n, err)
 	}
 	if !l.ended() {
-		t.Error("a closed connection stands")
+		t.Error("a closed connection counts as open")
 	}
 }
 
-// A deadline that has passed is no client's close: a request whose connection made room for another while its last bytes came is
-// still answered, also where something lies behind it.
+// An expired read deadline is not a close by the client: a request whose connection was evicted while its last bytes arrived
+// is still answered, even if more data follows it.
 func TestExpiredDeadlineIsNotAClose(t *testing.T) {
 	t.Parallel()
 	client, conn := tcpPair(t)
@@ -146,18 +147,18 @@
 	}
 	c.SetReadDeadline(time.Unix(1, 0))
 	if c.clientClosed() {
-		t.Fatal("it counts as closed")
+		t.Fatal("an expired deadline counts as a close")
 	}
 	client.Close()
 	for c.probe.Pending() != sock.Ended {
 		time.Sleep(time.Millisecond)
 	}
 	if !c.clientClosed() {
-		t.Error("a close does not count")
+		t.Error("the close is not noticed")
 	}
 }
 
-// A connection that makes room for another in the middle of a request refuses that one: it is not its client's fault, and nothing ran.
+// A connection that is evicted in the middle of a request answers it with 503: the client is not at fault, and nothing ran.
 func TestCutInTheMiddleOfARequest(t *testing.T) {
 	t.Parallel()
 	f := New(Config{Clock: engine.NewClock(), Log: slog.New(slog.DiscardHandler)})
@@ -184,7 +185,7 @@
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-		t.Errorf("the client is told %v, %v; want 503 and a close", resp, err)
+		t.Errorf("got %v, %v; want 503 and a close", resp, err)
 	}
 	client.Close()
 	<-done
--- a/internal/httpfront/read.go
+++ b/internal/httpfront/read.go
@@ -9,7 +9,7 @@
 	"craneglade/internal/message"
 )
 
-// read reads the next request. Both results are nil where there is none, or nobody to tell what is wrong with it.
+// read reads the next request. Both results are nil if there is none, or if nobody is left to receive a rejection.
 func (s *Front) read(c *clientConn) (*message.Request, *message.Rejection) {
 	c.limit.N = message.MaxHeadBytes
 	end := c.start.Add(headTimeout)
@@ -31,7 +31,7 @@
 	if c.answered {
 		end = r.Arrived.Add(headTimeout)
 	}
-	// Its client's time has run since it came to this machine, not since it was read here.
+	// The client timeout runs from when the request arrived at this machine, not from when it was read.
 	delay := time.Duration(0)
 	if !pipelined {
 		delay = s.receiveDelay(c.Conn)
@@ -44,10 +44,10 @@
 	if rej := s.check(r); rej != nil {
 		return nil, rej
 	}
-	if isChunked(r.In) != (len(c.framing.codings) > 0) { // net/http and framing read the head unlike: nobody knows where it ends
+	if isChunked(r.In) != (len(c.framing.codings) > 0) { // net/http and framing disagree on where the body ends
 		return nil, &message.Rejection{Status: http.StatusBadRequest, Text: "Transfer-Encoding: unclear"}
 	}
-	if r.ID == "" { // a question for the node's readiness
+	if r.ID == "" { // a readiness request has no id
 		return r, nil
 	}
 	r.Shed = s.shouldShed(delay, r)
@@ -61,8 +61,8 @@
 	return r, nil
 }
 
-// awaitRequest waits for the first byte of a request and passes over empty lines before it (RFC 9112, 2.2). buffered tells
-// whether that byte had come before it was waited for. An error means that there is no request.
+// awaitRequest waits for the first byte of a request and skips empty lines before it (RFC 9112, 2.2). buffered reports
+// whether that byte had arrived before the call. An error means that there is no request.
 func (c *clientConn) awaitRequest() (buffered bool, rej *message.Rejection, err error) {
 	for lines := 0; ; lines++ {
 		buffered = c.in.Buffered() > 0
@@ -82,7 +82,7 @@
 	}
 }
 
-// emptyLine waits for the next byte and returns the length of the line end that it begins, in bytes; 0 for anything else.
+// emptyLine waits for the next byte and returns the length in bytes of the line end that it starts, 0 for anything else.
 func (c *clientConn) emptyLine() (length int, err error) {
 	next, err := c.in.Peek(1)
 	if err != nil {
@@ -100,10 +100,10 @@
 	return 0, err
 }
 
-// readHead reads a request's head, which is to be there by end.
+// readHead reads a request's head, which must arrive by end.
 func (c *clientConn) readHead(end time.Time) (*http.Request, *message.Rejection) {
 	in, err := http.ReadRequest(c.in)
-	if err != nil && !time.Now().Before(end) { // the parser may hide the time-out
+	if err != nil && !time.Now().Before(end) { // the parser may hide the timeout
 		return nil, &message.Rejection{Status: http.StatusRequestTimeout, Text: "the head did not come in time"}
 	}
 	if err != nil && c.limit.N <= 0 {
@@ -118,7 +118,7 @@
 	return in, nil
 }
 
-// readBody reads a request's body, where it has one. end is by when its head was to be there.
+// readBody reads a request's body, if it has one. end is the deadline of its head.
 func (s *Front) readBody(c *clientConn, r *message.Request, end time.Time) *message.Rejection {
 	in := r.In
 	if in.ContentLength == 0 {
@@ -126,7 +126,7 @@
 	}
 	if in.Header.Get("Expect") != "" {
 		c.SetWriteDeadline(end.Add(bodyTimeout))
-		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // an error shows when the body is read
+		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // a write error shows up when the body is read
 	}
 	if isChunked(in) {
 		return s.readChunked(c, r, end)
@@ -138,14 +138,14 @@
 	return rej
 }
 
-// bodyDeadline is by when a request's body of a size, in bytes, is to be there. One beyond the usual size may take longer,
-// but not longer than anybody waits for the answer.
+// bodyDeadline returns when a request's body of size bytes must have arrived. One larger than message.MaxBodyBytes may take
+// longer, but not longer than the client waits for the answer.
 func bodyDeadline(r *message.Request, headDeadline time.Time, size int64) time.Time {
 	deadline := headDeadline.Add(bodyTimeout)
 	if size > message.MaxBodyBytes {
 		deadline = deadline.Add(time.Duration(size) * time.Second / minBodyBytesPerSecond)
-		if timeout := r.Arrived.Add(r.Patience); timeout.Before(deadline) {
-			deadline = timeout
+		if clientDeadline := r.Arrived.Add(r.Patience); clientDeadline.Before(deadline) {
+			deadline = clientDeadline
 		}
 	}
 	return deadline
--- a/internal/httpfront/shutdown.go
+++ b/internal/httpfront/shutdown.go
@@ -12,13 +12,15 @@
 	"craneglade/internal/sock"
 )
 
-// closeInterval is how often, once all that was taken is to be answered, connections are closed whose request goes on coming.
+// closeInterval is how often connections whose request is still incomplete are closed, once all accepted requests should be
+// answered.
 const closeInterval = 20 * time.Millisecond
 
-// backlogTimeout is how long connections that came before the listener is to close are still accepted, where the process is late.
+// backlogTimeout is how long connections that wait in the backlog are still accepted after the time to close the listener, in
+// case the process is late.
 const backlogTimeout = 200 * time.Millisecond
 
-// Serve answers clients on ln until ctx ends and then until all that was taken is answered.
+// Serve serves clients on ln until ctx ends, and then until all accepted requests are answered.
 func (s *Front) Serve(ctx context.Context, ln net.Listener) error {
 	defer s.stop()
 	accepted := make(chan error, 1)
@@ -31,13 +33,13 @@
 	return s.shutDown(ln, accepted)
 }
 
-// shutDown ends the front, whose accept loop tells its end on accepted. Connections go on coming for a while, and clients go on
-// using those that they have. What a node answers until it is killed is not missing elsewhere: it serves them for as long as
-// their answers can still be in time, and has answered all before it may be killed.
+// shutDown ends the front; accepted receives the result of the accept loop. New connections keep arriving for a while, and
+// clients keep using theirs. To lose no capacity earlier than needed, the node serves them as long as their answers can still
+// be in time, and has answered all before it may be killed.
 func (s *Front) shutDown(ln net.Listener, accepted <-chan error) error {
 	shutdown := s.engine.Shutdown(time.Now())
 	s.shuttingDown.Store(true)
-	s.log.Info("leaving: serving the connections that there are, then finishing what was taken", "serves", shutdown.Serves,
+	s.log.Info("leaving: serving the open connections, then finishing accepted requests", "serves", shutdown.Serves,
 		"answered_after", shutdown.Answered, "may_be_killed_after", shutdown.Killed)
 	time.Sleep(time.Until(shutdown.Begun.Add(acceptAfterShutdown)))
 	err := sock.CloseListener(ln, backlogTimeout)
@@ -45,13 +47,13 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		// The loop may wait for one of the connections beyond the room to end before it sees that: the steps below don't.
+		// The accept loop may block on a reject slot before it sees the close; the steps below must not wait for it.
 		if e := <-accepted; !errors.Is(e, net.ErrClosed) {
 			err = errors.Join(err, e)
 		}
 		s.wg.Wait()
 	}()
-	// reached waits until a moment of the shutdown, and tells whether some connection is left then.
+	// reached waits until a point of the shutdown and reports whether a connection is still open then.
 	reached := func(after time.Duration) bool {
 		select {
 		case <-ended:
@@ -61,19 +63,19 @@
 		}
 	}
 	if reached(max(acceptAfterShutdown, shutdown.Serves)) {
-		s.closing.Store(true)         // each answer now tells its client to close
-		s.closeMatching(hasNoRequest) // and the clients of connections that carry no request turn to other nodes
-		s.logStep("closed the connections that carry no request", &shutdown)
+		s.closing.Store(true)         // each answer now has "Connection: close"
+		s.closeMatching(hasNoRequest) // their clients connect to other nodes
+		s.logStep("closed the connections without a request", &shutdown)
 	}
 	for after := max(acceptAfterShutdown, shutdown.Answered); after < shutdown.Last && reached(after); after += closeInterval {
-		s.closeMatching(isIncomplete) // what comes whole is answered, and one that goes on coming is not waited for
+		s.closeMatching(isIncomplete) // complete requests are answered, incomplete ones are not waited for
 	}
-	if reached(shutdown.Last) { // the last deadline has passed
-		s.logStep("breaking off what nobody has read", &shutdown)
+	if reached(shutdown.Last) { // whoever has not read its answer by now is not reading
+		s.logStep("closing connections whose clients did not read their answers", &shutdown)
 		s.closeAll()
 	}
 	<-ended
-	s.logStep("left: all that was taken is answered", &shutdown)
+	s.logStep("left: all accepted requests are answered", &shutdown)
 	return err
 }
 
@@ -85,18 +87,19 @@
 	s.log.Info(step, "connections", connections, "requests", s.engine.Open(), "after", time.Since(shutdown.Begun))
 }
 
-// ShuttingDown tells whether the front was told to end.
+// ShuttingDown reports whether the shutdown has started.
 func (s *Front) ShuttingDown() bool { return s.shuttingDown.Load() }
 
-// hasNoRequest tells whether a connection in a state carries no request, not even one that is coming.
+// hasNoRequest reports whether a connection in a state carries no request, not even an incomplete one.
 func hasNoRequest(state admission.State) bool {
 	return state != admission.Busy && state != admission.Reading
 }
 
-// isIncomplete tells whether no whole request has come on a connection in a state.
+// isIncomplete reports whether a connection in a state has received no complete request.
 func isIncomplete(state admission.State) bool { return state != admission.Busy }
 
-// closeMatching closes the connections whose states are such. Where bytes wait to be read they may be a request: that is answered.
+// closeMatching closes the connections whose state matches. It skips those with unread bytes: these may be a request, which is
+// answered.
 func (s *Front) closeMatching(matches func(admission.State) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +110,7 @@
 	}
 }
 
-// closeAll breaks off all connections.
+// closeAll closes all connections at once.
 func (s *Front) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/httpfront/write.go
+++ b/internal/httpfront/write.go
@@ -13,17 +13,17 @@
 	"craneglade/internal/message"
 )
 
-// answer is what a client is told.
+// answer is an answer to a client.
 type answer struct {
 	status     int
-	header     http.Header // of a served request: what the box sent
+	header     http.Header // the backend's headers; nil for the node's own answers
 	body       []byte
-	stream     *message.AnswerStream // in place of body, for one that is still coming
+	stream     *message.AnswerStream // instead of body, for one that is still being received
 	retryAfter time.Duration
-	reply      *message.Reply // whose room it holds; nil for none
+	reply      *message.Reply // to be released after writing; nil if none
 }
 
-// toAnswer is an answer of the engine as clients are told it.
+// toAnswer converts an answer of the engine.
 func toAnswer(a engine.Answer) answer {
 	switch p := a.Payload.(type) {
 	case *message.Reply:
@@ -37,15 +37,15 @@
 	return answer{status: http.StatusInternalServerError}
 }
 
-// reject answers what is no request.
+// reject writes a rejection as the last answer on the connection.
 func (c *clientConn) reject(rej *message.Rejection) {
 	if c.write(nil, answer{status: rej.Status, body: []byte(rej.Text + "\n"), retryAfter: rej.RetryAfter}, true) == nil {
 		c.linger()
 	}
 }
 
-// linger waits a little for the client to close after its last answer. Closing resets a connection on which something is
-// unread, or comes later, and with it what the client has not read.
+// linger waits for the client to close after its last answer. If unread data remains or arrives later, closing resets the
+// connection, and the client loses what it has not read yet.
 func (c *clientConn) linger() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.CloseWrite()
@@ -54,7 +54,7 @@
 	io.CopyN(io.Discard, c.Conn, lingerBytes)
 }
 
-// write sends an answer; an error means that the client has left or does not read.
+// write sends an answer. An error means that the client has disconnected or does not read.
 func (c *clientConn) write(in *http.Request, a answer, last bool) error {
 	h := http.Header{"Date": {time.Now().UTC().Format(http.TimeFormat)}}
 	if t := a.header.Get("Content-Type"); t != "" {
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -23,8 +23,8 @@
 	chunkBytes           = 32 << 10
 )
 
-// RequestHeaders are the headers of a request that are forwarded to a backend, besides its length and host. The protocol
-// between clients, nodes and backends defines no others.
+// RequestHeaders are the headers of a request that are forwarded to a backend, besides its length and host. PROTOCOL defines
+// no others.
 var RequestHeaders = []string{"X-Request-Id", "X-Class", "X-Tenant", "X-Deadline", "X-Retry", "X-Cost-Hint", "X-Extras", "Idempotency-Key"}
 
 // Request is an HTTP request of a client. It is its own engine payload.
