--- a/internal/httpcarrier/addresses_test.go
+++ b/internal/httpcarrier/addresses_test.go
@@ -22,7 +22,7 @@
 	"craneglade/policy"
 )
 
-// breakingConn is a connection that breaks after so many bytes of what is written.
+// breakingConn is a connection whose writes fail after a number of bytes.
 type breakingConn struct {
 	net.Conn
 	after int
@@ -37,13 +37,13 @@
 	return c.after, errors.New("broken pipe")
 }
 
-// A connection that breaks before a request's last byte has it go on to the box's next address, once and with what is left of its time;
-// one that breaks after it ends the attempt as one that may have run.
+// If a connection breaks before the last byte of a request is written, the request is sent to the backend's next address, once
+// and with the remaining time. If it breaks later, the attempt ends as one that may have run.
 func TestNextAddressOnlyBeforeLastByteIsWritten(t *testing.T) {
 	for _, c := range []struct {
 		after int
 		want  policy.Outcome
-		sent  int // requests that the second address gets
+		sent  int // requests that the second address receives
 	}{{10, policy.OK, 1}, {1 << 20, policy.Reset, 0}} {
 		var mu sync.Mutex
 		var got []*http.Request
@@ -101,7 +101,7 @@
 		for _, r := range got {
 			remaining, _ := strconv.Atoi(strings.TrimSuffix(r.Header.Get("X-Deadline"), "u"))
 			if remaining <= 0 || remaining > 950_000 {
-				t.Errorf("the second address was told %d us of 1 s, 50 ms of which had gone", remaining)
+				t.Errorf("the deadline sent to the second address is %d us; want at most 950 ms, as 50 ms of 1 s had passed", remaining)
 			}
 		}
 		bodies.Stop()
--- a/internal/httpcarrier/carrier.go
+++ b/internal/httpcarrier/carrier.go
@@ -1,5 +1,5 @@
-// Package httpcarrier carries attempts to boxes over HTTP/1.1, as PROTOCOL has it between nodes and backends: one request
-// at a time on a connection, from a pool of them.
+// Package httpcarrier sends attempts to backends over HTTP/1.1, as PROTOCOL specifies it between nodes and backends, over
+// pooled connections that each carry one request at a time.
 package httpcarrier
 
 import (
@@ -26,34 +26,34 @@
 )
 
 var (
-	errTimeout      = errors.New("the attempt's time is up")
-	errRepeatWindow = errors.New("backends may drop the repeat no more")
+	errTimeout      = errors.New("attempt timed out")
+	errRepeatWindow = errors.New("the time in which backends drop repeated requests is over")
 )
 
-// maxChunkedFactor bounds what an answer in chunks may take on the wire, in bytes for each of its body: one byte in a chunk
+// maxChunkedFactor limits the size of a chunked answer on the wire, in bytes for each byte of content: one byte in a chunk
 // of its own takes 6.
 const maxChunkedFactor = 8
 
 // answerTimeout is how long an answer may take from its first byte to its last.
 const answerTimeout = 250 * time.Millisecond
 
-// Config is what a carrier is made from.
+// Config configures a Carrier.
 type Config struct {
-	Quota              *quota.Quota  // descriptors for connections to boxes
-	BackendIdleTimeout time.Duration // boxes close connections idle for this long, as the settings have it; 0 when not told
-	// MaxSettleWait is how long a request may wait for the rest of a connection that was used a moment ago. Opening another costs the
-	// backend work.
+	Quota              *quota.Quota  // descriptors for backend connections
+	BackendIdleTimeout time.Duration // when backends close idle connections, according to the settings; 0 if unknown
+	// MaxSettleWait is how long a request may wait until settleTime has passed on a connection that was just used. Opening
+	// another connection costs the backend work.
 	MaxSettleWait     time.Duration
-	AcceptLoadReports bool           // answers may hold load reports
-	Bodies            *message.Store // room for answers; one that has none, or is over message.MaxBody, is passed on while it comes
+	AcceptLoadReports bool           // evaluate load reports in answers
+	Bodies            *message.Store // memory for answers; one that gets none, or is larger than message.MaxBodyBytes, is streamed
 	Dial              func(ctx context.Context, addr string) (net.Conn, error)
-	DialNetwork       func(ctx context.Context, network, addr string) (net.Conn, error) // for boxes with several addresses, of any kind
-	Now               func() time.Time                                                  // what connections age by; nil for time.Now
-	Sleep             func(ctx context.Context, d time.Duration) bool                   // waits; nil for timing.Sleep
+	DialNetwork       func(ctx context.Context, network, addr string) (net.Conn, error) // for backends with several addresses, of any network
+	Now               func() time.Time                                                  // the clock for the age of connections; nil for time.Now
+	Sleep             func(ctx context.Context, d time.Duration) bool                   // nil for timing.Sleep
 	Log               *slog.Logger
 }
 
-// Carrier is an engine.Carrier of message.Requests.
+// Carrier implements engine.Carrier for requests of type *message.Request.
 type Carrier struct {
 	pool    *pool
 	reports bool
@@ -61,25 +61,25 @@
 	log     *slog.Logger
 }
 
-// New returns a carrier with no connection.
+// New returns a carrier without connections.
 func New(cfg Config) *Carrier {
 	return &Carrier{pool: newPool(cfg), reports: cfg.AcceptLoadReports, bodies: cfg.Bodies, log: cfg.Log}
 }
 
-// Conns is how many connections there are, and how many of them carry nothing.
+// Conns returns the number of open connections and how many of them are idle.
 func (n *Carrier) Conns() (open, idle int) {
 	n.pool.mu.Lock()
 	defer n.pool.mu.Unlock()
 	return n.pool.open, n.pool.idleConns.Len()
 }
 
-// EvictIdle closes the connection that has carried nothing for longest, and tells whether there was one.
+// EvictIdle closes the connection that has been idle for longest and reports whether there was one.
 func (n *Carrier) EvictIdle() bool { return n.pool.closeOldestIdle() }
 
-// Retire closes the connections to a box that carry nothing. Those that carry something follow.
+// Retire closes the idle connections to a backend. The others are closed when they become idle.
 func (n *Carrier) Retire(b *engine.Backend) { n.pool.closeIdle(n.pool.backend(b), true) }
 
-// Reach tells whether a connection to a box comes up while ctx lasts, and keeps it for requests if it does.
+// Reach reports whether a connection to a backend can be opened before ctx ends. The connection is kept for requests.
 func (n *Carrier) Reach(ctx context.Context, b *engine.Backend) bool {
 	if b.Shut() {
 		return false
@@ -92,11 +92,11 @@
 	return true
 }
 
-// Stop closes all connections that carry nothing. No attempt may be under way or follow.
+// Stop closes all idle connections. No attempt may be in flight or follow.
 func (n *Carrier) Stop() { n.pool.stop() }
 
-// Carry sends the request once and waits for what comes back. It returns only after a connection that it gave up is
-// closed, so that an attempt that follows is never a second copy.
+// Carry sends the request once and waits for the answer. A connection that it abandons is closed before it returns, so
+// that a following attempt is never sent while this one is still being written.
 func (n *Carrier) Carry(ctx context.Context, a *engine.Attempt) engine.Result {
 	fresh := false
 	res := n.carry(ctx, a, &fresh)
@@ -104,31 +104,31 @@
 	return res
 }
 
-// carry is Carry. It sets fresh where it opens a connection.
+// carry implements Carry. It sets fresh if it opens a connection.
 func (n *Carrier) carry(ctx context.Context, a *engine.Attempt, fresh *bool) engine.Result {
 	ctx, cancel := context.WithTimeoutCause(ctx, a.Wait, errTimeout)
 	defer cancel()
 	r, ok := a.Request.Payload.(*message.Request)
 	if !ok {
-		return engine.Result{Outcome: policy.Moot} // another protocol's: never sent
+		return engine.Result{Outcome: policy.Moot} // a request of another protocol: never sent
 	}
 	b := n.pool.backend(a.Backend)
 	answersBefore := b.answers.Load()
-	// A request whose last byte was not written goes on to the box's next address, within the same time.
+	// A request whose last byte was not written is sent to the backend's next address, within the same deadline.
 	wait := a.Wait
 	for remaining := len(a.Backend.Addrs()); ; remaining-- {
 		res, unsent := n.send(ctx, a, r, wait, b, answersBefore, fresh)
 		if !unsent || remaining <= 1 {
 			return res
 		}
-		if end, ok := ctx.Deadline(); ok { // the box is told what is left
+		if end, ok := ctx.Deadline(); ok { // the backend is sent the remaining time
 			wait = max(time.Until(end), time.Microsecond)
 		}
 	}
 }
 
-// send is one try of carry on one connection. part tells that the request can't have reached the box whole, and may go out on another
-// connection of the same attempt.
+// send is one try of carry, on one connection. unsent reports that the request can't have reached the backend completely and
+// may be sent again on another connection within the same attempt.
 func (n *Carrier) send(ctx context.Context, a *engine.Attempt, r *message.Request, wait time.Duration, b *backendPool, answersBefore int64, fresh *bool) (res engine.Result, unsent bool) {
 	start := time.Now()
 	until := ctx
@@ -141,20 +141,21 @@
 	*fresh = *fresh || c == nil && !errors.Is(err, errNoDescriptor) || c != nil && c.idleFor == 0
 	switch {
 	case errors.Is(err, errNoDescriptor), errors.Is(err, reach.ErrStopped), sock.IsOwnTrouble(err), err != nil && errors.Is(context.Cause(until), errRepeatWindow):
-		return engine.Result{Outcome: policy.Moot}, false // not the backend's doing, and not to be held against it
+		return engine.Result{Outcome: policy.Moot}, false // not a failure of the backend
 	case err != nil && context.Cause(ctx) == nil, errors.Is(context.Cause(ctx), errTimeout):
 		return engine.Result{Outcome: policy.ConnectFailed}, false
 	case err != nil:
 		return engine.Result{Outcome: policy.Canceled}, false
 	}
-	// Opening it or its rest took time, and the backend is told what is left.
+	// Opening the connection or waiting for it to settle took time: the backend is sent the remaining time.
 	text, err := encode(r, max(wait-time.Since(start), time.Microsecond))
 	if err != nil {
 		n.pool.put(c)
-		n.log.Warn("a request can't be written", "err", err)
+		n.log.Warn("can't encode request", "err", err)
 		return engine.Result{Outcome: policy.Moot}, false
 	}
-	// What was decided a while ago may not hold any more: the client has left, the backend's drain grace or the time for repeats is over.
+	// Since the attempt was decided on, the client may have disconnected, or the backend's drain grace or the time for repeats
+	// may have ended.
 	if ctx.Err() != nil || !a.MayBegin() {
 		n.pool.put(c)
 		return engine.Result{Outcome: policy.Moot}, false
@@ -162,11 +163,11 @@
 	p := r.Body
 	if p != nil && p.Tier == bodies.Once && !p.Started.CompareAndSwap(false, true) {
 		n.pool.put(c)
-		return engine.Result{Outcome: policy.Moot}, false // it is not kept, and an earlier attempt has begun to send it
+		return engine.Result{Outcome: policy.Moot}, false // the body is not stored, and an earlier attempt has started to send it
 	}
 	stopCancel := context.AfterFunc(ctx, func() { c.Close() })
 	if !a.By.IsZero() {
-		c.SetWriteDeadline(a.By) // an error shows in Write
+		c.SetWriteDeadline(a.By) // an error shows up in Write
 	}
 	sent, err := c.Write(text)
 	complete := sent == len(text)
@@ -174,8 +175,8 @@
 		err = p.Send(ctx, c)
 		complete = err == nil
 		if errors.Is(err, message.ErrSpool) || errors.Is(err, message.ErrClient) {
-			n.pool.close(c) // the box has only a part
-			n.log.Warn("a body was not sent", "request", r.ID, "err", err)
+			n.pool.close(c) // the backend has received only a part
+			n.log.Warn("request body not sent", "request", r.ID, "err", err)
 			if errors.Is(err, message.ErrClient) {
 				a.Abort(message.BodyTruncated(err))
 			}
@@ -199,7 +200,7 @@
 	switch {
 	case err == nil, errors.Is(err, errInvalidAnswer):
 		n.pool.noteReuse(c, true)
-	case context.Cause(ctx) == nil: // it ended by the backend's doing, before a byte
+	case context.Cause(ctx) == nil: // the backend ended it before the first byte of an answer
 		n.pool.noteReuse(c, false)
 	}
 	if c.addr != "" {
@@ -219,7 +220,7 @@
 	if !a.By.IsZero() {
 		c.SetWriteDeadline(time.Time{})
 	}
-	// The answer stands, however its connection ends; but only a sound one is used again.
+	// The answer is valid however its connection ends, but only an intact connection is used again.
 	if stopCancel() && err == nil && !resp.Close && len(resp.TransferEncoding) == 0 && c.in.Buffered() == 0 {
 		n.pool.put(c)
 	} else {
@@ -237,16 +238,16 @@
 		case cause != nil && !errors.Is(cause, errTimeout):
 			return engine.Result{Outcome: policy.Canceled}, false
 		case !complete:
-			outcome = policy.ConnectFailed // its last byte was never written
+			outcome = policy.ConnectFailed // the last byte was never written
 		case cause != nil:
 			outcome = policy.TimedOut
 		}
 		if outcome == policy.TimedOut && b.answers.Load() == answersBefore {
-			// Nothing came back from this backend for the whole of the attempt. When a machine was cut off, each
-			// connection kept from before would swallow one more request, and reset one when it is back.
+			// No answer came back from this backend during the whole attempt. If its machine is cut off from the network,
+			// each idle connection would lose one more request, and reset one when the machine is back.
 			n.pool.closeIdle(b, false)
 		}
-		n.log.Debug("an attempt broke off", "box", a.Backend.ID, "err", err)
+		n.log.Debug("attempt failed", "box", a.Backend.ID, "err", err)
 		return engine.Result{Outcome: outcome}, c.addr != "" && !complete && ctx.Err() == nil && (p == nil || p.Memory != nil)
 	}
 	res = n.classify(a.Backend, resp, body)
@@ -258,12 +259,12 @@
 	return res, false
 }
 
-// encode is the request as it goes out, with the headers that PROTOCOL knows.
+// encode returns the request as sent to the backend, with the headers that PROTOCOL defines.
 func encode(r *message.Request, wait time.Duration) ([]byte, error) {
 	in := r.In
 	req := &http.Request{Method: in.Method, URL: in.URL, Host: in.Host, Header: http.Header{"User-Agent": nil},
 		Body: http.NoBody}
-	var body []byte // what goes out with the head
+	var body []byte // the body, if it is written together with the head
 	if p := r.Body; p != nil && p.Memory != nil {
 		body = p.Memory
 		req.ContentLength, req.Body = int64(len(body)), io.NopCloser(bytes.NewReader(body))
@@ -279,16 +280,16 @@
 	if err := req.Write(&b); err != nil || body != nil || r.Body == nil {
 		return b.Bytes(), err
 	}
-	// The body follows: only its length goes with the head. No header stands before this one but Host, and none holds a
-	// line's end.
+	// The body is written separately; the head needs its length. Only Host precedes this header, and no value contains a line
+	// end, so the first match is the right one.
 	return bytes.Replace(b.Bytes(), []byte("\r\nContent-Length: 0\r\n"), fmt.Appendf(nil, "\r\nContent-Length: %d\r\n", in.ContentLength), 1), nil
 }
 
-// errInvalidAnswer is an answer that can't be the backend's answer to the request. The request may have run.
-var errInvalidAnswer = errors.New("a spoilt answer")
+// errInvalidAnswer reports an answer that can't belong to the request, or is malformed or too large. The request may have run.
+var errInvalidAnswer = errors.New("invalid answer from backend")
 
-// read reads one answer whole, before any of it goes on: one that breaks can still be tried again. Of a served one that
-// hold, asked with its size, has no room for, it reads the head. Larger ones than most are spoilt.
+// read reads an answer completely before any of it is forwarded, so that the request can be retried if it breaks off. For an
+// answer with status 200 whose size reserve refuses, it reads the head only. An answer larger than maxSize is invalid.
 func (c *backendConn) read(method string, reserve func(size int64) bool, maxSize int64) (*http.Response, []byte, error) {
 	c.limit.N = message.MaxHeadBytes + message.MaxBodyBytes
 	for {
@@ -304,9 +305,9 @@
 			return nil, nil, fmt.Errorf("%w: %w", errInvalidAnswer, err)
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, nil, fmt.Errorf("%w: it switches protocols", errInvalidAnswer)
+			return nil, nil, fmt.Errorf("%w: unexpected protocol switch", errInvalidAnswer)
 		}
-		if resp.StatusCode < 200 { // informational: the answer follows, perhaps after a while
+		if resp.StatusCode < 200 { // informational: the final answer follows, perhaps much later
 			if err := c.SetReadDeadline(time.Time{}); err != nil {
 				return nil, nil, err
 			}
@@ -317,16 +318,16 @@
 			return resp, nil, nil
 		}
 		if resp.ContentLength > message.MaxBodyBytes {
-			return nil, nil, fmt.Errorf("%w: %d bytes", errInvalidAnswer, resp.ContentLength)
+			return nil, nil, fmt.Errorf("%w: body of %d bytes", errInvalidAnswer, resp.ContentLength)
 		}
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !hasConnectionClose(head) {
-			return nil, nil, fmt.Errorf("%w: no length", errInvalidAnswer)
+			return nil, nil, fmt.Errorf("%w: no length and no Connection: close", errInvalidAnswer)
 		}
-		// The connection's cap is never what ends a body: one that ends with its connection would pass as whole.
+		// This limit must never end a body: one that ends with its connection would then pass as complete.
 		c.limit.N = maxChunkedFactor*message.MaxBodyBytes + message.MaxHeadBytes
 		body, err := io.ReadAll(io.LimitReader(resp.Body, message.MaxBodyBytes+1))
 		if err == nil && len(body) > message.MaxBodyBytes {
-			err = errors.New("too large a body")
+			err = errors.New("body too large")
 		}
 		if err != nil {
 			return nil, nil, fmt.Errorf("%w: %w", errInvalidAnswer, err)
@@ -335,7 +336,8 @@
 	}
 }
 
-// head is an answer's head, without the empty line, as long as no more is read; nil where it doesn't end, or not within the buffer.
+// head returns the head of an answer without the empty line, or nil if it does not end within the buffer. The result is valid
+// until the next read.
 func (c *backendConn) head() []byte {
 	for {
 		n := c.in.Buffered()
@@ -352,8 +354,8 @@
 	}
 }
 
-// hasConnectionClose tells whether a head says that the connection ends with its answer: only then its end is that of an answer without a
-// length. net/http takes the header off what it has parsed.
+// hasConnectionClose reports whether a head contains "Connection: close". Only then does the end of the connection end an
+// answer without a length. net/http removes the header from the parsed response.
 func hasConnectionClose(head []byte) bool {
 	for line := range strings.Lines(string(head)) {
 		name, value, _ := strings.Cut(line, ":")
@@ -369,7 +371,7 @@
 	return false
 }
 
-// classify tells what an answer means.
+// classify determines the outcome of an attempt from its answer.
 func (n *Carrier) classify(b *engine.Backend, resp *http.Response, body []byte) engine.Result {
 	res := engine.Result{Outcome: policy.Failed}
 	if reports := resp.Header["X-Load"]; len(reports) > 0 && n.reports {
@@ -377,7 +379,7 @@
 		if err == nil && len(reports) == 1 {
 			res.Load = load
 		} else {
-			n.log.Debug("a load report makes no sense", "box", b.ID, "reports", reports)
+			n.log.Debug("invalid load report", "box", b.ID, "reports", reports)
 		}
 	}
 	unavailable := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
@@ -391,8 +393,8 @@
 	return res
 }
 
-// streamAnswer passes on an answer that is too large to be held. Once it has begun the request has its final answer; where that
-// breaks off, the client sees it by its length.
+// streamAnswer forwards an answer that is too large to be buffered. Once it has started, the request has its final answer. If
+// it breaks off, the client notices by its length.
 func (n *Carrier) streamAnswer(ctx context.Context, a *engine.Attempt, c *backendConn, resp *http.Response, stopCancel func() bool) engine.Result {
 	res := n.classify(a.Backend, resp, nil)
 	f := message.NewAnswerStream(resp.Body, c.Conn, resp.ContentLength)
@@ -414,7 +416,7 @@
 	case errors.Is(err, message.ErrClient), errors.Is(err, context.Canceled):
 		res.Outcome = policy.Canceled
 	default:
-		n.log.Debug("an answer broke off on its way", "box", a.Backend.ID, "err", err)
+		n.log.Debug("streamed answer broke off", "box", a.Backend.ID, "err", err)
 		res.Outcome = policy.Reset
 	}
 	return res
--- a/internal/httpcarrier/pool.go
+++ b/internal/httpcarrier/pool.go
@@ -20,30 +20,30 @@
 	"craneglade/internal/timing"
 )
 
-// settleTime is how long a connection rests after an answer: what a backend writes behind one must be there before
-// the next request goes out, or it would pass for that request's answer. Nothing else tells the two apart. Second answers come "some
-// milliseconds late"; the latest of 28 that were timed came 5.3 ms after the first.
+// settleTime is how long a connection is not used after an answer. A second answer that a backend sends to the same request
+// must arrive before the next request is sent, or it would be taken for that one's answer; nothing else tells them apart.
+// Second answers come "some milliseconds late"; the latest of 28 came 5.3 ms after the first.
 const settleTime = 10 * time.Millisecond
 
 var errNoDescriptor = errors.New("no descriptor is left for a connection to a backend")
 
-// pool holds this node's connections to backends, within a part of the process's descriptors. Each has one owner at
-// a time, and comes back only after an answer that was read whole with nothing behind it.
+// pool holds the node's connections to backends, within the descriptor quota of the carrier. Each has one owner at a time and
+// is returned only after an answer that was read completely with no data after it.
 type pool struct {
 	dial               func(ctx context.Context, addr string) (net.Conn, error)
-	reach              *reach.Dialer // for boxes with several addresses
+	reach              *reach.Dialer // for backends with several addresses
 	quota              *quota.Quota
-	maxSettleWait      time.Duration // for how long a request waits for a connection's rest; where it would be longer another is opened
-	maxIdle            time.Duration // a connection that stood for this long is closed
-	backendIdleTimeout time.Duration // for how long boxes keep them, as the settings have it
+	maxSettleWait      time.Duration // how long a request waits for a connection to settle; beyond that, another is opened
+	maxIdle            time.Duration // a connection idle for this long is closed
+	backendIdleTimeout time.Duration // when backends close idle connections, according to the settings; 0 if unknown
 	now                func() time.Time
 	sleep              func(ctx context.Context, d time.Duration) bool
 	start              time.Time
 
 	mu         sync.Mutex
-	ages       *admission.Ages // for how long boxes keep connections, from all of them together
+	ages       *admission.Ages // idle times at which connections were still open, over all backends
 	open       int
-	idleConns  lists.List // of *backendConn: those with no owner, the longest idle first
+	idleConns  lists.List // of *backendConn, without an owner, longest idle first
 	sweepTimer *time.Timer
 }
 
@@ -57,31 +57,31 @@
 	}
 	start := time.Now()
 	p.reach = &reach.Dialer{Base: cfg.DialNetwork, Now: func() time.Duration { return time.Since(start) }, Take: p.quota.Take, Give: p.quota.Give}
-	// A request written to a connection that the box has just closed ends as a reset: retire it before.
+	// A request written to a connection that the backend has just closed ends as a reset: close the connection earlier.
 	p.maxIdle = cfg.BackendIdleTimeout * 9 / 10
 	p.backendIdleTimeout, p.start = cfg.BackendIdleTimeout, p.now()
 	p.ages = admission.NewAges(p.backendIdleTimeout, nil)
 	return p
 }
 
-// backendPool is what the pool keeps for a box.
+// backendPool is the pool's state of one backend.
 type backendPool struct {
-	answers atomic.Int64 // attempts that something came back for
+	answers atomic.Int64 // number of attempts that got an answer, valid or not
 
 	// Guarded by pool.mu.
 	ages    *admission.Ages
-	conns   []*backendConn // those with no owner, the latest last
-	retired bool           // no connection is kept any more
+	conns   []*backendConn // idle connections, most recently used last
+	retired bool           // connections are closed when they become idle
 }
 
-// backend is what is kept for a box.
+// backend returns the pool's state of a backend.
 func (p *pool) backend(b *engine.Backend) *backendPool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.backendLocked(b)
 }
 
-// backendLocked is of. p.mu is held.
+// backendLocked is like backend. p.mu is held.
 func (p *pool) backendLocked(b *engine.Backend) *backendPool {
 	if k, ok := b.Kept.(*backendPool); ok {
 		return k
@@ -94,18 +94,18 @@
 // backendConn is a connection to a backend.
 type backendConn struct {
 	net.Conn
-	limit       io.LimitedReader // between the socket and in: no answer goes on without end
+	limit       io.LimitedReader // between the socket and in: limits the size of an answer
 	in          *bufio.Reader
 	probe       *sock.Look
 	backend     *backendPool
-	addr        string         // of a box that has several; "" for others
-	idleFor     time.Duration  // for how long it had when it was taken; 0 for one that has carried nothing yet
-	idleSince   time.Time      // when it came to rest,
-	idleElement *lists.Element // and where; nil while it has an owner. Guarded by pool.mu
+	addr        string         // the address used, if the backend has several; otherwise ""
+	idleFor     time.Duration  // how long it had been idle when it was taken; 0 if it is new
+	idleSince   time.Time      // when it became idle
+	idleElement *lists.Element // in pool.idleConns; nil while it has an owner; guarded by pool.mu
 }
 
-// get returns a connection to b that nothing waits on, or opens one. Whoever has it hands it to put or close. What must
-// not be sent twice goes only on a connection that the box is sure to have kept.
+// get returns an idle connection to a backend on which no data waits, or opens one. The caller must pass it to put or close.
+// With once, for a request that must not be sent twice, it returns only a connection that the backend very likely still keeps.
 func (p *pool) get(ctx context.Context, k *backendPool, backend *engine.Backend, once bool) (*backendConn, error) {
 	for {
 		c := p.take(k, once, p.maxSettleWait)
@@ -124,11 +124,11 @@
 		if c.probe.Pending() == sock.Nothing {
 			return c, nil
 		}
-		p.close(c) // the backend has closed it, or sent what nobody asked for: seen in time, and no harm
+		p.close(c) // the backend has closed it, or sent an unexpected second answer: no request is lost
 	}
 }
 
-// noteReuse notes whether a connection that had rested held when it was used again.
+// noteReuse records whether a connection that had been idle was still intact when it was used again.
 func (p *pool) noteReuse(c *backendConn, intact bool) {
 	if c.idleFor == 0 {
 		return
@@ -142,9 +142,9 @@
 	}
 }
 
-// take returns the latest used of b's connections that have rested, else the one that has rested for longest; none where
-// it has rested for longer than b is known to keep one, or, for what must not be sent twice, is sure to, and none where it
-// has longer to rest than wait.
+// take returns the most recently used connection to b that has settled, or else the one that has been idle for longest. It
+// returns nil if that one has been idle for longer than b is known to keep connections (with once: than b is sure to keep
+// them), or if it needs more than wait to settle.
 func (p *pool) take(b *backendPool, once bool, wait time.Duration) *backendConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -171,7 +171,7 @@
 	return c
 }
 
-// remove takes a connection out of those with no owner. p.mu is held.
+// remove removes a connection from the idle ones. p.mu is held.
 func (p *pool) remove(c *backendConn) {
 	p.idleConns.Remove(c.idleElement)
 	c.idleElement = nil
@@ -179,9 +179,9 @@
 	c.backend.conns = slices.Delete(c.backend.conns, i, i+1)
 }
 
-// connect opens a connection, for which one to another box makes room where there are too many.
+// connect opens a connection. At the descriptor limit it first closes an idle connection to another backend.
 func (p *pool) connect(ctx context.Context, k *backendPool, backend *engine.Backend) (*backendConn, error) {
-	if !p.quota.Claim(p.closeOldestIdle) { // what it closes is another box's: this one has none
+	if !p.quota.Claim(p.closeOldestIdle) { // this backend has no idle connection, so that of another one is closed
 		return nil, errNoDescriptor
 	}
 	p.mu.Lock()
@@ -207,7 +207,7 @@
 	return c, nil
 }
 
-// put takes a connection back.
+// put returns a connection to the pool.
 func (p *pool) put(c *backendConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -224,7 +224,7 @@
 	}
 }
 
-// close ends a connection that its owner has done with.
+// close closes a connection that its owner no longer needs.
 func (p *pool) close(c *backendConn) {
 	c.Close()
 	p.mu.Lock()
@@ -232,13 +232,13 @@
 	p.countClosed()
 }
 
-// countClosed counts a connection that has ended. p.mu is held.
+// countClosed accounts for a closed connection. p.mu is held.
 func (p *pool) countClosed() {
 	p.open--
 	p.quota.Give()
 }
 
-// closeOldestIdle closes the connection that has rested for longest, and tells whether there was one.
+// closeOldestIdle closes the connection that has been idle for longest and reports whether there was one.
 func (p *pool) closeOldestIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -249,14 +249,14 @@
 	return oldest != nil
 }
 
-// discard closes a connection with no owner. p.mu is held.
+// discard closes an idle connection. p.mu is held.
 func (p *pool) discard(c *backendConn) {
 	p.remove(c)
 	c.Close()
 	p.countClosed()
 }
 
-// expire closes the connections that have stood for too long.
+// expire closes the connections that have been idle for too long.
 func (p *pool) expire() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -271,7 +271,7 @@
 	}
 }
 
-// closeIdle closes the connections to b that have no owner. With retire those that are in use follow.
+// closeIdle closes the idle connections to b. With retire, those in use are closed when they are returned.
 func (p *pool) closeIdle(b *backendPool, retire bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -281,7 +281,7 @@
 	}
 }
 
-// stop closes all that have no owner, and ends the sweep.
+// stop closes all idle connections and stops the sweep timer.
 func (p *pool) stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
