--- a/internal/jsonrpc/frame.go
+++ b/internal/jsonrpc/frame.go
@@ -1,6 +1,6 @@
-// Package jsonrpc reads and writes the messages of JSON-RPC 2.0 (https://www.jsonrpc.org/specification) without I/O of its
-// own, and knows nothing of nodes and boxes. JSON itself is package jsontext's: duplicate members, invalid UTF-8, lone
-// surrogates and a nesting of over 10,000 are errors there.
+// Package jsonrpc parses and encodes JSON-RPC 2.0 messages (https://www.jsonrpc.org/specification). It does no I/O of its own
+// and is independent of nodes and backends. JSON is parsed by package jsontext, which rejects duplicate members, invalid
+// UTF-8, lone surrogates and a nesting of over 10,000.
 package jsonrpc
 
 import (
@@ -12,37 +12,37 @@
 	"strings"
 )
 
-// MaxFrameBytes is the largest message or batch, in bytes.
+// MaxFrameBytes is the maximum size of a message or batch.
 const MaxFrameBytes = 64 << 10
 
-// maxHeadBytes is the largest head of a headed frame, in bytes.
+// maxHeadBytes is the maximum size of the head of a HeaderDelimited frame.
 const maxHeadBytes = 1 << 10
 
-// Framing is how messages follow one another on a stream.
+// Framing is how messages are delimited on a stream.
 type Framing uint8
 
 const (
-	Lines           Framing = iota // JSON texts one after another, each ended by its own end; written with a newline behind each
-	HeaderDelimited                // each behind a head of "Content-Length: N" and an empty line, as in the Language Server Protocol
+	Lines           Framing = iota // JSON texts, each read up to its own end; written with a newline after each
+	HeaderDelimited                // each after a head of "Content-Length: N" and an empty line, as in the Language Server Protocol
 )
 
-// ErrFrame is what can't be told apart from what follows it: nothing more can be read from its stream.
+// ErrFrame reports a malformed frame. Its end is unknown, so nothing more can be read from the stream.
 var ErrFrame = errors.New("no JSON-RPC message")
 
-// Reader reads frames from a stream. The framing of each is told by its first byte: a JSON text can't begin with a letter
-// of "Content-Length".
+// Reader reads frames from a stream. It detects the framing of each by its first byte: a JSON text can't start with the first
+// letter of "Content-Length" or "Content-Type".
 type Reader struct {
 	in          *bufio.Reader
 	lastFraming Framing
 }
 
-// NewReader returns a reader of a stream.
+// NewReader returns a Reader that reads from in.
 func NewReader(in *bufio.Reader) *Reader { return &Reader{in: in} }
 
-// Framing is that of the latest frame.
+// Framing returns the framing of the latest frame.
 func (r *Reader) Framing() Framing { return r.lastFraming }
 
-// Wait returns once the first byte of a frame is there, or with the stream's error.
+// Wait blocks until the first byte of a frame is available, or returns the error of the stream.
 func (r *Reader) Wait() error {
 	for {
 		b, err := r.in.Peek(1)
@@ -56,8 +56,8 @@
 	}
 }
 
-// Next returns the next frame. An error that wraps ErrFrame says what is wrong with it; io.EOF is the end of a stream between
-// two frames.
+// Next returns the next frame. An error that wraps ErrFrame describes a malformed or truncated frame; io.EOF means that the
+// stream ended between two frames.
 func (r *Reader) Next() ([]byte, error) {
 	if err := r.Wait(); err != nil {
 		return nil, err
@@ -74,6 +74,7 @@
 	return r.readText()
 }
 
+// readHeaderDelimited reads a frame with a head.
 func (r *Reader) readHeaderDelimited() ([]byte, error) {
 	length, read := -1, 0
 	for {
@@ -112,21 +113,21 @@
 	return frame, nil
 }
 
-// readText finds the end of a JSON text. It checks no more than what that needs: brackets that match, strings that end.
+// readText reads up to the end of a JSON text. To find it, it checks only that brackets match and strings end.
 func (r *Reader) readText() ([]byte, error) {
 	var frame []byte
-	var open []byte // the closing brackets that are due
+	var open []byte // expected closing brackets, innermost last
 	inString, escaped := false, false
 	for {
 		b, err := r.in.ReadByte()
 		if err != nil {
 			if err == io.EOF && len(open) == 0 && !inString && len(frame) > 0 {
-				return frame, nil // a number, a string or a word at the stream's end
+				return frame, nil // a number, string or literal at the end of the stream
 			}
 			return nil, wrapReadError(err)
 		}
 		if len(open) == 0 && !inString && len(frame) > 0 && isSpace(b) {
-			return frame, nil // the same before white space
+			return frame, nil // a number, string or literal before white space
 		}
 		if frame = append(frame, b); len(frame) > MaxFrameBytes {
 			return nil, fmt.Errorf("%w: over %d bytes", ErrFrame, MaxFrameBytes)
@@ -162,6 +163,7 @@
 
 func isSpace(b byte) bool { return b == ' ' || b == '\t' || b == '\r' || b == '\n' }
 
+// wrapReadError wraps the error of a read within a frame, where io.EOF is unexpected.
 func wrapReadError(err error) error {
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
@@ -169,7 +171,7 @@
 	return fmt.Errorf("%w: %w", ErrFrame, err)
 }
 
-// AppendFrame appends a message in a framing.
+// AppendFrame appends a message to out in framing f.
 func AppendFrame(out []byte, f Framing, message []byte) []byte {
 	if f == HeaderDelimited {
 		out = append(out, "Content-Length: "...)
--- a/internal/jsonrpc/jsonrpc_test.go
+++ b/internal/jsonrpc/jsonrpc_test.go
@@ -14,7 +14,7 @@
 
 func reader(text string) *Reader { return NewReader(bufio.NewReader(strings.NewReader(text))) }
 
-// Frames of both kinds on one stream, wherever its bytes are split.
+// Frames of both framings are read from one stream, wherever its bytes are split.
 func TestFramesAreSplitWhereverTheStreamBreaks(t *testing.T) {
 	want := []string{`{"a":"}\"]"}`, `[1,{"b":[]}]`, `17`, `"x y"`, `{}`, `{"c":1}`, `true`}
 	text := "\r\n " + want[0] + want[1] + "17 \"x y\" \n" + string(AppendFrame(nil, HeaderDelimited, []byte(want[4]))) +
@@ -24,19 +24,19 @@
 		for i, w := range want {
 			got, err := r.Next()
 			if err != nil || string(got) != w {
-				t.Fatalf("by %d bytes: frame %d is %q, %v; want %q", size, i, got, err, w)
+				t.Fatalf("reads of %d bytes: frame %d is %q, %v; want %q", size, i, got, err, w)
 			}
 			if headed := i == 4 || i == 5; (r.Framing() == HeaderDelimited) != headed {
 				t.Errorf("frame %d: framing %v", i, r.Framing())
 			}
 		}
 		if _, err := r.Next(); err != io.EOF {
-			t.Errorf("at the end: %v", err)
+			t.Errorf("at the end: %v; want io.EOF", err)
 		}
 	}
 }
 
-// chunkReader gives its bytes a few at a time.
+// chunkReader returns at most size bytes per read.
 type chunkReader struct {
 	remaining []byte
 	size      int
@@ -51,6 +51,7 @@
 	return n, nil
 }
 
+// The error text of a malformed frame has no line break: it is sent to the client.
 func TestMalformedFramesAreRejected(t *testing.T) {
 	for _, text := range []string{"{]", "]", "{\"a\n\":1}", "{", `"`, strings.Repeat("[", MaxFrameBytes+1), "Content-Length: x\r\n\r\n{}",
 		"Content-Length: 2\r\n{}", "Content-Length: 5\r\n\r\n{}", "C", "Cookie: x\r\n\r\n{}", "Content-Length: 65537\r\n\r\n",
@@ -71,11 +72,11 @@
 		}
 	}
 	if _, ok := Find(nil, "/a"); ok {
-		t.Error("found something in no params")
+		t.Error("found a value in nil params")
 	}
 }
 
-// What is read and written again means the same, and nothing makes the reader fail in another way than with an error.
+// A message that is parsed and encoded again is unchanged, and no input makes the reader fail other than with an error.
 func FuzzMessages(f *testing.F) {
 	for _, s := range []string{`{"jsonrpc":"2.0","method":"sum","params":[1],"id":"1"}`, `[{"jsonrpc":"2.0","id":null,"result":1},3]`,
 		"Content-Length: 2\r\n\r\n{}", `{"jsonrpc":"2.0","id":1.50,"error":{"code":-1,"message":"\ud83d\ude00"}}`, "[]", "{]", "17 ", `"\ud800"`,
@@ -100,7 +101,7 @@
 				continue
 			}
 			if !json.Valid(frame) {
-				t.Fatalf("%q passes for JSON", frame)
+				t.Fatalf("invalid JSON %q was accepted", frame)
 			}
 			for _, v := range members {
 				m, err := Parse(v, "x")
--- a/internal/jsonrpc/message.go
+++ b/internal/jsonrpc/message.go
@@ -10,7 +10,7 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// The error codes of section 5.1 of the specification.
+// Error codes of section 5.1 of the specification.
 const (
 	ParseError     = -32700
 	InvalidRequest = -32600
@@ -19,35 +19,35 @@
 	InternalError  = -32603
 )
 
-// Null is the id of an answer to what has none.
+// Null is the id of an answer to a message without a valid id.
 var Null = jsontext.Value("null")
 
-// Message is a request, a notification or a response. Values are the very bytes that came.
+// Message is a request, a notification or a response. Its values are the bytes as received.
 type Message struct {
-	ID     jsontext.Value // nil where there is no such member
+	ID     jsontext.Value // nil if the member is missing
 	Method string
-	Params jsontext.Value // nil where there is no such member
+	Params jsontext.Value // nil if the member is missing
 	Result jsontext.Value
 	Error  jsontext.Value
-	Extra  jsontext.Value // of the member that Parse was told of
+	Extra  jsontext.Value // value of the extra member that Parse was given
 }
 
-// IsNotification tells whether a request wants no answer.
+// IsNotification reports whether m has no id, so that it gets no answer.
 func (m *Message) IsNotification() bool { return m.ID == nil }
 
-// decoders are kept for their bookkeeping of names, which costs more to make than a call to read.
+// decoders pools decoders: allocating the name tables of one costs more than parsing a call.
 var decoders = sync.Pool{New: func() any { return new(jsontext.Decoder) }}
 
-// newDecoder returns a decoder of a text that nobody changes: what it reads are parts of that text, and stay good when it is
-// given back to decoders.
+// newDecoder returns a decoder of text, which must not be modified: the values read are slices of it and stay valid after the
+// decoder is returned to decoders.
 func newDecoder(text []byte) *jsontext.Decoder {
 	d := decoders.Get().(*jsontext.Decoder)
 	d.Reset(bytes.NewBuffer(text))
 	return d
 }
 
-// Split returns the members of a batch, or the frame itself where it is none. An error is one of JSON: nothing in the frame
-// can be trusted.
+// Split returns the members of a batch, or the frame itself if it is not a batch. An error means that the frame is not valid
+// JSON, and nothing in it may be used.
 func Split(frame []byte) (members []jsontext.Value, batch bool, err error) {
 	d := newDecoder(frame)
 	defer func() { decoders.Put(d) }()
@@ -75,8 +75,8 @@
 	return members, true, nil
 }
 
-// Parse reads one member. extra names a member beyond the specification's that is of interest; others are passed over. An
-// error says what is wrong with a message that is JSON; the message then has what could be read of its id.
+// Parse parses one message. extra names an additional member to return; other unknown members are ignored. If valid JSON is not
+// a valid message, Parse returns an error and a message with the id, as far as it could be read.
 func Parse(v jsontext.Value, extra string) (Message, error) {
 	var m Message
 	if v.Kind() != '{' {
@@ -149,7 +149,7 @@
 	return append(out, '}')
 }
 
-// AppendErrorObject appends a response with an error object that is there already.
+// AppendErrorObject appends a response with an encoded error object.
 func AppendErrorObject(out []byte, id, object jsontext.Value) []byte {
 	out = append(append(out, `{"jsonrpc":"2.0","id":`...), id...)
 	out = append(append(out, `,"error":`...), object...)
@@ -170,13 +170,13 @@
 	return AppendErrorObject(out, id, append(object, '}'))
 }
 
-// AppendCall appends a request with an id, params that may be nil, and a member beyond the specification's unless its name
-// is "": strict servers turn away a request that has one.
+// AppendCall appends a request. params may be nil. Unless extra is "", a member of that name with value is added to those of
+// the specification; strict servers reject a request that has one.
 func AppendCall(out []byte, id, method string, params jsontext.Value, extra string, value jsontext.Value) []byte {
 	out = append(out, `{"jsonrpc":"2.0","id":`...)
-	out, _ = jsontext.AppendQuote(out, id) // ids made here are ASCII
+	out, _ = jsontext.AppendQuote(out, id) // can't fail: ids generated here are ASCII
 	out = append(out, `,"method":`...)
-	out, _ = jsontext.AppendQuote(out, method) // it was unquoted from JSON, and is UTF-8
+	out, _ = jsontext.AppendQuote(out, method) // can't fail: method was unquoted from JSON and is UTF-8
 	if params != nil {
 		out = append(append(out, `,"params":`...), params...)
 	}
@@ -188,7 +188,7 @@
 	return append(out, '}')
 }
 
-// Find returns the value that an RFC 6901 pointer leads to within an object or array; ok is false where there is none.
+// Find returns the value that an RFC 6901 pointer refers to; ok is false if there is none.
 func Find(v jsontext.Value, p jsontext.Pointer) (found jsontext.Value, ok bool) {
 	d := newDecoder(nil)
 	defer decoders.Put(d)
@@ -235,7 +235,7 @@
 	return v, v != nil
 }
 
-// Text is a JSON string's text; ok is false for anything else.
+// Text returns the text of a JSON string; ok is false for any other value.
 func Text(v jsontext.Value) (text string, ok bool) {
 	if v.Kind() != '"' {
 		return "", false
--- a/internal/rpccarrier/call.go
+++ b/internal/rpccarrier/call.go
@@ -1,4 +1,4 @@
-// Package rpccarrier carries attempts to boxes over JSON-RPC 2.0: few connections to a box, each with many calls at once.
+// Package rpccarrier sends attempts to backends over JSON-RPC 2.0, with many concurrent calls on each of a few connections.
 package rpccarrier
 
 import (
@@ -13,7 +13,7 @@
 	"craneglade/policy"
 )
 
-// Call is one call of a client, as front and carrier share it. It is its own payload.
+// Call is a JSON-RPC call of a client, as passed from the front to the carrier. It is its own engine payload.
 type Call struct {
 	engine.Request
 	Method string
@@ -21,31 +21,33 @@
 	Key    string // idempotency key; "" for none
 }
 
-// Reply is a box's answer: one of the two.
+// Reply is a backend's answer. Exactly one of its fields is set.
 type Reply struct {
 	Result jsontext.Value
-	Error  jsontext.Value // an error object that is the application's own word
+	Error  jsontext.Value // an error object of the application
 }
 
-// metadataMember is the member of calls to boxes and of their answers that is the node's own, and not the client's.
+// metadataMember is the member that the node adds to calls to backends, and that backends may add to their answers. It is not
+// forwarded to clients.
 const metadataMember = "craneglade"
 
-// requestMetadata is what a box is told beside a call.
+// requestMetadata is sent to a backend with a call.
 type requestMetadata struct {
-	Request    string `json:"request"`          // the same in each attempt of a request
-	DeadlineUS int64  `json:"deadline_us"`      // nobody waits any more after this
+	Request    string `json:"request"`          // request id, the same in each attempt
+	DeadlineUS int64  `json:"deadline_us"`      // remaining time of the attempt in microseconds
 	Key        string `json:"key,omitempty"`    // idempotency key
-	Tenant     string `json:"tenant,omitempty"` //
+	Tenant     string `json:"tenant,omitempty"` // "" for none
 }
 
-// answerMetadata is what a box tells beside an answer.
+// answerMetadata is sent by a backend with an answer.
 type answerMetadata struct {
-	Load   json.RawMessage `json:"load"`    // a load report, as X-Load has it
-	NotRun bool            `json:"not_run"` // of an error: the call was turned away and never ran
+	Load   json.RawMessage `json:"load"`    // a load report, in the format of X-Load
+	NotRun bool            `json:"not_run"` // of an error: the call was rejected and never ran
 }
 
-// classify tells what an answer means. An error object with a code that the specification keeps for servers (-32603, -32000 to
-// -32099) is the box's failure, and the call may have run; any other is an answer of the application, as a result is.
+// classify determines the outcome of an attempt from its answer. An error object with a code that the specification reserves
+// for servers (-32603, -32000 to -32099) is a failure of the backend, and the call may have run. Any other error object is an
+// answer of the application, like a result.
 func classify(m *jsonrpc.Message, reports bool) (engine.Result, error) {
 	res := engine.Result{Outcome: policy.Failed}
 	var metadata answerMetadata
--- a/internal/rpccarrier/carrier.go
+++ b/internal/rpccarrier/carrier.go
@@ -18,65 +18,65 @@
 	"craneglade/policy"
 )
 
-// writeTimeout is how long one call may take to be written.
+// writeTimeout is how long writing one call may take.
 const writeTimeout = 2 * time.Second
 
 var (
-	errTimeout      = errors.New("the attempt's time is up")
-	errConnClosed   = errors.New("the connection broke")
-	errNoDescriptor = errors.New("no descriptor is left for a connection to a box")
+	errTimeout      = errors.New("attempt timed out")
+	errConnClosed   = errors.New("connection closed")
+	errNoDescriptor = errors.New("no descriptor is left for a connection to a backend")
 )
 
-// Config is what a carrier is made from.
+// Config configures a Carrier.
 type Config struct {
-	MaxConnsPerBackend int // connections to one box at a time
-	Quota              *quota.Quota
-	SendMetadata       bool // boxes are told a call's id, deadline, key and tenant in a member of the node's own
-	AcceptLoadReports  bool // answers may hold load reports
+	MaxConnsPerBackend int          // concurrent connections to one backend
+	Quota              *quota.Quota // descriptors for backend connections
+	SendMetadata       bool         // send backends the id, deadline, key and tenant of a call in an additional member
+	AcceptLoadReports  bool         // evaluate load reports in answers
 	Dial               func(ctx context.Context, addr string) (net.Conn, error)
 	Log                *slog.Logger
 }
 
-// Carrier is an engine.Carrier of Calls.
+// Carrier implements engine.Carrier for requests of type *Call.
 type Carrier struct {
 	cfg    Config
-	wg     sync.WaitGroup // readers
-	lastID atomic.Uint64  // ids: none comes twice, so that a box that mixes up its connections still answers nobody else
+	wg     sync.WaitGroup // read goroutines
+	lastID atomic.Uint64  // ids are unique over all connections, so that a backend that mixes up connections can't answer another call
 
 	mu       sync.Mutex
 	backends map[*engine.Backend]*backendLinks
 	stopped  bool
 }
 
-// backendLinks are the connections to a box.
+// backendLinks are the connections to a backend.
 type backendLinks struct {
 	all     []*link
 	dialing int
-	dialed  chan struct{} // closed when the next dial has ended
+	dialed  chan struct{} // closed when a dial has ended, and replaced
 	retired bool
 }
 
-// link is one of them.
+// link is a connection to a backend.
 type link struct {
 	net.Conn
 	carrier *Carrier
 	backend *backendLinks
 
-	writing chan struct{} // holds one: whoever takes it writes
+	writing chan struct{} // write lock, capacity 1
 
 	mu       sync.Mutex
 	calls    map[string]chan jsonrpc.Message
-	received uint64 // messages that came
-	suspect  bool   // nothing came for the whole of an attempt: no new calls
+	received uint64 // number of messages received
+	suspect  bool   // nothing was received during a whole attempt: takes no new calls
 	broken   bool
 }
 
-// New returns a carrier with no connection.
+// New returns a carrier without connections.
 func New(cfg Config) *Carrier {
 	return &Carrier{cfg: cfg, backends: map[*engine.Backend]*backendLinks{}}
 }
 
-// Retire closes the connections to a box that carry nothing, and the others once they carry nothing.
+// Retire closes the connections to a backend that have no open call, and the others once they have none.
 func (n *Carrier) Retire(b *engine.Backend) {
 	n.mu.Lock()
 	ls := n.backends[b]
@@ -92,7 +92,7 @@
 	}
 }
 
-// Stop closes all connections and returns when nothing reads from them. No attempt may be under way or follow.
+// Stop closes all connections and waits for their read goroutines. No attempt may be in flight or follow.
 func (n *Carrier) Stop() {
 	n.mu.Lock()
 	n.stopped = true
@@ -107,8 +107,8 @@
 	n.wg.Wait()
 }
 
-// Carry sends a call once and waits for its answer. A call that was written whole can't be taken back: when its attempt
-// ends before, the answer that may still come is dropped. One that was not written whole never ran, and none of it is
+// Carry sends a call once and waits for its answer. A call that was written completely can't be cancelled: if its attempt
+// ends first, an answer that arrives later is dropped. A call that was not written completely never ran, and no part of it is
 // written after Carry has returned.
 func (n *Carrier) Carry(ctx context.Context, a *engine.Attempt) engine.Result {
 	ctx, cancel := context.WithTimeoutCause(ctx, a.Wait, errTimeout)
@@ -117,7 +117,7 @@
 	if !ok || a.Backend.RPC == "" {
 		return engine.Result{Outcome: policy.Moot}
 	}
-	notSent := func() engine.Result { // it was never sent
+	notSent := func() engine.Result { // the result for a call that was not written completely
 		if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, errTimeout) {
 			return engine.Result{Outcome: policy.Canceled}
 		}
@@ -134,7 +134,8 @@
 	case <-ctx.Done():
 		return notSent()
 	}
-	// The moment before its first byte goes out: a drain whose grace ended meanwhile, a client that left or a repeat that comes too late stops it.
+	// Last check before the first byte: the drain grace or the time for repeats may have ended meanwhile, or the client may have
+	// disconnected.
 	if !a.MayBegin() {
 		<-l.writing
 		return engine.Result{Outcome: policy.Moot}
@@ -152,7 +153,7 @@
 	}
 	if err != nil {
 		<-l.writing
-		n.cfg.Log.Warn("a call can't be written", "err", err)
+		n.cfg.Log.Warn("can't encode call", "err", err)
 		return engine.Result{Outcome: policy.Moot}
 	}
 	id, answer, receivedBefore, ok := l.register()
@@ -165,14 +166,14 @@
 	if !a.By.IsZero() && a.By.Before(writeDeadline) {
 		writeDeadline = a.By
 	}
-	l.SetWriteDeadline(writeDeadline) // an error shows in Write
+	l.SetWriteDeadline(writeDeadline) // an error shows up in Write
 	sent, err := l.Write(text)
 	<-l.writing
 	if err != nil {
 		if sent < len(text) {
 			l.forget(id)
 		}
-		l.Close() // a part of a message may stand on it: what follows could not be told apart
+		l.Close() // part of a message may be written: nothing can follow it
 		if sent < len(text) {
 			return notSent()
 		}
@@ -184,7 +185,7 @@
 		}
 		res, err := classify(&m, n.cfg.AcceptLoadReports)
 		if err != nil {
-			n.cfg.Log.Debug("an answer makes no sense", "box", a.Backend.ID, "err", err)
+			n.cfg.Log.Debug("invalid answer or load report", "box", a.Backend.ID, "err", err)
 		}
 		return res
 	case <-ctx.Done():
@@ -196,7 +197,8 @@
 	return engine.Result{Outcome: policy.Canceled}
 }
 
-// acquire returns the connection to a box with the fewest calls, or opens one where all have some and there may be more.
+// acquire returns the connection to a backend with the fewest calls. It opens another one if all have calls and the limit
+// allows it.
 func (n *Carrier) acquire(ctx context.Context, b *engine.Backend) (*link, error) {
 	var ls *backendLinks
 	var best *link
@@ -218,14 +220,14 @@
 			n.mu.Unlock()
 			return best, nil
 		}
-		if !full || ls.dialing == 0 { // or those that there are take no more calls
+		if !full || ls.dialing == 0 { // also above the limit, if no connection takes calls and no dial is under way
 			ls.dialing++
 			n.mu.Unlock()
 			break
 		}
 		dialed := ls.dialed
 		n.mu.Unlock()
-		select { // others' dials are under way: one of them will do
+		select { // wait for a dial that is under way and use its connection
 		case <-dialed:
 		case <-ctx.Done():
 			return nil, context.Cause(ctx)
@@ -253,6 +255,7 @@
 	return l, nil
 }
 
+// connect opens a connection within the descriptor quota.
 func (n *Carrier) connect(ctx context.Context, ls *backendLinks, addr string) (*link, error) {
 	if !n.cfg.Quota.Claim(nil) {
 		return nil, errNoDescriptor
@@ -265,14 +268,14 @@
 	return &link{Conn: conn, carrier: n, backend: ls, writing: make(chan struct{}, 1), calls: map[string]chan jsonrpc.Message{}}, nil
 }
 
-// openCalls is how many calls a link carries, and whether it takes more.
+// openCalls returns the number of open calls on a link and whether it takes more.
 func (l *link) openCalls() (calls int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.calls), !l.broken && !l.suspect
 }
 
-// register makes an id for a call that nobody else has on this connection.
+// register adds a call with a new id. It fails if the connection is broken.
 func (l *link) register() (id string, answer <-chan jsonrpc.Message, received uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -285,6 +288,7 @@
 	return id, c, l.received, true
 }
 
+// forget removes a call that was not written completely.
 func (l *link) forget(id string) {
 	l.mu.Lock()
 	delete(l.calls, id)
@@ -292,8 +296,8 @@
 	l.closeIfUnused()
 }
 
-// abandon forgets a call whose answer nobody waits for any more. Where nothing came back on the connection since it was
-// sent, its machine may be gone: it is not trusted with another.
+// abandon removes a call whose answer is no longer awaited. If nothing was received on the connection since the call was
+// sent, the backend's machine may be unreachable, and the link takes no new calls.
 func (l *link) abandon(id string, receivedBefore uint64) {
 	l.mu.Lock()
 	delete(l.calls, id)
@@ -302,7 +306,7 @@
 	l.closeIfUnused()
 }
 
-// closeIfUnused closes a connection that carries nothing and will not.
+// closeIfUnused closes a connection that has no open call and takes no new ones.
 func (l *link) closeIfUnused() {
 	l.carrier.mu.Lock()
 	retired := l.backend.retired
@@ -315,7 +319,7 @@
 	}
 }
 
-// read hands answers to their calls until the connection ends; then every call that is left on it may have run.
+// read delivers answers to their calls until the connection ends. The calls still open then may have run.
 func (l *link) read() {
 	in := jsonrpc.NewReader(bufio.NewReader(l.Conn))
 	for {
@@ -325,8 +329,8 @@
 		}
 		members, _, err := jsonrpc.Split(frame)
 		if err != nil {
-			l.carrier.cfg.Log.Debug("a box sends what is no JSON", "err", err)
-			break // what follows can't be trusted
+			l.carrier.cfg.Log.Debug("backend sent invalid JSON", "err", err)
+			break // the start of the next frame is unknown
 		}
 		for _, v := range members {
 			l.deliver(jsonrpc.Parse(v, metadataMember))
@@ -352,7 +356,7 @@
 	n.cfg.Quota.Give()
 }
 
-// deliver hands a message to its call. One of no open call is dropped: an answer that came late, or twice.
+// deliver passes a message to its call. An answer without an open call, late or duplicate, is dropped.
 func (l *link) deliver(m jsonrpc.Message, err error) {
 	id, ok := jsonrpc.Text(m.ID)
 	l.mu.Lock()
@@ -361,14 +365,14 @@
 	if ok && c != nil {
 		delete(l.calls, id)
 		if err != nil || m.Result == nil && m.Error == nil {
-			close(c) // it is for this call and can't be its answer: it may have run
+			close(c) // not a valid answer to this call, which may have run
 		} else {
 			c <- m
 		}
 	}
 	l.mu.Unlock()
 	if !ok || c == nil {
-		l.carrier.cfg.Log.Debug("an answer that nobody waits for", "err", err)
+		l.carrier.cfg.Log.Debug("dropped an answer without an open call", "err", err)
 		return
 	}
 	l.closeIfUnused()
--- a/internal/rpcfront/front.go
+++ b/internal/rpcfront/front.go
@@ -1,5 +1,5 @@
-// Package rpcfront answers clients over JSON-RPC 2.0 on TCP: it reads calls, hands each to the engine, and writes the one
-// answer of each. Calls of one connection run side by side and are answered as they finish.
+// Package rpcfront serves clients over JSON-RPC 2.0 on TCP: it reads calls, passes each to the engine and writes exactly one
+// answer to each. Calls on one connection run concurrently and are answered as they finish.
 package rpcfront
 
 import (
@@ -27,82 +27,82 @@
 	"craneglade/policy"
 )
 
-// The codes of errors that are the node's own, beside those of the specification. docs/operators/jsonrpc.md lists them.
+// Error codes of the node, in addition to those of the specification. docs/operators/jsonrpc.md documents them.
 const (
-	Refused = -32001 // nothing has run, or may run again without harm
-	Failed  = -32002 // it may have run
+	Refused = -32001 // the call has not run, or may safely run again
+	Failed  = -32002 // the call may have run
 )
 
 const (
-	acceptAfterShutdown = 500 * time.Millisecond // after the node is told to end
-	backlogTimeout      = 200 * time.Millisecond // and longer, where connections wait to be accepted
-	acceptRetryDelay    = 5 * time.Millisecond   // after an error of accept that says nothing of the listener
-	frameTimeout        = 2500 * time.Millisecond
-	firstByteTimeout    = 10 * time.Second // for the first byte on a new connection
+	acceptAfterShutdown = 500 * time.Millisecond  // how long connections are still accepted after the shutdown starts
+	backlogTimeout      = 200 * time.Millisecond  // additional time while connections wait in the backlog
+	acceptRetryDelay    = 5 * time.Millisecond    // after a temporary accept error
+	frameTimeout        = 2500 * time.Millisecond // for a frame, from its first byte
+	firstByteTimeout    = 10 * time.Second        // for the first byte on a new connection
 	writeTimeout        = 2 * time.Second
-	lingerTimeout       = 100 * time.Millisecond
-	lingerBytes         = 256 << 10
+	lingerTimeout       = 100 * time.Millisecond // for the client to read its last answer
+	lingerBytes         = 256 << 10              // read from the client meanwhile
 	refuseRetryAfter    = 250 * time.Millisecond
 )
 
-// Method is what the settings say of a method.
+// Method is the configuration of a JSON-RPC method.
 type Method struct {
 	Class         string
-	ClientTimeout time.Duration    // of a call that tells none
-	Tenant        jsontext.Pointer // RFC 6901, into params; "" for none
-	Key           jsontext.Pointer
+	ClientTimeout time.Duration    // default, and the maximum for Deadline
+	Tenant        jsontext.Pointer // RFC 6901 pointer into params; "" for none
+	Key           jsontext.Pointer // to the idempotency key
 	Deadline      jsontext.Pointer // to a number of milliseconds
 }
 
-// Config is what a front is made from.
+// Config configures a Front.
 type Config struct {
 	Engine      *engine.Engine
 	Quota       *quota.Quota
 	Methods     map[string]Method
-	MaxInflight int           // open calls on one connection; with more, nothing is read from it
-	MaxBatch    int           // members of a batch at the most
-	IdleTimeout time.Duration // a connection with no open call is closed after so long
+	MaxInflight int           // open calls on one connection; at this limit, nothing is read from it
+	MaxBatch    int           // members of a batch
+	IdleTimeout time.Duration // for connections without an open call
 	Log         *slog.Logger
 }
 
-// Front is the connections of this node's JSON-RPC clients.
+// Front serves the connections of this node's JSON-RPC clients.
 type Front struct {
 	cfg          Config
 	shuttingDown atomic.Bool
-	lastCall     atomic.Uint64 // of calls
+	lastCall     atomic.Uint64 // number of the latest call
 	wg           sync.WaitGroup
 
 	mu        sync.Mutex
 	conns     map[*conn]struct{}
-	idleConns list.List // of *conn: those with no open call, the longest first
+	idleConns list.List // of *conn, without an open call, longest idle first
 }
 
-// New returns a front that answers nobody yet.
+// New returns a front. It serves nobody until Serve is called.
 func New(cfg Config) *Front { return &Front{cfg: cfg, conns: map[*conn]struct{}{}} }
 
-// conn is one connection of a client.
+// conn is a connection of a client.
 type conn struct {
 	net.Conn
 	front   *Front
-	slots   chan struct{} // one for each open call
+	slots   chan struct{} // one element for each open call
 	writing sync.Mutex
 	ctx     context.Context // ends with the connection
 	cancel  context.CancelFunc
 	calls   sync.WaitGroup
 
 	// Guarded by Front.mu.
-	idleElement   *list.Element // in rest
-	hasDescriptor bool          // it has a descriptor of the room
+	idleElement   *list.Element // in Front.idleConns; nil if busy
+	hasDescriptor bool          // it counts against the descriptor quota
 
 	mu        sync.Mutex
-	openIDs   map[string]bool // ids of open calls, as they came
-	openCalls int             // open calls
-	closing   bool            // it ends once no call is open
+	openIDs   map[string]bool // ids of open calls, in the client's notation
+	openCalls int
+	closing   bool // it ends once no call is open
 	framing   jsonrpc.Framing
 }
 
-// Serve answers clients on ln until ctx ends, and then, as the engine's departure has it, until all that was taken is
-// answered. Calls that come after ctx has ended are refused, which is harmless.
+// Serve serves clients on ln until ctx ends, and then until all accepted calls are answered, at the latest by the end of the
+// engine's shutdown schedule. Calls that arrive after ctx has ended are refused; clients may safely retry them.
 func (f *Front) Serve(ctx context.Context, ln net.Listener) error {
 	failed := make(chan error, 1)
 	go func() { failed <- f.accept(ln) }()
@@ -134,7 +134,7 @@
 	return err
 }
 
-// ShuttingDown tells whether the front was told to end.
+// ShuttingDown reports whether the shutdown has started.
 func (f *Front) ShuttingDown() bool { return f.shuttingDown.Load() }
 
 func (f *Front) forEach(do func(*conn)) {
@@ -156,7 +156,7 @@
 			if !sock.AcceptGoesOn(err) {
 				return err
 			}
-			f.cfg.Log.Debug("a connection was not accepted", "err", err)
+			f.cfg.Log.Debug("accept failed; retrying", "err", err)
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -173,7 +173,7 @@
 		f.mu.Unlock()
 		f.wg.Go(func() {
 			c.serve()
-			c.cancel() // the client is gone: what is open is given up
+			c.cancel() // the client has disconnected: open calls are cancelled
 			c.calls.Wait()
 			c.Close()
 			f.mu.Lock()
@@ -184,7 +184,8 @@
 	}
 }
 
-// EvictIdle closes the connection that has had no open call for longest, for another's sake, and tells whether there was one.
+// EvictIdle closes the connection that has been idle for longest to free its descriptor for another, and reports whether there
+// was one.
 func (f *Front) EvictIdle() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -198,7 +199,7 @@
 	return true
 }
 
-// release takes a connection off those that rest and gives its descriptor back. f.mu is held.
+// release removes a connection from the idle ones and returns its descriptor to the quota. f.mu is held.
 func (f *Front) release(c *conn) {
 	f.markBusy(c)
 	if c.hasDescriptor {
@@ -207,7 +208,7 @@
 	}
 }
 
-// markBusy takes a connection off those that rest. f.mu is held.
+// markBusy removes a connection from the idle ones. f.mu is held.
 func (f *Front) markBusy(c *conn) {
 	if c.idleElement != nil {
 		f.idleConns.Remove(c.idleElement)
@@ -215,7 +216,7 @@
 	}
 }
 
-// closeWhenIdle has a connection end once no call on it is open.
+// closeWhenIdle makes a connection end once no call on it is open.
 func (c *conn) closeWhenIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -225,7 +226,7 @@
 	}
 }
 
-// callStarted counts an open call; done is its end.
+// callStarted counts an open call; callDone ends it.
 func (c *conn) callStarted() {
 	c.mu.Lock()
 	c.openCalls++
@@ -255,7 +256,7 @@
 	}
 }
 
-// setReadDeadline bounds reading, unless the connection is to end.
+// setReadDeadline sets the read deadline, unless the connection is to end now.
 func (c *conn) setReadDeadline(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -264,7 +265,7 @@
 	}
 }
 
-// serve reads calls until the connection ends, or what came can't be told apart any more.
+// serve reads calls until the connection ends or a frame is malformed.
 func (c *conn) serve() {
 	in := bufio.NewReader(c.Conn)
 	r := jsonrpc.NewReader(in)
@@ -279,7 +280,7 @@
 				c.mu.Lock()
 				busy := c.openCalls > 0 && !c.closing
 				c.mu.Unlock()
-				if busy { // it waits for answers: that is no idleness
+				if busy { // it waits for answers and is not idle
 					continue
 				}
 			}
@@ -297,7 +298,7 @@
 			members, batch, err = jsonrpc.Split(frame)
 		}
 		if err != nil {
-			// What follows can't be told from the rest of this: the connection ends, after what is open is answered.
+			// The start of the next frame is unknown: the connection ends once the open calls are answered.
 			c.write(jsonrpc.AppendError(nil, jsonrpc.Null, jsonrpc.ParseError, "Parse error", quote(err.Error())))
 			c.calls.Wait()
 			c.linger()
@@ -311,8 +312,8 @@
 	}
 }
 
-// linger lets a client read its last answer: closing resets a connection on which something is unread, and with it what
-// the client has not read.
+// linger gives the client time to read its last answer. If unread data remains, closing resets the connection, and the client
+// loses what it has not read yet.
 func (c *conn) linger() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.CloseWrite()
@@ -321,7 +322,7 @@
 	io.CopyN(io.Discard, c.Conn, lingerBytes)
 }
 
-// single answers a message that stands by itself.
+// single answers a message that is not part of a batch.
 func (c *conn) single(v jsontext.Value, arrived time.Time) {
 	call, id, errAnswer := c.parse(v, arrived)
 	if errAnswer != nil {
@@ -335,8 +336,8 @@
 	})
 }
 
-// batch answers the members of a batch with one array, in time for the shortest deadline that it holds; members that are
-// late for that fail alone.
+// batch answers the members of a batch with one array, in time for the shortest deadline among them. Members that miss it fail
+// individually.
 func (c *conn) batch(members []jsontext.Value, arrived time.Time) {
 	f := c.front
 	if len(members) == 0 || len(members) > f.cfg.MaxBatch {
@@ -345,12 +346,12 @@
 		return
 	}
 	b := &batchAnswer{conn: c, pending: 1, parts: make([][]byte, len(members))}
-	type startedCall struct {
+	type memberCall struct {
 		call *rpccarrier.Call
 		id   jsontext.Value
 		at   int
 	}
-	var calls []startedCall
+	var calls []memberCall
 	shortest := time.Duration(0)
 	for i, v := range members {
 		call, id, errAnswer := c.parse(v, arrived)
@@ -361,7 +362,7 @@
 		if shortest == 0 || call.Patience < shortest {
 			shortest = call.Patience
 		}
-		calls = append(calls, startedCall{call, id, i})
+		calls = append(calls, memberCall{call, id, i})
 	}
 	for _, x := range calls {
 		x.call.Patience = shortest
@@ -371,12 +372,12 @@
 	b.set(-1, nil)
 }
 
-// batchAnswer collects those of a batch.
+// batchAnswer collects the answers to the members of a batch.
 type batchAnswer struct {
 	conn    *conn
 	mu      sync.Mutex
 	pending int
-	parts   [][]byte // nil for what is owed no answer
+	parts   [][]byte // by member; empty for a notification
 }
 
 func (b *batchAnswer) addPending() {
@@ -398,7 +399,7 @@
 	}
 	var out []byte
 	for _, p := range b.parts {
-		if len(p) == 0 { // owed to nobody
+		if len(p) == 0 { // a notification
 			continue
 		}
 		if out == nil {
@@ -408,22 +409,22 @@
 		}
 		out = append(out, p...)
 	}
-	if out != nil { // only notifications: no answer at all
+	if out != nil { // a batch of notifications only gets no answer
 		b.conn.write(append(out, ']'))
 	}
 }
 
-// parse reads a message. What is no call of a known method is answered with no.
+// parse parses a message. For an invalid one it returns the error answer, which is empty for a notification.
 func (c *conn) parse(v jsontext.Value, arrived time.Time) (call *rpccarrier.Call, id jsontext.Value, errAnswer []byte) {
 	m, err := jsonrpc.Parse(v, "")
 	refuse := func(code int, text, why string) []byte {
 		if m.IsNotification() {
-			return []byte{} // it is owed no answer, and nothing is done
+			return []byte{} // a notification gets no answer
 		}
 		return jsonrpc.AppendError(nil, m.ID, code, text, quote(why))
 	}
 	if err != nil {
-		m.ID = idOrNull(m.ID) // what is no request is no notification
+		m.ID = idOrNull(m.ID) // an invalid request is not a notification, even without an id
 		return nil, nil, refuse(jsonrpc.InvalidRequest, "Invalid Request", err.Error())
 	}
 	if m.Method == "" && (m.Result != nil || m.Error != nil) {
@@ -437,7 +438,7 @@
 	call = &rpccarrier.Call{Method: m.Method, Params: m.Params, Request: engine.Request{Class: method.Class,
 		Arrived: arrived, Patience: method.ClientTimeout, Needs: engine.SpeaksRPC}}
 	call.Payload = call
-	// The engine's ids are those of HTTP clients too: a byte that no header can hold keeps the two apart.
+	// The engine's ids include those of HTTP clients: a byte that no header can contain keeps the two apart.
 	call.ID = "\x00" + strconv.FormatUint(c.front.lastCall.Add(1), 36)
 	if method.Tenant != "" {
 		if t, ok := jsonrpc.Find(m.Params, method.Tenant); ok {
@@ -469,7 +470,7 @@
 	defer c.mu.Unlock()
 	if m.ID.Kind() != 'n' {
 		if c.openIDs[string(m.ID)] {
-			// With the same id the client would take this for the answer of the one that is open.
+			// With the same id the client would take this for the answer of the open call.
 			m.ID = jsonrpc.Null
 			return nil, nil, refuse(jsonrpc.InvalidRequest, "Invalid Request", "a call with this id is open")
 		}
@@ -478,8 +479,8 @@
 	return call, m.ID, nil
 }
 
-// start hands a call to the engine, once fewer than Inflight are open: until then nothing more is read, and the client is
-// slowed at its socket. answer is called once, with nil for a notification or a client that has left.
+// start passes a call to the engine once fewer than MaxInflight are open. Until then it blocks and nothing more is read, which
+// slows the client down. answer is called once, with nil for a notification or a client that has disconnected.
 func (c *conn) start(call *rpccarrier.Call, id jsontext.Value, answer func([]byte)) {
 	f := c.front
 	if !c.acquireSlot(call.Arrived.Add(call.Patience)) {
@@ -493,7 +494,7 @@
 	}
 	c.callStarted()
 	c.calls.Add(1)
-	f.cfg.Engine.Begin(&call.Request) // its id is new
+	f.cfg.Engine.Begin(&call.Request) // the id is new, so this can't fail
 	go func() {
 		defer c.calls.Done()
 		defer c.callDone()
@@ -508,7 +509,7 @@
 	}()
 }
 
-// acquireSlot takes one of the connection's open calls, if one is free by a time.
+// acquireSlot waits for a free slot for an open call and reports whether there was one before the deadline.
 func (c *conn) acquireSlot(deadline time.Time) bool {
 	select {
 	case c.slots <- struct{}{}:
@@ -525,6 +526,7 @@
 	}
 }
 
+// idOrNull returns id, or JSON null if there is none.
 func idOrNull(id jsontext.Value) jsontext.Value {
 	if id == nil {
 		return jsonrpc.Null
@@ -532,7 +534,7 @@
 	return id
 }
 
-// finish gives a call's answer, unless it is a notification, and its id back.
+// finish frees the id of a call and delivers its answer, unless it is a notification.
 func (c *conn) finish(id jsontext.Value, answer func([]byte), text []byte) {
 	if id == nil {
 		text = nil
@@ -544,7 +546,7 @@
 	answer(text)
 }
 
-// encodeAnswer is an answer of the engine as clients are told it.
+// encodeAnswer encodes an answer of the engine for the client.
 func encodeAnswer(id jsontext.Value, a engine.Answer) []byte {
 	if id == nil {
 		return nil
@@ -561,7 +563,7 @@
 	return jsonrpc.AppendError(nil, id, Failed, "failed", jsontext.Value(`{"repeat":"unknown"}`))
 }
 
-// refusalData is the data of an error Refused.
+// refusalData returns the data member of an error with code Refused.
 func refusalData(after time.Duration) jsontext.Value {
 	return fmt.Appendf(nil, `{"repeat":"harmless","retry_after_s":%s}`, strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 }
@@ -574,7 +576,7 @@
 	return q
 }
 
-// write writes a message; a client that does not read within writeTime is cut off.
+// write writes a message. It closes the connection if the client does not read it within writeTimeout.
 func (c *conn) write(message []byte) {
 	if len(message) == 0 {
 		return
@@ -586,6 +588,6 @@
 	defer c.writing.Unlock()
 	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := c.Write(jsonrpc.AppendFrame(nil, f, message)); err != nil {
-		c.Close() // a part of it may be written: nothing can follow
+		c.Close() // part of the message may be written: nothing can follow it
 	}
 }
