--- a/internal/httpcarrier/carrier.go
+++ b/internal/httpcarrier/carrier.go
@@ -96,7 +96,7 @@
 func (n *Carrier) Stop() { n.pool.stop() }
 
 // Carry sends the request once and waits for the answer. A connection that it abandons is closed before it returns, so
-// that a following attempt is never sent while this one is still being written.
+// that consecutive attempts never overlap.
 func (n *Carrier) Carry(ctx context.Context, a *engine.Attempt) engine.Result {
 	fresh := false
 	res := n.carry(ctx, a, &fresh)
@@ -336,8 +336,8 @@
 	}
 }
 
-// head returns the head of an answer without the empty line, or nil if it does not end within the buffer. The result is valid
-// until the next read.
+// head returns the head of an answer without the empty line, or nil if it is incomplete or larger than the buffer. The result
+// is valid until the next read.
 func (c *backendConn) head() []byte {
 	for {
 		n := c.in.Buffered()
--- a/internal/httpfront/conn.go
+++ b/internal/httpfront/conn.go
@@ -35,7 +35,7 @@
 	in    *bufio.Reader
 	// framing scans the bytes that in reads from the socket.
 	framing        framing
-	overLimit      bool // the node was at its connection limit when it was accepted
+	overLimit      bool // its request is refused, as there are too many connections
 	usesRejectSlot bool // it has a reject slot instead of a descriptor from the quota
 
 	probe        *sock.Look // used by the connection's own goroutine
--- a/internal/httpfront/shutdown.go
+++ b/internal/httpfront/shutdown.go
@@ -34,8 +34,8 @@
 }
 
 // shutDown ends the front; accepted receives the result of the accept loop. New connections keep arriving for a while, and
-// clients keep using theirs. To lose no capacity earlier than needed, the node serves them as long as their answers can still
-// be in time, and has answered all before it may be killed.
+// clients keep using theirs. Requests that this node still answers need no capacity elsewhere, so it serves them as long as
+// their answers can be in time, and has answered all before it may be killed.
 func (s *Front) shutDown(ln net.Listener, accepted <-chan error) error {
 	shutdown := s.engine.Shutdown(time.Now())
 	s.shuttingDown.Store(true)
