--- a/internal/httpfront/conn.go
+++ b/internal/httpfront/conn.go
@@ -13,94 +13,94 @@
 	"craneglade/internal/sock"
 )
 
-// closeReason says why a connection of a client ended, for the log.
+// closeReason is why a client connection ended, for the log.
 type closeReason string
 
 const (
-	clientLeft        closeReason = "its client left before its answer"
-	nothingCame       closeReason = "no request came on it"
-	noRequest         closeReason = "what came on it was no request"
-	dropped           closeReason = "it made room for another, or the node ends"
-	idIsOpen          closeReason = "its request had the id of an open one"
-	answerNotTaken    closeReason = "its client did not take its answer"
-	lastAnswer        closeReason = "its last answer was given"
-	endedBehindAnswer closeReason = "it made room behind its answer, or the node ends"
+	clientDisconnected closeReason = "its client left before its answer"
+	noFurtherRequest   closeReason = "no request came on it"
+	invalidRequest     closeReason = "what came on it was no request"
+	evicted            closeReason = "it made room for another, or the node ends"
+	duplicateID        closeReason = "its request had the id of an open one"
+	answerNotRead      closeReason = "its client did not take its answer"
+	lastAnswerSent     closeReason = "its last answer was given"
+	evictedAfterAnswer closeReason = "it made room behind its answer, or the node ends"
 )
 
-// clientConn is one connection of a client.
+// clientConn is a connection of a client.
 type clientConn struct {
 	net.Conn
 	start time.Time
-	cap   io.LimitedReader // between the socket and in: nobody sends without end
+	limit io.LimitedReader // between the socket and in: limits what is read
 	in    *bufio.Reader
-	// framing looks at what is read from the socket, beside in.
-	framing framing
-	over    bool // there were too many already when it came
-	extra   bool // it is one of those beyond the room
+	// framing scans the bytes that in reads from the socket.
+	framing        framing
+	overLimit      bool // its request is refused, as there are too many connections
+	usesRejectSlot bool // it has a reject slot instead of a descriptor from the quota
 
-	look    *sock.Look // for the connection's own goroutine
-	seen    lastLook   // for attempts
-	used    bool       // a request on it has been answered
-	flooded []byte     // where what came behind a request and can't be kept was read to; nil where nothing was dropped
+	probe        *sock.Look // used by the connection's own goroutine
+	attemptProbe closeProbe // used by attempts
+	answered     bool       // a request on it was answered
+	discardBuf   []byte     // buffer for discarded data that followed a request; nil if none was discarded
 
-	// Guarded by clients.mu.
-	account admission.Conn
-	closing bool // it made room for another, or the node leaves
-	granted bool // it has a descriptor of the room
+	// Guarded by Front.mu.
+	account       admission.Conn
+	closing       bool // it was evicted for another, or the node shuts down
+	hasDescriptor bool // it counts against the descriptor quota
 }
 
-// more reads some of what comes behind a request.
-func (c *clientConn) more() error {
+// readAhead reads data that follows a request: into the buffer while it has space, then into discardBuf.
+func (c *clientConn) readAhead() error {
 	if n := c.in.Buffered(); n < c.in.Size() {
 		_, err := c.in.Peek(n + 1)
 		return err
 	}
-	if c.flooded == nil {
-		c.flooded = make([]byte, 16<<10)
+	if c.discardBuf == nil {
+		c.discardBuf = make([]byte, 16<<10)
 	}
-	_, err := c.Conn.Read(c.flooded)
+	_, err := c.Conn.Read(c.discardBuf)
 	return err
 }
 
-// left tells, without waiting, whether the client has closed its connection behind the request that was read.
-func (c *clientConn) left() bool {
-	for read := 0; read < floodSize; read += len(c.flooded) {
-		switch c.look.Pending() {
+// clientClosed reports, without blocking, whether the client closed the connection after the request that was read.
+func (c *clientConn) clientClosed() bool {
+	for read := 0; read < fastDiscardBytes; read += len(c.discardBuf) {
+		switch c.probe.Pending() {
 		case sock.Nothing:
 			return false
 		case sock.Ended:
 			return true
 		}
-		c.SetReadDeadline(time.Time{}) // what bounded the request's reading, or made room for another, is no close
-		if c.more() != nil {
+		c.SetReadDeadline(time.Time{}) // an expired deadline, of reading the request or of an eviction, must not count as a close
+		if c.readAhead() != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// lastLook is a look at a connection for several goroutines.
-type lastLook struct {
-	mu   sync.Mutex
-	look *sock.Look
+// closeProbe checks a connection for a close. It may be used by several goroutines.
+type closeProbe struct {
+	mu    sync.Mutex
+	probe *sock.Look
 }
 
-// ended tells, without waiting, whether the other side has closed its connection and all that it sent before was read.
-func (l *lastLook) ended() bool {
+// ended reports, without blocking, whether the peer closed the connection and all that it sent before was read.
+func (l *closeProbe) ended() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.look.Pending() == sock.Ended
+	return l.probe.Pending() == sock.Ended
 }
 
-// watch reads on while a request is being answered, and tells whether the client has closed its connection; not where a
-// deadline in the past ends it.
-func (c *clientConn) watch() (gone bool) {
-	for read := 0; ; read += len(c.flooded) {
-		if err := c.more(); err != nil {
+// watchForClose keeps reading while a request is being answered and reports whether the client closed the connection. A
+// read deadline in the past ends it and is not a close.
+func (c *clientConn) watchForClose() (closed bool) {
+	for read := 0; ; read += len(c.discardBuf) {
+		if err := c.readAhead(); err != nil {
 			return !errors.Is(err, os.ErrDeadlineExceeded)
 		}
-		if read >= floodSize {
-			time.Sleep(floodRest)
+		if read >= fastDiscardBytes {
+			time.Sleep(discardPause)
 		}
 	}
 }
--- a/internal/httpfront/write.go
+++ b/internal/httpfront/write.go
@@ -13,21 +13,21 @@
 	"craneglade/internal/message"
 )
 
-// answer is what a client is told.
+// answer is an answer to a client.
 type answer struct {
 	status     int
-	header     http.Header // of a served request: what the box sent
+	header     http.Header // the backend's headers; nil for the node's own answers
 	body       []byte
-	flow       *message.Flow // in place of body, for one that is still coming
+	stream     *message.AnswerStream // instead of body, for one that is still being received
 	retryAfter time.Duration
-	reply      *message.Reply // whose room it holds; nil for none
+	reply      *message.Reply // to be released after writing; nil if none
 }
 
-// told is an answer of the engine as clients are told it.
-func told(a engine.Answer) answer {
+// toAnswer converts an answer of the engine.
+func toAnswer(a engine.Answer) answer {
 	switch p := a.Payload.(type) {
 	case *message.Reply:
-		return answer{status: http.StatusOK, header: p.Header, body: p.Body, flow: p.Flow, reply: p}
+		return answer{status: http.StatusOK, header: p.Header, body: p.Body, stream: p.Stream, reply: p}
 	case *message.Rejection:
 		return answer{status: p.Status, body: []byte(p.Text + "\n")}
 	}
@@ -37,24 +37,24 @@
 	return answer{status: http.StatusInternalServerError}
 }
 
-// reject answers what is no request.
-func (c *clientConn) reject(no *message.Rejection) {
-	if c.write(nil, answer{status: no.Status, body: []byte(no.Text + "\n"), retryAfter: no.RetryAfter}, true) == nil {
+// reject writes a rejection as the last answer on the connection.
+func (c *clientConn) reject(rej *message.Rejection) {
+	if c.write(nil, answer{status: rej.Status, body: []byte(rej.Text + "\n"), retryAfter: rej.RetryAfter}, true) == nil {
 		c.linger()
 	}
 }
 
-// linger waits a little for the client to close after its last answer. Closing resets a connection on which something is
-// unread, or comes later, and with it what the client has not read.
+// linger waits for the client to close after its last answer. If unread data remains or arrives later, closing resets the
+// connection, and the client loses what it has not read yet.
 func (c *clientConn) linger() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.CloseWrite()
 	}
-	c.SetReadDeadline(time.Now().Add(lingerTime))
-	io.CopyN(io.Discard, c.Conn, lingerSize)
+	c.SetReadDeadline(time.Now().Add(lingerTimeout))
+	io.CopyN(io.Discard, c.Conn, lingerBytes)
 }
 
-// write sends an answer; an error means that the client has left or does not read.
+// write sends an answer. An error means that the client has disconnected or does not read.
 func (c *clientConn) write(in *http.Request, a answer, last bool) error {
 	h := http.Header{"Date": {time.Now().UTC().Format(http.TimeFormat)}}
 	if t := a.header.Get("Content-Type"); t != "" {
@@ -65,14 +65,14 @@
 	}
 	resp := http.Response{StatusCode: a.status, ProtoMajor: 1, ProtoMinor: 1, Header: h, Request: in, Close: last,
 		ContentLength: int64(len(a.body)), Body: io.NopCloser(bytes.NewReader(a.body))}
-	if f := a.flow; f != nil {
+	if f := a.stream; f != nil {
 		resp.ContentLength, resp.Body = f.Size, io.NopCloser(f)
-		out := bufio.NewWriterSize(message.Paced{Conn: c.Conn}, 32<<10)
+		out := bufio.NewWriterSize(message.WriteTimeoutConn{Conn: c.Conn}, 32<<10)
 		err := resp.Write(out)
 		if err == nil {
 			err = out.Flush()
 		}
-		f.End(err)
+		f.Finish(err)
 		return err
 	}
 	var b bytes.Buffer
@@ -80,7 +80,7 @@
 	if err := resp.Write(&b); err != nil {
 		return err
 	}
-	c.SetWriteDeadline(time.Now().Add(message.WriteTime))
+	c.SetWriteDeadline(time.Now().Add(message.IOTimeout))
 	_, err := c.Write(b.Bytes())
 	return err
 }
--- a/internal/jsonrpc/frame.go
+++ b/internal/jsonrpc/frame.go
@@ -1,6 +1,6 @@
-// Package jsonrpc reads and writes the messages of JSON-RPC 2.0 (https://www.jsonrpc.org/specification) without I/O of its
-// own, and knows nothing of nodes and boxes. JSON itself is package jsontext's: duplicate members, invalid UTF-8, lone
-// surrogates and a nesting of over 10,000 are errors there.
+// Package jsonrpc parses and encodes JSON-RPC 2.0 messages (https://www.jsonrpc.org/specification). It does no I/O of its own
+// and is independent of nodes and backends. JSON is parsed by package jsontext, which rejects duplicate members, invalid
+// UTF-8, lone surrogates and a nesting of over 10,000.
 package jsonrpc
 
 import (
@@ -12,52 +12,52 @@
 	"strings"
 )
 
-// MaxFrame is the largest message or batch, in bytes.
-const MaxFrame = 64 << 10
+// MaxFrameBytes is the maximum size of a message or batch.
+const MaxFrameBytes = 64 << 10
 
-// maxHead is the largest head of a headed frame, in bytes.
-const maxHead = 1 << 10
+// maxHeadBytes is the maximum size of the head of a HeaderDelimited frame.
+const maxHeadBytes = 1 << 10
 
-// Framing is how messages follow one another on a stream.
+// Framing is how messages are delimited on a stream.
 type Framing uint8
 
 const (
-	Lines  Framing = iota // JSON texts one after another, each ended by its own end; written with a newline behind each
-	Headed                // each behind a head of "Content-Length: N" and an empty line, as in the Language Server Protocol
+	Lines           Framing = iota // JSON texts, each read up to its own end; written with a newline after each
+	HeaderDelimited                // each after a head of "Content-Length: N" and an empty line, as in the Language Server Protocol
 )
 
-// ErrFrame is what can't be told apart from what follows it: nothing more can be read from its stream.
+// ErrFrame reports a malformed frame. Its end is unknown, so nothing more can be read from the stream.
 var ErrFrame = errors.New("no JSON-RPC message")
 
-// Reader reads frames from a stream. The framing of each is told by its first byte: a JSON text can't begin with a letter
-// of "Content-Length".
+// Reader reads frames from a stream. It detects the framing of each by its first byte: a JSON text can't start with the first
+// letter of "Content-Length" or "Content-Type".
 type Reader struct {
-	in   *bufio.Reader
-	last Framing
+	in          *bufio.Reader
+	lastFraming Framing
 }
 
-// NewReader returns a reader of a stream.
+// NewReader returns a Reader that reads from in.
 func NewReader(in *bufio.Reader) *Reader { return &Reader{in: in} }
 
-// Framing is that of the latest frame.
-func (r *Reader) Framing() Framing { return r.last }
+// Framing returns the framing of the latest frame.
+func (r *Reader) Framing() Framing { return r.lastFraming }
 
-// Wait returns once the first byte of a frame is there, or with the stream's error.
+// Wait blocks until the first byte of a frame is available, or returns the error of the stream.
 func (r *Reader) Wait() error {
 	for {
 		b, err := r.in.Peek(1)
 		if err != nil {
 			return err
 		}
-		if !space(b[0]) {
+		if !isSpace(b[0]) {
 			return nil
 		}
 		r.in.Discard(1)
 	}
 }
 
-// Next returns the next frame. An error that wraps ErrFrame says what is wrong with it; io.EOF is the end of a stream between
-// two frames.
+// Next returns the next frame. An error that wraps ErrFrame describes a malformed or truncated frame; io.EOF means that the
+// stream ended between two frames.
 func (r *Reader) Next() ([]byte, error) {
 	if err := r.Wait(); err != nil {
 		return nil, err
@@ -67,22 +67,23 @@
 		return nil, err
 	}
 	if b[0] == 'C' || b[0] == 'c' {
-		r.last = Headed
-		return r.headed()
+		r.lastFraming = HeaderDelimited
+		return r.readHeaderDelimited()
 	}
-	r.last = Lines
-	return r.text()
+	r.lastFraming = Lines
+	return r.readText()
 }
 
-func (r *Reader) headed() ([]byte, error) {
+// readHeaderDelimited reads a frame with a head.
+func (r *Reader) readHeaderDelimited() ([]byte, error) {
 	length, read := -1, 0
 	for {
 		line, err := r.in.ReadSlice('\n')
-		if read += len(line); read > maxHead {
-			return nil, fmt.Errorf("%w: a head of over %d bytes", ErrFrame, maxHead)
+		if read += len(line); read > maxHeadBytes {
+			return nil, fmt.Errorf("%w: a head of over %d bytes", ErrFrame, maxHeadBytes)
 		}
 		if err != nil {
-			return nil, cut(err)
+			return nil, wrapReadError(err)
 		}
 		text := strings.TrimRight(string(line), "\r\n")
 		if text == "" {
@@ -102,34 +103,34 @@
 			return nil, fmt.Errorf("%w: %.40q is no header that is known here", ErrFrame, name)
 		}
 	}
-	if length < 0 || length > MaxFrame {
-		return nil, fmt.Errorf("%w: Content-Length is missing or over %d", ErrFrame, MaxFrame)
+	if length < 0 || length > MaxFrameBytes {
+		return nil, fmt.Errorf("%w: Content-Length is missing or over %d", ErrFrame, MaxFrameBytes)
 	}
 	frame := make([]byte, length)
 	if _, err := io.ReadFull(r.in, frame); err != nil {
-		return nil, cut(err)
+		return nil, wrapReadError(err)
 	}
 	return frame, nil
 }
 
-// text finds the end of a JSON text. It checks no more than what that needs: brackets that match, strings that end.
-func (r *Reader) text() ([]byte, error) {
+// readText reads up to the end of a JSON text. To find it, it checks only that brackets match and strings end.
+func (r *Reader) readText() ([]byte, error) {
 	var frame []byte
-	var open []byte // the closing brackets that are due
+	var open []byte // expected closing brackets, innermost last
 	inString, escaped := false, false
 	for {
 		b, err := r.in.ReadByte()
 		if err != nil {
 			if err == io.EOF && len(open) == 0 && !inString && len(frame) > 0 {
-				return frame, nil // a number, a string or a word at the stream's end
+				return frame, nil // a number, string or literal at the end of the stream
 			}
-			return nil, cut(err)
+			return nil, wrapReadError(err)
 		}
-		if len(open) == 0 && !inString && len(frame) > 0 && space(b) {
-			return frame, nil // the same before white space
+		if len(open) == 0 && !inString && len(frame) > 0 && isSpace(b) {
+			return frame, nil // a number, string or literal before white space
 		}
-		if frame = append(frame, b); len(frame) > MaxFrame {
-			return nil, fmt.Errorf("%w: over %d bytes", ErrFrame, MaxFrame)
+		if frame = append(frame, b); len(frame) > MaxFrameBytes {
+			return nil, fmt.Errorf("%w: over %d bytes", ErrFrame, MaxFrameBytes)
 		}
 		switch {
 		case inString:
@@ -160,18 +161,19 @@
 	}
 }
 
-func space(b byte) bool { return b == ' ' || b == '\t' || b == '\r' || b == '\n' }
+func isSpace(b byte) bool { return b == ' ' || b == '\t' || b == '\r' || b == '\n' }
 
-func cut(err error) error {
+// wrapReadError wraps the error of a read within a frame, where io.EOF is unexpected.
+func wrapReadError(err error) error {
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
 	return fmt.Errorf("%w: %w", ErrFrame, err)
 }
 
-// Append appends a message in a framing.
-func Append(out []byte, f Framing, message []byte) []byte {
-	if f == Headed {
+// AppendFrame appends a message to out in framing f.
+func AppendFrame(out []byte, f Framing, message []byte) []byte {
+	if f == HeaderDelimited {
 		out = append(out, "Content-Length: "...)
 		out = strconv.AppendInt(out, int64(len(message)), 10)
 		return append(append(out, "\r\n\r\n"...), message...)
--- a/internal/jsonrpc/jsonrpc_test.go
+++ b/internal/jsonrpc/jsonrpc_test.go
@@ -14,45 +14,46 @@
 
 func reader(text string) *Reader { return NewReader(bufio.NewReader(strings.NewReader(text))) }
 
-// Frames of both kinds on one stream, wherever its bytes are split.
-func TestFrames(t *testing.T) {
+// Frames of both framings are read from one stream, wherever its bytes are split.
+func TestFramesAreSplitWhereverTheStreamBreaks(t *testing.T) {
 	want := []string{`{"a":"}\"]"}`, `[1,{"b":[]}]`, `17`, `"x y"`, `{}`, `{"c":1}`, `true`}
-	text := "\r\n " + want[0] + want[1] + "17 \"x y\" \n" + string(Append(nil, Headed, []byte(want[4]))) +
+	text := "\r\n " + want[0] + want[1] + "17 \"x y\" \n" + string(AppendFrame(nil, HeaderDelimited, []byte(want[4]))) +
 		"content-type: x\r\n"[:0] + "Content-Type: application/json\r\ncontent-length:  7\r\n\r\n" + want[5] + "true"
 	for size := 1; size < 20; size++ {
-		r := NewReader(bufio.NewReader(&chunks{[]byte(text), size}))
+		r := NewReader(bufio.NewReader(&chunkReader{[]byte(text), size}))
 		for i, w := range want {
 			got, err := r.Next()
 			if err != nil || string(got) != w {
-				t.Fatalf("by %d bytes: frame %d is %q, %v; want %q", size, i, got, err, w)
+				t.Fatalf("reads of %d bytes: frame %d is %q, %v; want %q", size, i, got, err, w)
 			}
-			if headed := i == 4 || i == 5; (r.Framing() == Headed) != headed {
+			if headed := i == 4 || i == 5; (r.Framing() == HeaderDelimited) != headed {
 				t.Errorf("frame %d: framing %v", i, r.Framing())
 			}
 		}
 		if _, err := r.Next(); err != io.EOF {
-			t.Errorf("at the end: %v", err)
+			t.Errorf("at the end: %v; want io.EOF", err)
 		}
 	}
 }
 
-// chunks gives its bytes a few at a time.
-type chunks struct {
-	left []byte
-	size int
+// chunkReader returns at most size bytes per read.
+type chunkReader struct {
+	remaining []byte
+	size      int
 }
 
-func (c *chunks) Read(p []byte) (int, error) {
-	if len(c.left) == 0 {
+func (c *chunkReader) Read(p []byte) (int, error) {
+	if len(c.remaining) == 0 {
 		return 0, io.EOF
 	}
-	n := copy(p, c.left[:min(len(c.left), c.size)])
-	c.left = c.left[n:]
+	n := copy(p, c.remaining[:min(len(c.remaining), c.size)])
+	c.remaining = c.remaining[n:]
 	return n, nil
 }
 
-func TestFramesThatAreNone(t *testing.T) {
-	for _, text := range []string{"{]", "]", "{\"a\n\":1}", "{", `"`, strings.Repeat("[", MaxFrame+1), "Content-Length: x\r\n\r\n{}",
+// The error text of a malformed frame has no line break: it is sent to the client.
+func TestMalformedFramesAreRejected(t *testing.T) {
+	for _, text := range []string{"{]", "]", "{\"a\n\":1}", "{", `"`, strings.Repeat("[", MaxFrameBytes+1), "Content-Length: x\r\n\r\n{}",
 		"Content-Length: 2\r\n{}", "Content-Length: 5\r\n\r\n{}", "C", "Cookie: x\r\n\r\n{}", "Content-Length: 65537\r\n\r\n",
 		strings.Repeat("Content-Type: x\r\n", 100), "Content-Length: -1\r\n\r\n", "\r\n\r\nContent-Type: x\r\n\r\n{}"} {
 		if frame, err := reader(text).Next(); !errors.Is(err, ErrFrame) || strings.Contains(err.Error(), "\n") {
@@ -71,11 +72,11 @@
 		}
 	}
 	if _, ok := Find(nil, "/a"); ok {
-		t.Error("found something in no params")
+		t.Error("found a value in nil params")
 	}
 }
 
-// What is read and written again means the same, and nothing makes the reader fail in another way than with an error.
+// A message that is parsed and encoded again is unchanged, and no input makes the reader fail other than with an error.
 func FuzzMessages(f *testing.F) {
 	for _, s := range []string{`{"jsonrpc":"2.0","method":"sum","params":[1],"id":"1"}`, `[{"jsonrpc":"2.0","id":null,"result":1},3]`,
 		"Content-Length: 2\r\n\r\n{}", `{"jsonrpc":"2.0","id":1.50,"error":{"code":-1,"message":"\ud83d\ude00"}}`, "[]", "{]", "17 ", `"\ud800"`,
@@ -92,7 +93,7 @@
 				}
 				return
 			}
-			if len(frame) > MaxFrame {
+			if len(frame) > MaxFrameBytes {
 				t.Fatalf("a frame of %d bytes", len(frame))
 			}
 			members, _, err := Split(frame)
@@ -100,7 +101,7 @@
 				continue
 			}
 			if !json.Valid(frame) {
-				t.Fatalf("%q passes for JSON", frame)
+				t.Fatalf("invalid JSON %q was accepted", frame)
 			}
 			for _, v := range members {
 				m, err := Parse(v, "x")
--- a/internal/rpccarrier/call.go
+++ b/internal/rpccarrier/call.go
@@ -1,4 +1,4 @@
-// Package rpccarrier carries attempts to boxes over JSON-RPC 2.0: few connections to a box, each with many calls at once.
+// Package rpccarrier sends attempts to backends over JSON-RPC 2.0, with many concurrent calls on each of a few connections.
 package rpccarrier
 
 import (
@@ -13,7 +13,7 @@
 	"craneglade/policy"
 )
 
-// Call is one call of a client, as front and carrier share it. It is its own payload.
+// Call is a JSON-RPC call of a client, as passed from the front to the carrier. It is its own engine payload.
 type Call struct {
 	engine.Request
 	Method string
@@ -21,46 +21,48 @@
 	Key    string // idempotency key; "" for none
 }
 
-// Reply is a box's answer: one of the two.
+// Reply is a backend's answer. Exactly one of its fields is set.
 type Reply struct {
 	Result jsontext.Value
-	Error  jsontext.Value // an error object that is the application's own word
+	Error  jsontext.Value // an error object of the application
 }
 
-// extra is the member of calls to boxes and of their answers that is the node's own, and not the client's.
-const extra = "craneglade"
+// metadataMember is the member that the node adds to calls to backends, and that backends may add to their answers. It is not
+// forwarded to clients.
+const metadataMember = "craneglade"
 
-// told is what a box is told beside a call.
-type told struct {
-	Request    string `json:"request"`          // the same in each attempt of a request
-	DeadlineUS int64  `json:"deadline_us"`      // nobody waits any more after this
+// requestMetadata is sent to a backend with a call.
+type requestMetadata struct {
+	Request    string `json:"request"`          // request id, the same in each attempt
+	DeadlineUS int64  `json:"deadline_us"`      // remaining time of the attempt in microseconds
 	Key        string `json:"key,omitempty"`    // idempotency key
-	Tenant     string `json:"tenant,omitempty"` //
+	Tenant     string `json:"tenant,omitempty"` // "" for none
 }
 
-// tells is what a box tells beside an answer.
-type tells struct {
-	Load   json.RawMessage `json:"load"`    // a load report, as X-Load has it
-	NotRun bool            `json:"not_run"` // of an error: the call was turned away and never ran
+// answerMetadata is sent by a backend with an answer.
+type answerMetadata struct {
+	Load   json.RawMessage `json:"load"`    // a load report, in the format of X-Load
+	NotRun bool            `json:"not_run"` // of an error: the call was rejected and never ran
 }
 
-// judge tells what an answer means. An error object with a code that the specification keeps for servers (-32603, -32000 to
-// -32099) is the box's failure, and the call may have run; any other is an answer of the application, as a result is.
-func judge(m *jsonrpc.Message, reports bool) (engine.Result, error) {
+// classify determines the outcome of an attempt from its answer. An error object with a code that the specification reserves
+// for servers (-32603, -32000 to -32099) is a failure of the backend, and the call may have run. Any other error object is an
+// answer of the application, like a result.
+func classify(m *jsonrpc.Message, reports bool) (engine.Result, error) {
 	res := engine.Result{Outcome: policy.Failed}
-	var t tells
+	var metadata answerMetadata
 	if m.Extra != nil {
-		if err := json.Unmarshal(m.Extra, &t); err != nil {
-			return res, fmt.Errorf("%s: %w", extra, err)
+		if err := json.Unmarshal(m.Extra, &metadata); err != nil {
+			return res, fmt.Errorf("%s: %w", metadataMember, err)
 		}
 	}
-	var report error
-	if t.Load != nil && reports {
-		res.Load, report = wire.DecodeLoad(string(t.Load))
+	var reportErr error
+	if metadata.Load != nil && reports {
+		res.Load, reportErr = wire.DecodeLoad(string(metadata.Load))
 	}
 	if m.Result != nil {
 		res.Outcome, res.Reply = policy.OK, &Reply{Result: m.Result}
-		return res, report
+		return res, reportErr
 	}
 	var object struct {
 		Code    *int64  `json:"code"`
@@ -71,11 +73,11 @@
 	}
 	code := *object.Code
 	switch {
-	case t.NotRun:
+	case metadata.NotRun:
 		res.Outcome = policy.Full
 	case code == jsonrpc.InternalError || code <= -32000 && code >= -32099:
 	default:
 		res.Outcome, res.Reply = policy.OK, &Reply{Error: m.Error}
 	}
-	return res, report
+	return res, reportErr
 }
--- a/internal/rpccarrier/carrier.go
+++ b/internal/rpccarrier/carrier.go
@@ -18,69 +18,69 @@
 	"craneglade/policy"
 )
 
-// writeTime is how long one call may take to be written.
-const writeTime = 2 * time.Second
+// writeTimeout is how long writing one call may take.
+const writeTimeout = 2 * time.Second
 
 var (
-	errTimeout = errors.New("the attempt's time is up")
-	errBroken  = errors.New("the connection broke")
-	errNoRoom  = errors.New("no descriptor is left for a connection to a box")
+	errTimeout      = errors.New("attempt timed out")
+	errConnClosed   = errors.New("connection closed")
+	errNoDescriptor = errors.New("no descriptor is left for a connection to a backend")
 )
 
-// Config is what a carrier is made from.
+// Config configures a Carrier.
 type Config struct {
-	Conns   int // connections to one box at a time
-	Quota   *quota.Quota
-	Beside  bool // boxes are told a call's id, deadline, key and tenant in a member of the node's own
-	Reports bool // answers may hold load reports
-	Dial    func(ctx context.Context, addr string) (net.Conn, error)
-	Log     *slog.Logger
+	MaxConnsPerBackend int          // concurrent connections to one backend
+	Quota              *quota.Quota // descriptors for backend connections
+	SendMetadata       bool         // send backends the id, deadline, key and tenant of a call in an additional member
+	AcceptLoadReports  bool         // evaluate load reports in answers
+	Dial               func(ctx context.Context, addr string) (net.Conn, error)
+	Log                *slog.Logger
 }
 
-// Carrier is an engine.Carrier of Calls.
+// Carrier implements engine.Carrier for requests of type *Call.
 type Carrier struct {
-	cfg  Config
-	wg   sync.WaitGroup // readers
-	next atomic.Uint64  // ids: none comes twice, so that a box that mixes up its connections still answers nobody else
+	cfg    Config
+	wg     sync.WaitGroup // read goroutines
+	lastID atomic.Uint64  // ids are unique over all connections, so that a backend that mixes up connections can't answer another call
 
-	mu    sync.Mutex
-	boxes map[*engine.Backend]*links
-	ended bool
+	mu       sync.Mutex
+	backends map[*engine.Backend]*backendLinks
+	stopped  bool
 }
 
-// links are the connections to a box.
-type links struct {
+// backendLinks are the connections to a backend.
+type backendLinks struct {
 	all     []*link
 	dialing int
-	dialed  chan struct{} // closed when the next dial has ended
+	dialed  chan struct{} // closed when a dial has ended, and replaced
 	retired bool
 }
 
-// link is one of them.
+// link is a connection to a backend.
 type link struct {
 	net.Conn
 	carrier *Carrier
-	of      *links
+	backend *backendLinks
 
-	writing chan struct{} // holds one: whoever takes it writes
+	writing chan struct{} // write lock, capacity 1
 
-	mu     sync.Mutex
-	calls  map[string]chan jsonrpc.Message
-	heard  uint64 // messages that came
-	doubt  bool   // nothing came for the whole of an attempt: no new calls
-	broken bool
+	mu       sync.Mutex
+	calls    map[string]chan jsonrpc.Message
+	received uint64 // number of messages received
+	suspect  bool   // nothing was received during a whole attempt: takes no new calls
+	broken   bool
 }
 
-// New returns a carrier with no connection.
+// New returns a carrier without connections.
 func New(cfg Config) *Carrier {
-	return &Carrier{cfg: cfg, boxes: map[*engine.Backend]*links{}}
+	return &Carrier{cfg: cfg, backends: map[*engine.Backend]*backendLinks{}}
 }
 
-// Retire closes the connections to a box that carry nothing, and the others once they carry nothing.
+// Retire closes the connections to a backend that have no open call, and the others once they have none.
 func (n *Carrier) Retire(b *engine.Backend) {
 	n.mu.Lock()
-	ls := n.boxes[b]
-	delete(n.boxes, b)
+	ls := n.backends[b]
+	delete(n.backends, b)
 	var all []*link
 	if ls != nil {
 		ls.retired = true
@@ -88,16 +88,16 @@
 	}
 	n.mu.Unlock()
 	for _, l := range all {
-		l.done()
+		l.closeIfUnused()
 	}
 }
 
-// Stop closes all connections and returns when nothing reads from them. No attempt may be under way or follow.
+// Stop closes all connections and waits for their read goroutines. No attempt may be in flight or follow.
 func (n *Carrier) Stop() {
 	n.mu.Lock()
-	n.ended = true
+	n.stopped = true
 	var all []*link
-	for _, ls := range n.boxes {
+	for _, ls := range n.backends {
 		all = append(all, ls.all...)
 	}
 	n.mu.Unlock()
@@ -107,8 +107,8 @@
 	n.wg.Wait()
 }
 
-// Carry sends a call once and waits for its answer. A call that was written whole can't be taken back: when its attempt
-// ends before, the answer that may still come is dropped. One that was not written whole never ran, and none of it is
+// Carry sends a call once and waits for its answer. A call that was written completely can't be cancelled: if its attempt
+// ends first, an answer that arrives later is dropped. A call that was not written completely never ran, and no part of it is
 // written after Carry has returned.
 func (n *Carrier) Carry(ctx context.Context, a *engine.Attempt) engine.Result {
 	ctx, cancel := context.WithTimeoutCause(ctx, a.Wait, errTimeout)
@@ -117,64 +117,65 @@
 	if !ok || a.Backend.RPC == "" {
 		return engine.Result{Outcome: policy.Moot}
 	}
-	early := func() engine.Result { // it was never sent
+	notSent := func() engine.Result { // the result for a call that was not written completely
 		if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, errTimeout) {
 			return engine.Result{Outcome: policy.Canceled}
 		}
 		return engine.Result{Outcome: policy.ConnectFailed}
 	}
-	l, err := n.link(ctx, a.Backend)
-	if errors.Is(err, errNoRoom) || err != nil && !a.MayBegin() {
+	l, err := n.acquire(ctx, a.Backend)
+	if errors.Is(err, errNoDescriptor) || err != nil && !a.MayBegin() {
 		return engine.Result{Outcome: policy.Moot}
 	} else if err != nil {
-		return early()
+		return notSent()
 	}
 	select {
 	case l.writing <- struct{}{}:
 	case <-ctx.Done():
-		return early()
+		return notSent()
 	}
-	// The moment before its first byte goes out: a drain whose grace ended meanwhile, a client that left or a repeat that comes too late stops it.
+	// Last check before the first byte: the drain grace or the time for repeats may have ended meanwhile, or the client may have
+	// disconnected.
 	if !a.MayBegin() {
 		<-l.writing
 		return engine.Result{Outcome: policy.Moot}
 	}
 	if ctx.Err() != nil {
 		<-l.writing
-		return early()
+		return notSent()
 	}
 	until, _ := ctx.Deadline()
-	var beside []byte
+	var metadata []byte
 	member := ""
-	if n.cfg.Beside {
-		member = extra
-		beside, err = json.Marshal(told{Request: c.ID, DeadlineUS: time.Until(until).Microseconds(), Key: c.Key, Tenant: c.Tenant})
+	if n.cfg.SendMetadata {
+		member = metadataMember
+		metadata, err = json.Marshal(requestMetadata{Request: c.ID, DeadlineUS: time.Until(until).Microseconds(), Key: c.Key, Tenant: c.Tenant})
 	}
 	if err != nil {
 		<-l.writing
-		n.cfg.Log.Warn("a call can't be written", "err", err)
+		n.cfg.Log.Warn("can't encode call", "err", err)
 		return engine.Result{Outcome: policy.Moot}
 	}
-	id, answer, heard, ok := l.open()
+	id, answer, receivedBefore, ok := l.register()
 	if !ok {
 		<-l.writing
-		return early()
+		return notSent()
 	}
-	text := jsonrpc.Append(nil, jsonrpc.Lines, jsonrpc.AppendCall(nil, id, c.Method, c.Params, member, beside))
-	last := time.Now().Add(min(writeTime, time.Until(until)))
-	if !a.By.IsZero() && a.By.Before(last) {
-		last = a.By
+	text := jsonrpc.AppendFrame(nil, jsonrpc.Lines, jsonrpc.AppendCall(nil, id, c.Method, c.Params, member, metadata))
+	writeDeadline := time.Now().Add(min(writeTimeout, time.Until(until)))
+	if !a.By.IsZero() && a.By.Before(writeDeadline) {
+		writeDeadline = a.By
 	}
-	l.SetWriteDeadline(last) // an error shows in Write
+	l.SetWriteDeadline(writeDeadline) // an error shows up in Write
 	sent, err := l.Write(text)
 	<-l.writing
 	if err != nil {
 		if sent < len(text) {
 			l.forget(id)
 		}
-		l.Close() // a part of a message may stand on it: what follows could not be told apart
+		l.Close() // part of a message may be written: nothing can follow it
 		if sent < len(text) {
-			return early()
+			return notSent()
 		}
 	}
 	select {
@@ -182,50 +183,51 @@
 		if !ok {
 			return engine.Result{Outcome: policy.Reset} // its last byte was written: it may have run
 		}
-		res, err := judge(&m, n.cfg.Reports)
+		res, err := classify(&m, n.cfg.AcceptLoadReports)
 		if err != nil {
-			n.cfg.Log.Debug("an answer makes no sense", "box", a.Backend.ID, "err", err)
+			n.cfg.Log.Debug("invalid answer or load report", "box", a.Backend.ID, "err", err)
 		}
 		return res
 	case <-ctx.Done():
 	}
-	l.givenUp(id, heard)
+	l.abandon(id, receivedBefore)
 	if errors.Is(context.Cause(ctx), errTimeout) {
 		return engine.Result{Outcome: policy.TimedOut}
 	}
 	return engine.Result{Outcome: policy.Canceled}
 }
 
-// link returns the connection to a box with the fewest calls, or opens one where all have some and there may be more.
-func (n *Carrier) link(ctx context.Context, b *engine.Backend) (*link, error) {
-	var ls *links
+// acquire returns the connection to a backend with the fewest calls. It opens another one if all have calls and the limit
+// allows it.
+func (n *Carrier) acquire(ctx context.Context, b *engine.Backend) (*link, error) {
+	var ls *backendLinks
 	var best *link
 	for {
 		n.mu.Lock()
-		if ls = n.boxes[b]; ls == nil {
-			ls = &links{dialed: make(chan struct{})}
-			n.boxes[b] = ls
+		if ls = n.backends[b]; ls == nil {
+			ls = &backendLinks{dialed: make(chan struct{})}
+			n.backends[b] = ls
 		}
 		best = nil
-		least := 0
+		minCalls := 0
 		for _, l := range ls.all {
-			if calls, ok := l.load(); ok && (best == nil || calls < least) {
-				best, least = l, calls
+			if calls, ok := l.openCalls(); ok && (best == nil || calls < minCalls) {
+				best, minCalls = l, calls
 			}
 		}
-		full := len(ls.all)+ls.dialing >= n.cfg.Conns
-		if best != nil && (least == 0 || full) {
+		full := len(ls.all)+ls.dialing >= n.cfg.MaxConnsPerBackend
+		if best != nil && (minCalls == 0 || full) {
 			n.mu.Unlock()
 			return best, nil
 		}
-		if !full || ls.dialing == 0 { // or those that there are take no more calls
+		if !full || ls.dialing == 0 { // also above the limit, if no connection takes calls and no dial is under way
 			ls.dialing++
 			n.mu.Unlock()
 			break
 		}
 		dialed := ls.dialed
 		n.mu.Unlock()
-		select { // others' dials are under way: one of them will do
+		select { // wait for a dial that is under way and use its connection
 		case <-dialed:
 		case <-ctx.Done():
 			return nil, context.Cause(ctx)
@@ -243,79 +245,81 @@
 		}
 		return nil, err
 	}
-	if n.ended || ls.retired {
+	if n.stopped || ls.retired {
 		l.Close()
 		n.cfg.Quota.Give()
-		return nil, errBroken
+		return nil, errConnClosed
 	}
 	ls.all = append(ls.all, l)
 	n.wg.Go(l.read)
 	return l, nil
 }
 
-func (n *Carrier) connect(ctx context.Context, ls *links, addr string) (*link, error) {
+// connect opens a connection within the descriptor quota.
+func (n *Carrier) connect(ctx context.Context, ls *backendLinks, addr string) (*link, error) {
 	if !n.cfg.Quota.Claim(nil) {
-		return nil, errNoRoom
+		return nil, errNoDescriptor
 	}
 	conn, err := n.cfg.Dial(ctx, addr)
 	if err != nil {
 		n.cfg.Quota.Give()
 		return nil, err
 	}
-	return &link{Conn: conn, carrier: n, of: ls, writing: make(chan struct{}, 1), calls: map[string]chan jsonrpc.Message{}}, nil
+	return &link{Conn: conn, carrier: n, backend: ls, writing: make(chan struct{}, 1), calls: map[string]chan jsonrpc.Message{}}, nil
 }
 
-// load is how many calls a link carries, and whether it takes more.
-func (l *link) load() (calls int, ok bool) {
+// openCalls returns the number of open calls on a link and whether it takes more.
+func (l *link) openCalls() (calls int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.calls), !l.broken && !l.doubt
+	return len(l.calls), !l.broken && !l.suspect
 }
 
-// open makes an id for a call that nobody else has on this connection.
-func (l *link) open() (id string, answer <-chan jsonrpc.Message, heard uint64, ok bool) {
+// register adds a call with a new id. It fails if the connection is broken.
+func (l *link) register() (id string, answer <-chan jsonrpc.Message, received uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.broken {
 		return "", nil, 0, false
 	}
-	id = strconv.FormatUint(l.carrier.next.Add(1), 36)
+	id = strconv.FormatUint(l.carrier.lastID.Add(1), 36)
 	c := make(chan jsonrpc.Message, 1)
 	l.calls[id] = c
-	return id, c, l.heard, true
+	return id, c, l.received, true
 }
 
+// forget removes a call that was not written completely.
 func (l *link) forget(id string) {
 	l.mu.Lock()
 	delete(l.calls, id)
 	l.mu.Unlock()
-	l.done()
+	l.closeIfUnused()
 }
 
-// givenUp forgets a call whose answer nobody waits for any more. Where nothing came back on the connection since it was
-// sent, its machine may be gone: it is not trusted with another.
-func (l *link) givenUp(id string, heard uint64) {
+// abandon removes a call whose answer is no longer awaited. If nothing was received on the connection since the call was
+// sent, the backend's machine may be unreachable, and the link takes no new calls.
+func (l *link) abandon(id string, receivedBefore uint64) {
 	l.mu.Lock()
 	delete(l.calls, id)
-	l.doubt = l.doubt || l.heard == heard
+	l.suspect = l.suspect || l.received == receivedBefore
 	l.mu.Unlock()
-	l.done()
+	l.closeIfUnused()
 }
 
-// done closes a connection that carries nothing and will not.
-func (l *link) done() {
+// closeIfUnused closes a connection that has no open call and takes no new ones.
+func (l *link) closeIfUnused() {
 	l.carrier.mu.Lock()
-	retired := l.of.retired
+	retired := l.backend.retired
 	l.carrier.mu.Unlock()
 	l.mu.Lock()
-	over := len(l.calls) == 0 && (retired || l.doubt)
+	unused := len(l.calls) == 0 && (retired || l.suspect)
 	l.mu.Unlock()
-	if over {
+	if unused {
 		l.Close()
 	}
 }
 
-// read hands answers to their calls until the connection ends; then every call that is left on it may have run.
+// read delivers answers to their calls until the connection ends. The calls still open then may have run.
 func (l *link) read() {
 	in := jsonrpc.NewReader(bufio.NewReader(l.Conn))
 	for {
@@ -325,11 +329,11 @@
 		}
 		members, _, err := jsonrpc.Split(frame)
 		if err != nil {
-			l.carrier.cfg.Log.Debug("a box sends what is no JSON", "err", err)
-			break // what follows can't be trusted
+			l.carrier.cfg.Log.Debug("backend sent invalid JSON", "err", err)
+			break // the start of the next frame is unknown
 		}
 		for _, v := range members {
-			l.answer(jsonrpc.Parse(v, extra))
+			l.deliver(jsonrpc.Parse(v, metadataMember))
 		}
 	}
 	l.Close()
@@ -342,9 +346,9 @@
 	l.mu.Unlock()
 	n := l.carrier
 	n.mu.Lock()
-	for i, x := range l.of.all {
+	for i, x := range l.backend.all {
 		if x == l {
-			l.of.all = append(l.of.all[:i], l.of.all[i+1:]...)
+			l.backend.all = append(l.backend.all[:i], l.backend.all[i+1:]...)
 			break
 		}
 	}
@@ -352,24 +356,24 @@
 	n.cfg.Quota.Give()
 }
 
-// answer hands a message to its call. One of no open call is dropped: an answer that came late, or twice.
-func (l *link) answer(m jsonrpc.Message, err error) {
+// deliver passes a message to its call. An answer without an open call, late or duplicate, is dropped.
+func (l *link) deliver(m jsonrpc.Message, err error) {
 	id, ok := jsonrpc.Text(m.ID)
 	l.mu.Lock()
-	l.heard++
+	l.received++
 	c := l.calls[id]
 	if ok && c != nil {
 		delete(l.calls, id)
 		if err != nil || m.Result == nil && m.Error == nil {
-			close(c) // it is for this call and can't be its answer: it may have run
+			close(c) // not a valid answer to this call, which may have run
 		} else {
 			c <- m
 		}
 	}
 	l.mu.Unlock()
 	if !ok || c == nil {
-		l.carrier.cfg.Log.Debug("an answer that nobody waits for", "err", err)
+		l.carrier.cfg.Log.Debug("dropped an answer without an open call", "err", err)
 		return
 	}
-	l.done()
+	l.closeIfUnused()
 }
