--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -60,7 +60,7 @@
 	for {
 		var m struct {
 			node.Member
-			node.Sites
+			node.SitesStatus
 			Control *node.ControlStatus `json:"control"`
 			Fleet   *peers.Report       `json:"fleet"`
 		}
@@ -69,8 +69,8 @@
 		} else if err != nil {
 			return errors.Join(w.Flush(), fmt.Errorf("the node's answer broke off: %w", err))
 		}
-		if m.Sites.Sites != nil {
-			if err := errors.Join(w.Flush(), standings(a.out, &m.Sites)); err != nil {
+		if m.SitesStatus.Sites != nil {
+			if err := errors.Join(w.Flush(), standings(a.out, &m.SitesStatus)); err != nil {
 				return err
 			}
 			continue
@@ -97,8 +97,8 @@
 		if m.Ejected {
 			mode = "ejected"
 		}
-		since := (time.Duration(m.ToldMS) * time.Millisecond).Round(100 * time.Millisecond)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%v\t%s\t%s\n", m.ID, m.Addr, m.Zone, used, mode, m.InFlight, since, m.Source, m.Why)
+		since := (time.Duration(m.DecidedMS) * time.Millisecond).Round(100 * time.Millisecond)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%v\t%s\t%s\n", m.ID, m.Addr, m.Zone, used, mode, m.InFlight, since, m.Source, m.Reason)
 	}
 }
 
@@ -117,7 +117,7 @@
 }
 
 // standings prints how each site stands.
-func standings(out io.Writer, all *node.Sites) error {
+func standings(out io.Writer, all *node.SitesStatus) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nSITE\tSTANDING\tFOR\tGETS\tCARRIES\tOF OTHERS\tUP TO\tREFUSED\tWHY")
 	for _, s := range all.Sites {
@@ -141,7 +141,7 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if all.Alone {
+	if all.CutOff {
 		_, err := fmt.Fprintln(out, "This node reaches no site: it is cut off itself.")
 		return err
 	}
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -113,14 +113,14 @@
 	in := bufio.NewScanner(f)
 	in.Buffer(nil, 16<<20)
 	for in.Scan() {
-		var s node.Sites
-		if json.Unmarshal(in.Bytes(), &s) != nil || len(s.Asked) == 0 {
+		var s node.SitesStatus
+		if json.Unmarshal(in.Bytes(), &s) != nil || len(s.Demand) == 0 {
 			continue
 		}
 		var out []sites.Mixed
-		for _, d := range s.Asked {
-			out = append(out, sites.Mixed{Kind: sites.Kind{Class: d.Class, Worth: d.Worth, Work: d.Work}, Share: (d.Rate - d.Over) * d.Work},
-				sites.Mixed{Kind: sites.Kind{Class: d.Class, Over: true, Worth: d.Worth * d.OverWorth, Work: d.Work}, Share: d.Over * d.Work})
+		for _, d := range s.Demand {
+			out = append(out, sites.Mixed{Kind: sites.Kind{Class: d.Class, Worth: d.Utility, Work: d.Work}, Share: (d.Rate - d.OverQuota) * d.Work},
+				sites.Mixed{Kind: sites.Kind{Class: d.Class, Over: true, Worth: d.Utility * d.OverQuotaUtility, Work: d.Work}, Share: d.OverQuota * d.Work})
 		}
 		return out, nil
 	}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -23,10 +23,10 @@
 		return exit{ExitUsage, err}
 	}
 	if c.Config != "" {
-		if cfg.Own, err = settings.Load(c.Config); err != nil {
+		if cfg.LocalSettings, err = settings.Load(c.Config); err != nil {
 			return exit{ExitUsage, err}
 		}
-		if err := cfg.CheckOwn(); err != nil {
+		if err := cfg.CheckLocalSettings(); err != nil {
 			return usage("%s: %w", c.Config, err)
 		}
 	}
--- a/internal/httpcarrier/carrier.go
+++ b/internal/httpcarrier/carrier.go
@@ -140,7 +140,7 @@
 	c, err := n.pool.get(until, b, a.Backend, a.Effect == policy.Unsafe)
 	*fresh = *fresh || c == nil && !errors.Is(err, errSockets) || c != nil && c.rested == 0
 	switch {
-	case errors.Is(err, errSockets), errors.Is(err, reach.ErrStopped), sock.IsOwnTrouble(err), err != nil && errors.Is(context.Cause(until), errLate):
+	case errors.Is(err, errSockets), errors.Is(err, reach.ErrStopped), sock.IsLocalFailure(err), err != nil && errors.Is(context.Cause(until), errLate):
 		return engine.Result{Outcome: policy.Moot}, false // not the backend's doing, and not to be held against it
 	case err != nil && context.Cause(ctx) == nil, errors.Is(context.Cause(ctx), errTimeout):
 		return engine.Result{Outcome: policy.ConnectFailed}, false
--- a/internal/httpcarrier/pool.go
+++ b/internal/httpcarrier/pool.go
@@ -56,7 +56,7 @@
 		p.pause = timing.Sleep
 	}
 	begun := time.Now()
-	p.reach = &reach.Dialer{Base: cfg.DialOn, Now: func() time.Duration { return time.Since(begun) }, Take: p.quota.Take, Give: p.quota.Give}
+	p.reach = &reach.Dialer{Base: cfg.DialOn, Now: func() time.Duration { return time.Since(begun) }, Take: p.quota.Acquire, Give: p.quota.Release}
 	// A request written to a connection that the box has just closed ends as a reset: retire it before.
 	p.idle = cfg.Idle * 9 / 10
 	p.told, p.start = cfg.Idle, p.now()
@@ -96,7 +96,7 @@
 	net.Conn
 	cap    io.LimitedReader // between the socket and in: no answer goes on without end
 	in     *bufio.Reader
-	look   *sock.Look
+	look   *sock.Peeker
 	box    *kept
 	addr   string         // of a box that has several; "" for others
 	rested time.Duration  // for how long it had when it was taken; 0 for one that has carried nothing yet
@@ -121,7 +121,7 @@
 		if wait := restTime - p.now().Sub(c.since); wait > 0 {
 			p.pause(ctx, wait)
 		}
-		if c.look.Pending() == sock.Nothing {
+		if c.look.Pending() == sock.Empty {
 			return c, nil
 		}
 		p.close(c) // the backend has closed it, or sent what nobody asked for: seen in time, and no harm
@@ -181,7 +181,7 @@
 
 // connect opens a connection, for which one to another box makes room where there are too many.
 func (p *pool) connect(ctx context.Context, k *kept, box *engine.Backend) (*backendConn, error) {
-	if !p.quota.Claim(p.spare) { // what it closes is another box's: this one has none
+	if !p.quota.AcquireOrReclaim(p.spare) { // what it closes is another box's: this one has none
 		return nil, errSockets
 	}
 	p.mu.Lock()
@@ -201,7 +201,7 @@
 		p.mu.Unlock()
 		return nil, err
 	}
-	c := &backendConn{Conn: conn, look: sock.NewLook(conn), box: k, addr: addr}
+	c := &backendConn{Conn: conn, look: sock.NewPeeker(conn), box: k, addr: addr}
 	c.cap.R = conn
 	c.in = bufio.NewReader(&c.cap)
 	return c, nil
@@ -235,7 +235,7 @@
 // gone counts a connection that has ended. p.mu is held.
 func (p *pool) gone() {
 	p.open--
-	p.quota.Give()
+	p.quota.Release()
 }
 
 // spare closes the connection that has rested for longest, and tells whether there was one.
--- a/internal/httpfront/conn.go
+++ b/internal/httpfront/conn.go
@@ -38,10 +38,10 @@
 	over    bool // there were too many already when it came
 	extra   bool // it is one of those beyond the room
 
-	look    *sock.Look // for the connection's own goroutine
-	seen    lastLook   // for attempts
-	used    bool       // a request on it has been answered
-	flooded []byte     // where what came behind a request and can't be kept was read to; nil where nothing was dropped
+	look    *sock.Peeker // for the connection's own goroutine
+	seen    lastLook     // for attempts
+	used    bool         // a request on it has been answered
+	flooded []byte       // where what came behind a request and can't be kept was read to; nil where nothing was dropped
 
 	// Guarded by clients.mu.
 	account admission.Conn
@@ -66,9 +66,9 @@
 func (c *clientConn) left() bool {
 	for read := 0; read < floodSize; read += len(c.flooded) {
 		switch c.look.Pending() {
-		case sock.Nothing:
+		case sock.Empty:
 			return false
-		case sock.Ended:
+		case sock.Closed:
 			return true
 		}
 		c.SetReadDeadline(time.Time{}) // what bounded the request's reading, or made room for another, is no close
@@ -82,14 +82,14 @@
 // lastLook is a look at a connection for several goroutines.
 type lastLook struct {
 	mu   sync.Mutex
-	look *sock.Look
+	look *sock.Peeker
 }
 
 // ended tells, without waiting, whether the other side has closed its connection and all that it sent before was read.
 func (l *lastLook) ended() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.look.Pending() == sock.Ended
+	return l.look.Pending() == sock.Closed
 }
 
 // watch reads on while a request is being answered, and tells whether the client has closed its connection; not where a
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -90,7 +90,7 @@
 		tenants: admission.NewTenants(cfg.Shares),
 		account: admission.NewClients(admission.Limits{Asking: cfg.Asking, Silent: silentTime, Slow: readTime})}
 	if s.waited = cfg.Waited; s.waited == nil {
-		s.waited = sock.Waited
+		s.waited = sock.SinceLastReceive
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	return s
@@ -103,17 +103,17 @@
 		conn, err := ln.Accept()
 		if err != nil {
 			<-s.extra
-			if !sock.AcceptGoesOn(err) {
+			if !sock.IsAcceptRetryable(err) {
 				return err
 			}
 			s.log.Debug("a connection was not accepted", "err", err)
 			time.Sleep(acceptAgain)
 			continue
 		}
-		c := &clientConn{Conn: conn, start: time.Now(), look: sock.NewLook(conn), seen: lastLook{look: sock.NewLook(conn)}}
+		c := &clientConn{Conn: conn, start: time.Now(), look: sock.NewPeeker(conn), seen: lastLook{look: sock.NewPeeker(conn)}}
 		c.cap.R, c.account.Owner, c.account.From = scanned{conn, &c.framing}, c, host(conn.RemoteAddr())
 		c.in = bufio.NewReader(&c.cap)
-		c.granted = s.quota.Claim(s.Yield)
+		c.granted = s.quota.AcquireOrReclaim(s.Yield)
 		s.mu.Lock()
 		if c.extra = !c.granted; c.extra {
 			c.over = !s.account.Behind(c.account.From) // one of a client that holds little is served all the same
@@ -160,7 +160,7 @@
 func (s *Front) yield(client bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	spare := s.account.Spare(s.now(), client, func(c *admission.Conn) bool { return sock.Pending(c.Owner.(*clientConn).Conn) != sock.Nothing })
+	spare := s.account.Spare(s.now(), client, func(c *admission.Conn) bool { return sock.Pending(c.Owner.(*clientConn).Conn) != sock.Empty })
 	if spare != nil {
 		s.drop(spare.Owner.(*clientConn))
 	}
@@ -171,7 +171,7 @@
 func (s *Front) release(c *clientConn) {
 	if c.granted {
 		c.granted = false
-		s.quota.Give()
+		s.quota.Release()
 	}
 }
 
--- a/internal/httpfront/front_test.go
+++ b/internal/httpfront/front_test.go
@@ -108,7 +108,7 @@
 func TestLastLookSeesAClose(t *testing.T) {
 	t.Parallel()
 	client, server := tcpPair(t)
-	l := lastLook{look: sock.NewLook(server)}
+	l := lastLook{look: sock.NewPeeker(server)}
 	if l.ended() {
 		t.Error("a connection that stands has ended")
 	}
@@ -135,13 +135,13 @@
 func TestAPassedDeadlineIsNoClose(t *testing.T) {
 	t.Parallel()
 	client, conn := tcpPair(t)
-	c := &clientConn{Conn: conn, look: sock.NewLook(conn)}
+	c := &clientConn{Conn: conn, look: sock.NewPeeker(conn)}
 	c.cap.R, c.cap.N = conn, message.MaxHead
 	c.in = bufio.NewReader(&c.cap)
 	if _, err := io.WriteString(client, "x"); err != nil {
 		t.Fatal(err)
 	}
-	for c.look.Pending() != sock.Bytes {
+	for c.look.Pending() != sock.Readable {
 		time.Sleep(time.Millisecond)
 	}
 	c.SetReadDeadline(time.Unix(1, 0))
@@ -149,7 +149,7 @@
 		t.Fatal("it counts as closed")
 	}
 	client.Close()
-	for c.look.Pending() != sock.Ended {
+	for c.look.Pending() != sock.Closed {
 		time.Sleep(time.Millisecond)
 	}
 	if !c.left() {
@@ -162,7 +162,7 @@
 	t.Parallel()
 	f := New(Config{Clock: engine.NewClock(), Log: slog.New(slog.DiscardHandler)})
 	client, conn := tcpPair(t)
-	c := &clientConn{Conn: conn, start: time.Now(), look: sock.NewLook(conn)}
+	c := &clientConn{Conn: conn, start: time.Now(), look: sock.NewPeeker(conn)}
 	c.cap.R, c.account.Owner = conn, c
 	c.in = bufio.NewReader(&c.cap)
 	f.account.Add(f.now(), &c.account)
--- a/internal/httpfront/shutdown.go
+++ b/internal/httpfront/shutdown.go
@@ -101,7 +101,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if such(c.account.State()) && sock.Pending(c.Conn) != sock.Bytes {
+		if such(c.account.State()) && sock.Pending(c.Conn) != sock.Readable {
 			s.drop(c)
 		}
 	}
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -67,7 +67,7 @@
 			t := &testing.T{}
 			box := newBox(t, echo)
 			r := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
-				c.Own = &settings.File{Bodies: settings.Bodies{Memory: 300 << 10,
+				c.LocalSettings = &settings.File{Bodies: settings.Bodies{Memory: 300 << 10,
 					Classes: []settings.Class{{Name: "save", Most: 1 << 20, Memory: 1, Disk: x.disk != nil, Once: true}}}}
 			}, box.entry("s-1"))
 			if x.disk != nil {
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -102,7 +102,7 @@
 		{Name: "save", Most: 1 << 20, Memory: 100 << 10, Disk: true, Once: true},
 		{Name: "quote", Most: 1 << 20, Memory: 100 << 10, Disk: true}}}}
 	r := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
-		c.Own = own
+		c.LocalSettings = own
 	}, b.entry("s-1"))
 	if d != nil {
 		r.bodies.UseDisk(d, settings.Disk{Workers: 4, Deadline: tomlfile.Duration(wait)})
@@ -398,7 +398,7 @@
 		return reply(c, 200, "", large)
 	})
 	r := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
-		c.Own = &settings.File{Bodies: settings.Bodies{Answer: 1 << 20}}
+		c.LocalSettings = &settings.File{Bodies: settings.Bodies{Answer: 1 << 20}}
 	}, b.entry("s-1"))
 	c := r.dial(t)
 	for i := range 3 {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -20,16 +20,16 @@
 
 // Config is what a node is told at its start.
 type Config struct {
-	Name      string
-	Listen    string // where clients connect
-	Discovery string // where the list of backends comes from
-	Seed      uint64
-	Cores     float64
-	MemoryMB  int
-	Sockets   int         // descriptors that the process may hold
-	Known     engine.List // the backends as this node last had them
-	Settings  wire.Settings
-	Own       *settings.File // this program's own; nil where there is none
+	Name          string
+	Listen        string // where clients connect
+	Discovery     string // where the list of backends comes from
+	Seed          uint64
+	Cores         float64
+	MemoryMB      int
+	Sockets       int         // descriptors that the process may hold
+	Known         engine.List // the backends as this node last had them
+	Settings      wire.Settings
+	LocalSettings *settings.File // this program's own; nil where there is none
 
 	dial         dial                                      // opens connections to boxes; nil for the system's own
 	backendQuota *quota.Quota                              // descriptors for connections to boxes, in place of the node's own
@@ -122,14 +122,14 @@
 	return cfg, nil
 }
 
-// CheckOwn holds the program's own settings against the platform's.
-func (cfg *Config) CheckOwn() error {
-	for i, c := range cfg.Own.Bodies.Classes {
+// CheckLocalSettings holds the program's own settings against the platform's.
+func (cfg *Config) CheckLocalSettings() error {
+	for i, c := range cfg.LocalSettings.Bodies.Classes {
 		if !slices.ContainsFunc(cfg.Settings.Policy.Classes, func(k policy.Class) bool { return k.Name == c.Name }) {
 			return fmt.Errorf("bodies.class[%d].name: the service has no class %q", i, c.Name)
 		}
 	}
-	for i, m := range cfg.Own.JSONRPC.Methods {
+	for i, m := range cfg.LocalSettings.JSONRPC.Methods {
 		at := slices.IndexFunc(cfg.Settings.Policy.Classes, func(k policy.Class) bool { return k.Name == m.Class })
 		switch {
 		case at < 0:
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -21,16 +21,16 @@
 
 // Member is what a node says of one box on its local socket: one JSON line each.
 type Member struct {
-	ID       string `json:"id"`
-	Addr     string `json:"addr"`
-	Zone     string `json:"zone"`
-	Used     bool   `json:"used"`
-	Why      string `json:"why"`
-	Source   string `json:"source"`      // that decided
-	ToldMS   int64  `json:"told_ms_ago"` // how long ago it first said so
-	Mode     string `json:"mode,omitempty"`
-	Ejected  bool   `json:"ejected,omitempty"`
-	InFlight int    `json:"in_flight"` // this node's attempts
+	ID        string `json:"id"`
+	Addr      string `json:"addr"`
+	Zone      string `json:"zone"`
+	Used      bool   `json:"used"`
+	Reason    string `json:"why"`
+	Source    string `json:"source"`      // that decided
+	DecidedMS int64  `json:"told_ms_ago"` // how long ago it first said so
+	Mode      string `json:"mode,omitempty"`
+	Ejected   bool   `json:"ejected,omitempty"`
+	InFlight  int    `json:"in_flight"` // this node's attempts
 }
 
 // Shared is what a node that shares state says of the other nodes on its local socket: the last line.
@@ -38,21 +38,21 @@
 	Fleet peers.Report `json:"fleet"`
 }
 
-// Sites is what a node that watches sites says of them on its local socket, in a line of its own.
-type Sites struct {
-	Sites []sites.Report `json:"sites"`
-	Alone bool           `json:"cut_off"` // it reaches none: it is the node itself that is cut off
-	Asked []Asked        `json:"asked"`
+// SitesStatus is what a node that watches sites says of them on its local socket, in a line of its own.
+type SitesStatus struct {
+	Sites  []sites.Report `json:"sites"`
+	CutOff bool           `json:"cut_off"` // it reaches none: it is the node itself that is cut off
+	Demand []ClassDemand  `json:"asked"`
 }
 
-// Asked is what a node's clients lately ask of one class.
-type Asked struct {
-	Class     string  `json:"class"`
-	Rate      float64 `json:"rate"`       // requests a second,
-	Over      float64 `json:"past_share"` // and of those past their tenants' shares
-	Work      float64 `json:"work"`       // of one, in seconds of waiting and work
-	Worth     float64 `json:"worth"`
-	OverWorth float64 `json:"past_share_worth"` // as a part of worth
+// ClassDemand is what a node's clients lately ask of one class.
+type ClassDemand struct {
+	Class            string  `json:"class"`
+	Rate             float64 `json:"rate"`       // requests a second,
+	OverQuota        float64 `json:"past_share"` // and of those past their tenants' shares
+	Work             float64 `json:"work"`       // of one, in seconds of waiting and work
+	Utility          float64 `json:"worth"`
+	OverQuotaUtility float64 `json:"past_share_worth"` // as a part of worth
 }
 
 // local answers on a Unix socket, one answer a connection, until ctx ends. A file that a node left behind when it was killed is
@@ -100,7 +100,7 @@
 				}
 			}
 			if all, alone := n.engine.Sites(); all != nil {
-				if err := out.Encode(Sites{all, alone, n.asked()}); err != nil {
+				if err := out.Encode(SitesStatus{all, alone, n.asked()}); err != nil {
 					n.log.Debug("who asked for the fleet did not read it", "err", err)
 				}
 			}
@@ -121,13 +121,13 @@
 }
 
 // asked is what the node's clients lately ask for.
-func (n *node) asked() (out []Asked) {
+func (n *node) asked() (out []ClassDemand) {
 	set := &n.cfg.Settings.Policy
 	for _, d := range n.engine.Demand() {
-		x := Asked{Class: d.Class, Rate: d.Rate, Over: d.Over, Work: d.Work, OverWorth: set.OverShare}
+		x := ClassDemand{Class: d.Class, Rate: d.Rate, OverQuota: d.Over, Work: d.Work, OverQuotaUtility: set.OverShare}
 		for _, c := range set.Classes {
 			if c.Name == d.Class {
-				x.Worth = c.Worth
+				x.Utility = c.Worth
 			}
 		}
 		out = append(out, x)
@@ -145,8 +145,8 @@
 	now := n.clock.Now()
 	var out []Member
 	for _, s := range n.engine.Members() {
-		m := Member{ID: s.Box.ID, Addr: s.Box.Addr, Zone: s.Box.Zone, Used: s.Use, Why: s.Why, Source: s.Source,
-			ToldMS: (now - s.Told).Milliseconds()}
+		m := Member{ID: s.Box.ID, Addr: s.Box.Addr, Zone: s.Box.Zone, Used: s.Use, Reason: s.Why, Source: s.Source,
+			DecidedMS: (now - s.Told).Milliseconds()}
 		if i, ok := beliefs[s.Box.ID]; ok && s.Box.State != membership.Gone {
 			m.Mode, m.Ejected, m.InFlight = all[i].Mode, all[i].Ejected, int(all[i].Own)
 		}
--- a/internal/node/names_test.go
+++ b/internal/node/names_test.go
@@ -50,12 +50,12 @@
 	}
 	g := newRegistry(t)
 	r := newRig(t, g, settingsJSON, func(c *Config) {
-		c.Own = &settings.File{DNS: settings.DNS{Servers: []string{dns.Addr}, Timeout: tomlfile.Duration(200 * time.Millisecond),
+		c.LocalSettings = &settings.File{DNS: settings.DNS{Servers: []string{dns.Addr}, Timeout: tomlfile.Duration(200 * time.Millisecond),
 			Hold: tomlfile.Duration(time.Minute), Calm: tomlfile.Duration(2 * time.Second),
 			Sites: []settings.Site{{Name: siteName, Zone: "north"}}}}
 	}, list...)
 	wait(t, "the site's names", func() bool {
-		return len(r.engine.Members()) == len(boxes) && !slices.ContainsFunc(r.members(), func(m Member) bool { return m.Why != "all sources have it" })
+		return len(r.engine.Members()) == len(boxes) && !slices.ContainsFunc(r.members(), func(m Member) bool { return m.Reason != "all sources have it" })
 	})
 	return r, g, dns
 }
@@ -145,7 +145,7 @@
 	stale.(*net.UnixListener).SetUnlinkOnClose(false)
 	stale.Close()
 	b := newBox(t, served)
-	own := func(c *Config) { c.Own = &settings.File{Fleet: settings.Fleet{Socket: path}} }
+	own := func(c *Config) { c.LocalSettings = &settings.File{Fleet: settings.Fleet{Socket: path}} }
 	r := newRig(t, newRegistry(t), settingsJSON, own, b.entry("s-0"))
 	c, err := net.Dial("unix", path)
 	if err != nil {
@@ -153,7 +153,7 @@
 	}
 	defer c.Close()
 	var m Member
-	if err := json.NewDecoder(c).Decode(&m); err != nil || m.ID != "s-0" || !m.Used || m.Mode != "normal" || m.Source != "list" || m.ToldMS < 0 {
+	if err := json.NewDecoder(c).Decode(&m); err != nil || m.ID != "s-0" || !m.Used || m.Mode != "normal" || m.Source != "list" || m.DecidedMS < 0 {
 		t.Errorf("%+v, %v", m, err)
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
@@ -167,7 +167,7 @@
 	if err := os.WriteFile(file, []byte("mine"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg.Own = &settings.File{Fleet: settings.Fleet{Socket: file}}
+	cfg.LocalSettings = &settings.File{Fleet: settings.Fleet{Socket: file}}
 	if _, err := start(cfg, r.log); err == nil {
 		t.Error("a file that is no socket was taken")
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -100,7 +100,7 @@
 	if n.rpcs == nil {
 		return n.front.Serve(ctx, ln)
 	}
-	second, err := listen(cfg.Own.JSONRPC.Listen)
+	second, err := listen(cfg.LocalSettings.JSONRPC.Listen)
 	if err != nil {
 		return errors.Join(fmt.Errorf("jsonrpc.listen: %w", err), ln.Close())
 	}
@@ -128,8 +128,8 @@
 	clock := engine.NewClock()
 	n := &node{cfg: cfg, log: log, clock: clock}
 	own := &settings.File{}
-	if cfg.Own != nil {
-		own = cfg.Own
+	if cfg.LocalSettings != nil {
+		own = cfg.LocalSettings
 	}
 	var err error
 	if n.bodies, err = message.NewStore(cfg.MemoryMB, &own.Bodies, clock); err != nil {
@@ -245,7 +245,7 @@
 // methods are those of JSON-RPC that the settings name.
 func (cfg *Config) methods() map[string]rpcfront.Method {
 	out := map[string]rpcfront.Method{}
-	for _, m := range cfg.Own.JSONRPC.Methods {
+	for _, m := range cfg.LocalSettings.JSONRPC.Methods {
 		patience := m.Patience.D()
 		for _, c := range cfg.Settings.Policy.Classes {
 			if c.Name == m.Class && patience == 0 {
--- a/internal/node/refused_linux_amd64_test.go
+++ b/internal/node/refused_linux_amd64_test.go
@@ -85,7 +85,7 @@
 		return echo(c, r, nth)
 	})
 	r := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
-		c.Own = &settings.File{Bodies: settings.Bodies{Memory: roomForBodies, Answer: 1 << 20,
+		c.LocalSettings = &settings.File{Bodies: settings.Bodies{Memory: roomForBodies, Answer: 1 << 20,
 			Disk:    settings.Disk{Folder: t.TempDir(), Total: 500 << 10, Workers: 2, Deadline: tomlfile.Duration(patience)},
 			Classes: []settings.Class{{Name: "save", Most: 1 << 20, Memory: 100 << 10, Disk: true, Once: true}}}}
 	}, b.entry("s-1"))
--- a/internal/node/rpc_test.go
+++ b/internal/node/rpc_test.go
@@ -161,7 +161,7 @@
 		t.Fatal(err)
 	}
 	r := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
-		c.Own = own
+		c.LocalSettings = own
 		more(c)
 	}, known...)
 	ctx, leave := context.WithCancel(context.Background())
--- a/internal/node/stub_test.go
+++ b/internal/node/stub_test.go
@@ -199,7 +199,7 @@
 // quotaFor holds so many connections to boxes.
 func quotaFor(n int) *quota.Quota {
 	r := quota.New(n+1, 0)
-	r.Side(admission.ClientSide).Take() // a total of 0 would mean no bound
+	r.Side(admission.ClientSide).Acquire() // a total of 0 would mean no bound
 	return r.Side(admission.BoxSide)
 }
 
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -33,28 +33,28 @@
 // Side returns a side's quota.
 func (r *Quotas) Side(s admission.Side) *Quota { return &Quota{r, s} }
 
-// Take takes a descriptor, if there is one for the side.
-func (r *Quota) Take() bool {
+// Acquire takes a descriptor, if there is one for the side.
+func (r *Quota) Acquire() bool {
 	r.all.mu.Lock()
 	defer r.all.mu.Unlock()
 	return r.all.count.Take(r.side)
 }
 
-// Claim is Take that has idle connections closed for its sake where there is none: first one of the side's own, by own,
+// AcquireOrReclaim is Take that has idle connections closed for its sake where there is none: first one of the side's own, by own,
 // which may be nil, then one of the other side where that holds more than it is sure of.
-func (r *Quota) Claim(own func() bool) bool {
-	if r.Take() || own != nil && own() && r.Take() {
+func (r *Quota) AcquireOrReclaim(own func() bool) bool {
+	if r.Acquire() || own != nil && own() && r.Acquire() {
 		return true
 	}
 	other := 1 - r.side
 	r.all.mu.Lock()
 	lent := r.all.count.Lent(other)
 	r.all.mu.Unlock()
-	return lent && r.all.yield[other] != nil && r.all.yield[other]() && r.Take()
+	return lent && r.all.yield[other] != nil && r.all.yield[other]() && r.Acquire()
 }
 
-// Give gives one back.
-func (r *Quota) Give() {
+// Release gives one back.
+func (r *Quota) Release() {
 	r.all.mu.Lock()
 	defer r.all.mu.Unlock()
 	r.all.count.Give(r.side)
--- a/internal/rpccarrier/carrier.go
+++ b/internal/rpccarrier/carrier.go
@@ -245,7 +245,7 @@
 	}
 	if n.ended || ls.retired {
 		l.Close()
-		n.cfg.Quota.Give()
+		n.cfg.Quota.Release()
 		return nil, errBroken
 	}
 	ls.all = append(ls.all, l)
@@ -254,12 +254,12 @@
 }
 
 func (n *Carrier) connect(ctx context.Context, ls *links, addr string) (*link, error) {
-	if !n.cfg.Quota.Claim(nil) {
+	if !n.cfg.Quota.AcquireOrReclaim(nil) {
 		return nil, errNoRoom
 	}
 	conn, err := n.cfg.Dial(ctx, addr)
 	if err != nil {
-		n.cfg.Quota.Give()
+		n.cfg.Quota.Release()
 		return nil, err
 	}
 	return &link{Conn: conn, carrier: n, of: ls, writing: make(chan struct{}, 1), calls: map[string]chan jsonrpc.Message{}}, nil
@@ -349,7 +349,7 @@
 		}
 	}
 	n.mu.Unlock()
-	n.cfg.Quota.Give()
+	n.cfg.Quota.Release()
 }
 
 // answer hands a message to its call. One of no open call is dropped: an answer that came late, or twice.
--- a/internal/rpcfront/front.go
+++ b/internal/rpcfront/front.go
@@ -153,7 +153,7 @@
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
-			if !sock.AcceptGoesOn(err) {
+			if !sock.IsAcceptRetryable(err) {
 				return err
 			}
 			f.cfg.Log.Debug("a connection was not accepted", "err", err)
@@ -162,7 +162,7 @@
 		}
 		c := &conn{Conn: nc, front: f, slots: make(chan struct{}, f.cfg.Inflight), open: map[string]bool{}}
 		c.ctx, c.cancel = context.WithCancel(context.Background())
-		if !f.cfg.Quota.Claim(f.Yield) {
+		if !f.cfg.Quota.AcquireOrReclaim(f.Yield) {
 			c.write(jsonrpc.AppendError(nil, jsonrpc.Null, Refused, "no room for a connection", refusal(refuseWait)))
 			c.Close()
 			continue
@@ -203,7 +203,7 @@
 	f.wake(c)
 	if c.granted {
 		c.granted = false
-		f.cfg.Quota.Give()
+		f.cfg.Quota.Release()
 	}
 }
 
--- a/internal/sock/pending.go
+++ b/internal/sock/pending.go
@@ -6,28 +6,28 @@
 	"unsafe"
 )
 
-// Waiting is what can be read from a socket at this moment.
-type Waiting uint8
+// ReadState is what can be read from a socket at this moment.
+type ReadState uint8
 
 const (
-	Nothing Waiting = iota // no byte has come, and the connection stands
-	Bytes                  // at least one byte can be read
-	Ended                  // the other side has closed the connection, or it broke
+	Empty    ReadState = iota // no byte has come, and the connection stands
+	Readable                  // at least one byte can be read
+	Closed                    // the other side has closed the connection, or it broke
 )
 
 // Pending looks at what a socket has received, without taking any of it and without waiting.
-func Pending(c net.Conn) Waiting { return NewLook(c).Pending() }
+func Pending(c net.Conn) ReadState { return NewPeeker(c).Pending() }
 
-// Look is Pending again and again on one socket, for one goroutine at a time, without memory for each time.
-type Look struct {
+// Peeker is Pending again and again on one socket, for one goroutine at a time, without memory for each time.
+type Peeker struct {
 	raw  syscall.RawConn // nil for what is no socket
-	seen Waiting
+	seen ReadState
 	look func(fd uintptr)
 }
 
-// NewLook returns the look at a socket.
-func NewLook(c net.Conn) *Look {
-	l := &Look{}
+// NewPeeker returns the look at a socket.
+func NewPeeker(c net.Conn) *Peeker {
+	l := &Peeker{}
 	if s, ok := c.(syscall.Conn); ok {
 		l.raw, _ = s.SyscallConn()
 	}
@@ -39,17 +39,17 @@
 		}
 		switch {
 		case err == syscall.EAGAIN, err == syscall.ENOMEM, err == syscall.ENOBUFS:
-			l.seen = Nothing
+			l.seen = Empty
 		case err == 0 && n > 0:
-			l.seen = Bytes
+			l.seen = Readable
 		}
 	}
 	return l
 }
 
 // Pending looks once.
-func (l *Look) Pending() Waiting {
-	l.seen = Ended
+func (l *Peeker) Pending() ReadState {
+	l.seen = Closed
 	if l.raw != nil {
 		l.raw.Control(l.look) // an error means that it is closed here
 	}
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if Pending(s) != Nothing {
+	if Pending(s) != Empty {
 		t.Error("something is pending on a new connection")
 	}
 	wait := func(what string, ok func() bool) {
@@ -37,13 +37,13 @@
 		}
 	}
 	io.WriteString(c, "x")
-	wait("bytes", func() bool { return Pending(s) == Bytes })
-	wait("the wait in the kernel", func() bool { return Waited(s) >= 60*time.Millisecond })
+	wait("bytes", func() bool { return Pending(s) == Readable })
+	wait("the wait in the kernel", func() bool { return SinceLastReceive(s) >= 60*time.Millisecond })
 	io.WriteString(c, "y")
-	wait("a shorter one after more bytes", func() bool { return Waited(s) < 60*time.Millisecond })
+	wait("a shorter one after more bytes", func() bool { return SinceLastReceive(s) < 60*time.Millisecond })
 	if _, err := io.ReadFull(s, make([]byte, 2)); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
-	wait("the end", func() bool { return Pending(s) == Ended })
+	wait("the end", func() bool { return Pending(s) == Closed })
 }
--- a/internal/sock/waited.go
+++ b/internal/sock/waited.go
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Waited is how long ago the latest bytes of a connection came to this machine: Linux's tcpi_last_data_recv (tcp(7)), in
+// SinceLastReceive is how long ago the latest bytes of a connection came to this machine: Linux's tcpi_last_data_recv (tcp(7)), in
 // steps of its clock of 1 to 10 ms. It is 0 where the system does not tell.
-func Waited(c net.Conn) time.Duration {
+func SinceLastReceive(c net.Conn) time.Duration {
 	s, ok := c.(syscall.Conn)
 	if !ok {
 		return 0
