--- a/internal/node/beliefs.go
+++ b/internal/node/beliefs.go
@@ -10,13 +10,13 @@
 	"craneglade/internal/timing"
 )
 
-// beliefEvery is how often the debug log tells what is believed of the backends.
-const beliefEvery = time.Second
+// beliefLogInterval is how often the policy's estimates of the backends are logged at debug level.
+const beliefLogInterval = time.Second
 
-// beliefs logs, while the log takes debug lines, what the policy believes of each backend: one line each, so that a
-// second of the log can be laid beside what was true in it. It returns when ctx ends.
-func (n *node) beliefs(ctx context.Context) {
-	timing.Every(ctx, beliefEvery, func() {
+// logBeliefs logs the policy's estimates of each backend once a second until ctx ends, one line for each backend, so that they can
+// be compared with the true values of that second.
+func (n *node) logBeliefs(ctx context.Context) {
+	timing.Every(ctx, beliefLogInterval, func() {
 		ids, all := n.engine.Beliefs()
 		for i := range all {
 			n.log.LogAttrs(ctx, slog.LevelDebug, "belief", slog.String("backend", ids[i]), slog.Any("of", belief(all[i])))
@@ -24,7 +24,7 @@
 	})
 }
 
-// belief is one as a group of a log line.
+// belief is a policy.Belief that is logged as a group.
 type belief policy.Belief
 
 func (x belief) LogValue() slog.Value {
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -18,8 +18,8 @@
 	"craneglade/internal/tomlfile"
 )
 
-// BenchmarkRequest is one request after the other from one client through a node to a box, all in this process: what a
-// request costs in time and allocations, client and box included.
+// BenchmarkRequest sends requests one by one from a client through a node to a backend, all in this process. It measures the time and
+// allocations of a request, those of client and backend included.
 func BenchmarkRequest(b *testing.B) {
 	for _, size := range []int{200, 32 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) { benchRequest(b, size) })
@@ -28,8 +28,8 @@
 
 func benchRequest(b *testing.B, size int) {
 	t := &testing.T{}
-	x := newBox(t, served)
-	r := newRig(t, newRegistry(t), settingsJSON, nil, x.entry("s-1"))
+	backend := newStubBackend(t, respondOK)
+	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, backend.entry("s-1"))
 	c := r.dial(t)
 	body := make([]byte, size)
 	for i := range body {
@@ -50,14 +50,14 @@
 		if resp.StatusCode != 200 {
 			b.Fatalf("answered %d", resp.StatusCode)
 		}
-		x.mu.Lock()
-		x.got = x.got[:0] // or the benchmark would measure its growth
-		x.mu.Unlock()
+		backend.mu.Lock()
+		backend.received = backend.received[:0] // else the benchmark would measure the growth of this slice
+		backend.mu.Unlock()
 	}
 }
 
-// BenchmarkSavesOnAFullDisk is saves of 100 KiB, whose class may be kept on disk or else streamed, one after the other: with
-// no disk, with one that works and with one that is full. What p99 a full disk adds is the last less the first.
+// BenchmarkSavesOnAFullDisk sends saves of 100 KiB one by one. Their class may be stored on disk, or else is streamed. It runs without
+// a disk, with one that works and with one that is full; the p99 that a full disk adds is the last less the first.
 func BenchmarkSavesOnAFullDisk(b *testing.B) {
 	for _, x := range []struct {
 		name string
@@ -65,11 +65,11 @@
 	}{{"none", nil}, {"works", &disk{}}, {"full", &disk{create: syscall.ENOSPC}}} {
 		b.Run(x.name, func(b *testing.B) {
 			t := &testing.T{}
-			box := newBox(t, echo)
-			r := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
+			backend := newStubBackend(t, echo)
+			r := startNode(t, newStubDiscovery(t), settingsJSON, func(c *Config) {
 				c.LocalSettings = &settings.File{Bodies: settings.Bodies{Memory: 300 << 10,
 					Classes: []settings.Class{{Name: "save", Most: 1 << 20, Memory: 1, Disk: x.disk != nil, Once: true}}}}
-			}, box.entry("s-1"))
+			}, backend.entry("s-1"))
 			if x.disk != nil {
 				r.bodies.UseDisk(x.disk, settings.Disk{Workers: 4, Deadline: tomlfile.Duration(20 * time.Millisecond)})
 				r.bodies.SetLimits(bodies.Limits{Memory: 300 << 10, Heads: 1 << 20, Disk: 64 << 20})
@@ -77,13 +77,13 @@
 			c := r.dial(t)
 			took := make([]float64, 0, b.N)
 			for i := range b.N {
-				q := big(fmt.Sprint("r", i), 100<<10)
-				begun := time.Now()
-				if resp, body := c.ask(q); resp.StatusCode != 200 || body != q.echoed() {
+				q := largeSave(fmt.Sprint("r", i), 100<<10)
+				started := time.Now()
+				if resp, body := c.roundTrip(q); resp.StatusCode != 200 || body != q.echoed() {
 					b.Fatalf("answered %d", resp.StatusCode)
 				}
-				took = append(took, time.Since(begun).Seconds()*1000)
-				c.SetDeadline(time.Now().Add(patience))
+				took = append(took, time.Since(started).Seconds()*1000)
+				c.SetDeadline(time.Now().Add(testTimeout))
 			}
 			slices.Sort(took)
 			b.ReportMetric(took[len(took)*99/100], "p99-ms")
@@ -92,39 +92,39 @@
 	}
 }
 
-// BenchmarkCalls is one call after the other through a node to a box, over JSON-RPC beside HTTP, and in batches of 20.
+// BenchmarkCalls sends calls one by one through a node to a backend: over HTTP, over JSON-RPC and in JSON-RPC batches of 20.
 func BenchmarkCalls(b *testing.B) {
 	run := func(name string, per int, ask func(c *client, i int)) {
 		b.Run(name, func(b *testing.B) {
 			t := &testing.T{}
-			x := newRPCBox(t, works)
-			x.http.answer = served
-			r, addr := rpcRig(t, nil, x.entry("s-1"))
+			x := newRPCBackend(t, respondRPC)
+			x.http.respond = respondOK
+			r, addr := startRPCNode(t, nil, x.entry("s-1"))
 			c := dialRPC(t, addr)
 			if name == "http" {
 				c = r.dial(t)
 			}
 			b.ReportAllocs()
-			before := cpu()
+			before := cpuTime()
 			for i := 0; i < b.N; i += per {
 				ask(c, i)
 				if i%1000 == 0 {
-					c.SetDeadline(time.Now().Add(patience))
+					c.SetDeadline(time.Now().Add(testTimeout))
 					x.mu.Lock()
-					x.got = x.got[:0]
+					x.received = x.received[:0]
 					x.mu.Unlock()
 					x.http.mu.Lock()
-					x.http.got = x.http.got[:0]
+					x.http.received = x.http.received[:0]
 					x.http.mu.Unlock()
 				}
 			}
-			b.ReportMetric(float64((cpu()-before).Microseconds())/float64(b.N), "cpu-us/op")
+			b.ReportMetric(float64((cpuTime()-before).Microseconds())/float64(b.N), "cpu-us/op")
 		})
 	}
 	call := func(i int) string {
 		return fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"sendQuote","params":{"design":"a door"}}`, i)
 	}
-	run("http", 1, func(c *client, i int) { c.ask(quote(fmt.Sprint("r", i))) })
+	run("http", 1, func(c *client, i int) { c.roundTrip(quote(fmt.Sprint("r", i))) })
 	run("jsonrpc", 1, func(c *client, i int) {
 		c.send(call(i) + "\n")
 		c.line()
@@ -139,8 +139,8 @@
 	})
 }
 
-// cpu is the processor time that this process has used.
-func cpu() time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -148,13 +148,13 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkIdleCallers is what one of 5,000 connections without an open call holds in memory, the client's end of it in the
-// same process included.
+// BenchmarkIdleCallers measures the memory for each of 5,000 connections without an open call, the client's end in the same process
+// included.
 func BenchmarkIdleCallers(b *testing.B) {
 	for range b.N {
 		t := &testing.T{}
-		_, addr := rpcRig(t, nil, newRPCBox(t, works).entry("s-1"))
-		before := inUse()
+		_, addr := startRPCNode(t, nil, newRPCBackend(t, respondRPC).entry("s-1"))
+		before := memoryInUse()
 		const n = 5000
 		var all []net.Conn
 		for i := range n {
@@ -168,29 +168,29 @@
 				b.Fatal(err)
 			}
 		}
-		b.ReportMetric(float64(inUse()-before)/n, "bytes/conn")
+		b.ReportMetric(float64(memoryInUse()-before)/n, "bytes/conn")
 		for _, c := range all {
 			c.Close()
 		}
 	}
 }
 
-// BenchmarkAdded is a call straight to a box beside the same through a node, one after the other: what the node adds.
+// BenchmarkAdded measures the latency that a node adds: calls sent one by one straight to a backend, and through a node.
 func BenchmarkAdded(b *testing.B) {
 	t := &testing.T{}
-	x := newRPCBox(t, works)
-	_, addr := rpcRig(t, nil, x.entry("s-1"))
+	x := newRPCBackend(t, respondRPC)
+	_, addr := startRPCNode(t, nil, x.entry("s-1"))
 	for _, to := range []struct{ name, addr string }{{"straight", x.ln.Addr().String()}, {"node", addr}} {
 		b.Run(to.name, func(b *testing.B) {
 			c := dialRPC(t, to.addr)
 			took := make([]float64, 0, b.N)
 			for i := range b.N {
-				begun := time.Now()
+				started := time.Now()
 				c.send(fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"sum","params":[1]}`, i))
 				c.line()
-				took = append(took, float64(time.Since(begun).Nanoseconds())/1000)
+				took = append(took, float64(time.Since(started).Nanoseconds())/1000)
 				if i%1000 == 0 {
-					c.SetDeadline(time.Now().Add(patience))
+					c.SetDeadline(time.Now().Add(testTimeout))
 				}
 			}
 			slices.Sort(took)
@@ -200,34 +200,33 @@
 	}
 }
 
-// BenchmarkCallsAtOneRate is the processor time of a request and of a call that come every 4 ms, over both fronts.
+// BenchmarkCallsAtOneRate measures the CPU time of a request and of a call, sent every 4 ms, at either front.
 func BenchmarkCallsAtOneRate(b *testing.B) {
 	for _, name := range []string{"http", "jsonrpc"} {
 		b.Run(name, func(b *testing.B) {
 			t := &testing.T{}
-			x := newRPCBox(t, works)
-			r, addr := rpcRig(t, nil, x.entry("s-1"))
+			x := newRPCBackend(t, respondRPC)
+			r, addr := startRPCNode(t, nil, x.entry("s-1"))
 			c, h := dialRPC(t, addr), r.dial(t)
 			tick := time.NewTicker(4 * time.Millisecond)
 			defer tick.Stop()
 			b.ReportAllocs()
-			before := cpu()
+			before := cpuTime()
 			for i := range b.N {
 				<-tick.C
 				if name == "http" {
-					h.ask(quote(fmt.Sprint("r", i)))
+					h.roundTrip(quote(fmt.Sprint("r", i)))
 					continue
 				}
 				c.send(fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"sendQuote","params":{"design":"a door"}}`, i))
 				c.line()
 			}
-			b.ReportMetric(float64((cpu()-before).Microseconds())/float64(b.N), "cpu-us/op")
+			b.ReportMetric(float64((cpuTime()-before).Microseconds())/float64(b.N), "cpu-us/op")
 		})
 	}
 }
 
-// BenchmarkAtRest is the heap of a node that serves nobody, by what it knows: for each backend on its list, and for each
-// tenant in its settings.
+// BenchmarkAtRest measures the heap of a node without clients: for each backend on its list, and for each tenant in its settings.
 func BenchmarkAtRest(b *testing.B) {
 	heap := func(backends, tenants int) float64 {
 		t := &testing.T{}
@@ -240,23 +239,23 @@
 			fmt.Fprintf(&projects, `%s{"name":"tenant-%07d","quota_per_s":10}`, []string{",", ""}[max(0, 1-i)], i)
 		}
 		settings := strings.Replace(settingsJSON, `"grades":`, `"projects":[`+projects.String()+`],"grades":`, 1)
-		before := inUse()
-		r := newRig(t, newRegistry(t), settings, nil, known...)
-		used := float64(inUse()) - float64(before)
+		before := memoryInUse()
+		r := startNode(t, newStubDiscovery(t), settings, nil, known...)
+		used := float64(memoryInUse()) - float64(before)
 		runtime.KeepAlive(r)
 		return used
 	}
 	for b.Loop() {
 		const backends, tenants = 20000, 100000
-		rest := heap(1, 1)
-		b.ReportMetric(rest, "B-at-rest")
-		b.ReportMetric((heap(backends, 1)-rest)/backends, "B/backend")
-		b.ReportMetric((heap(1, tenants)-rest)/tenants, "B/tenant")
+		base := heap(1, 1)
+		b.ReportMetric(base, "B-at-rest")
+		b.ReportMetric((heap(backends, 1)-base)/backends, "B/backend")
+		b.ReportMetric((heap(1, tenants)-base)/tenants, "B/tenant")
 	}
 }
 
-// inUse is what this process's heap and stacks take, after a collection.
-func inUse() uint64 {
+// memoryInUse returns the memory of this process's heap and stacks after a garbage collection.
+func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/node/chunked_test.go
+++ b/internal/node/chunked_test.go
@@ -16,7 +16,7 @@
 	"craneglade/internal/message"
 )
 
-// inChunks is a body in chunks of so many bytes at most.
+// inChunks returns a body in chunked coding, in chunks of up to size bytes.
 func inChunks(body string, size int) string {
 	var b strings.Builder
 	for len(body) > 0 {
@@ -27,20 +27,20 @@
 	return b.String() + "0\r\n\r\n"
 }
 
-// chunkedHead is the head of a request whose body has no length, with more header lines, each with its line end.
-func (c call) chunkedHead(lines string) string {
+// chunkedHead returns the head of the request without Content-Length and with the header lines in its place, each with its line end.
+func (c testRequest) chunkedHead(lines string) string {
 	c.body = ""
 	return strings.Replace(c.text(), "Content-Length: 0\r\n", lines, 1)
 }
 
 const codingLine = "Transfer-Encoding: chunked\r\n"
 
-// A body in chunks reaches the backend whole, with its length told and without a coding; what is behind the last chunk
-// is the next request.
+// A chunked body reaches the backend complete, with Content-Length and without a transfer coding. The bytes after the last chunk are
+// the next request.
 func TestBodiesInChunksAreServed(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, echo)
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
+	b := newStubBackend(t, echo)
+	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
 	usual := quote("x").body
 	largest := strings.Repeat("a door ", message.MaxBody)[:message.MaxBody]
 	endless := strings.Repeat("e", 4000)
@@ -49,17 +49,17 @@
 	}{
 		{"one chunk", codingLine, usual, inChunks(usual, 100)},
 		{"a byte in each", codingLine, usual, inChunks(usual, 1)},
-		{"other letters", "transfer-encoding: CHUNKED\r\n", usual, inChunks(usual, 4)},
+		{"header in other case", "transfer-encoding: CHUNKED\r\n", usual, inChunks(usual, 4)},
 		{"folded", "Transfer-Encoding:\r\n Chunked\r\n", usual, inChunks(usual, 4)},
 		{"no body", codingLine, "", "0\r\n\r\n"},
-		{"zeros before and behind", codingLine, usual, "0006\r\n" + usual + "\r\n00000\r\n\r\n"},
-		{"size in large letters", codingLine, strings.Repeat("x", 0xab), "AB\r\n" + strings.Repeat("x", 0xab) + "\r\n0\r\n\r\n"},
+		{"leading zeros in sizes", codingLine, usual, "0006\r\n" + usual + "\r\n00000\r\n\r\n"},
+		{"size in upper case", codingLine, strings.Repeat("x", 0xab), "AB\r\n" + strings.Repeat("x", 0xab) + "\r\n0\r\n\r\n"},
 		{"extensions", codingLine, usual, "2;a;b=c;d=\"e;f\"\r\na \r\n4; g = h\r\ndoor\r\n0;last\r\n\r\n"},
 		{"a long extension", codingLine, usual, "6;" + endless + "\r\n" + usual + "\r\n0\r\n\r\n"},
 		{"trailers", "Trailer: X-Sum\r\n" + codingLine, usual, "6\r\n" + usual + "\r\n0\r\nX-Sum: 1\r\nX-Request-Id: other\r\n\r\n"},
-		{"the most, in one", codingLine, largest, inChunks(largest, len(largest))},
-		{"the most, in pieces", codingLine, largest, inChunks(largest, 999)},
-		{"the most, a byte in each", codingLine, largest, inChunks(largest, 1)},
+		{"max size in one chunk", codingLine, largest, inChunks(largest, len(largest))},
+		{"max size in several chunks", codingLine, largest, inChunks(largest, 999)},
+		{"max size, a byte in each", codingLine, largest, inChunks(largest, 1)},
 		{"an expectation", "Expect: 100-continue\r\n" + codingLine, usual, inChunks(usual, 4)},
 	} {
 		q := quote(fmt.Sprint("q", i))
@@ -67,18 +67,18 @@
 		next := view(fmt.Sprint("behind-", i))
 		cl := r.dial(t)
 		go io.WriteString(cl, q.chunkedHead(c.lines)+c.wire+next.text())
-		resp, body := cl.answer()
+		resp, body := cl.readResponse()
 		if strings.Contains(c.lines, "Expect") {
 			if resp.StatusCode != http.StatusContinue {
-				t.Errorf("%s: %d, want to be told to go on", c.name, resp.StatusCode)
+				t.Errorf("%s: %d, want 100", c.name, resp.StatusCode)
 			}
-			resp, body = cl.answer()
+			resp, body = cl.readResponse()
 		}
 		if resp.StatusCode != 200 || body != q.echoed() {
 			t.Errorf("%s: %d %.60q", c.name, resp.StatusCode, body)
 		}
-		if resp, body := cl.answer(); resp.StatusCode != 200 || body != next.echoed() {
-			t.Errorf("%s: the request behind it: %d %.60q", c.name, resp.StatusCode, body)
+		if resp, body := cl.readResponse(); resp.StatusCode != 200 || body != next.echoed() {
+			t.Errorf("%s: the request after it: %d %.60q", c.name, resp.StatusCode, body)
 		}
 		got := b.requests()
 		if len(got) != 2*(i+1) {
@@ -86,41 +86,41 @@
 		}
 		in := got[2*i]
 		if in.ContentLength != int64(len(c.body)) || len(in.TransferEncoding) > 0 || in.Header.Get("X-Sum")+in.Header.Get("Trailer") != "" {
-			t.Errorf("%s: the backend was told a length of %d, coding %q, headers %v", c.name, in.ContentLength, in.TransferEncoding, in.Header)
+			t.Errorf("%s: the backend got length %d, coding %q, headers %v", c.name, in.ContentLength, in.TransferEncoding, in.Header)
 		}
 	}
-	r.empty(t, &disk{})
+	r.waitReleased(t, &disk{})
 }
 
-// Requests that lie in the connection's buffer behind another are framed as the first is, also where one of them hides the
-// next.
+// Pipelined requests in the connection's buffer are framed like the first one, also if one of them hides the next behind a
+// conflicting length.
 func TestChunksBehindOneAnother(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, echo)
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
+	b := newStubBackend(t, echo)
+	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
 	first, second, third := quote("first"), save("second"), quote("third")
 	end := inChunks("", 1)
 	cl := r.dial(t)
 	cl.send(first.chunkedHead(codingLine) + inChunks(first.body, 2) + second.chunkedHead(codingLine) + inChunks(second.body, 3) +
 		third.chunkedHead(fmt.Sprintf("Content-Length: %d\r\n", len(end)+len(view("hidden").text()))+codingLine) + end + view("hidden").text())
-	for _, q := range []call{first, second} {
-		if resp, body := cl.answer(); resp.StatusCode != 200 || body != q.echoed() {
+	for _, q := range []testRequest{first, second} {
+		if resp, body := cl.readResponse(); resp.StatusCode != 200 || body != q.echoed() {
 			t.Errorf("%s: %d %q", q.id, resp.StatusCode, body)
 		}
 	}
-	if resp, _ := cl.answer(); resp.StatusCode != 400 || !resp.Close {
-		t.Errorf("a length beside the chunks: %d, close %v", resp.StatusCode, resp.Close)
+	if resp, _ := cl.readResponse(); resp.StatusCode != 400 || !resp.Close {
+		t.Errorf("a length and chunks: %d, close %v", resp.StatusCode, resp.Close)
 	}
 	if n := len(b.requests()); n != 2 {
 		t.Errorf("the backend got %d requests", n)
 	}
 }
 
-// What is no body in chunks is refused, its connection is closed, and neither it nor what it hides reaches a backend.
+// A malformed chunked body is rejected and its connection closed. Neither it nor a request hidden in it reaches a backend.
 func TestMalformedChunksReachNoBackend(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
+	b := newStubBackend(t, respondOK)
+	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
 	hidden := view("hidden").text()
 	q := quote("x")
 	chunk := "6\r\na door\r\n"
@@ -130,43 +130,43 @@
 		name, lines, wire string
 		want              int
 	}{
-		{"a length beside", "Content-Length: 6\r\n" + codingLine, chunk + end, 400},
-		{"a length behind", codingLine + "Content-Length: 16\r\n", chunk + end, 400},
+		{"Content-Length before", "Content-Length: 6\r\n" + codingLine, chunk + end, 400},
+		{"Content-Length after", codingLine + "Content-Length: 16\r\n", chunk + end, 400},
 		{"a length that hides a request", fmt.Sprintf("Content-Length: %d\r\n", len(end)+len(hidden)) + codingLine, end + hidden, 400},
 		{"a length, a head beyond the buffer", "Content-Length: 6\r\n" + padding + codingLine, chunk + end, 400},
 		{"a length in other letters", "content-LENGTH:6\r\n" + codingLine, chunk + end, 400},
 		{"twice", codingLine + codingLine, chunk + end, 400},
 		{"twice in a line", "Transfer-Encoding: chunked, chunked\r\n", chunk + end, 400},
 		{"another coding before", "Transfer-Encoding: gzip, chunked\r\n", chunk + end, 501},
-		{"another coding behind", "Transfer-Encoding: chunked, gzip\r\n", chunk + end, 400},
+		{"another coding after", "Transfer-Encoding: chunked, gzip\r\n", chunk + end, 400},
 		{"an unknown coding", "Transfer-Encoding: xchunked\r\n", chunk + end, 501},
 		{"a space before the colon", "Transfer-Encoding : chunked\r\n", chunk + end, 411},
 		{"a space before the colon, and a length", "Content-Length: 16\r\nTransfer-Encoding : chunked\r\n", chunk + end, 400},
 		{"a trailer that is a length", "Trailer: Content-Length\r\n" + codingLine, chunk + end, 400},
 		{"a size that overflows", codingLine, "10000000000000006\r\na door\r\n" + end, 400},
-		{"the largest size, and little of it", codingLine, "ffffffffffffffff\r\na door\r\n" + end, 408},
-		{"the largest size, and much of it", codingLine, "ffffffffffffffff\r\n" + strings.Repeat("x", message.MaxBody+1), 413},
-		// RFC 9112, 7.1.1, has a reader pass over this blank; net/http's does not.
+		{"the largest size, truncated", codingLine, "ffffffffffffffff\r\na door\r\n" + end, 408},
+		{"the largest size, over the limit", codingLine, "ffffffffffffffff\r\n" + strings.Repeat("x", message.MaxBody+1), 413},
+		// RFC 9112, 7.1.1, allows a space here; the reader of net/http does not.
 		{"a blank before an extension", codingLine, "6 ;a=b\r\na door\r\n" + end, 400},
 		{"a negative size", codingLine, "-6\r\na door\r\n" + end, 400},
 		{"a size with a plus", codingLine, "+6\r\na door\r\n" + end, 400},
-		{"a size in C's way", codingLine, "0x6\r\na door\r\n" + end, 400},
+		{"a size with 0x", codingLine, "0x6\r\na door\r\n" + end, 400},
 		{"no size", codingLine, "\r\na door\r\n" + end, 400},
 		{"a space before the size", codingLine, " 6\r\na door\r\n" + end, 400},
 		{"a size that does not end", codingLine, strings.Repeat("0", 8000), 400},
 		{"an extension that does not end", codingLine, "6;" + strings.Repeat("e", 8000), 400},
-		{"much in extensions", codingLine, strings.Repeat("1;"+strings.Repeat("e", 3000)+"\r\nx\r\n", 20) + end, 400},
+		{"long extensions", codingLine, strings.Repeat("1;"+strings.Repeat("e", 3000)+"\r\nx\r\n", 20) + end, 400},
 		{"a line feed alone", codingLine, "6\na door\r\n" + end, 400},
-		{"a chunk longer than told", codingLine, "5\r\na door\r\n" + end, 400},
-		{"a chunk shorter than told", codingLine, "7\r\na door\r\n" + end, 400},
+		{"a chunk longer than its size", codingLine, "5\r\na door\r\n" + end, 400},
+		{"a chunk shorter than its size", codingLine, "7\r\na door\r\n" + end, 400},
 		{"a trailer that does not end", codingLine, chunk + "0\r\nX-A: " + strings.Repeat("a", 8000) + "\r\n\r\n", 400},
-		{"a trailer that is none", codingLine, chunk + "0\r\nnone\r\n\r\n", 400},
-		{"a body over the most", codingLine, inChunks(strings.Repeat("x", message.MaxBody+1), 1000), 413},
-		{"a body over the most in one chunk", codingLine, inChunks(strings.Repeat("x", message.MaxBody+1), 1<<20), 413},
+		{"a malformed trailer", codingLine, chunk + "0\r\nnone\r\n\r\n", 400},
+		{"a body over the limit", codingLine, inChunks(strings.Repeat("x", message.MaxBody+1), 1000), 413},
+		{"a body over the limit in one chunk", codingLine, inChunks(strings.Repeat("x", message.MaxBody+1), 1<<20), 413},
 	} {
 		cl := r.dial(t)
-		go io.WriteString(cl, q.chunkedHead(c.lines)+c.wire+hidden) // the node may answer and close before it has read all
-		if resp, _ := cl.answer(); resp.StatusCode != c.want || !resp.Close {
+		go io.WriteString(cl, q.chunkedHead(c.lines)+c.wire+hidden) // the node may respond and close before it has read all
+		if resp, _ := cl.readResponse(); resp.StatusCode != c.want || !resp.Close {
 			t.Errorf("%s: answered %d, close %v, want %d and a close", c.name, resp.StatusCode, resp.Close, c.want)
 		}
 		if n, err := cl.Read(make([]byte, 1)); n != 0 || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -176,64 +176,64 @@
 	for _, text := range []string{view("x").text(), "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n", "POST /ready HTTP/1.1\r\nHost: x\r\n\r\n"} {
 		cl := r.dial(t)
 		cl.send(strings.Replace(text, "\r\n\r\n", "\r\n"+codingLine+"\r\n"+end, 1) + hidden)
-		if resp, _ := cl.answer(); resp.StatusCode != 400 || !resp.Close {
+		if resp, _ := cl.readResponse(); resp.StatusCode != 400 || !resp.Close {
 			t.Errorf("%.20q in chunks: answered %d, close %v", text, resp.StatusCode, resp.Close)
 		}
 	}
 	if got := b.requests(); len(got) != 0 {
 		t.Errorf("the backend got %d requests", len(got))
 	}
-	r.empty(t, &disk{})
+	r.waitReleased(t, &disk{})
 }
 
-// A client that leaves between two chunks sends nothing on; one that stops has its time, and is told.
+// If a client disconnects between two chunks, nothing reaches a backend. If it stops sending, it gets 408 after the timeout.
 func TestBodiesInChunksThatDoNotEnd(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
+	b := newStubBackend(t, respondOK)
+	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
 	q := quote("x")
 	parts := []string{"", "6\r\na door\r\n", "6\r\na do", "6\r\na door\r\n0\r\n", "6\r\na door\r\n0\r\nX-A: b\r\n"}
 	var slow []*client
 	for _, sent := range parts {
-		gone := r.dial(t)
-		gone.send(q.chunkedHead(codingLine) + sent)
-		gone.Close()
+		disconnected := r.dial(t)
+		disconnected.send(q.chunkedHead(codingLine) + sent)
+		disconnected.Close()
 		half := r.dial(t)
 		half.send(q.chunkedHead(codingLine) + sent)
 		half.Conn.(*net.TCPConn).CloseWrite()
-		if resp, _ := half.answer(); resp.StatusCode != 400 || !resp.Close {
-			t.Errorf("%q and an end: answered %d, close %v", sent, resp.StatusCode, resp.Close)
+		if resp, _ := half.readResponse(); resp.StatusCode != 400 || !resp.Close {
+			t.Errorf("%q and a close: answered %d, close %v", sent, resp.StatusCode, resp.Close)
 		}
 		cl := r.dial(t)
 		cl.send(q.chunkedHead(codingLine) + sent)
 		slow = append(slow, cl)
 	}
 	for i, cl := range slow {
-		if resp, _ := cl.answer(); resp.StatusCode != 408 || !resp.Close {
+		if resp, _ := cl.readResponse(); resp.StatusCode != 408 || !resp.Close {
 			t.Errorf("%q and nothing more: answered %d, close %v", parts[i], resp.StatusCode, resp.Close)
 		}
 	}
-	r.empty(t, &disk{})
+	r.waitReleased(t, &disk{})
 	if got := b.requests(); len(got) != 0 {
 		t.Errorf("the backend got %d requests", len(got))
 	}
 }
 
-// A client that waits to be told to go on is told, and one whose chunks come byte by byte is served.
+// A client that waits for 100 Continue gets it, and chunks that arrive byte by byte are served.
 func TestChunksAByteAtATime(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, echo)
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
+	b := newStubBackend(t, echo)
+	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
 	q := save("slow")
 	cl := r.dial(t)
 	cl.send(q.chunkedHead("Expect: 100-continue\r\n" + codingLine))
-	if resp, _ := cl.answer(); resp.StatusCode != http.StatusContinue {
+	if resp, _ := cl.readResponse(); resp.StatusCode != http.StatusContinue {
 		t.Fatalf("answered %d", resp.StatusCode)
 	}
 	for _, x := range []byte(inChunks(q.body, 3)) {
-		cl.send(string(x)) // a write of its own: the system does not hold it back
+		cl.send(string(x)) // a write of its own, which the kernel does not delay
 	}
-	if resp, body := cl.answer(); resp.StatusCode != 200 || body != q.echoed() {
+	if resp, body := cl.readResponse(); resp.StatusCode != 200 || body != q.echoed() {
 		t.Errorf("%d %q", resp.StatusCode, body)
 	}
 	if got := b.requests(); len(got) != 1 || got[0].Header.Get("Expect") != "" {
@@ -241,26 +241,26 @@
 	}
 }
 
-// Each tier takes bodies whose size nobody told: memory, then disk, and where the disk fails, memory beyond the class's
-// usual part of it, as their length has to be known before they are sent.
+// Bodies of unknown size are placed in each tier: memory, then disk. If the disk fails, they use memory beyond the normal share of
+// their class, as their length has to be known before they are sent.
 func TestEachTierTakesChunks(t *testing.T) {
 	t.Parallel()
 	d := &disk{}
-	b := newBox(t, echo)
-	r := tieredRig(t, d, b, patience)
+	b := newStubBackend(t, echo)
+	r := startTieredNode(t, d, b, testTimeout)
 	c := r.dial(t)
-	ask := func(q call) (*http.Response, string) {
+	ask := func(q testRequest) (*http.Response, string) {
 		c.send(q.chunkedHead(codingLine) + inChunks(q.body, 10000))
-		return c.answer()
+		return c.readResponse()
 	}
-	over := big("over", 1<<20+1)
+	over := largeSave("over", 1<<20+1)
 	before := r.dial(t)
 	go io.WriteString(before, over.chunkedHead(codingLine)+inChunks(over.body, 10000))
-	if resp, _ := before.answer(); resp.StatusCode != 413 || !resp.Close {
-		t.Errorf("over the most: answered %d, close %v", resp.StatusCode, resp.Close)
+	if resp, _ := before.readResponse(); resp.StatusCode != 413 || !resp.Close {
+		t.Errorf("over the limit: answered %d, close %v", resp.StatusCode, resp.Close)
 	}
-	r.empty(t, d)
-	first := r.tiers()
+	r.waitReleased(t, d)
+	first := r.placedByTier()
 	for i, x := range []struct {
 		size int
 		fail func()
@@ -268,16 +268,16 @@
 	}{
 		{50 << 10, func() {}, [3]int64{1, 0, 0}},
 		{100 << 10, func() {}, [3]int64{2, 0, 0}},
-		{100<<10 + 1, func() {}, [3]int64{3, 1, 0}}, // it begins in memory
+		{100<<10 + 1, func() {}, [3]int64{3, 1, 0}}, // it starts in memory
 		{1 << 20, func() {}, [3]int64{4, 2, 0}},
-		{200 << 10, func() { d.create = syscall.ENOSPC }, [3]int64{5, 3, 0}}, // goes on in memory
+		{200 << 10, func() { d.create = syscall.ENOSPC }, [3]int64{5, 3, 0}}, // continues in memory
 	} {
 		d.set(x.fail)
-		q := big(fmt.Sprint("r", i), x.size)
-		if resp, body := ask(q); resp.StatusCode != 200 || body != q.echoed() || since(first, r.tiers()) != x.want {
-			t.Errorf("%d bytes: %d %.60q, tiers %v", x.size, resp.StatusCode, body, since(first, r.tiers()))
+		q := largeSave(fmt.Sprint("r", i), x.size)
+		if resp, body := ask(q); resp.StatusCode != 200 || body != q.echoed() || tierDelta(first, r.placedByTier()) != x.want {
+			t.Errorf("%d bytes: %d %.60q, tiers %v", x.size, resp.StatusCode, body, tierDelta(first, r.placedByTier()))
 		}
-		r.empty(t, d)
+		r.waitReleased(t, d)
 	}
 	for _, x := range []struct {
 		name  string
@@ -288,26 +288,26 @@
 		{"no disk, and more than all memory", "save", 400 << 10, 503},
 		{"no disk, and not to be streamed", "quote", 200 << 10, 503},
 	} {
-		q := big(x.name[:4], x.size)
+		q := largeSave(x.name[:4], x.size)
 		if q.class = x.class; q.class == "quote" {
 			q.key = ""
 		}
 		cl := r.dial(t)
 		go io.WriteString(cl, q.chunkedHead(codingLine)+inChunks(q.body, 10000))
-		if resp, _ := cl.answer(); resp.StatusCode != x.want || !resp.Close {
+		if resp, _ := cl.readResponse(); resp.StatusCode != x.want || !resp.Close {
 			t.Errorf("%s: answered %d, close %v, want %d and a close", x.name, resp.StatusCode, resp.Close, x.want)
 		}
-		r.empty(t, d)
+		r.waitReleased(t, d)
 	}
 }
 
-// since is what the tiers were given between two counts.
-func since(before, now [3]int64) [3]int64 {
-	return [3]int64{now[0] - before[0], now[1] - before[1], now[2] - before[2]}
+// tierDelta returns how many bodies were placed in each tier between two counts.
+func tierDelta(before, after [3]int64) [3]int64 {
+	return [3]int64{after[0] - before[0], after[1] - before[1], after[2] - before[2]}
 }
 
-// A disk that fails under a body whose size nobody told has what came before: nothing was sent, and its client may try
-// again.
+// If the disk fails during a body of unknown size, the bytes before are lost with it. Nothing was sent to a backend, and the client may
+// retry.
 func TestDiskFailsUnderChunks(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
@@ -315,62 +315,62 @@
 		fault  func(d *disk)
 		status int
 	}{
-		{"no room for what was read", func(d *disk) { d.write, d.writes = syscall.ENOSPC, 0 }, 200},
-		{"no room in the middle", func(d *disk) { d.write, d.writes = syscall.ENOSPC, 2 }, 503},
+		{"disk full at the first write", func(d *disk) { d.write, d.writes = syscall.ENOSPC, 0 }, 200},
+		{"disk full during the body", func(d *disk) { d.write, d.writes = syscall.ENOSPC, 2 }, 503},
 		{"EIO on reading back", func(d *disk) { d.read = syscall.EIO }, 503},
-		{"it hangs", func(d *disk) { d.hang = make(chan struct{}) }, 200},
+		{"disk hangs", func(d *disk) { d.blocked = make(chan struct{}) }, 200},
 	} {
 		d := &disk{}
-		b := newBox(t, echo)
+		b := newStubBackend(t, echo)
 		x.fault(d)
-		deadline := patience // no machine is so slow
-		if d.hang != nil {
+		deadline := testTimeout // longer than any machine takes
+		if d.blocked != nil {
 			deadline = 20 * time.Millisecond
 		}
-		r := tieredRig(t, d, b, deadline)
-		q := big("r1", 200<<10)
+		r := startTieredNode(t, d, b, deadline)
+		q := largeSave("r1", 200<<10)
 		cl := r.dial(t)
 		go io.WriteString(cl, q.chunkedHead(codingLine)+inChunks(q.body, 5000))
-		resp, body := cl.answer()
+		resp, body := cl.readResponse()
 		if resp.StatusCode != x.status || x.status == 200 && body != q.echoed() || x.status == 503 && len(b.requests()) > 0 {
 			t.Errorf("%s: %d %.60q, %d attempts", x.name, resp.StatusCode, body, len(b.requests()))
 		}
 		d.set(func() {
-			if d.hang != nil {
-				close(d.hang)
-				d.hang = nil
+			if d.blocked != nil {
+				close(d.blocked)
+				d.blocked = nil
 			}
 		})
-		r.empty(t, d)
+		r.waitReleased(t, d)
 	}
 }
 
-// A body whose size nobody told takes memory as it grows. Where none is left it is refused, and what it took is given back.
+// A body of unknown size uses more memory as it grows. If none is left, it is rejected and its memory is released.
 func TestChunksUnderTheBudgetOfMemory(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, echo)
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
+	b := newStubBackend(t, echo)
+	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
 	r.bodies.SetLimits(bodies.Limits{Memory: 40 << 10, Heads: 10 * message.HeadCost})
-	held := r.dial(t)
-	held.send(big("held", 20<<10).chunkedHead(codingLine) + "5000\r\n" + strings.Repeat("x", 20<<10) + "\r\n")
-	wait(t, "the first body's room", func() bool { return r.bodies.Used(bodies.Memory) == 32<<10 })
-	small := big("small", 5<<10)
+	blocked := r.dial(t)
+	blocked.send(largeSave("held", 20<<10).chunkedHead(codingLine) + "5000\r\n" + strings.Repeat("x", 20<<10) + "\r\n")
+	wait(t, "the memory of the first body", func() bool { return r.bodies.Used(bodies.Memory) == 32<<10 })
+	small := largeSave("small", 5<<10)
 	small.class, small.key = "quote", ""
 	cl := r.dial(t)
 	cl.send(small.chunkedHead(codingLine) + inChunks(small.body, 1000))
-	if resp, body := cl.answer(); resp.StatusCode != 200 || body != small.echoed() {
-		t.Errorf("a small one beside it: %d %.60q", resp.StatusCode, body)
+	if resp, body := cl.readResponse(); resp.StatusCode != 200 || body != small.echoed() {
+		t.Errorf("a small body meanwhile: %d %.60q", resp.StatusCode, body)
 	}
-	wait(t, "the small one's room", func() bool { return r.bodies.Used(bodies.Memory) == 32<<10 })
-	large := big("large", 10<<10)
+	wait(t, "the release of the small body", func() bool { return r.bodies.Used(bodies.Memory) == 32<<10 })
+	large := largeSave("large", 10<<10)
 	cl = r.dial(t)
 	go io.WriteString(cl, large.chunkedHead(codingLine)+inChunks(large.body, 1000))
-	if resp, _ := cl.answer(); resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || !resp.Close {
-		t.Errorf("a large one: answered %d, close %v", resp.StatusCode, resp.Close)
+	if resp, _ := cl.readResponse(); resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || !resp.Close {
+		t.Errorf("a large body: answered %d, close %v", resp.StatusCode, resp.Close)
 	}
-	held.send("0\r\n\r\n")
-	if resp, _ := held.answer(); resp.StatusCode != 200 {
-		t.Errorf("the first: answered %d", resp.StatusCode)
+	blocked.send("0\r\n\r\n")
+	if resp, _ := blocked.readResponse(); resp.StatusCode != 200 {
+		t.Errorf("the first body: answered %d", resp.StatusCode)
 	}
-	r.empty(t, &disk{})
+	r.waitReleased(t, &disk{})
 }
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// A client that leaves is noticed also when something lies between its request and its close: another request, or a flood that no
-// buffer holds. Its attempt is called off, and the request behind begins none.
+// A disconnect is detected even if more data lies between the request and the close: another request, or more than any buffer holds.
+// The attempt is cancelled, and the second request starts none.
 func TestClientLeavesBehindWhatItSentMore(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ name, more string }{
@@ -22,58 +22,58 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			release, let := gate()
-			defer let()
-			b := newBox(t, func(conn net.Conn, r *http.Request, nth int) bool {
+			release, unblock := gate()
+			defer unblock()
+			b := newStubBackend(t, func(conn net.Conn, r *http.Request, nth int) bool {
 				<-release
-				return served(conn, r, nth)
+				return respondOK(conn, r, nth)
 			})
-			r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
+			r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
 			cl := r.dial(t)
 			cl.send(quote("first").text())
-			wait(t, "the first at the backend", func() bool { return len(b.requests()) == 1 })
-			cl.send(c.more) // the node reads it all, or this would not return
-			cl.leave()
+			wait(t, "the first request at the backend", func() bool { return len(b.requests()) == 1 })
+			cl.send(c.more) // returns only because the node reads all of it
+			cl.disconnect()
 			wait(t, "an empty table of requests", func() bool { return r.engine.Open() == 0 })
-			let()
+			unblock()
 			if n := len(b.requests()); n != 1 {
-				t.Errorf("the backend got %d requests, want the first alone", n)
+				t.Errorf("the backend got %d requests, want only the first", n)
 			}
 		})
 	}
 }
 
-// heldReading is a rig that holds each request between its first byte and the reading of its head until release is closed.
-func heldReading(t *testing.T, b *box) (r *rig, reading <-chan struct{}, let func(), dials *atomic.Int32) {
+// startNodeBlockedReading starts a node that blocks each request between its first byte and the reading of its head until unblock is called.
+func startNodeBlockedReading(t *testing.T, b *stubBackend) (r *testNode, reading <-chan struct{}, unblock func(), dials *atomic.Int32) {
 	t.Helper()
 	dials = &atomic.Int32{}
-	begun, begin := gate()
-	release, let := gate()
-	t.Cleanup(let)
-	return newRig(t, newRegistry(t), settingsJSON, func(cfg *Config) {
-		cfg.waited = func(net.Conn) time.Duration {
-			begin()
+	opened, open := gate()
+	release, unblock := gate()
+	t.Cleanup(unblock)
+	return startNode(t, newStubDiscovery(t), settingsJSON, func(cfg *Config) {
+		cfg.sinceLastReceive = func(net.Conn) time.Duration {
+			open()
 			<-release
 			return 0
 		}
-		cfg.dial = dialThen(func(nth int32) { dials.Store(nth) })
-	}, b.entry("s-1")), begun, let, dials
+		cfg.dial = dialAfter(func(nth int32) { dials.Store(nth) })
+	}, b.entry("s-1")), opened, unblock, dials
 }
 
-// A client that has gone before its request is read begins no attempt: its close lies in the kernel behind the request.
+// A request whose client disconnects before it is read starts no attempt, though the close is queued in the kernel behind the request.
 func TestClientGoneBeforeItsRequestIsRead(t *testing.T) {
 	t.Parallel()
-	for _, behind := range []string{"", view("second").text(), strings.Repeat("x", 6000)} {
-		t.Run(fmt.Sprint(len(behind), " bytes behind"), func(t *testing.T) {
+	for _, extra := range []string{"", view("second").text(), strings.Repeat("x", 6000)} {
+		t.Run(fmt.Sprint(len(extra), " bytes behind"), func(t *testing.T) {
 			t.Parallel()
-			b := newBox(t, served)
-			r, reading, let, dials := heldReading(t, b)
+			b := newStubBackend(t, respondOK)
+			r, reading, unblock, dials := startNodeBlockedReading(t, b)
 			cl := r.dial(t)
-			cl.send(quote("q").text() + behind)
+			cl.send(quote("q").text() + extra)
 			<-reading
 			cl.Conn.(*net.TCPConn).CloseWrite()
-			let()
-			cl.leave()
+			unblock()
+			cl.disconnect()
 			wait(t, "an empty table of requests", func() bool { return r.engine.Open() == 0 })
 			if n := len(b.requests()); n != 0 || dials.Load() != 0 {
 				t.Errorf("%d connections to the backend, %d requests, want none", dials.Load(), n)
@@ -82,68 +82,68 @@
 	}
 }
 
-// A request that lies in the kernel behind another is no close: both are served.
+// A second request queued in the kernel behind the first is not taken for a close: both are served.
 func TestSecondRequestBehindABody(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	r, reading, let, _ := heldReading(t, b)
+	b := newStubBackend(t, respondOK)
+	r, reading, unblock, _ := startNodeBlockedReading(t, b)
 	cl := r.dial(t)
 	cl.send(quote("first").text())
 	<-reading
 	cl.send(view("second").text())
-	let()
+	unblock()
 	for _, id := range []string{"first", "second"} {
-		if resp, body := cl.answer(); resp.StatusCode != 200 || body != "done "+id {
+		if resp, body := cl.readResponse(); resp.StatusCode != 200 || body != "done "+id {
 			t.Errorf("%s: answered %d %q", id, resp.StatusCode, body)
 		}
 	}
 }
 
-// A connection that ends with its answer is not reset under it, whatever its client goes on to send: the answer would go with it.
+// A connection that closes after its response is not reset, whatever the client still sends: a reset would destroy the response.
 func TestLastAnswerIsNotReset(t *testing.T) {
 	t.Parallel()
-	release, let := gate()
-	defer let()
-	b := newBox(t, func(conn net.Conn, r *http.Request, nth int) bool {
+	release, unblock := gate()
+	defer unblock()
+	b := newStubBackend(t, func(conn net.Conn, r *http.Request, nth int) bool {
 		<-release
-		return served(conn, r, nth)
+		return respondOK(conn, r, nth)
 	})
-	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
+	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
 	cl := r.dial(t)
 	cl.send(strings.Replace(view("v").text(), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
 	wait(t, "the request at the backend", func() bool { return len(b.requests()) == 1 })
 	cl.send(strings.Repeat("x", 5000))
-	let()
-	if resp, body := cl.answer(); resp.StatusCode != 200 || body != "done v" || !resp.Close {
+	unblock()
+	if resp, body := cl.readResponse(); resp.StatusCode != 200 || body != "done v" || !resp.Close {
 		t.Errorf("answered %d %q, close %v", resp.StatusCode, body, resp.Close)
 	}
 	if _, err := cl.in.ReadByte(); err != io.EOF {
-		t.Errorf("behind the answer: %v, want the connection's end", err)
+		t.Errorf("after the response: %v, want EOF", err)
 	}
 }
 
-// A request that is coming in at the moment at which a leaving node ends its connections is read and served; only connections that carry
-// nothing end then.
+// A request that is being received when a node closes its connections during shutdown is read and served. Only idle connections are
+// closed then.
 func TestRequestThatIsComingWhenConnectionsEnd(t *testing.T) {
 	t.Parallel()
-	b := newBox(t, served)
-	// The connections end 0.65 s after the signal, and what has begun to come may take 2.5 s.
-	r := newRig(t, newRegistry(t), strings.ReplaceAll(settingsJSON, `"aim_s":30,"deadline_s":60`, `"aim_s":3,"deadline_s":3`), nil, b.entry("s-1"))
-	coming, resting := r.dial(t), r.dial(t)
-	for i, c := range []*client{coming, resting} {
-		if resp, _ := c.ask(view(fmt.Sprint("v", i))); resp.StatusCode != 200 {
+	b := newStubBackend(t, respondOK)
+	// The connections are closed 0.65 s after the signal, and a request that has started to arrive may take 2.5 s.
+	r := startNode(t, newStubDiscovery(t), strings.ReplaceAll(settingsJSON, `"aim_s":30,"deadline_s":60`, `"aim_s":3,"deadline_s":3`), nil, b.entry("s-1"))
+	receiving, idle := r.dial(t), r.dial(t)
+	for i, c := range []*client{receiving, idle} {
+		if resp, _ := c.roundTrip(view(fmt.Sprint("v", i))); resp.StatusCode != 200 {
 			t.Fatalf("answered %d", resp.StatusCode)
 		}
 	}
-	r.leave()
-	wait(t, "the node's leaving", r.front.Leaving)
+	r.sigterm()
+	wait(t, "the shutdown", r.front.Leaving)
 	text := quote("late").text()
-	coming.send(text[:len(text)-3]) // its head is there, and a part of its body
-	if _, err := resting.in.ReadByte(); err != io.EOF {
-		t.Fatalf("a resting connection: %v, want its end", err)
+	receiving.send(text[:len(text)-3]) // its head and a part of its body
+	if _, err := idle.in.ReadByte(); err != io.EOF {
+		t.Fatalf("an idle connection: %v, want EOF", err)
 	}
-	coming.send(text[len(text)-3:])
-	if resp, body := coming.answer(); resp.StatusCode != 200 || body != "done late" || !resp.Close {
-		t.Errorf("answered %d %q, close %v; want it served, and the connection's end", resp.StatusCode, body, resp.Close)
+	receiving.send(text[len(text)-3:])
+	if resp, body := receiving.readResponse(); resp.StatusCode != 200 || body != "done late" || !resp.Close {
+		t.Errorf("answered %d %q, close %v; want 200 and a close", resp.StatusCode, body, resp.Close)
 	}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -18,38 +18,37 @@
 	"craneglade/policy"
 )
 
-// Config is what a node is told at its start.
+// Config is the configuration that a node is started with.
 type Config struct {
 	Name          string
-	Listen        string // where clients connect
-	Discovery     string // where the list of backends comes from
+	Listen        string // address that clients connect to
+	Discovery     string // address of the discovery service
 	Seed          uint64
 	Cores         float64
 	MemoryMB      int
-	Sockets       int         // descriptors that the process may hold
-	Known         engine.List // the backends as this node last had them
+	Sockets       int         // max file descriptors of the process; 0 for no limit
+	Known         engine.List // the backends as this node last knew them
 	Settings      wire.Settings
-	LocalSettings *settings.File // this program's own; nil where there is none
+	LocalSettings *settings.File // settings of this program itself; nil if it has none
 
-	dial         dial                                      // opens connections to boxes; nil for the system's own
-	backendQuota *quota.Quota                              // descriptors for connections to boxes, in place of the node's own
-	waited       func(net.Conn) time.Duration              // how long bytes of clients lay unread; nil for what the kernel says
-	now          func() time.Time                          // what connections to boxes age by; nil for the system's clock
-	pause        func(context.Context, time.Duration) bool // how they rest between two requests; nil for a timer
+	dial             dialFunc                                  // opens connections to backends; nil for TCP
+	backendQuota     *quota.Quota                              // descriptors for connections to backends; nil for the node's quotas
+	sinceLastReceive func(net.Conn) time.Duration              // time since a client's connection last received data; nil for sock.SinceLastReceive
+	now              func() time.Time                          // clock for the idle times of backend connections; nil for time.Now
+	pause            func(context.Context, time.Duration) bool // waits while they are idle between two requests; nil for timing.Sleep
 }
 
-// dial opens a connection to an address.
-type dial func(ctx context.Context, addr string) (net.Conn, error)
+// dialFunc opens a connection to a TCP address.
+type dialFunc func(ctx context.Context, addr string) (net.Conn, error)
 
-// Load reads the configuration from the GW_* variables and the file that GW_CONFIG names; a variable that is
-// set goes before the file. An error names the field that is at fault, on one line.
+// Load reads the configuration from the GW_* environment variables and the file that GW_CONFIG names. A variable that is set
+// overrides the file. An error names the invalid field, on one line.
 func Load(getenv func(string) string) (Config, error) { return load(getenv, false) }
 
-// Reload reads the configuration again. The file's discovery now goes before GW_DISCOVERY, which tells the one at
-// the start.
+// Reload reads the configuration again. The discovery address of the file now overrides GW_DISCOVERY, which is the one at the start.
 func Reload(getenv func(string) string) (Config, error) { return load(getenv, true) }
 
-func load(getenv func(string) string, again bool) (Config, error) {
+func load(getenv func(string) string, reloading bool) (Config, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
 		return Config{}, errors.New("GW_CONFIG: not set")
@@ -72,7 +71,7 @@
 		Settings json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(text, &file); err != nil {
-		return Config{}, fmt.Errorf("GW_CONFIG: %w", err) // a wrong type's message names its field
+		return Config{}, fmt.Errorf("GW_CONFIG: %w", err) // the message for a wrong type names the field
 	}
 	cfg := Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Cores: file.Limits.Cores,
 		MemoryMB: file.Limits.MemoryMB, Sockets: file.Limits.Sockets, Known: file.Known}
@@ -80,7 +79,7 @@
 		name  string
 		field *string
 	}{{"GW_NAME", &cfg.Name}, {"GW_LISTEN", &cfg.Listen}, {"GW_DISCOVERY", &cfg.Discovery}} {
-		if again && v.field == &cfg.Discovery && cfg.Discovery != "" {
+		if reloading && v.field == &cfg.Discovery && cfg.Discovery != "" {
 			continue
 		}
 		if s := getenv(v.name); s != "" {
@@ -117,12 +116,12 @@
 		return Config{}, errors.New("settings: policy_limits: conn_idle_s or connect_timeout_s is negative")
 	}
 	h := fnv.New64a()
-	h.Write([]byte(file.Seed)) // whatever its form: all of it counts
+	h.Write([]byte(file.Seed)) // the seed may have any form: hash all of it
 	cfg.Seed = h.Sum64()
 	return cfg, nil
 }
 
-// CheckLocalSettings holds the program's own settings against the platform's.
+// CheckLocalSettings checks the settings of this program against the classes in the settings of the platform.
 func (cfg *Config) CheckLocalSettings() error {
 	for i, c := range cfg.LocalSettings.Bodies.Classes {
 		if !slices.ContainsFunc(cfg.Settings.Policy.Classes, func(k policy.Class) bool { return k.Name == c.Name }) {
@@ -130,14 +129,14 @@
 		}
 	}
 	for i, m := range cfg.LocalSettings.JSONRPC.Methods {
-		at := slices.IndexFunc(cfg.Settings.Policy.Classes, func(k policy.Class) bool { return k.Name == m.Class })
+		class := slices.IndexFunc(cfg.Settings.Policy.Classes, func(k policy.Class) bool { return k.Name == m.Class })
 		switch {
-		case at < 0:
+		case class < 0:
 			return fmt.Errorf("jsonrpc.method[%d].class: the service has no class %q", i, m.Class)
-		case cfg.Settings.Policy.Classes[at].Effect == policy.Keyed && m.Key == "":
-			return fmt.Errorf("jsonrpc.method[%d].key: class %q may go again by its key: say where calls have it", i, m.Class)
-		case m.Patience == 0 && cfg.Settings.Policy.Classes[at].Deadline <= 0:
-			return fmt.Errorf("jsonrpc.method[%d].patience: class %q has no deadline: say how long its clients wait", i, m.Class)
+		case cfg.Settings.Policy.Classes[class].Effect == policy.Keyed && m.Key == "":
+			return fmt.Errorf("jsonrpc.method[%d].key: class %q may be retried with an idempotency key: set the pointer to it", i, m.Class)
+		case m.Patience == 0 && cfg.Settings.Policy.Classes[class].Deadline <= 0:
+			return fmt.Errorf("jsonrpc.method[%d].patience: class %q has no deadline: set a client timeout", i, m.Class)
 		}
 	}
 	return nil
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -20,34 +20,34 @@
 	"craneglade/policy"
 )
 
-// heardEvery is how often the engine is told that the control plane is there, where nothing is new.
-const heardEvery = time.Second
+// confirmInterval is how often the list of endpoints is confirmed as current while a control plane parent is connected.
+const confirmInterval = time.Second
 
-// control is a node's part in the control plane: its service's endpoints and tenants come from there.
+// control connects a node to the control plane, which provides the endpoints and tenants of its service.
 type control struct {
-	region    string
-	service   string
-	process   *controlnet.Process
-	endpoints *endpoints
-	front     *httpfront.Front
-	policy    *policy.Settings
-	shares    map[string]float64 // of tenants before the control plane told of any; nil once it has
-	log       *slog.Logger
+	region        string
+	service       string
+	process       *controlnet.Process
+	endpoints     *endpoints
+	front         *httpfront.Front
+	policy        *policy.Settings
+	initialShares map[string]float64 // tenants' shares from the settings; nil once the control plane has sent tenants
+	log           *slog.Logger
 }
 
-// newControl makes the node's part in the control plane, which does nothing before run.
-func (n *node) newControl(own *settings.Control) *control {
-	c := &control{region: own.Region, service: own.Services[0], front: n.front, policy: &n.cfg.Settings.Policy, shares: n.cfg.shares(), log: n.log,
-		endpoints: newEndpoints(n.engine, own.Services[0], n.cfg.Known.Servers)}
-	s := subscriber.New(subscriber.Config{Name: n.cfg.Name, Zone: n.cfg.Settings.Policy.Zone, Regions: []string{own.Region},
-		Filter: changelog.Filter{Services: slices.Clone(own.Services)}, Candidates: controlnet.Candidates(own.Parents),
-		Seed: n.controlSeed(), Limits: controlnet.LimitsFor(own.Silence.D()), Leaf: true}, n.clock.Since())
-	c.process = controlnet.NewProcess(controlnet.Config{Name: n.cfg.Name, Keys: own.Keys, Cluster: own.Cluster, BytesPerSecond: int(own.Bytes), StaleAfter: own.Silence.D(),
+// newControl returns the node's connection to the control plane, which run starts.
+func (n *node) newControl(cfg *settings.Control) *control {
+	c := &control{region: cfg.Region, service: cfg.Services[0], front: n.front, policy: &n.cfg.Settings.Policy, initialShares: n.cfg.tenantShares(), log: n.log,
+		endpoints: newEndpoints(n.engine, cfg.Services[0], n.cfg.Known.Servers)}
+	s := subscriber.New(subscriber.Config{Name: n.cfg.Name, Zone: n.cfg.Settings.Policy.Zone, Regions: []string{cfg.Region},
+		Filter: changelog.Filter{Services: slices.Clone(cfg.Services)}, Candidates: controlnet.Candidates(cfg.Parents),
+		Seed: n.controlSeed(), Limits: controlnet.LimitsFor(cfg.Silence.D()), Leaf: true}, n.clock.Since())
+	c.process = controlnet.NewProcess(controlnet.Config{Name: n.cfg.Name, Keys: cfg.Keys, Cluster: cfg.Cluster, BytesPerSecond: int(cfg.Bytes), StaleAfter: cfg.Silence.D(),
 		Subscribers: []*subscriber.Subscriber{s}, Applied: c.apply, Clock: n.clock.Since, Log: n.log})
 	return c
 }
 
-// controlSeed differs between nodes and between a node's starts, so that their retries spread.
+// controlSeed returns a seed that differs between nodes and between the starts of a node, so that their retries are spread out.
 func (n *node) controlSeed() uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(n.cfg.Name))
@@ -59,81 +59,84 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		timing.Every(ctx, heardEvery, c.tellHeard)
+		timing.Every(ctx, confirmInterval, c.confirmList)
 	}()
 	c.process.Run(ctx, nil)
 	<-done
 }
 
-// tellHeard tells the engine that its list's source has its say, while a parent streams it.
-func (c *control) tellHeard() {
+// confirmList confirms the engine's list as current while a parent streams the region.
+func (c *control) confirmList() {
 	status := c.process.Status()
 	if r, ok := status.Region(c.region); ok && r.Source != "" {
-		c.endpoints.heard()
+		c.endpoints.confirm()
 	}
 }
 
-// apply brings what the control plane has told into force. What is not reachable in a running node is told in the log.
-func (c *control) apply(news controlnet.News) {
-	c.endpoints.apply(news.Changes, news.Late)
-	for piece := range slices.Chunk(c.shareChanges(news.Changes), pieceSize) {
-		c.front.ChangeShares(piece)
+// apply applies an update from the control plane. Changes that a running node cannot apply are logged.
+func (c *control) apply(update controlnet.News) {
+	c.endpoints.apply(update.Changes, update.Late)
+	for batch := range slices.Chunk(c.shareChanges(update.Changes), batchSize) {
+		c.front.ChangeShares(batch)
 	}
-	for i := range news.Changes {
-		if s := news.Changes[i].Resource.Service; s != nil {
-			c.compare(s)
+	for i := range update.Changes {
+		if s := update.Changes[i].Resource.Service; s != nil {
+			c.warnRestartNeeded(s)
 		}
 	}
-	c.log.Info("configuration in force", "region", news.Region, "position", news.Position, "changes", len(news.Changes), "snapshot", news.Snapshot)
+	c.log.Info("configuration applied", "region", update.Region, "position", update.Position, "changes", len(update.Changes), "snapshot", update.Snapshot)
 }
 
+// shareChanges returns the changes of tenants' shares in an update. The first update with tenants also removes the tenants of the
+// settings that it does not name.
 func (c *control) shareChanges(changes []resource.Change) []admission.ShareChange {
-	before := c.shares
-	all := shareChanges(c.service, changes, c.policy.Nodes, nil)
-	if before == nil || len(all) == 0 { // without a tenant there, the settings' own stay
-		return all
+	initial := c.initialShares
+	changed := shareChanges(c.service, changes, c.policy.Nodes, nil)
+	if initial == nil || len(changed) == 0 { // until the control plane has sent a tenant, those of the settings stay
+		return changed
 	}
-	c.shares = nil
-	return shareChanges(c.service, changes, c.policy.Nodes, before)
+	c.initialShares = nil
+	return shareChanges(c.service, changes, c.policy.Nodes, initial)
 }
 
-// compare tells where the service differs from what the node was started with, and follows on.
-func (c *control) compare(s *resource.Service) {
+// warnRestartNeeded logs settings of the service that differ from those that the node was started with and that take effect only
+// after a restart.
+func (c *control) warnRestartNeeded(s *resource.Service) {
 	if s.DrainGrace != c.policy.DrainGrace {
-		c.log.Warn("the service's drain grace needs a restart with other settings to come into force", "service", s.DrainGrace, "in force", c.policy.DrainGrace)
+		c.log.Warn("the drain grace of the service takes effect only after a restart with new settings", "service", s.DrainGrace, "in force", c.policy.DrainGrace)
 	}
 	if int(s.MaxAttempts) != c.policy.MaxAttempts {
-		c.log.Warn("the service's number of attempts needs a restart with other settings to come into force", "service", s.MaxAttempts, "in force", c.policy.MaxAttempts)
+		c.log.Warn("the max attempts of the service take effect only after a restart with new settings", "service", s.MaxAttempts, "in force", c.policy.MaxAttempts)
 	}
 }
 
-// Control is what a node that follows the control plane says of it on its local socket, in a line of its own.
-type Control struct {
+// ControlLine is the JSON line about the control plane on the status socket. Only nodes that use the control plane send it.
+type ControlLine struct {
 	Control ControlStatus `json:"control"`
 }
 
-// ControlStatus is where a node's configuration stands.
+// ControlStatus is the state of a node's configuration from the control plane.
 type ControlStatus struct {
 	Region   string            `json:"region"`
 	Service  string            `json:"service"`
 	Epoch    uint64            `json:"epoch"`
 	Version  uint64            `json:"version"`
-	AgeMS    int64             `json:"age_ms"` // since the log's writer was known to stand there
-	Source   string            `json:"source"` // the parent that tells it
+	AgeMS    int64             `json:"age_ms"` // time since the writer of the log was known to be at this position
+	Source   string            `json:"source"` // the parent that streams it
 	Parents  []string          `json:"parents"`
-	Refused  string            `json:"refused,omitempty"` // why the latest state is not in force
-	Dropped  uint64            `json:"dropped"`           // messages that were wrong
+	Refused  string            `json:"refused,omitempty"` // why the latest state was rejected
+	Dropped  uint64            `json:"dropped"`           // invalid messages
 	Replica  subscriber.Counts `json:"replica"`
 	Sessions controlnet.Counts `json:"sessions"`
 }
 
-// Position is where the node's configuration stands in the log of its region.
+// Position returns the position of the node's configuration in the log of its region.
 func (s *ControlStatus) Position() resource.Position {
 	return resource.Position{Epoch: s.Epoch, Version: s.Version}
 }
 
-// ReadControlStatus asks the node at a local socket where its configuration stands. io.EOF says that it follows no control
-// plane.
+// ReadControlStatus reads the control plane status of the node at a status socket. It returns io.EOF if the node does not use the
+// control plane.
 func ReadControlStatus(socket string) (*ControlStatus, error) {
 	conn, err := net.Dial("unix", socket)
 	if err != nil {
@@ -153,7 +156,7 @@
 	}
 }
 
-// status is where the node's configuration stands now.
+// status returns the current state of the node's configuration.
 func (c *control) status() ControlStatus {
 	status := c.process.Status()
 	out := ControlStatus{Region: c.region, Service: c.service, Sessions: status.Counts}
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -10,65 +10,65 @@
 	"craneglade/policy"
 )
 
-// pieceSize is how many changes are brought into force under one hold of a lock that requests need too. A piece costs the
-// engine a walk of all endpoints, whatever its size, so that smaller pieces would cost more in all and hold hardly shorter.
-const pieceSize = 128
+// batchSize is the max number of changes that are applied while holding a lock that requests need too. Each batch makes the engine
+// iterate over all endpoints, whatever its size, so smaller batches would cost more in total and hold the lock hardly less.
+const batchSize = 128
 
-// endpoints is an engine.Source whose list is that of one service in the control plane. What is asked of it needs no
-// answer: its subscriber goes on by itself.
+// endpoints is an engine.Source that lists the endpoints of one service in the control plane. Its subscriber follows the control
+// plane continuously, so the engine's requests to watch or fetch need no action.
 type endpoints struct {
-	engine  *engine.Engine
-	service string
-	told    map[string]engine.Listed // what the engine has, by name
-	begun   bool                     // the control plane has told its first list
+	engine       *engine.Engine
+	service      string
+	known        map[string]engine.Listed // the engine's list, by name
+	listReceived bool                     // the first list from the control plane has arrived
 }
 
-// newEndpoints returns the source of a service's endpoints, for an engine that was told of known at its start.
+// newEndpoints returns the source of a service's endpoints, for an engine whose initial list is known.
 func newEndpoints(e *engine.Engine, service string, known []engine.Listed) *endpoints {
-	s := &endpoints{engine: e, service: service, told: make(map[string]engine.Listed, len(known))}
+	s := &endpoints{engine: e, service: service, known: make(map[string]engine.Listed, len(known))}
 	for _, b := range known {
-		s.told[b.ID] = b
+		s.known[b.ID] = b
 	}
 	return s
 }
 
-// Watch does nothing: the subscriber is told of each change.
+// Watch does nothing: the subscriber receives each change.
 func (s *endpoints) Watch() {}
 
-// Fetch does nothing: the subscriber asks again by itself.
+// Fetch does nothing: the subscriber retries by itself.
 func (s *endpoints) Fetch() {}
 
-// heard tells the engine that the control plane is there, also where nothing is new.
-func (s *endpoints) heard() {
+// confirm tells the engine that its list is current, by an empty delta.
+func (s *endpoints) confirm() {
 	s.engine.News(s, &engine.List{}, policy.ListDelta, func(int64) bool { return false })
 }
 
-// apply brings changes into force, in pieces. late says that they may have been told a while ago: a drain among them has no
-// grace left.
+// apply passes changes to the engine, in batches. late says that the changes may have been announced a while ago, so that draining
+// endpoints have no grace left.
 func (s *endpoints) apply(changes []resource.Change, late bool) {
-	for _, piece := range s.pieces(changes) {
-		s.tell(piece, late)
+	for _, batch := range s.batches(changes) {
+		s.applyBatch(batch, late)
 	}
 }
 
-// pieces are the changes as the engine is told of them. The first ones that name an endpoint are all that there is: what was
-// known before and is not among them goes.
-func (s *endpoints) pieces(changes []resource.Change) (pieces [][]engine.Listed) {
+// batches returns the changes in the batches and the order in which the engine gets them. The first changes that name an endpoint
+// are a full list: it removes known endpoints that it does not name.
+func (s *endpoints) batches(changes []resource.Change) (batches [][]engine.Listed) {
 	ready, withdrawn := s.split(changes)
-	if !s.begun && len(ready)+len(withdrawn) > 0 {
+	if !s.listReceived && len(ready)+len(withdrawn) > 0 {
 		withdrawn = append(withdrawn, s.unlisted(ready, withdrawn)...)
-		s.begun = true
+		s.listReceived = true
 	}
-	// A few successors go first, so that no moment has no endpoint; then what may not be used any more, which can't wait for
-	// all the others.
-	first := min(pieceSize, len(ready))
+	// One batch of ready endpoints goes first, so that the list is never empty. The withdrawn ones come next, as they must not wait
+	// for all the others.
+	first := min(batchSize, len(ready))
 	for _, list := range [][]engine.Listed{ready[:first], withdrawn, ready[first:]} {
-		pieces = slices.AppendSeq(pieces, slices.Chunk(list, pieceSize))
+		batches = slices.AppendSeq(batches, slices.Chunk(list, batchSize))
 	}
-	return pieces
+	return batches
 }
 
-// split sorts the changes of this service's endpoints into those that may be used, and those that may not.
+// split divides the changes of this service's endpoints into those that may be used and those that may not.
 func (s *endpoints) split(changes []resource.Change) (ready, withdrawn []engine.Listed) {
 	for i := range changes {
 		c := &changes[i]
@@ -76,11 +76,11 @@
 		switch {
 		case key.Service != s.service || key.Kind != resource.KindEndpoint:
 		case c.Deleted:
-			gone := s.told[key.Name]
-			gone.ID, gone.State = key.Name, membership.Gone
-			withdrawn = append(withdrawn, gone)
+			removed := s.known[key.Name]
+			removed.ID, removed.State = key.Name, membership.Gone
+			withdrawn = append(withdrawn, removed)
 		default:
-			b := listed(key.Name, c.Resource.Endpoint)
+			b := toListed(key.Name, c.Resource.Endpoint)
 			if b.State == membership.Ready {
 				ready = append(ready, b)
 			} else {
@@ -91,41 +91,41 @@
 	return ready, withdrawn
 }
 
-// unlisted are the endpoints that the engine has and the lists don't, as gone.
-func (s *endpoints) unlisted(lists ...[]engine.Listed) (gone []engine.Listed) {
-	there := map[string]bool{}
+// unlisted returns the endpoints that the engine has and the lists do not, marked as removed.
+func (s *endpoints) unlisted(lists ...[]engine.Listed) (removed []engine.Listed) {
+	present := map[string]bool{}
 	for _, list := range lists {
 		for i := range list {
-			there[list[i].ID] = true
+			present[list[i].ID] = true
 		}
 	}
-	for name, b := range s.told {
-		if !there[name] {
+	for name, b := range s.known {
+		if !present[name] {
 			b.State = membership.Gone
-			gone = append(gone, b)
+			removed = append(removed, b)
 		}
 	}
-	return gone
+	return removed
 }
 
-// tell hands one piece to the engine.
-func (s *endpoints) tell(piece []engine.Listed, late bool) {
-	for _, b := range piece {
+// applyBatch passes one batch to the engine.
+func (s *endpoints) applyBatch(batch []engine.Listed, late bool) {
+	for _, b := range batch {
 		if b.State == membership.Gone {
-			delete(s.told, b.ID)
+			delete(s.known, b.ID)
 		} else {
-			s.told[b.ID] = b
+			s.known[b.ID] = b
 		}
 	}
-	list := &engine.List{Servers: piece, Late: late}
+	list := &engine.List{Servers: batch, Late: late}
 	s.engine.News(s, list, policy.ListDelta, func(known int64) bool {
 		list.Version = known + 1
 		return true
 	})
 }
 
-// listed is an endpoint as the engine's lists have it.
-func listed(name string, e *resource.Endpoint) engine.Listed {
+// toListed converts an endpoint to an entry of the engine's lists.
+func toListed(name string, e *resource.Endpoint) engine.Listed {
 	b := engine.Listed{ID: name, Addr: e.Address, Zone: e.Zone, Kind: e.Class, Cell: int64(e.Cell), State: membership.Draining,
 		StartedMS: int64(e.StartedMS)}
 	if e.State == resource.EndpointReady {
@@ -134,25 +134,25 @@
 	return b
 }
 
-// shareChanges are what changes of a service's tenants make of their shares in this node, which is one of so many. The
-// first ones are all that there is: the shares of tenants that had one before and are not among them go.
-func shareChanges(service string, changes []resource.Change, nodes int, before map[string]float64) (out []admission.ShareChange) {
-	there := map[string]bool{}
+// shareChanges returns the changes of the tenants' shares in this node that follow from changes of their quotas: each of the nodes
+// has an equal share. Tenants in previous that changes do not name are removed.
+func shareChanges(service string, changes []resource.Change, nodes int, previous map[string]float64) (out []admission.ShareChange) {
+	present := map[string]bool{}
 	for i := range changes {
 		c := &changes[i]
 		key := c.Resource.Key
 		if key.Service != service || key.Kind != resource.KindTenant {
 			continue
 		}
-		there[key.Name] = true
+		present[key.Name] = true
 		change := admission.ShareChange{Tenant: key.Name, Gone: c.Deleted}
 		if !c.Deleted {
 			change.Share = c.Resource.Tenant.Quota / float64(max(1, nodes))
 		}
 		out = append(out, change)
 	}
-	for tenant := range before {
-		if !there[tenant] {
+	for tenant := range previous {
+		if !present[tenant] {
 			out = append(out, admission.ShareChange{Tenant: tenant, Gone: true})
 		}
 	}
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -16,7 +16,7 @@
 
 const serviceName = "configurator"
 
-// endpointChange is one of the service's endpoints as the control plane tells it.
+// endpointChange returns a change of one of the service's endpoints as the control plane sends it.
 func endpointChange(name, address string, state resource.EndpointState) resource.Change {
 	return resource.Change{Resource: resource.Resource{Key: resource.Key{Service: serviceName, Kind: resource.KindEndpoint, Name: name},
 		Endpoint: &resource.Endpoint{Address: address, Zone: "north", Class: "k", State: state}}}
@@ -31,91 +31,91 @@
 		Tenant: &resource.Tenant{Quota: quota}}}
 }
 
-// controlled is a node whose endpoints are those that a test tells it.
-func controlled(t *testing.T, known ...engine.Listed) (*rig, *endpoints) {
+// startWithEndpoints starts a node whose endpoints a test sets.
+func startWithEndpoints(t *testing.T, known ...engine.Listed) (*testNode, *endpoints) {
 	t.Helper()
-	r := newRig(t, newRegistry(t), settingsJSON, nil, known...)
+	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, known...)
 	s := newEndpoints(r.engine, serviceName, known)
 	r.engine.Replace(s)
 	return r, s
 }
 
-// endpointsInUse are the endpoints that the node uses. Of the others none may get a request, which is tried with a few.
-func endpointsInUse(t *testing.T, r *rig, boxes map[string]*box) string {
+// endpointsInUse returns the endpoints that the node uses, after it has checked with a few requests that no other one gets any.
+func endpointsInUse(t *testing.T, r *testNode, backends map[string]*stubBackend) string {
 	t.Helper()
 	var used []string
 	before := map[string]int{}
-	for name, b := range boxes {
+	for name, b := range backends {
 		before[name] = len(b.requests())
-		if r.numbered(name) != 0 {
+		if r.backendNumber(name) != 0 {
 			used = append(used, name)
 		}
 	}
 	c := r.dial(t)
 	for i := range 40 {
-		if resp, _ := c.ask(view(fmt.Sprint("q", i))); resp.StatusCode != 200 {
+		if resp, _ := c.roundTrip(view(fmt.Sprint("q", i))); resp.StatusCode != 200 {
 			t.Fatalf("request %d: %d", i, resp.StatusCode)
 		}
 	}
-	for name, b := range boxes {
+	for name, b := range backends {
 		if got := len(b.requests()) - before[name]; got > 0 && !slices.Contains(used, name) {
-			t.Errorf("%s is not in use and got %d requests", name, got)
+			t.Errorf("%s is not in use, but got %d requests", name, got)
 		}
 	}
 	slices.Sort(used)
 	return strings.Join(used, " ")
 }
 
-func TestEndpointsFromTheControlPlane(t *testing.T) {
+func TestControlPlaneEndpoints(t *testing.T) {
 	t.Parallel()
-	boxes := map[string]*box{"old": newBox(t, served), "a": newBox(t, served), "b": newBox(t, served)}
-	at := func(name string) string { return boxes[name].ln.Addr().String() }
-	r, s := controlled(t, boxes["old"].entry("old"))
-	if got := endpointsInUse(t, r, boxes); got != "old" {
+	backends := map[string]*stubBackend{"old": newStubBackend(t, respondOK), "a": newStubBackend(t, respondOK), "b": newStubBackend(t, respondOK)}
+	at := func(name string) string { return backends[name].ln.Addr().String() }
+	r, s := startWithEndpoints(t, backends["old"].entry("old"))
+	if got := endpointsInUse(t, r, backends); got != "old" {
 		t.Fatalf("before the first list: in use %q", got)
 	}
-	// What names no endpoint is no list of them: what was known stays.
+	// Changes without an endpoint are not a list: the known endpoints stay.
 	s.apply([]resource.Change{tenantChange("dealer", 3)}, false)
-	if got := endpointsInUse(t, r, boxes); got != "old" {
-		t.Errorf("without an endpoint: in use %q", got)
+	if got := endpointsInUse(t, r, backends); got != "old" {
+		t.Errorf("after changes without an endpoint: in use %q", got)
 	}
 	s.apply([]resource.Change{endpointChange("a", at("a"), resource.EndpointReady), endpointChange("b", at("b"), resource.EndpointReady),
 		{Resource: resource.Resource{Key: resource.Key{Service: "other", Kind: resource.KindEndpoint, Name: "x"},
 			Endpoint: &resource.Endpoint{Address: "127.0.0.1:1", State: resource.EndpointReady}}}}, false)
-	if got := endpointsInUse(t, r, boxes); got != "a b" {
+	if got := endpointsInUse(t, r, backends); got != "a b" {
 		t.Errorf("after the first list: in use %q", got)
 	}
 	s.apply([]resource.Change{deletion(resource.KindEndpoint, "a"), deletion(resource.KindEndpoint, "never there")}, false)
-	if got := endpointsInUse(t, r, boxes); got != "b" {
+	if got := endpointsInUse(t, r, backends); got != "b" {
 		t.Errorf("after a deletion: in use %q", got)
 	}
-	// All at once: successors come before their predecessors go, so that no request finds none.
+	// In one update: new endpoints are added before the old ones are removed, so that requests always have one.
 	s.apply([]resource.Change{deletion(resource.KindEndpoint, "b"), endpointChange("a", at("a"), resource.EndpointReady)}, false)
-	if got := endpointsInUse(t, r, boxes); got != "a" {
-		t.Errorf("after an exchange: in use %q", got)
+	if got := endpointsInUse(t, r, backends); got != "a" {
+		t.Errorf("after a replacement: in use %q", got)
 	}
-	s.heard() // changes nothing
-	if got := endpointsInUse(t, r, boxes); got != "a" {
-		t.Errorf("after a heartbeat: in use %q", got)
+	s.confirm() // changes nothing
+	if got := endpointsInUse(t, r, backends); got != "a" {
+		t.Errorf("after a confirmation: in use %q", got)
 	}
 }
 
-// A drain's grace counts from its telling; one that may have been told a while ago has none left.
-func TestDrainsFromTheControlPlane(t *testing.T) {
+// The grace of a drain starts when it is announced. A late drain, which may have been announced a while ago, has none left.
+func TestControlPlaneDrains(t *testing.T) {
 	t.Parallel()
 	for _, late := range []bool{false, true} {
-		a, b := newBox(t, served), newBox(t, served)
-		r, s := controlled(t)
+		a, b := newStubBackend(t, respondOK), newStubBackend(t, respondOK)
+		r, s := startWithEndpoints(t)
 		s.apply([]resource.Change{endpointChange("a", a.ln.Addr().String(), resource.EndpointReady),
 			endpointChange("b", b.ln.Addr().String(), resource.EndpointReady)}, false)
-		endpointsInUse(t, r, map[string]*box{"a": a, "b": b})
-		told := time.Now()
+		endpointsInUse(t, r, map[string]*stubBackend{"a": a, "b": b})
+		announced := time.Now()
 		s.apply([]resource.Change{endpointChange("a", a.ln.Addr().String(), resource.EndpointDraining)}, late)
 		grace := r.cfg.Settings.Policy.DrainGrace
 		if late {
 			grace = 0
 		}
-		lastSend(t, r, b, func() bool { return time.Since(told) >= grace })
+		lastSend(t, r, b, func() bool { return time.Since(announced) >= grace })
 		before := len(a.requests())
 		n := 0
 		lastSend(t, r, b, func() bool { n++; return n > 100 })
@@ -134,16 +134,16 @@
 	}
 	got := shareChanges(serviceName, changes, 3, map[string]float64{"a": 1, "old": 1})
 	if want = append(want, admission.ShareChange{Tenant: "old", Gone: true}); !slices.Equal(got, want) {
-		t.Errorf("with tenants known before: %+v", got)
+		t.Errorf("with previous tenants: %+v", got)
 	}
 	if got := shareChanges("other", changes, 3, nil); len(got) > 0 {
 		t.Errorf("of another service: %+v", got)
 	}
 }
 
-// BenchmarkEndpointsHold reports the longest time for which the engine's lock is held while a first list of so many
-// endpoints comes into force, and then a change of one of them. Each piece counts by the least of all plays, so that what
-// else the machine does stays out of it; the worst play is reported beside it.
+// BenchmarkEndpointsHold reports the longest time for which the engine's lock is held while a first list of endpoints is applied, and
+// then a change of one of them. Of each batch it takes the shortest time of all runs, to exclude the other load of the machine, and it
+// reports the longest of all runs too.
 func BenchmarkEndpointsHold(b *testing.B) {
 	set, err := wire.DecodeSettings([]byte(settingsJSON))
 	if err != nil {
@@ -151,7 +151,7 @@
 	}
 	for _, size := range []int{1, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			var list, change holds
+			var list, change lockTimes
 			for range b.N {
 				e, err := engine.New(engine.Config{Settings: set.Policy, Seed: 1, Clock: engine.NewClock(), Carrier: carriers{},
 					Log: slog.New(slog.DiscardHandler)})
@@ -164,9 +164,9 @@
 				for i := range size {
 					all = append(all, endpointChange(fmt.Sprint("be-", i), fmt.Sprintf("10.%d.%d.%d:80", i>>16, i>>8&255, i&255), resource.EndpointReady))
 				}
-				list.play(s, all)
+				list.measure(s, all)
 				all[0].Resource.Endpoint.Zone = "south"
-				change.play(s, all[:1])
+				change.measure(s, all[:1])
 				e.Stop()
 			}
 			list.report(b, "list")
@@ -175,26 +175,26 @@
 	}
 }
 
-// holds are how long each piece held the lock, in the best play and over all of them.
-type holds struct {
-	least []time.Duration
+// lockTimes records how long each batch held the lock: the shortest time of each, and the longest of all.
+type lockTimes struct {
+	best  []time.Duration
 	worst time.Duration
 }
 
-func (h *holds) play(s *endpoints, changes []resource.Change) {
-	for i, piece := range s.pieces(changes) {
-		begun := time.Now()
-		s.tell(piece, false)
-		took := time.Since(begun)
-		if i == len(h.least) {
-			h.least = append(h.least, took)
+func (h *lockTimes) measure(s *endpoints, changes []resource.Change) {
+	for i, piece := range s.batches(changes) {
+		started := time.Now()
+		s.applyBatch(piece, false)
+		took := time.Since(started)
+		if i == len(h.best) {
+			h.best = append(h.best, took)
 		}
-		h.least[i] = min(h.least[i], took)
+		h.best[i] = min(h.best[i], took)
 		h.worst = max(h.worst, took)
 	}
 }
 
-func (h *holds) report(b *testing.B, what string) {
-	b.ReportMetric(slices.Max(h.least).Seconds()*1000, "longest-ms/"+what)
+func (h *lockTimes) report(b *testing.B, what string) {
+	b.ReportMetric(slices.Max(h.best).Seconds()*1000, "longest-ms/"+what)
 	b.ReportMetric(h.worst.Seconds()*1000, "worst-ms/"+what)
 }
--- a/internal/node/forms_test.go
+++ b/internal/node/forms_test.go
@@ -13,16 +13,16 @@
 	"craneglade/internal/message"
 )
 
-// edit replaces a text's first old by fresh.
+// edit replaces the first old in text with fresh.
 func edit(text, old, fresh string) string { return strings.Replace(text, old, fresh, 1) }
 
-// All forms in which HTTP/1.1 lets a client write a request with a length are served, and its target goes on as it came. Chunked bodies
-// have tests of their own.
+// Requests with Content-Length are served in all forms that HTTP/1.1 allows, and their target is forwarded unchanged. Chunked bodies have
+// tests of their own.
 func TestFormsOfARequest(t *testing.T) {
 	t.Parallel()
 	const target = "/api?key=7f"
 	for _, c := range []struct{ name, text, want string }{
-		{"names in other letters", edit(edit(quote("q").text(), "X-Request-Id", "x-rEQUEST-iD"), "Content-Length", "content-length"), target},
+		{"header names in other case", edit(edit(quote("q").text(), "X-Request-Id", "x-rEQUEST-iD"), "Content-Length", "content-length"), target},
 		{"no space before a value", edit(quote("q").text(), "X-Class: ", "X-Class:"), target},
 		{"white space round a value", edit(quote("q").text(), "X-Class: quote", "X-Class: \t quote\t "), target},
 		{"an empty value", edit(quote("q").text(), "Host:", "X-Extras:\r\nHost:"), target},
@@ -30,26 +30,26 @@
 		{"a line feed alone", strings.ReplaceAll(quote("q").text(), "\r\n", "\n"), target},
 		{"the absolute form", edit(quote("q").text(), " /api", " http://backend.local/api"), target},
 		{"a length with zeros before it", edit(quote("q").text(), "Content-Length: 6", "Content-Length: 0006"), target},
-		{"two like lengths", edit(quote("q").text(), "Content-Length: 6", "Content-Length: 6\r\nContent-Length: 6"), target},
+		{"two equal lengths", edit(quote("q").text(), "Content-Length: 6", "Content-Length: 6\r\nContent-Length: 6"), target},
 		{"a GET of length 0", edit(view("v").text(), "Host:", "Content-Length: 0\r\nHost:"), target},
 		{"a connection to be kept", edit(quote("q").text(), "Host:", "Connection: Keep-Alive\r\nHost:"), target},
 		{"escapes", edit(quote("q").text(), target, "/a%2Fpi;x=1/%7e?key=%37f&a=%20|+"), "/a%2Fpi;x=1/%7e?key=%37f&a=%20|+"},
 		{"a query without a name", edit(quote("q").text(), target, "/api?"), "/api?"},
 	} {
-		for _, size := range []int{len(c.text), 1} { // at once, and in pieces
+		for _, size := range []int{len(c.text), 1} { // at once, and byte by byte
 			name := c.name
 			if size == 1 {
 				name += ", byte by byte"
 			}
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				b := newBox(t, served)
-				r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
+				b := newStubBackend(t, respondOK)
+				r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
 				client := r.dial(t)
-				for rest := c.text; rest != ""; rest = rest[size:] {
-					client.send(rest[:size])
+				for remaining := c.text; remaining != ""; remaining = remaining[size:] {
+					client.send(remaining[:size])
 				}
-				if resp, body := client.answer(); resp.StatusCode != 200 || !strings.HasPrefix(body, "done ") {
+				if resp, body := client.readResponse(); resp.StatusCode != 200 || !strings.HasPrefix(body, "done ") {
 					t.Fatalf("answered %d %q", resp.StatusCode, body)
 				}
 				got := b.requests()
@@ -61,25 +61,25 @@
 	}
 }
 
-// Empty lines before a request are passed over, up to a few, at once and byte by byte: on a new connection, behind an
-// answer and between two requests that came together. Where the body ends is seen behind them as well.
+// Up to four empty lines before a request are skipped, whether they arrive at once or byte by byte: on a new connection, after a response
+// and between pipelined requests. The framing of the body is checked after them as well.
 func TestEmptyLinesBeforeARequest(t *testing.T) {
 	t.Parallel()
 	both := edit(quote("q").text(), "Host:", "Transfer-Encoding: chunked\r\nHost:")
 	for _, c := range []struct {
 		name, text string
-		want       []int // the answers, in their order
+		want       []int // the status codes, in order
 	}{
 		{"one", "\r\n" + quote("q").text(), []int{200}},
 		{"a line feed alone", "\n" + quote("q").text(), []int{200}},
 		{"four", "\r\n\n\r\n\r\n" + quote("q").text(), []int{200}},
 		{"five", strings.Repeat("\r\n", 5) + quote("q").text(), []int{400}},
-		{"without end", strings.Repeat("\r\n", 20000), []int{400}},
+		{"endless", strings.Repeat("\r\n", 20000), []int{400}},
 		{"a carriage return alone", "\r" + quote("q").text(), []int{400}},
 		{"a blank", " \r\n" + quote("q").text(), []int{400}},
 		{"between requests", quote("a").text() + "\r\n" + quote("b").text() + "\r\n\r\n" + view("c").text(), []int{200, 200, 200}},
-		{"behind chunks", "\r\n" + quote("a").chunkedHead(codingLine) + inChunks("a door", 2) + "\r\n" + quote("b").text(), []int{200, 200}},
-		{"a length beside chunks", "\r\n" + both, []int{400}},
+		{"after chunks", "\r\n" + quote("a").chunkedHead(codingLine) + inChunks("a door", 2) + "\r\n" + quote("b").text(), []int{200, 200}},
+		{"a length and chunks", "\r\n" + both, []int{400}},
 	} {
 		for _, size := range []int{len(c.text), 1} {
 			name := c.name
@@ -88,21 +88,21 @@
 			}
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				b := newBox(t, served)
-				r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
+				b := newStubBackend(t, respondOK)
+				r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
 				client := r.dial(t)
-				go func() { // the node may answer and close before it has read all
-					for rest := c.text; rest != ""; rest = rest[size:] {
-						if _, err := io.WriteString(client, rest[:size]); err != nil {
+				go func() { // the node may respond and close before it has read all
+					for remaining := c.text; remaining != ""; remaining = remaining[size:] {
+						if _, err := io.WriteString(client, remaining[:size]); err != nil {
 							return
 						}
 					}
 				}()
 				served := 0
 				for i, want := range c.want {
-					resp, _ := client.answer()
+					resp, _ := client.readResponse()
 					if resp.StatusCode != want {
-						t.Fatalf("answer %d: %d, want %d", i, resp.StatusCode, want)
+						t.Fatalf("response %d: %d, want %d", i, resp.StatusCode, want)
 					}
 					if want == http.StatusOK {
 						served++
@@ -116,36 +116,36 @@
 	}
 }
 
-// An empty line behind a request's body leaves its connection between requests, and the request that follows has its own
-// time; a client that sends nothing but empty lines is cut off.
+// An empty line after the body of a request leaves its connection idle, and does not start the timeout for the head of the next request.
+// A client that sends only empty lines is disconnected.
 func TestEmptyLinesAreNoRequest(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, newRegistry(t), settingsJSON, nil, newBox(t, served).entry("s-1"))
+	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, newStubBackend(t, respondOK).entry("s-1"))
 	kept, silent := r.dial(t), r.dial(t)
 	silent.send("\r\n")
 	kept.send(quote("a").text() + "\r\n")
-	if resp, _ := kept.answer(); resp.StatusCode != 200 {
+	if resp, _ := kept.readResponse(); resp.StatusCode != 200 {
 		t.Fatalf("answered %d", resp.StatusCode)
 	}
 	if n, err := silent.Read(make([]byte, 1)); n != 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%d bytes, %v, want the connection closed", n, err)
 	}
-	// As long as a head may take has passed, and the connection that rests is still there.
-	if resp, _ := kept.ask(quote("b")); resp.StatusCode != 200 {
+	// The timeout for a head has passed, and the idle connection is still open.
+	if resp, _ := kept.roundTrip(quote("b")); resp.StatusCode != 200 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
 }
 
-// All forms of an answer that has an end are served, byte by byte too.
+// Responses are served in all forms that have a defined end, also if they arrive byte by byte.
 func TestFormsOfAnAnswer(t *testing.T) {
 	t.Parallel()
 	const want = "a door"
 	for _, c := range []struct{ name, text string }{
-		{"names in other letters", "HTTP/1.1 200 OK\r\ncontent-LENGTH:6\r\n\r\na door"},
+		{"header names in other case", "HTTP/1.1 200 OK\r\ncontent-LENGTH:6\r\n\r\na door"},
 		{"no reason", "HTTP/1.1 200 \r\nContent-Length: \t6 \r\n\r\na door"},
 		{"a folded line", "HTTP/1.1 200 OK\r\nX-Other: a\r\n\tb\r\nContent-Length: 6\r\n\r\na door"},
 		{"chunks with an extension and a trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n2;x=\"y\"\r\na \r\n04\r\ndoor\r\n0\r\nX-After: b\r\n\r\n"},
-		{"continue ahead", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\na door"},
+		{"100 before the response", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\na door"},
 		{"the connection's end", "HTTP/1.1 200 OK\r\nconnection: x, CLOSE\r\n\r\na door"},
 	} {
 		for _, whole := range []bool{true, false} {
@@ -155,20 +155,20 @@
 			}
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				b := newBox(t, func(conn net.Conn, _ *http.Request, _ int) bool {
+				b := newStubBackend(t, func(conn net.Conn, _ *http.Request, _ int) bool {
 					size := 1
 					if whole {
 						size = len(c.text)
 					}
-					for rest := c.text; rest != ""; rest = rest[size:] {
-						if _, err := io.WriteString(conn, rest[:size]); err != nil {
+					for remaining := c.text; remaining != ""; remaining = remaining[size:] {
+						if _, err := io.WriteString(conn, remaining[:size]); err != nil {
 							return false
 						}
 					}
 					return !strings.Contains(c.text, "CLOSE")
 				})
-				r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-				if resp, body := r.dial(t).ask(quote("q")); resp.StatusCode != 200 || body != want {
+				r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
+				if resp, body := r.dial(t).roundTrip(quote("q")); resp.StatusCode != 200 || body != want {
 					t.Errorf("answered %d %q, want %q", resp.StatusCode, body, want)
 				}
 				if n := len(b.requests()); n != 1 {
@@ -179,8 +179,8 @@
 	}
 }
 
-// What stands before or between the bytes of an answer's body takes nothing of what the body may have: neither
-// informational heads nor the framing of small chunks cut it.
+// Only the body of a response counts towards the limit of the body. Neither informational responses before it nor the framing of small
+// chunks may truncate it.
 func TestAnswerIsNotCutByWhatIsAroundIt(t *testing.T) {
 	t.Parallel()
 	hints := strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: </"+strings.Repeat("a", 900)+">\r\n\r\n", 18)
@@ -194,13 +194,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := newBox(t, func(conn net.Conn, _ *http.Request, _ int) bool {
+			b := newStubBackend(t, func(conn net.Conn, _ *http.Request, _ int) bool {
 				io.WriteString(conn, c.text)
 				conn.Close()
 				return false
 			})
-			r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
-			resp, body := r.dial(t).ask(quote("q"))
+			r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
+			resp, body := r.dial(t).roundTrip(quote("q"))
 			if served := resp.StatusCode == 200; served != (c.want != "") || served && body != c.want {
 				t.Errorf("answered %d, %d bytes, want %d", resp.StatusCode, len(body), len(c.want))
 			}
--- a/internal/node/lists_test.go
+++ b/internal/node/lists_test.go
@@ -10,135 +10,137 @@
 	"craneglade/internal/engine"
 )
 
-// longGrace are settings in which a drain's grace never ends by itself within a test.
+// longGrace are settings with a drain grace longer than any test.
 var longGrace = strings.Replace(settingsJSON, `"drain_grace_s":2`, `"drain_grace_s":3600`, 1)
 
-// listAnswer answers a discovery call with a list of backends.
-func listAnswer(version int64, full bool, backends ...engine.Listed) registryAnswer {
-	return registryAnswer{200, engine.List{Version: version, Full: full, Servers: backends}}
+// listResponse returns the response to a discovery call with a list of backends.
+func listResponse(version int64, full bool, backends ...engine.Listed) discoveryResponse {
+	return discoveryResponse{200, engine.List{Version: version, Full: full, Servers: backends}}
 }
 
-// in is a list's entry in another state.
-func in(state string, entry engine.Listed) engine.Listed {
+// withState returns an entry of a list in another state.
+func withState(state string, entry engine.Listed) engine.Listed {
 	entry.State = state
 	return entry
 }
 
-// heldAttempt is a node with a grace that never ends, whose only backend is b, and a client whose request's attempt there waits
-// for its connection until let is called.
-func heldAttempt(t *testing.T, g *registry, b *box) (r *rig, c *client, let func()) {
+// startBlockedAttempt starts a node with longGrace whose only backend is b, and sends it a request. The attempt waits for its connection
+// until unblock is called.
+func startBlockedAttempt(t *testing.T, g *stubDiscovery, b *stubBackend) (r *testNode, c *client, unblock func()) {
 	t.Helper()
-	dialing, dialed := gate()
-	release, let := gate()
-	r = newRig(t, g, longGrace, func(cfg *Config) {
-		cfg.dial = dialThen(func(nth int32) {
+	dialing, markDialing := gate()
+	release, unblock := gate()
+	r = startNode(t, g, longGrace, func(cfg *Config) {
+		cfg.dial = dialAfter(func(nth int32) {
 			if nth == 1 {
-				dialed()
+				markDialing()
 				<-release
 			}
 		})
 	}, b.entry("s-1"))
-	t.Cleanup(let)
+	t.Cleanup(unblock)
 	c = r.dial(t)
 	c.send(quote("q").text())
 	<-dialing
-	return r, c, let
+	return r, c, unblock
 }
 
-// A whole list that comes after calls that failed may have counted as told for a while, also for what it leaves out: an attempt that waits
-// for its connection to such a backend is not written, though the backend still answers.
+// A full list that arrives after failed calls may be old, so a backend that is missing from it has no grace left: an attempt that waits for
+// its connection to that backend is not written, though the backend still responds.
 func TestLateWholeListLeavesNoGraceToWhatItLeavesOut(t *testing.T) {
 	t.Parallel()
-	left, other := newBox(t, served), newBox(t, served)
-	g := newRegistry(t)
-	r, client, let := heldAttempt(t, g, left)
-	g.next <- registryAnswer{status: 503}
-	g.next <- listAnswer(2, true, other.entry("s-2"))
-	wait(t, "the whole list", func() bool { return r.numbered("s-2") != 0 })
-	let()
-	if resp, _ := client.answer(); resp.StatusCode != 200 && resp.StatusCode != 503 {
-		t.Errorf("answered %d, want what the other backend served, or a refusal", resp.StatusCode)
+	removed, other := newStubBackend(t, respondOK), newStubBackend(t, respondOK)
+	g := newStubDiscovery(t)
+	r, client, unblock := startBlockedAttempt(t, g, removed)
+	g.responses <- discoveryResponse{status: 503}
+	g.responses <- listResponse(2, true, other.entry("s-2"))
+	wait(t, "the full list", func() bool { return r.backendNumber("s-2") != 0 })
+	unblock()
+	if resp, _ := client.readResponse(); resp.StatusCode != 200 && resp.StatusCode != 503 {
+		t.Errorf("answered %d, want 200 from the other backend, or 503", resp.StatusCode)
 	}
-	if resp, _ := r.dial(t).ask(view("v")); resp.StatusCode != 200 {
+	if resp, _ := r.dial(t).roundTrip(view("v")); resp.StatusCode != 200 {
 		t.Errorf("a request after the list: answered %d", resp.StatusCode)
 	}
-	if n := len(left.requests()); n != 0 {
-		t.Errorf("the backend that the list leaves out got %d requests", n)
+	if n := len(removed.requests()); n != 0 {
+		t.Errorf("the removed backend got %d requests", n)
 	}
 }
 
-// A list of which no call failed leaves what it leaves out its grace: an attempt that was decided before goes out.
+// A full list without a failed call before it leaves removed backends their grace: an attempt that was decided before is sent.
 func TestWholeListInTimeLeavesTheGrace(t *testing.T) {
 	t.Parallel()
-	left, other := newBox(t, served), newBox(t, served)
-	g := newRegistry(t)
-	r, client, let := heldAttempt(t, g, left)
-	g.next <- listAnswer(2, true, other.entry("s-2"))
-	wait(t, "the whole list", func() bool { return r.numbered("s-2") != 0 })
-	let()
-	if resp, body := client.answer(); resp.StatusCode != 200 || len(left.requests()) != 1 {
-		t.Errorf("answered %d %q, with %d requests at the backend; want its answer", resp.StatusCode, body, len(left.requests()))
+	removed, other := newStubBackend(t, respondOK), newStubBackend(t, respondOK)
+	g := newStubDiscovery(t)
+	r, client, unblock := startBlockedAttempt(t, g, removed)
+	g.responses <- listResponse(2, true, other.entry("s-2"))
+	wait(t, "the full list", func() bool { return r.backendNumber("s-2") != 0 })
+	unblock()
+	if resp, body := client.readResponse(); resp.StatusCode != 200 || len(removed.requests()) != 1 {
+		t.Errorf("answered %d %q, with %d requests at the backend; want its answer", resp.StatusCode, body, len(removed.requests()))
 	}
 }
 
-// What has left by a late list is forgotten once its grace is over: its connections close.
+// A backend that a late list removes is dropped once its grace is over, and its connections are closed.
 func TestBackendThatLeavesByALateListIsForgotten(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name string
-		list func(b *box) registryAnswer
+		list func(b *stubBackend) discoveryResponse
 	}{
-		{"named as gone", func(b *box) registryAnswer { return listAnswer(2, false, in("Gone", b.entry("s-1"))) }},
-		{"left out of a whole list", func(b *box) registryAnswer {
-			return listAnswer(2, true, engine.Listed{ID: "s-2", Addr: "127.0.0.1:1", State: "Ready"})
+		{"reported as removed", func(b *stubBackend) discoveryResponse {
+			return listResponse(2, false, withState("Gone", b.entry("s-1")))
+		}},
+		{"missing from a full list", func(b *stubBackend) discoveryResponse {
+			return listResponse(2, true, engine.Listed{ID: "s-2", Addr: "127.0.0.1:1", State: "Ready"})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := newBox(t, served)
-			g := newRegistry(t)
-			r := newRig(t, g, strings.Replace(settingsJSON, `"drain_grace_s":2`, `"drain_grace_s":0.1`, 1), nil, b.entry("s-1"))
-			if resp, _ := r.dial(t).ask(view("v")); resp.StatusCode != 200 {
+			b := newStubBackend(t, respondOK)
+			g := newStubDiscovery(t)
+			r := startNode(t, g, strings.Replace(settingsJSON, `"drain_grace_s":2`, `"drain_grace_s":0.1`, 1), nil, b.entry("s-1"))
+			if resp, _ := r.dial(t).roundTrip(view("v")); resp.StatusCode != 200 {
 				t.Fatalf("answered %d", resp.StatusCode)
 			}
-			g.next <- registryAnswer{status: 503}
-			g.next <- c.list(b)
+			g.responses <- discoveryResponse{status: 503}
+			g.responses <- c.list(b)
 			select {
-			case <-b.ended:
-			case <-time.After(patience):
-				t.Error("the connection to a backend that has left stays open")
+			case <-b.disconnected:
+			case <-time.After(testTimeout):
+				t.Error("the connection to a removed backend stays open")
 			}
 		})
 	}
 }
 
-// A reload in the middle of a lapse: what the new discovery tells first may have counted as told by the old one, so that a drain in it has no
-// grace left.
+// After a reload during an outage of discovery, the first list of the new one may contain drains that the old one announced a while ago. They
+// have no grace left.
 func TestReloadInALapseLeavesNoGrace(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name string
-		list func(b, other *box) registryAnswer
+		list func(b, other *stubBackend) discoveryResponse
 	}{
-		{"drains", func(b, other *box) registryAnswer {
-			return listAnswer(2, true, in("Terminating", b.entry("s-1")), other.entry("s-2"))
+		{"drains", func(b, other *stubBackend) discoveryResponse {
+			return listResponse(2, true, withState("Terminating", b.entry("s-1")), other.entry("s-2"))
 		}},
-		{"left out", func(_, other *box) registryAnswer { return listAnswer(2, true, other.entry("s-2")) }},
+		{"missing", func(_, other *stubBackend) discoveryResponse { return listResponse(2, true, other.entry("s-2")) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b, other := newBox(t, served), newBox(t, served)
-			g, h := newRegistry(t), newRegistry(t)
-			r, client, let := heldAttempt(t, g, b)
-			g.next <- registryAnswer{status: 503}
+			b, other := newStubBackend(t, respondOK), newStubBackend(t, respondOK)
+			g, h := newStubDiscovery(t), newStubDiscovery(t)
+			r, client, unblock := startBlockedAttempt(t, g, b)
+			g.responses <- discoveryResponse{status: 503}
 			wait(t, "the call after the failed one", func() bool { return len(g.calls()) == 2 })
 			cfg := r.cfg
 			cfg.Discovery = h.addr
-			h.next <- c.list(b, other)
+			h.responses <- c.list(b, other)
 			r.reload(cfg)
-			wait(t, "the new discovery's list", func() bool { return r.numbered("s-2") != 0 })
-			let()
-			client.answer()
+			wait(t, "the new discovery's list", func() bool { return r.backendNumber("s-2") != 0 })
+			unblock()
+			client.readResponse()
 			if n := len(b.requests()); n != 0 {
 				t.Errorf("the backend got %d requests", n)
 			}
@@ -146,8 +148,8 @@
 	}
 }
 
-// A watch that ends where it had something to tell, on a new connection and on a kept one (where net/http asks again by itself): the next
-// answer counts, and what its whole list leaves out gets nothing new, though it still answers.
+// A watch whose connection is closed or reset instead of a response, be it a new connection or a kept one (where net/http retries by
+// itself): the next response is applied, and a backend that is missing from its full list gets no new requests, though it still responds.
 func TestWatchThatEndsInsteadOfTelling(t *testing.T) {
 	t.Parallel()
 	closes := func(c net.Conn) { c.Close() }
@@ -159,23 +161,23 @@
 	}{{"closed at once", false, closes}, {"reset at once", false, resets}, {"kept, then closed", true, closes}, {"kept, then reset", true, resets}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			left, stays := newBox(t, served), newBox(t, served)
+			removed, kept := newStubBackend(t, respondOK), newStubBackend(t, respondOK)
 			var steps []func(net.Conn)
 			if c.kept {
-				steps = append(steps, tells(engine.List{Version: 1}, nil))
+				steps = append(steps, sendList(engine.List{Version: 1}, nil))
 			}
-			d := newScripted(t, append(steps, c.end, tells(engine.List{Version: 2, Full: true, Servers: []engine.Listed{stays.entry("s-2")}}, nil))...)
-			r := newRig(t, newRegistry(t), longGrace, func(cfg *Config) { cfg.Discovery = d.addr }, left.entry("s-1"))
-			wait(t, "the whole list", func() bool { return r.numbered("s-2") != 0 && r.numbered("s-1") == 0 })
-			before := len(left.requests())
+			d := newScriptedDiscovery(t, append(steps, c.end, sendList(engine.List{Version: 2, Full: true, Servers: []engine.Listed{kept.entry("s-2")}}, nil))...)
+			r := startNode(t, newStubDiscovery(t), longGrace, func(cfg *Config) { cfg.Discovery = d.addr }, removed.entry("s-1"))
+			wait(t, "the full list", func() bool { return r.backendNumber("s-2") != 0 && r.backendNumber("s-1") == 0 })
+			before := len(removed.requests())
 			client := r.dial(t)
 			for i := range 20 {
-				if resp, _ := client.ask(view(fmt.Sprint("v", i))); resp.StatusCode != 200 {
+				if resp, _ := client.roundTrip(view(fmt.Sprint("v", i))); resp.StatusCode != 200 {
 					t.Fatalf("answered %d", resp.StatusCode)
 				}
 			}
-			if n := len(left.requests()) - before; n != 0 || len(stays.requests()) != 20 {
-				t.Errorf("%d requests went to the backend that has left, and %d of 20 to the one that stays", n, len(stays.requests()))
+			if n := len(removed.requests()) - before; n != 0 || len(kept.requests()) != 20 {
+				t.Errorf("%d requests to the removed backend, and %d of 20 to the other one", n, len(kept.requests()))
 			}
 		})
 	}
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -16,61 +16,61 @@
 	"craneglade/internal/sites"
 )
 
-// localTime is how long one who asks on the local socket may take to read the answer.
-const localTime = 5 * time.Second
+// statusTimeout is how long a client of the status socket may take to read the status.
+const statusTimeout = 5 * time.Second
 
-// Member is what a node says of one box on its local socket: one JSON line each.
+// Member is the state of one backend on the status socket: one JSON line for each.
 type Member struct {
 	ID        string `json:"id"`
 	Addr      string `json:"addr"`
 	Zone      string `json:"zone"`
 	Used      bool   `json:"used"`
 	Reason    string `json:"why"`
-	Source    string `json:"source"`      // that decided
-	DecidedMS int64  `json:"told_ms_ago"` // how long ago it first said so
+	Source    string `json:"source"`      // the source whose report was decisive
+	DecidedMS int64  `json:"told_ms_ago"` // time since it first reported this state
 	Mode      string `json:"mode,omitempty"`
 	Ejected   bool   `json:"ejected,omitempty"`
-	InFlight  int    `json:"in_flight"` // this node's attempts
+	InFlight  int    `json:"in_flight"` // attempts of this node
 }
 
-// Shared is what a node that shares state says of the other nodes on its local socket: the last line.
-type Shared struct {
+// FleetStatus is the JSON line about the other nodes on the status socket, the last one. Only nodes that share state send it.
+type FleetStatus struct {
 	Fleet peers.Report `json:"fleet"`
 }
 
-// SitesStatus is what a node that watches sites says of them on its local socket, in a line of its own.
+// SitesStatus is the JSON line about the sites on the status socket. Only nodes that watch sites send it.
 type SitesStatus struct {
 	Sites  []sites.Report `json:"sites"`
-	CutOff bool           `json:"cut_off"` // it reaches none: it is the node itself that is cut off
+	CutOff bool           `json:"cut_off"` // no site is reachable: the node itself is cut off
 	Demand []ClassDemand  `json:"asked"`
 }
 
-// ClassDemand is what a node's clients lately ask of one class.
+// ClassDemand is the recent demand of a node's clients in one class.
 type ClassDemand struct {
 	Class            string  `json:"class"`
-	Rate             float64 `json:"rate"`       // requests a second,
-	OverQuota        float64 `json:"past_share"` // and of those past their tenants' shares
-	Work             float64 `json:"work"`       // of one, in seconds of waiting and work
+	Rate             float64 `json:"rate"`       // requests a second
+	OverQuota        float64 `json:"past_share"` // requests a second over the quota of their tenant
+	Work             float64 `json:"work"`       // seconds of queueing and processing of one request
 	Utility          float64 `json:"worth"`
-	OverQuotaUtility float64 `json:"past_share_worth"` // as a part of worth
+	OverQuotaUtility float64 `json:"past_share_worth"` // utility over quota, as a fraction of the class's utility
 }
 
-// local answers on a Unix socket, one answer a connection, until ctx ends. A file that a node left behind when it was killed is
-// taken away; one that somebody answers on is not.
-func (n *node) local(ctx context.Context, path string) error {
+// serveStatus writes the node's status to each connection to a Unix socket until ctx ends. A socket file left behind by a node that
+// was killed is removed; one that another process listens on is an error.
+func (n *node) serveStatus(ctx context.Context, path string) error {
 	if path == "" {
 		return nil
 	}
 	ln, err := net.Listen("unix", path)
 	if errors.Is(err, syscall.EADDRINUSE) {
 		if info, err := os.Lstat(path); err != nil || info.Mode().Type() != fs.ModeSocket {
-			return fmt.Errorf("fleet.socket: %s is there and is no socket: give a path at which nothing is", path)
+			return fmt.Errorf("fleet.socket: %s exists and is not a socket: use a path that does not exist", path)
 		}
-		if c, no := net.Dial("unix", path); no == nil {
+		if c, dialErr := net.Dial("unix", path); dialErr == nil {
 			c.Close()
-			return fmt.Errorf("fleet.socket: another process answers on %s: give each node a path of its own", path)
-		} else if !errors.Is(no, syscall.ECONNREFUSED) {
-			return fmt.Errorf("fleet.socket: %s can't be asked whether its node has ended: %w", path, no)
+			return fmt.Errorf("fleet.socket: another process answers on %s: use a different path for each node", path)
+		} else if !errors.Is(dialErr, syscall.ECONNREFUSED) {
+			return fmt.Errorf("fleet.socket: cannot check whether another process listens on %s: %w", path, dialErr)
 		}
 		if err = os.Remove(path); err == nil || errors.Is(err, fs.ErrNotExist) {
 			ln, err = net.Listen("unix", path)
@@ -79,7 +79,7 @@
 	if err != nil {
 		return fmt.Errorf("fleet.socket: %w", err)
 	}
-	if err := os.Chmod(path, 0o600); err != nil { // its owner alone may ask
+	if err := os.Chmod(path, 0o600); err != nil { // only its owner may connect
 		ln.Close()
 		return fmt.Errorf("fleet.socket: %w", err)
 	}
@@ -91,27 +91,27 @@
 			if err != nil {
 				return
 			}
-			c.SetDeadline(time.Now().Add(localTime)) // one at a time: nobody who reads slowly costs more than this
-			out := json.NewEncoder(c)
+			c.SetDeadline(time.Now().Add(statusTimeout)) // connections are served one at a time: this bounds how long a slow reader delays the next
+			enc := json.NewEncoder(c)
 			for _, m := range n.members() {
-				if err := out.Encode(m); err != nil {
-					n.log.Debug("who asked for the fleet did not read it", "err", err)
+				if err := enc.Encode(m); err != nil {
+					n.log.Debug("status client did not read the status", "err", err)
 					break
 				}
 			}
-			if all, alone := n.engine.Sites(); all != nil {
-				if err := out.Encode(SitesStatus{all, alone, n.asked()}); err != nil {
-					n.log.Debug("who asked for the fleet did not read it", "err", err)
+			if reports, cutOff := n.engine.Sites(); reports != nil {
+				if err := enc.Encode(SitesStatus{reports, cutOff, n.demand()}); err != nil {
+					n.log.Debug("status client did not read the status", "err", err)
 				}
 			}
 			if n.control != nil {
-				if err := out.Encode(Control{n.control.status()}); err != nil {
-					n.log.Debug("who asked for the fleet did not read it", "err", err)
+				if err := enc.Encode(ControlLine{n.control.status()}); err != nil {
+					n.log.Debug("status client did not read the status", "err", err)
 				}
 			}
 			if n.peers != nil {
-				if err := out.Encode(Shared{n.peers.Report()}); err != nil {
-					n.log.Debug("who asked for the fleet did not read it", "err", err)
+				if err := enc.Encode(FleetStatus{n.peers.Report()}); err != nil {
+					n.log.Debug("status client did not read the status", "err", err)
 				}
 			}
 			c.Close()
@@ -120,35 +120,35 @@
 	return nil
 }
 
-// asked is what the node's clients lately ask for.
-func (n *node) asked() (out []ClassDemand) {
-	set := &n.cfg.Settings.Policy
+// demand returns the recent demand of the node's clients, by class.
+func (n *node) demand() (out []ClassDemand) {
+	policy := &n.cfg.Settings.Policy
 	for _, d := range n.engine.Demand() {
-		x := ClassDemand{Class: d.Class, Rate: d.Rate, OverQuota: d.Over, Work: d.Work, OverQuotaUtility: set.OverShare}
-		for _, c := range set.Classes {
+		entry := ClassDemand{Class: d.Class, Rate: d.Rate, OverQuota: d.Over, Work: d.Work, OverQuotaUtility: policy.OverShare}
+		for _, c := range policy.Classes {
 			if c.Name == d.Class {
-				x.Utility = c.Worth
+				entry.Utility = c.Worth
 			}
 		}
-		out = append(out, x)
+		out = append(out, entry)
 	}
 	return out
 }
 
-// members is what the node believes of each box, and why.
+// members returns the state of each backend, and the reason for it.
 func (n *node) members() []Member {
-	ids, all := n.engine.Beliefs()
-	beliefs := make(map[string]int, len(ids))
+	ids, beliefs := n.engine.Beliefs()
+	index := make(map[string]int, len(ids))
 	for i, id := range ids {
-		beliefs[id] = i
+		index[id] = i
 	}
 	now := n.clock.Now()
 	var out []Member
 	for _, s := range n.engine.Members() {
 		m := Member{ID: s.Box.ID, Addr: s.Box.Addr, Zone: s.Box.Zone, Used: s.Use, Reason: s.Why, Source: s.Source,
 			DecidedMS: (now - s.Told).Milliseconds()}
-		if i, ok := beliefs[s.Box.ID]; ok && s.Box.State != membership.Gone {
-			m.Mode, m.Ejected, m.InFlight = all[i].Mode, all[i].Ejected, int(all[i].Own)
+		if i, ok := index[s.Box.ID]; ok && s.Box.State != membership.Gone {
+			m.Mode, m.Ejected, m.InFlight = beliefs[i].Mode, beliefs[i].Ejected, int(beliefs[i].Own)
 		}
 		out = append(out, m)
 	}
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -9,24 +9,28 @@
 	"craneglade/internal/settings"
 )
 
-// sources is what decides between the box list and DNS; nil where neither a site nor the local socket is set, for the list alone.
-func sources(own *settings.File, grace time.Duration) *membership.Fleet {
-	d := &own.DNS
-	if len(d.Sites) == 0 && own.Fleet.Socket == "" {
+// newFleet returns what merges the backend list with DNS, or nil if the settings have neither a DNS site nor a status socket: the
+// engine then uses the list alone.
+func newFleet(file *settings.File, grace time.Duration) *membership.Fleet {
+	dns := &file.DNS
+	if len(dns.Sites) == 0 && file.Fleet.Socket == "" {
 		return nil
 	}
-	// What is doubted for a quarter of the grace can be served for the module's part of it, 0.6, and still end in time.
-	return membership.New(membership.Config{Hold: d.Hold.D(), Doubt: grace / 4, Calm: d.Calm.D()})
+	// A suspected withdrawal takes effect up to a quarter of the grace late. The policy then goes on sending for 0.6 of the grace,
+	// which still ends before the grace does.
+	return membership.New(membership.Config{Hold: dns.Hold.D(), Doubt: grace / 4, Calm: dns.Calm.D()})
 }
 
-// names follows the sites that are set in DNS, until ctx ends.
-func (n *node) names(ctx context.Context, d *settings.DNS) {
-	if len(d.Sites) == 0 {
+// followDNS updates the engine from the DNS names of the sites in the settings until ctx ends.
+func (n *node) followDNS(ctx context.Context, dns *settings.DNS) {
+	if len(dns.Sites) == 0 {
 		return
 	}
-	s := &resolve.Source{Client: &resolve.Client{Servers: d.Servers, Timeout: d.Timeout.D()}, Log: n.log,
-		Tell: func(site resolve.Site, boxes []membership.Box) bool { return n.engine.Names("dns:"+site.Name, boxes) }}
-	for _, site := range d.Sites {
+	s := &resolve.Source{Client: &resolve.Client{Servers: dns.Servers, Timeout: dns.Timeout.D()}, Log: n.log,
+		Tell: func(site resolve.Site, backends []membership.Box) bool {
+			return n.engine.Names("dns:"+site.Name, backends)
+		}}
+	for _, site := range dns.Sites {
 		s.Sites = append(s.Sites, resolve.Site{Name: site.Name, Zone: site.Zone})
 	}
 	n.wg.Go(func() { s.Run(ctx) })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node assembles one load balancer on real sockets: the engine with its decision module, the fronts that clients
-// talk to, the carriers that boxes are reached by, and the source of the box list. It decides nothing itself.
+// Package node assembles a load balancer node: the engine with its policy, the fronts that clients connect to, the carriers that
+// send attempts to backends, and the source of the backend list. It makes no balancing decisions itself.
 package node
 
 import (
@@ -32,46 +32,46 @@
 )
 
 const (
-	minSockets = 64 // with fewer descriptors a node cannot serve
-	ownSockets = 16 // descriptors for anything but clients and boxes
-	// listenPatience is how long a start waits for its addresses where they are refused for a moment, or a process that was killed
-	// still has them: a part of the 10 s within which it is to be ready.
-	listenPatience = 5 * time.Second
+	minSockets      = 64 // a node cannot serve with fewer descriptors
+	reservedSockets = 16 // descriptors for anything but client and backend connections
+	// listenTimeout is how long a start retries to listen after a transient error, or while a process that was killed still has the
+	// address. A node has to be ready within 10 s of its start.
+	listenTimeout = 5 * time.Second
 )
 
 type node struct {
-	cfg     Config
-	clock   engine.Clock
-	log     *slog.Logger
-	engine  *engine.Engine
-	bodies  *message.Store
-	carrier *httpcarrier.Carrier
-	front   *httpfront.Front
-	rpc     *rpccarrier.Carrier
-	rpcs    *rpcfront.Front    // nil where the settings name no address
-	peers   *peers.Peers       // nil for a node that shares nothing
-	control *control           // nil where the list comes from discovery
-	stop    context.CancelFunc // ends what hangs on no part
-	wg      sync.WaitGroup     // and this is that
+	cfg        Config
+	clock      engine.Clock
+	log        *slog.Logger
+	engine     *engine.Engine
+	bodies     *message.Store
+	carrier    *httpcarrier.Carrier
+	front      *httpfront.Front
+	rpcCarrier *rpccarrier.Carrier
+	rpcFront   *rpcfront.Front    // nil if the settings have no JSON-RPC address
+	peers      *peers.Peers       // nil if the node shares no state
+	control    *control           // nil if the list comes from discovery
+	stop       context.CancelFunc // stops the goroutines in wg
+	wg         sync.WaitGroup     // background goroutines of the node
 
-	mu   sync.Mutex
-	list *discovery.Source // nil where the list comes from the control plane
+	mu         sync.Mutex
+	listSource *discovery.Source // nil if the list comes from the control plane
 }
 
-// Run serves until ctx ends, finishes what it has taken and returns. A configuration from reload replaces what can
-// be replaced while it serves: the address of discovery.
+// Run serves until ctx ends, answers the requests that it has accepted and returns. Of a configuration from reload it applies what
+// can change at run time: the address of discovery.
 func Run(ctx context.Context, cfg Config, reload <-chan Config, log *slog.Logger) error {
-	told := sync.OnceValue(time.Now) // when the node was told to end, which may be while it starts
-	defer context.AfterFunc(ctx, func() { told() })()
+	shutdownTime := sync.OnceValue(time.Now) // when shutdown was requested, which may be during the start
+	defer context.AfterFunc(ctx, func() { shutdownTime() })()
 	if cfg.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(cfg.Cores)))
 	}
 	if cfg.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4)
 	}
-	debug.SetGCPercent(400) // the live heap is small; collecting it often would be felt as latency
+	debug.SetGCPercent(400) // the live heap is small, and frequent collections would add latency
 	listen := func(address string) (net.Listener, error) {
-		return sock.Listen(ctx, address, listenPatience, func(err error) { log.Warn("waiting to listen", "address", address, "err", err) })
+		return sock.Listen(ctx, address, listenTimeout, func(err error) { log.Warn("cannot listen yet; retrying", "address", address, "err", err) })
 	}
 	ln, err := listen(cfg.Listen)
 	if err != nil {
@@ -81,131 +81,130 @@
 	if err != nil {
 		return errors.Join(err, ln.Close())
 	}
-	defer n.end()
+	defer n.shutdown()
 	if ctx.Err() != nil {
-		n.engine.Shutdown(told())
+		n.engine.Shutdown(shutdownTime())
 	}
-	ended := make(chan struct{})
-	defer close(ended)
+	done := make(chan struct{})
+	defer close(done)
 	go func() {
 		for {
 			select {
 			case cfg := <-reload:
 				n.reload(cfg)
-			case <-ended:
+			case <-done:
 				return
 			}
 		}
 	}()
-	if n.rpcs == nil {
+	if n.rpcFront == nil {
 		return n.front.Serve(ctx, ln)
 	}
-	second, err := listen(cfg.LocalSettings.JSONRPC.Listen)
+	rpcListener, err := listen(cfg.LocalSettings.JSONRPC.Listen)
 	if err != nil {
 		return errors.Join(fmt.Errorf("jsonrpc.listen: %w", err), ln.Close())
 	}
-	return n.serve(ctx, ln, second)
+	return n.serve(ctx, ln, rpcListener)
 }
 
-// serve answers the clients of both fronts until ctx ends and all that was taken is answered; where one front fails, the
-// other one leaves too.
-func (n *node) serve(ctx context.Context, first, second net.Listener) error {
+// serve runs both fronts until ctx ends and all accepted requests are answered. If one front fails, the other shuts down too.
+func (n *node) serve(ctx context.Context, httpListener, rpcListener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	failed := make(chan error, 1)
 	go func() {
-		err := n.rpcs.Serve(ctx, second)
+		err := n.rpcFront.Serve(ctx, rpcListener)
 		cancel()
 		failed <- err
 	}()
-	err := n.front.Serve(ctx, first)
+	err := n.front.Serve(ctx, httpListener)
 	cancel()
 	return errors.Join(err, <-failed)
 }
 
-// start brings up all of a node but its listener.
+// start creates and starts all of a node but its listeners.
 func start(cfg Config, log *slog.Logger) (*node, error) {
 	clock := engine.NewClock()
 	n := &node{cfg: cfg, log: log, clock: clock}
-	own := &settings.File{}
+	file := &settings.File{}
 	if cfg.LocalSettings != nil {
-		own = cfg.LocalSettings
+		file = cfg.LocalSettings
 	}
 	var err error
-	if n.bodies, err = message.NewStore(cfg.MemoryMB, &own.Bodies, clock); err != nil {
+	if n.bodies, err = message.NewStore(cfg.MemoryMB, &file.Bodies, clock); err != nil {
 		return nil, fmt.Errorf("bodies: %w", err)
 	}
-	both := cfg.quotas()
-	boxes := both.Side(admission.BoxSide)
+	quotas := cfg.newQuotas()
+	backendQuota := quotas.Side(admission.BoxSide)
 	if cfg.backendQuota != nil {
-		boxes = cfg.backendQuota
+		backendQuota = cfg.backendQuota
 	}
 	dialer := sock.Dialer{Dialer: net.Dialer{Timeout: cfg.Settings.ConnectTimeout, KeepAlive: -1}}
 	dial := cfg.dial
 	if dial == nil {
 		dial = func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) }
 	}
-	n.carrier = httpcarrier.New(httpcarrier.Config{Quota: boxes, Idle: cfg.Settings.ConnIdle, RestWait: cfg.restWait(),
+	n.carrier = httpcarrier.New(httpcarrier.Config{Quota: backendQuota, Idle: cfg.Settings.ConnIdle, RestWait: cfg.idleWait(),
 		Reports: cfg.Settings.Reports, Bodies: n.bodies, Log: log, Now: cfg.now, Pause: cfg.pause, Dial: dial, DialOn: dialer.DialContext})
 	var carrier engine.Carrier = n.carrier
-	if own.JSONRPC.Listen != "" {
-		n.rpc = rpccarrier.New(rpccarrier.Config{Conns: own.JSONRPC.Conns, Quota: boxes, Beside: own.JSONRPC.Beside, Reports: cfg.Settings.Reports,
+	if file.JSONRPC.Listen != "" {
+		n.rpcCarrier = rpccarrier.New(rpccarrier.Config{Conns: file.JSONRPC.Conns, Quota: backendQuota, Beside: file.JSONRPC.Beside, Reports: cfg.Settings.Reports,
 			Dial: dial, Log: log})
-		carrier = carriers{n.carrier, n.rpc}
+		carrier = carriers{n.carrier, n.rpcCarrier}
 	}
 	n.engine, err = engine.New(engine.Config{Settings: cfg.Settings.Policy, Seed: cfg.Seed, Clock: clock,
-		Carrier: carrier, Members: sources(own, cfg.Settings.Policy.DrainGrace), Log: log})
+		Carrier: carrier, Members: newFleet(file, cfg.Settings.Policy.DrainGrace), Log: log})
 	if err != nil {
 		n.bodies.Stop()
 		return nil, err
 	}
 	n.front = httpfront.New(httpfront.Config{Engine: n.engine, Bodies: n.bodies, Clock: clock,
-		Quota: both.Side(admission.ClientSide), Extra: cfg.extra(), Asking: cfg.Sockets / 3, Shares: cfg.shares(), Waited: cfg.waited, Log: log})
-	both.Yields(admission.ClientSide, func() bool { return n.front.Lend() || n.rpcs != nil && n.rpcs.Yield() })
-	both.Yields(admission.BoxSide, n.carrier.Yield)
-	if n.rpc != nil {
-		n.rpcs = rpcfront.New(rpcfront.Config{Engine: n.engine, Quota: both.Side(admission.ClientSide),
-			Methods: cfg.methods(), Inflight: own.JSONRPC.Inflight, Batch: own.JSONRPC.Batch, Idle: own.JSONRPC.Idle.D(), Log: log})
+		Quota: quotas.Side(admission.ClientSide), Extra: cfg.rejectionConns(), Asking: cfg.Sockets / 3, Shares: cfg.tenantShares(), Waited: cfg.sinceLastReceive, Log: log})
+	quotas.SetReclaim(admission.ClientSide, func() bool { return n.front.Lend() || n.rpcFront != nil && n.rpcFront.Yield() })
+	quotas.SetReclaim(admission.BoxSide, n.carrier.Yield)
+	if n.rpcCarrier != nil {
+		n.rpcFront = rpcfront.New(rpcfront.Config{Engine: n.engine, Quota: quotas.Side(admission.ClientSide),
+			Methods: cfg.rpcMethods(), Inflight: file.JSONRPC.Inflight, Batch: file.JSONRPC.Batch, Idle: file.JSONRPC.Idle.D(), Log: log})
 	}
 	var ctx context.Context
 	ctx, n.stop = context.WithCancel(context.Background())
-	n.follow(ctx, &own.Control)
-	n.names(ctx, &own.DNS)
-	if own.Fleet.Listen != "" {
-		n.peers, err = peers.Start(peers.Config{Fleet: &own.Fleet, Name: cfg.Name, Policy: &cfg.Settings.Policy, Sites: own.Sites.Names(), Clock: clock.Now,
+	n.followList(ctx, &file.Control)
+	n.followDNS(ctx, &file.DNS)
+	if file.Fleet.Listen != "" {
+		n.peers, err = peers.Start(peers.Config{Fleet: &file.Fleet, Name: cfg.Name, Policy: &cfg.Settings.Policy, Sites: file.Sites.Names(), Clock: clock.Now,
 			Changed: n.engine.Shared, Log: log})
 		if err != nil {
-			n.end()
+			n.shutdown()
 			return nil, err
 		}
 		n.engine.Share(n.peers)
 	}
-	n.sites(ctx, &own.Sites)
-	if err := n.local(ctx, own.Fleet.Socket); err != nil {
-		n.end()
+	n.watchSites(ctx, &file.Sites)
+	if err := n.serveStatus(ctx, file.Fleet.Socket); err != nil {
+		n.shutdown()
 		return nil, err
 	}
 	if log.Enabled(ctx, slog.LevelDebug) {
 		log.Debug("settings", "policy", fmt.Sprintf("%+v", cfg.Settings.Policy))
-		n.wg.Go(func() { n.beliefs(ctx) })
+		n.wg.Go(func() { n.logBeliefs(ctx) })
 	}
 	return n, nil
 }
 
-// follow has the engine's list come from the control plane, or from discovery where there is none, until ctx ends.
-func (n *node) follow(ctx context.Context, own *settings.Control) {
-	if !own.On() {
-		n.list = n.source(discovery.Config{Addr: n.cfg.Discovery})
-		n.engine.Follow(n.list, &n.cfg.Known)
+// followList starts the source of the engine's list: the control plane, until ctx ends, or discovery if no control plane is configured.
+func (n *node) followList(ctx context.Context, cfg *settings.Control) {
+	if !cfg.On() {
+		n.listSource = n.newSource(discovery.Config{Addr: n.cfg.Discovery})
+		n.engine.Follow(n.listSource, &n.cfg.Known)
 		return
 	}
-	n.control = n.newControl(own)
+	n.control = n.newControl(cfg)
 	n.engine.Follow(n.control.endpoints, &n.cfg.Known)
 	n.wg.Go(func() { n.control.run(ctx) })
 }
 
-// end ends what start started.
-func (n *node) end() {
+// shutdown stops what start started.
+func (n *node) shutdown() {
 	n.engine.Stop()
 	if n.peers != nil {
 		n.peers.Stop()
@@ -214,22 +213,23 @@
 	n.wg.Wait()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.list != nil {
-		n.list.Stop()
+	if n.listSource != nil {
+		n.listSource.Stop()
 	}
 	n.carrier.Stop()
-	if n.rpc != nil {
-		n.rpc.Stop()
+	if n.rpcCarrier != nil {
+		n.rpcCarrier.Stop()
 	}
 	n.bodies.Stop()
 }
 
-// carriers carries each request by the protocol that it came in.
+// carriers is an engine.Carrier that sends each request by the protocol that it arrived with.
 type carriers struct {
 	http *httpcarrier.Carrier
 	rpc  *rpccarrier.Carrier
 }
 
+// Carry sends an attempt to its backend.
 func (c carriers) Carry(ctx context.Context, a *engine.Attempt) engine.Result {
 	if _, ok := a.Request.Payload.(*rpccarrier.Call); ok {
 		return c.rpc.Carry(ctx, a)
@@ -237,59 +237,61 @@
 	return c.http.Carry(ctx, a)
 }
 
+// Retire drops what the carriers keep for a backend that was removed or that another process has replaced.
 func (c carriers) Retire(b *engine.Backend) {
 	c.http.Retire(b)
 	c.rpc.Retire(b)
 }
 
-// methods are those of JSON-RPC that the settings name.
-func (cfg *Config) methods() map[string]rpcfront.Method {
+// rpcMethods returns the JSON-RPC methods of the settings, by name.
+func (cfg *Config) rpcMethods() map[string]rpcfront.Method {
 	out := map[string]rpcfront.Method{}
 	for _, m := range cfg.LocalSettings.JSONRPC.Methods {
-		patience := m.Patience.D()
+		timeout := m.Patience.D()
 		for _, c := range cfg.Settings.Policy.Classes {
-			if c.Name == m.Class && patience == 0 {
-				patience = c.Deadline
+			if c.Name == m.Class && timeout == 0 {
+				timeout = c.Deadline
 			}
 		}
-		out[m.Name] = rpcfront.Method{Class: m.Class, Patience: patience, Tenant: jsontext.Pointer(m.Tenant),
+		out[m.Name] = rpcfront.Method{Class: m.Class, Patience: timeout, Tenant: jsontext.Pointer(m.Tenant),
 			Key: jsontext.Pointer(m.Key), Deadline: jsontext.Pointer(m.Deadline)}
 	}
 	return out
 }
 
-// extra is how many connections of clients may be open beyond the room, to be told that there is none.
-func (cfg *Config) extra() int {
+// rejectionConns returns how many client connections may be open over the limit, to be answered with a rejection.
+func (cfg *Config) rejectionConns() int {
 	if cfg.Sockets == 0 {
 		return 1024
 	}
-	return max(1, (cfg.Sockets-ownSockets)/16)
+	return max(1, (cfg.Sockets-reservedSockets)/16)
 }
 
-// quotas shares the descriptors out: three eighths are clients' in any case, three eighths boxes', and the rest goes to
-// whoever needs it.
-func (cfg *Config) quotas() *quota.Quotas {
+// newQuotas returns the quotas of descriptors: three eighths are guaranteed to clients, three eighths to backends, and the
+// remainder is for whichever side needs it.
+func (cfg *Config) newQuotas() *quota.Quotas {
 	if cfg.Sockets == 0 {
 		return quota.New(0, 0)
 	}
-	total := cfg.Sockets - ownSockets - cfg.extra()
+	total := cfg.Sockets - reservedSockets - cfg.rejectionConns()
 	return quota.New(total, total*3/8)
 }
 
-// restWait is a small part of the shortest aim, or deadline of a class without one.
-func (cfg *Config) restWait() time.Duration {
-	const part = 20
+// idleWait returns how long a request may wait for a connection that was used a moment ago to become usable: a twentieth of the
+// shortest latency target, or deadline of a class without a target.
+func (cfg *Config) idleWait() time.Duration {
+	const divisor = 20
 	wait := time.Duration(math.MaxInt64)
 	for _, c := range cfg.Settings.Policy.Classes {
 		if t := cmp.Or(c.Aim, c.Deadline); t > 0 {
-			wait = min(wait, t/part)
+			wait = min(wait, t/divisor)
 		}
 	}
 	return wait
 }
 
-// shares are the tenants' parts of this node's requests, in requests a second.
-func (cfg *Config) shares() map[string]float64 {
+// tenantShares returns the share of each tenant's quota that this node may admit, in requests a second.
+func (cfg *Config) tenantShares() map[string]float64 {
 	p := &cfg.Settings.Policy
 	out := make(map[string]float64, len(p.Tenants))
 	for _, t := range p.Tenants {
@@ -298,22 +300,22 @@
 	return out
 }
 
-// source is a source of lists, with what all of this node's have alike.
-func (n *node) source(cfg discovery.Config) *discovery.Source {
+// newSource returns a discovery source with the settings that all sources of this node have in common.
+func (n *node) newSource(cfg discovery.Config) *discovery.Source {
 	cfg.Engine, cfg.Push, cfg.Log = n.engine, !n.cfg.Settings.Policy.MustAsk, n.log
 	return discovery.New(cfg)
 }
 
-// reload takes in a configuration that was read again. The boxes stay until the new discovery tells its list.
+// reload applies a configuration that was read again. The backends stay until the new discovery sends its list.
 func (n *node) reload(cfg Config) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	old := n.list
+	old := n.listSource
 	if old == nil || cfg.Discovery == old.Addr() {
 		return
 	}
-	n.log.Info("following another discovery", "from", old.Addr(), "to", cfg.Discovery)
-	n.list = n.source(discovery.Config{Addr: cfg.Discovery, Whole: true, Late: old.Late()})
-	n.engine.Replace(n.list)
+	n.log.Info("discovery address changed", "from", old.Addr(), "to", cfg.Discovery)
+	n.listSource = n.newSource(discovery.Config{Addr: cfg.Discovery, Whole: true, Late: old.Late()})
+	n.engine.Replace(n.listSource)
 	old.Stop()
 }
--- a/internal/node/rpc_test.go
+++ b/internal/node/rpc_test.go
@@ -26,25 +26,25 @@
 	"craneglade/policy"
 )
 
-// rpcBox is a box that speaks JSON-RPC as a test decides. It records each call.
-type rpcBox struct {
-	http   *box
-	ln     net.Listener
-	answer func(c net.Conn, m jsonrpc.Message) bool // false: close the connection
+// rpcBackend is a JSON-RPC backend whose responses a test decides. It records each call.
+type rpcBackend struct {
+	http    *stubBackend
+	ln      net.Listener
+	respond func(c net.Conn, m jsonrpc.Message) bool // false: close the connection
 
-	mu    sync.Mutex
-	got   []jsonrpc.Message
-	conns []net.Conn
+	mu       sync.Mutex
+	received []jsonrpc.Message
+	conns    []net.Conn
 }
 
-func newRPCBox(t *testing.T, answer func(c net.Conn, m jsonrpc.Message) bool) *rpcBox {
+func newRPCBackend(t *testing.T, respond func(c net.Conn, m jsonrpc.Message) bool) *rpcBackend {
 	t.Helper()
-	b := &rpcBox{http: newBox(t, served), answer: answer}
-	b.ln = accept(t, &b.mu, &b.conns, b.talk)
+	b := &rpcBackend{http: newStubBackend(t, respondOK), respond: respond}
+	b.ln = acceptConns(t, &b.mu, &b.conns, b.serve)
 	return b
 }
 
-func (b *rpcBox) talk(c net.Conn) {
+func (b *rpcBackend) serve(c net.Conn) {
 	defer c.Close()
 	r := jsonrpc.NewReader(bufio.NewReader(c))
 	for {
@@ -57,19 +57,19 @@
 			return
 		}
 		b.mu.Lock()
-		b.got = append(b.got, m)
+		b.received = append(b.received, m)
 		b.mu.Unlock()
-		if !b.answer(c, m) {
+		if !b.respond(c, m) {
 			return
 		}
 	}
 }
 
-func (b *rpcBox) calls(method string) int {
+func (b *rpcBackend) calls(method string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
-	for _, m := range b.got {
+	for _, m := range b.received {
 		if m.Method == method {
 			n++
 		}
@@ -77,25 +77,25 @@
 	return n
 }
 
-func (b *rpcBox) connections() int {
+func (b *rpcBackend) connections() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.conns)
 }
 
-func (b *rpcBox) entry(id string) engine.Listed {
+func (b *rpcBackend) entry(id string) engine.Listed {
 	e := b.http.entry(id)
 	e.RPC = b.ln.Addr().String()
 	return e
 }
 
-func say(c net.Conn, format string, args ...any) bool {
+func writeLine(c net.Conn, format string, args ...any) bool {
 	_, err := fmt.Fprintf(c, format+"\n", args...)
 	return err == nil
 }
 
-// works answers as the examples of the specification have it, and echoes the params of everything else.
-func works(c net.Conn, m jsonrpc.Message) bool {
+// respondRPC answers the methods of the specification's examples as they do, and echoes the params of all others.
+func respondRPC(c net.Conn, m jsonrpc.Message) bool {
 	var list []float64
 	var named struct{ Minuend, Subtrahend float64 }
 	var result any = m.Params
@@ -117,64 +117,64 @@
 		result = []any{"hello", 5}
 	}
 	text, _ := json.Marshal(result)
-	return say(c, `{"jsonrpc":"2.0","id":%s,"result":%s,"craneglade":{"load":{"inflight":1,"queue":0}}}`, m.ID, text)
+	return writeLine(c, `{"jsonrpc":"2.0","id":%s,"result":%s,"craneglade":{"load":{"inflight":1,"queue":0}}}`, m.ID, text)
 }
 
-// heldRPCBox works, but answers calls of some methods only once the returned function was called.
-func heldRPCBox(t *testing.T, methods ...string) (*rpcBox, func()) {
+// newBlockingRPCBackend returns a backend that answers calls of some methods only after the returned function was called.
+func newBlockingRPCBackend(t *testing.T, methods ...string) (*rpcBackend, func()) {
 	t.Helper()
-	release, let := gate()
-	t.Cleanup(let)
-	return newRPCBox(t, func(c net.Conn, m jsonrpc.Message) bool {
+	release, unblock := gate()
+	t.Cleanup(unblock)
+	return newRPCBackend(t, func(c net.Conn, m jsonrpc.Message) bool {
 		if !slices.Contains(methods, m.Method) {
-			return works(c, m)
+			return respondRPC(c, m)
 		}
 		go func() {
 			<-release
-			works(c, m)
+			respondRPC(c, m)
 		}()
 		return true
-	}), let
+	}), unblock
 }
 
-// rpcRig is a node with both fronts.
-func rpcRig(t *testing.T, change func(*settings.JSONRPC), known ...engine.Listed) (*rig, string) {
+// startRPCNode starts a node with both fronts, and returns the address of the one for JSON-RPC.
+func startRPCNode(t *testing.T, change func(*settings.JSONRPC), known ...engine.Listed) (*testNode, string) {
 	t.Helper()
-	return rpcRigWith(t, func(*Config) {}, change, known...)
+	return startRPCNodeWith(t, func(*Config) {}, change, known...)
 }
 
-func rpcRigWith(t *testing.T, more func(*Config), change func(*settings.JSONRPC), known ...engine.Listed) (*rig, string) {
+func startRPCNodeWith(t *testing.T, configure func(*Config), change func(*settings.JSONRPC), known ...engine.Listed) (*testNode, string) {
 	t.Helper()
-	own := &settings.File{JSONRPC: settings.JSONRPC{Listen: "127.0.0.1:0", Inflight: 64, Batch: 100, Conns: 2, Beside: true}}
-	own.JSONRPC.Idle.UnmarshalText([]byte("1m"))
+	file := &settings.File{JSONRPC: settings.JSONRPC{Listen: "127.0.0.1:0", Inflight: 64, Batch: 100, Conns: 2, Beside: true}}
+	file.JSONRPC.Idle.UnmarshalText([]byte("1m"))
 	for _, name := range []string{"subtract", "sum", "get_data", "update", "notify_hello", "notify_sum", "view"} {
-		own.JSONRPC.Methods = append(own.JSONRPC.Methods, settings.Method{Name: name, Class: "view", Deadline: "/deadline_ms"})
+		file.JSONRPC.Methods = append(file.JSONRPC.Methods, settings.Method{Name: name, Class: "view", Deadline: "/deadline_ms"})
 	}
-	own.JSONRPC.Methods = append(own.JSONRPC.Methods,
+	file.JSONRPC.Methods = append(file.JSONRPC.Methods,
 		settings.Method{Name: "saveConfig", Class: "save", Key: "/key", Tenant: "/dealer", Deadline: "/deadline_ms"},
 		settings.Method{Name: "sendQuote", Class: "quote", Deadline: "/deadline_ms"})
 	if change != nil {
-		change(&own.JSONRPC)
+		change(&file.JSONRPC)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
-		c.LocalSettings = own
-		more(c)
+	r := startNode(t, newStubDiscovery(t), settingsJSON, func(c *Config) {
+		c.LocalSettings = file
+		configure(c)
 	}, known...)
-	ctx, leave := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	first := r.leave
-	r.leave = func() {
-		first()
-		leave()
-	}
-	go func() { ended <- r.rpcs.Serve(ctx, ln) }()
+	ctx, cancel := context.WithCancel(context.Background())
+	exited := make(chan error, 1)
+	sigterm := r.sigterm
+	r.sigterm = func() {
+		sigterm()
+		cancel()
+	}
+	go func() { exited <- r.rpcFront.Serve(ctx, ln) }()
 	t.Cleanup(func() {
-		leave()
-		if err := <-ended; err != nil {
+		cancel()
+		if err := <-exited; err != nil {
 			t.Error(err)
 		}
 	})
@@ -183,26 +183,26 @@
 
 func dialRPC(t *testing.T, addr string) *client {
 	t.Helper()
-	return (&rig{addr: addr}).dial(t)
+	return (&testNode{addr: addr}).dial(t)
 }
 
 func (c *client) line() string {
 	c.t.Helper()
 	text, err := c.in.ReadString('\n')
 	if err != nil {
-		c.t.Fatalf("no answer: %v", err)
+		c.t.Fatalf("no response: %v", err)
 	}
 	return strings.TrimSpace(text)
 }
 
-// closed tells whether nothing but white space comes before the connection's end.
+// closed reports whether the connection is closed with nothing but white space before.
 func (c *client) closed() bool {
-	rest, err := io.ReadAll(c.in)
-	return strings.TrimSpace(string(rest)) == "" && !errors.Is(err, os.ErrDeadlineExceeded)
+	data, err := io.ReadAll(c.in)
+	return strings.TrimSpace(string(data)) == "" && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// same tells whether two JSON texts mean the same, leaving out an error's data; the members of a batch stand in any order.
-func same(a, b string) bool {
+// sameJSON reports whether two JSON texts are equivalent. It ignores the data of errors and the order within a batch.
+func sameJSON(a, b string) bool {
 	read := func(s string) any {
 		var v any
 		if json.Unmarshal([]byte(s), &v) != nil {
@@ -227,29 +227,29 @@
 	return reflect.DeepEqual(read(a), read(b))
 }
 
-// The examples of section 7 of the specification, each on a connection of its own, behind them a call that shows that the
-// connection goes on, or that it was closed.
-func TestExamplesOfTheSpecification(t *testing.T) {
+// The examples of section 7 of the specification, each on a connection of its own. A call after each checks that the connection stays open,
+// or else that it is closed.
+func TestSpecificationExamples(t *testing.T) {
 	t.Parallel()
-	b := newRPCBox(t, works)
-	_, addr := rpcRig(t, nil, b.entry("s-1"))
+	b := newRPCBackend(t, respondRPC)
+	_, addr := startRPCNode(t, nil, b.entry("s-1"))
 	parse := `{"jsonrpc": "2.0", "error": {"code": -32700, "message": "Parse error"}, "id": null}`
 	invalid := `{"jsonrpc": "2.0", "error": {"code": -32600, "message": "Invalid Request"}, "id": null}`
 	for _, x := range []struct{ name, send, want string }{
 		{"positional", `{"jsonrpc": "2.0", "method": "subtract", "params": [42, 23], "id": 1}`, `{"jsonrpc": "2.0", "result": 19, "id": 1}`},
-		{"positional, the other way", `{"jsonrpc": "2.0", "method": "subtract", "params": [23, 42], "id": 2}`, `{"jsonrpc": "2.0", "result": -19, "id": 2}`},
+		{"positional, other order", `{"jsonrpc": "2.0", "method": "subtract", "params": [23, 42], "id": 2}`, `{"jsonrpc": "2.0", "result": -19, "id": 2}`},
 		{"named", `{"jsonrpc": "2.0", "method": "subtract", "params": {"subtrahend": 23, "minuend": 42}, "id": 3}`, `{"jsonrpc": "2.0", "result": 19, "id": 3}`},
-		{"named, the other way", `{"jsonrpc": "2.0", "method": "subtract", "params": {"minuend": 42, "subtrahend": 23}, "id": 4}`, `{"jsonrpc": "2.0", "result": 19, "id": 4}`},
+		{"named, other order", `{"jsonrpc": "2.0", "method": "subtract", "params": {"minuend": 42, "subtrahend": 23}, "id": 4}`, `{"jsonrpc": "2.0", "result": 19, "id": 4}`},
 		{"a notification", `{"jsonrpc": "2.0", "method": "update", "params": [1,2,3,4,5]}`, ""},
-		{"a notification of no method", `{"jsonrpc": "2.0", "method": "foobar"}`, ""},
-		{"no such method", `{"jsonrpc": "2.0", "method": "foobar", "id": "1"}`, `{"jsonrpc": "2.0", "error": {"code": -32601, "message": "Method not found"}, "id": "1"}`},
-		{"no JSON", `{"jsonrpc": "2.0", "method": "foobar, "params": "bar", "baz]`, parse},
-		{"no request", `{"jsonrpc": "2.0", "method": 1, "params": "bar"}`, invalid},
-		{"a batch that is no JSON", `[{"jsonrpc": "2.0", "method": "sum", "params": [1,2,4], "id": "1"}, {"jsonrpc": "2.0", "method"]`, parse},
+		{"a notification of an unknown method", `{"jsonrpc": "2.0", "method": "foobar"}`, ""},
+		{"unknown method", `{"jsonrpc": "2.0", "method": "foobar", "id": "1"}`, `{"jsonrpc": "2.0", "error": {"code": -32601, "message": "Method not found"}, "id": "1"}`},
+		{"invalid JSON", `{"jsonrpc": "2.0", "method": "foobar, "params": "bar", "baz]`, parse},
+		{"invalid request", `{"jsonrpc": "2.0", "method": 1, "params": "bar"}`, invalid},
+		{"a batch of invalid JSON", `[{"jsonrpc": "2.0", "method": "sum", "params": [1,2,4], "id": "1"}, {"jsonrpc": "2.0", "method"]`, parse},
 		{"an empty batch", `[]`, invalid},
-		{"a batch of nothing", `[1]`, "[" + invalid + "]"},
-		{"a batch of nothings", `[1,2,3]`, "[" + invalid + "," + invalid + "," + invalid + "]"},
-		{"a batch of all sorts", `[
+		{"a batch of one invalid request", `[1]`, "[" + invalid + "]"},
+		{"a batch of invalid requests", `[1,2,3]`, "[" + invalid + "," + invalid + "," + invalid + "]"},
+		{"a mixed batch", `[
         {"jsonrpc": "2.0", "method": "sum", "params": [1,2,4], "id": "1"},
         {"jsonrpc": "2.0", "method": "notify_hello", "params": [7]},
         {"jsonrpc": "2.0", "method": "subtract", "params": [42,23], "id": "2"},
@@ -280,13 +280,13 @@
 				return string(frame)
 			}
 			if x.want != "" {
-				if got := read(); !same(got, x.want) {
+				if got := read(); !sameJSON(got, x.want) {
 					t.Errorf("%s (headed %v): %s, want %s", x.name, headed, got, x.want)
 				}
 			}
 			if x.want == parse {
 				if !c.closed() {
-					t.Errorf("%s: the connection goes on, though what follows can't be told apart", x.name)
+					t.Errorf("%s: the connection stays open, though the next message cannot be delimited", x.name)
 				}
 				continue
 			}
@@ -295,18 +295,18 @@
 			} else {
 				c.send(last)
 			}
-			if got := read(); !same(got, `{"jsonrpc":"2.0","result":1,"id":"last"}`) {
+			if got := read(); !sameJSON(got, `{"jsonrpc":"2.0","result":1,"id":"last"}`) {
 				t.Errorf("%s (headed %v): then %s", x.name, headed, got)
 			}
 		}
 	}
 	if n := b.calls("update"); n != 2 {
-		t.Errorf("the box got %d notifications, want one of each framing", n)
+		t.Errorf("the backend got %d notifications, want one for each framing", n)
 	}
 }
 
-// An independent client on one side of the node and an independent server on the other.
-func TestInterop(t *testing.T) {
+// The node works between an independent JSON-RPC client and an independent JSON-RPC server.
+func TestInteropWithIndependentRPCPeers(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -326,9 +326,9 @@
 			t.Cleanup(s.Stop)
 		}
 	}()
-	e := newBox(t, served).entry("s-1")
+	e := newStubBackend(t, respondOK).entry("s-1")
 	e.RPC = ln.Addr().String()
-	_, addr := rpcRig(t, func(j *settings.JSONRPC) { j.Beside = false }, e) // a strict server turns such members away
+	_, addr := startRPCNode(t, func(j *settings.JSONRPC) { j.Beside = false }, e) // a strict server rejects the additional member
 	for name, framing := range map[string]channel.Framing{"lines": channel.Line, "headed": channel.LSP} {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -350,7 +350,7 @@
 		if err != nil || len(all) != 2 {
 			t.Errorf("%s: a batch: %v, %v", name, all, err)
 		}
-		// An error of the application is its own answer, not the node's.
+		// An application error is the response, not an error of the node.
 		_, err = cl.Call(context.Background(), "sendQuote", map[string]int{"design": 1})
 		if j := (*jrpc2.Error)(nil); !errors.As(err, &j) || j.Code != 7 || j.Message != "no such design" {
 			t.Errorf("%s: %v", name, err)
@@ -359,18 +359,18 @@
 	}
 }
 
-// A batch mixes a save with a quote send, and the box dies after both may have run: the save goes again with its key, the
-// quote does not, and one array holds one result and one failure.
-func TestBoxDiesUnderABatch(t *testing.T) {
+// A batch has a save and a quote, and the backend dies after both may have run. The save is retried with its key and the quote is not, so the
+// response has one result and one error.
+func TestBackendDiesDuringBatch(t *testing.T) {
 	t.Parallel()
-	one := newRPCBox(t, func(net.Conn, jsonrpc.Message) bool { return true })
-	two := newRPCBox(t, works)
-	r, addr := rpcRig(t, nil, one.entry("s-1"))
+	one := newRPCBackend(t, func(net.Conn, jsonrpc.Message) bool { return true })
+	two := newRPCBackend(t, respondRPC)
+	r, addr := startRPCNode(t, nil, one.entry("s-1"))
 	c := dialRPC(t, addr)
 	c.send(`[{"jsonrpc":"2.0","id":1,"method":"saveConfig","params":{"key":"k-1","dealer":"d"}},` +
 		`{"jsonrpc":"2.0","id":2,"method":"sendQuote","params":{"design":7}}]` + "\n")
-	wait(t, "both at the box", func() bool { return one.calls("saveConfig") == 1 && one.calls("sendQuote") == 1 })
-	r.engine.News(r.list, &engine.List{Version: 9, Full: true, Servers: []engine.Listed{one.entry("s-1"), two.entry("s-2")}},
+	wait(t, "both calls at the backend", func() bool { return one.calls("saveConfig") == 1 && one.calls("sendQuote") == 1 })
+	r.engine.News(r.listSource, &engine.List{Version: 9, Full: true, Servers: []engine.Listed{one.entry("s-1"), two.entry("s-2")}},
 		policy.ListFull, func(int64) bool { return true })
 	one.mu.Lock()
 	for _, c := range one.conns {
@@ -379,67 +379,68 @@
 	one.mu.Unlock()
 	got := c.line()
 	want := `[{"jsonrpc":"2.0","id":1,"result":{"key":"k-1","dealer":"d"}},{"jsonrpc":"2.0","id":2,"error":{"code":-32002,"message":"failed"}}]`
-	if !same(got, want) {
+	if !sameJSON(got, want) {
 		t.Errorf("%s, want %s", got, want)
 	}
 	if s, q := two.calls("saveConfig"), one.calls("sendQuote")+two.calls("sendQuote"); s != 1 || q != 1 {
-		t.Errorf("the save went to the second box %d times, and the quote out %d times, want 1 and 1", s, q)
+		t.Errorf("the save was sent to the second backend %d times, and the quote to any %d times, want 1 and 1", s, q)
 	}
-	for _, m := range append(one.got, two.got...) {
-		var beside struct{ Key, Request string }
-		json.Unmarshal(m.Extra, &beside)
-		if m.Method == "saveConfig" && beside.Key != "k-1" || beside.Request == "" {
-			t.Errorf("%s went out beside %s", m.Method, m.Extra)
+	for _, m := range append(one.received, two.received...) {
+		var extra struct{ Key, Request string }
+		json.Unmarshal(m.Extra, &extra)
+		if m.Method == "saveConfig" && extra.Key != "k-1" || extra.Request == "" {
+			t.Errorf("%s was sent with the additional member %s", m.Method, m.Extra)
 		}
 	}
-	wait(t, "an empty table", func() bool { return r.engine.Open() == 0 })
+	wait(t, "no open requests", func() bool { return r.engine.Open() == 0 })
 }
 
-// A box answers twice, late, or with another's id: each call gets the one answer that was made for it.
-func TestAnswersMeetTheirCalls(t *testing.T) {
+// A backend responds twice, late, or with an unknown id: each call gets only its own response.
+func TestResponsesMatchTheirCalls(t *testing.T) {
 	t.Parallel()
-	var held atomic.Value // the id of a call that is answered late
-	b := newRPCBox(t, func(c net.Conn, m jsonrpc.Message) bool {
+	var lateID atomic.Value // id of the call with the late response
+	b := newRPCBackend(t, func(c net.Conn, m jsonrpc.Message) bool {
 		if strings.Contains(string(m.Params), "late") {
-			held.Store(string(m.ID))
+			lateID.Store(string(m.ID))
 			return true
 		}
-		if id, ok := held.Load().(string); ok {
-			say(c, `{"jsonrpc":"2.0","id":%s,"result":"too late"}`, id)
+		if id, ok := lateID.Load().(string); ok {
+			writeLine(c, `{"jsonrpc":"2.0","id":%s,"result":"too late"}`, id)
 		}
-		say(c, `{"jsonrpc":"2.0","id":"none-of-yours","result":"astray"}`)
-		works(c, m)
-		return works(c, m)
+		writeLine(c, `{"jsonrpc":"2.0","id":"none-of-yours","result":"astray"}`)
+		respondRPC(c, m)
+		return respondRPC(c, m)
 	})
-	_, addr := rpcRig(t, func(j *settings.JSONRPC) { j.Conns = 1 }, b.entry("s-1"))
+	_, addr := startRPCNode(t, func(j *settings.JSONRPC) { j.Conns = 1 }, b.entry("s-1"))
 	c := dialRPC(t, addr)
 	c.send(`{"jsonrpc":"2.0","id":1,"method":"sendQuote","params":{"late":true,"deadline_ms":300}}`)
-	if got := c.line(); !same(got, `{"jsonrpc":"2.0","id":1,"error":{"code":-32002,"message":"failed"}}`) {
+	if got := c.line(); !sameJSON(got, `{"jsonrpc":"2.0","id":1,"error":{"code":-32002,"message":"failed"}}`) {
 		t.Errorf("late: %s", got)
 	}
 	for i := range 20 {
 		c.send(fmt.Sprintf(`{"jsonrpc":"2.0","id":"c%d","method":"sum","params":[%d,1]}`, i, i))
-		if got := c.line(); !same(got, fmt.Sprintf(`{"jsonrpc":"2.0","id":"c%d","result":%d}`, i, i+1)) {
+		if got := c.line(); !sameJSON(got, fmt.Sprintf(`{"jsonrpc":"2.0","id":"c%d","result":%d}`, i, i+1)) {
 			t.Errorf("call %d: %s", i, got)
 		}
 	}
 }
 
-// Ids come back byte for byte, one that is open is refused without ending the first, and two clients' ids never meet.
-func TestIDsOfCalls(t *testing.T) {
+// Ids are returned byte for byte. A call with an id that is open is rejected and does not end the first. The same id of two clients does not
+// conflict.
+func TestCallIDs(t *testing.T) {
 	t.Parallel()
-	b, let := heldRPCBox(t, "view")
-	_, addr := rpcRig(t, nil, b.entry("s-1"))
+	b, unblock := newBlockingRPCBackend(t, "view")
+	_, addr := startRPCNode(t, nil, b.entry("s-1"))
 	c, other := dialRPC(t, addr), dialRPC(t, addr)
 	c.send(`{"jsonrpc":"2.0","id":"same","method":"view","params":["first"]}`)
-	wait(t, "the first at the box", func() bool { return b.calls("view") == 1 })
+	wait(t, "the first call at the backend", func() bool { return b.calls("view") == 1 })
 	c.send(`{"jsonrpc":"2.0","id":"same","method":"sum","params":[1]}`)
-	if got := c.line(); !same(got, `{"jsonrpc":"2.0","id":null,"error":{"code":-32600,"message":"Invalid Request"}}`) {
+	if got := c.line(); !sameJSON(got, `{"jsonrpc":"2.0","id":null,"error":{"code":-32600,"message":"Invalid Request"}}`) {
 		t.Errorf("an id that is open: %s", got)
 	}
 	other.send(`{"jsonrpc":"2.0","id":"same","method":"sum","params":[5]}`)
-	if got := other.line(); !same(got, `{"jsonrpc":"2.0","id":"same","result":5}`) {
-		t.Errorf("another client's: %s", got)
+	if got := other.line(); !sameJSON(got, `{"jsonrpc":"2.0","id":"same","result":5}`) {
+		t.Errorf("the same id of another client: %s", got)
 	}
 	for _, id := range []string{"1.50", "-0", "1e3", `"\u0061\/"`, "123456789012345678901234567890", "null"} {
 		c.send(`{"jsonrpc":"2.0","id":` + id + `,"method":"sum","params":[2]}`)
@@ -447,17 +448,18 @@
 			t.Errorf("id %s came back in %s", id, got)
 		}
 	}
-	let()
-	if got := c.line(); !same(got, `{"jsonrpc":"2.0","id":"same","result":["first"]}`) {
+	unblock()
+	if got := c.line(); !sameJSON(got, `{"jsonrpc":"2.0","id":"same","result":["first"]}`) {
 		t.Errorf("the first: %s", got)
 	}
 }
 
-// What is no call has a clear error, or an end, and a call beside it loses nothing.
-func TestBadCalls(t *testing.T) {
+// A malformed call gets the error code for it, and its connection is closed if the next message cannot be delimited. Other calls are not
+// affected.
+func TestMalformedCalls(t *testing.T) {
 	t.Parallel()
-	b := newRPCBox(t, works)
-	_, addr := rpcRig(t, nil, b.entry("s-1"))
+	b := newRPCBackend(t, respondRPC)
+	_, addr := startRPCNode(t, nil, b.entry("s-1"))
 	deep := strings.Repeat("[", 10001) + strings.Repeat("]", 10001)
 	many := "[" + strings.TrimSuffix(strings.Repeat(`1,`, 101), ",") + "]"
 	for _, x := range []struct {
@@ -470,7 +472,7 @@
 		{"a batch of too many", many, -32600, false},
 		{"a member twice", `{"jsonrpc":"2.0","id":1,"id":2,"method":"sum","params":[1]}`, -32700, true},
 		{"a param twice", `{"jsonrpc":"2.0","id":1,"method":"saveConfig","params":{"key":"a","key":"b"}}`, -32700, true},
-		{"no UTF-8", "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"\xff\"}", -32700, true},
+		{"invalid UTF-8", "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"\xff\"}", -32700, true},
 		{"a lone surrogate", `{"jsonrpc":"2.0","id":1,"method":"\ud800"}`, -32700, true},
 		{"an HTTP request", "GET / HTTP/1.1\r\n\r\n", -32700, true},
 		{"version 1.0", `{"id":1,"method":"sum","params":[1]}`, -32600, false},
@@ -479,11 +481,11 @@
 		{"an answer", `{"jsonrpc":"2.0","id":1,"result":1}`, -32600, false},
 		{"a number", "17\n", -32600, false},
 		{"a save without a key", `{"jsonrpc":"2.0","id":1,"method":"saveConfig","params":{}}`, -32602, false},
-		{"a deadline that is none", `{"jsonrpc":"2.0","id":1,"method":"sum","params":{"deadline_ms":-1}}`, -32602, false},
-		{"a Content-Length that lies", "Content-Length: 10\r\n\r\n{\"jsonrpc\":\"2.0\"}", -32700, true},
+		{"a negative deadline", `{"jsonrpc":"2.0","id":1,"method":"sum","params":{"deadline_ms":-1}}`, -32602, false},
+		{"a wrong Content-Length", "Content-Length: 10\r\n\r\n{\"jsonrpc\":\"2.0\"}", -32700, true},
 		{"two Content-Lengths", "Content-Length: 2\r\nContent-Length: 2\r\n\r\n{}", -32700, true},
 		{"a Content-Length of 3 GB", "Content-Length: 3000000000\r\n\r\n{}", -32700, true},
-		{"half a message and silence", `{"jsonrpc":"2.0","id":1,`, -32700, true},
+		{"a truncated message", `{"jsonrpc":"2.0","id":1,`, -32700, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
@@ -500,11 +502,11 @@
 				t.Errorf("%s, want code %d", frame, x.code)
 			}
 			if x.ends && !c.closed() {
-				t.Error("the connection goes on")
+				t.Error("the connection stays open")
 			}
 			if !x.ends {
 				c.send(`{"jsonrpc":"2.0","id":9,"method":"sum","params":[1]}`)
-				if frame, err := r.Next(); err != nil || !same(string(frame), `{"jsonrpc":"2.0","id":9,"result":1}`) {
+				if frame, err := r.Next(); err != nil || !sameJSON(string(frame), `{"jsonrpc":"2.0","id":9,"result":1}`) {
 					t.Errorf("then: %s, %v", frame, err)
 				}
 			}
@@ -512,147 +514,146 @@
 	}
 }
 
-// A box is drained while many calls share its connection: they are answered, and nothing new goes out on it.
-func TestDrainOnASharedConnection(t *testing.T) {
+// A backend is drained while many calls share its connection: they are answered, and no new call is sent on it.
+func TestDrainWithSharedConnection(t *testing.T) {
 	t.Parallel()
-	held, let := heldRPCBox(t, "sendQuote", "saveConfig")
-	r, addr := rpcRig(t, func(j *settings.JSONRPC) { j.Inflight, j.Conns = 300, 1 }, held.entry("s-1"))
+	old, unblock := newBlockingRPCBackend(t, "sendQuote", "saveConfig")
+	r, addr := startRPCNode(t, func(j *settings.JSONRPC) { j.Inflight, j.Conns = 300, 1 }, old.entry("s-1"))
 	c := dialRPC(t, addr)
 	for i := range 200 {
 		c.send(fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"saveConfig","params":{"key":"k%d"}}`, i, i))
 	}
 	before := 0
-	wait(t, "calls at the box that no longer come", func() bool {
-		n := held.calls("saveConfig")
+	wait(t, "a steady number of calls at the backend", func() bool {
+		n := old.calls("saveConfig")
 		open := r.engine.Open()
 		still := n > 20 && n == before && open == n
 		before = n
 		return still
 	})
-	taken := held.calls("saveConfig")
-	fresh := newRPCBox(t, works)
-	gone := held.entry("s-1")
-	gone.State = "Terminating"
-	r.engine.News(r.list, &engine.List{Version: 9, Full: true, Servers: []engine.Listed{gone, fresh.entry("s-2")}},
+	accepted := old.calls("saveConfig")
+	fresh := newRPCBackend(t, respondRPC)
+	entry := old.entry("s-1")
+	entry.State = "Terminating"
+	r.engine.News(r.listSource, &engine.List{Version: 9, Full: true, Servers: []engine.Listed{entry, fresh.entry("s-2")}},
 		policy.ListFull, func(int64) bool { return true })
 	for i := range 20 {
 		d := dialRPC(t, addr)
 		d.send(fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"sendQuote","params":{"n":%d}}`, i, i))
-		if got := d.line(); !same(got, fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"result":{"n":%d}}`, i, i)) && !strings.Contains(got, "-32001") {
+		if got := d.line(); !sameJSON(got, fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"result":{"n":%d}}`, i, i)) && !strings.Contains(got, "-32001") {
 			t.Errorf("quote %d: %s", i, got)
 		}
 	}
-	if n := held.calls("sendQuote"); n != 0 {
-		t.Errorf("the draining box got %d quotes", n)
+	if n := old.calls("sendQuote"); n != 0 {
+		t.Errorf("the draining backend got %d quotes", n)
 	}
 	if fresh.calls("sendQuote") == 0 {
-		t.Error("the new box got none")
+		t.Error("the new backend got no quote")
 	}
-	let()
+	unblock()
 	answered := 0
 	for range 200 {
 		if strings.Contains(c.line(), "result") {
 			answered++
 		}
 	}
-	if answered < taken || held.connections() != 1 {
-		t.Errorf("%d of %d calls that the box had were answered, on %d connections", answered, taken, held.connections())
+	if answered < accepted || old.connections() != 1 {
+		t.Errorf("%d of %d calls at the backend were answered, on %d connections", answered, accepted, old.connections())
 	}
 }
 
-// A client that leaves in the middle of a batch leaves nothing behind, and a notification gets no answer though its end
-// is known.
-func TestClientLeavesABatch(t *testing.T) {
+// A client that disconnects during a batch leaves no open request. A notification gets no response, though its outcome is known.
+func TestClientDisconnectsDuringBatch(t *testing.T) {
 	t.Parallel()
-	hold := newRPCBox(t, func(c net.Conn, m jsonrpc.Message) bool { return m.Method == "sendQuote" || works(c, m) })
-	r, addr := rpcRig(t, nil, hold.entry("s-1"))
+	backend := newRPCBackend(t, func(c net.Conn, m jsonrpc.Message) bool { return m.Method == "sendQuote" || respondRPC(c, m) })
+	r, addr := startRPCNode(t, nil, backend.entry("s-1"))
 	c := dialRPC(t, addr)
 	c.send(`[{"jsonrpc":"2.0","id":1,"method":"sendQuote","params":{}},{"jsonrpc":"2.0","id":2,"method":"sum","params":[1]}]`)
-	wait(t, "the quote at the box", func() bool { return hold.calls("sendQuote") == 1 })
+	wait(t, "the quote at the backend", func() bool { return backend.calls("sendQuote") == 1 })
 	c.Close()
-	wait(t, "an empty table", func() bool { return r.engine.Open() == 0 })
+	wait(t, "no open requests", func() bool { return r.engine.Open() == 0 })
 	d := dialRPC(t, addr)
 	d.send(`{"jsonrpc":"2.0","method":"update","params":[1]}{"jsonrpc":"2.0","id":3,"method":"sum","params":[1]}`)
-	if got := d.line(); !same(got, `{"jsonrpc":"2.0","id":3,"result":1}`) {
-		t.Errorf("behind a notification: %s", got)
+	if got := d.line(); !sameJSON(got, `{"jsonrpc":"2.0","id":3,"result":1}`) {
+		t.Errorf("after a notification: %s", got)
 	}
-	wait(t, "the notification at the box", func() bool { return hold.calls("update") == 1 })
-	wait(t, "an empty table", func() bool { return r.engine.Open() == 0 })
+	wait(t, "the notification at the backend", func() bool { return backend.calls("update") == 1 })
+	wait(t, "no open requests", func() bool { return r.engine.Open() == 0 })
 }
 
-// A box that speaks HTTP alone gets no call, and without another the client hears so at once, harmlessly.
-func TestBoxWithoutRPC(t *testing.T) {
+// A backend without JSON-RPC gets no call. If there is no other, the client gets an error at once that says that a retry is harmless.
+func TestBackendWithoutRPC(t *testing.T) {
 	t.Parallel()
-	plain := newBox(t, served)
-	r, addr := rpcRig(t, nil, plain.entry("s-1"))
+	plain := newStubBackend(t, respondOK)
+	r, addr := startRPCNode(t, nil, plain.entry("s-1"))
 	c := dialRPC(t, addr)
 	c.send(`{"jsonrpc":"2.0","id":1,"method":"sendQuote","params":{}}`)
 	if got := c.line(); !strings.Contains(got, `"code":-32001`) || !strings.Contains(got, `"repeat":"harmless"`) || !strings.Contains(got, "retry_after_s") {
 		t.Errorf("answered %s", got)
 	}
-	if resp, _ := r.dial(t).ask(quote("q")); resp.StatusCode != 200 {
-		t.Errorf("HTTP beside it: %d", resp.StatusCode)
+	if resp, _ := r.dial(t).roundTrip(quote("q")); resp.StatusCode != 200 {
+		t.Errorf("the same over HTTP: %d", resp.StatusCode)
 	}
 }
 
-// Connections with no open call make room, the longest first, and one with an open call stays.
-func TestSilentCallersMakeRoom(t *testing.T) {
+// Connections without an open call are evicted at the limit, the longest idle first. One with an open call stays.
+func TestIdleRPCClientsAreEvicted(t *testing.T) {
 	t.Parallel()
-	b, let := heldRPCBox(t, "view")
-	own := func(c *Config) { c.Sockets = 80 }
-	r, addr := rpcRigWith(t, own, nil, b.entry("s-1"))
+	b, unblock := newBlockingRPCBackend(t, "view")
+	configure := func(c *Config) { c.Sockets = 80 }
+	r, addr := startRPCNodeWith(t, configure, nil, b.entry("s-1"))
 	busy := dialRPC(t, addr)
 	busy.send(`{"jsonrpc":"2.0","id":1,"method":"view","params":[1]}`)
-	wait(t, "the call at the box", func() bool { return b.calls("view") == 1 })
+	wait(t, "the call at the backend", func() bool { return b.calls("view") == 1 })
 	silent := []*client{}
-	for range 100 { // says nothing
+	for range 100 { // sends nothing
 		silent = append(silent, dialRPC(t, addr))
 	}
 	for i := range 20 {
 		c := dialRPC(t, addr)
 		c.send(fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"sum","params":[%d]}`, i, i))
-		if got := c.line(); !same(got, fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"result":%d}`, i, i)) {
-			t.Errorf("call %d behind a hundred silent connections: %s", i, got)
+		if got := c.line(); !sameJSON(got, fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"result":%d}`, i, i)) {
+			t.Errorf("call %d after a hundred silent connections: %s", i, got)
 		}
 	}
 	if !silent[0].closed() {
-		t.Error("the longest silent one stays")
+		t.Error("the longest idle connection stays open")
 	}
-	if resp, _ := r.dial(t).ask(view("v")); resp.StatusCode != 200 && resp.StatusCode != 503 {
-		t.Errorf("HTTP beside them: %d", resp.StatusCode)
+	if resp, _ := r.dial(t).roundTrip(view("v")); resp.StatusCode != 200 && resp.StatusCode != 503 {
+		t.Errorf("HTTP meanwhile: %d", resp.StatusCode)
 	}
-	let()
-	if got := busy.line(); !same(got, `{"jsonrpc":"2.0","id":1,"result":[1]}`) {
+	unblock()
+	if got := busy.line(); !sameJSON(got, `{"jsonrpc":"2.0","id":1,"result":[1]}`) {
 		t.Errorf("the call that was open: %s", got)
 	}
 }
 
-// A node that is told to end answers the calls that are open, refuses new ones harmlessly, and ends its connections once
-// nothing is open on them.
-func TestLeavingWithCalls(t *testing.T) {
+// During shutdown a node answers the open calls, rejects new ones with an error that says that a retry is harmless, and closes connections
+// without open calls.
+func TestShutdownWithOpenCalls(t *testing.T) {
 	t.Parallel()
-	b, let := heldRPCBox(t, "sendQuote", "saveConfig")
-	r, addr := rpcRig(t, nil, b.entry("s-1"))
+	b, unblock := newBlockingRPCBackend(t, "sendQuote", "saveConfig")
+	r, addr := startRPCNode(t, nil, b.entry("s-1"))
 	c, idle := dialRPC(t, addr), dialRPC(t, addr)
 	c.send(`{"jsonrpc":"2.0","id":1,"method":"sendQuote","params":{"n":1}}`)
-	wait(t, "the quote at the box", func() bool { return b.calls("sendQuote") == 1 })
-	r.leave()
-	wait(t, "the front's leaving", r.rpcs.Leaving)
+	wait(t, "the quote at the backend", func() bool { return b.calls("sendQuote") == 1 })
+	r.sigterm()
+	wait(t, "the shutdown", r.rpcFront.Leaving)
 	c.send(`{"jsonrpc":"2.0","id":2,"method":"sendQuote","params":{"n":2}}`)
 	if got := c.line(); !strings.Contains(got, `"code":-32001`) || !strings.Contains(got, `"id":2`) {
 		t.Errorf("a call after SIGTERM: %s", got)
 	}
 	if !idle.closed() {
-		t.Error("an idle connection goes on")
+		t.Error("an idle connection stays open")
 	}
-	let()
-	if got := c.line(); !same(got, `{"jsonrpc":"2.0","id":1,"result":{"n":1}}`) {
+	unblock()
+	if got := c.line(); !sameJSON(got, `{"jsonrpc":"2.0","id":1,"result":{"n":1}}`) {
 		t.Errorf("the call that was open: %s", got)
 	}
 	if !c.closed() {
-		t.Error("the connection goes on with nothing open")
+		t.Error("the connection stays open without an open call")
 	}
 	if n := b.calls("sendQuote"); n != 1 {
-		t.Errorf("the box got %d quotes", n)
+		t.Errorf("the backend got %d quotes", n)
 	}
 }
--- a/internal/node/sites.go
+++ b/internal/node/sites.go
@@ -11,33 +11,33 @@
 	"craneglade/internal/timing"
 )
 
-// probeTime is how long a connection to a lost site may take to come up.
-const probeTime = 500 * time.Millisecond
+// probeTimeout is how long a connection to a lost site may take to open.
+const probeTimeout = 500 * time.Millisecond
 
-// sites watches how sites stand until ctx ends, where the settings say so.
-func (n *node) sites(ctx context.Context, own *settings.Sites) {
-	if !own.On() {
+// watchSites watches the health of the sites until ctx ends, if the settings ask for it.
+func (n *node) watchSites(ctx context.Context, cfg *settings.Sites) {
+	if !cfg.On() {
 		return
 	}
-	n.engine.Watch(siting.New(&n.cfg.Settings.Policy, own.Plan))
+	n.engine.Watch(siting.New(&n.cfg.Settings.Policy, cfg.Plan))
 	n.wg.Go(func() {
 		var probes sync.WaitGroup
 		defer probes.Wait()
 		timing.Every(ctx, siting.Every, func() {
-			boxes, notes := n.engine.StepSites()
+			backends, notes := n.engine.StepSites()
 			for _, x := range notes {
 				n.log.Info(x.Text, x.Args...)
 			}
-			for _, b := range boxes {
+			for _, b := range backends {
 				probes.Go(func() { n.probe(ctx, b) })
 			}
 		})
 	})
 }
 
-// probe tries a connection to a box, which is kept for requests if it comes up.
+// probe tries to connect to a backend, and keeps the connection for requests if that succeeds.
 func (n *node) probe(ctx context.Context, b *engine.Backend) {
-	ctx, cancel := context.WithTimeout(ctx, probeTime)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	n.engine.Probed(b, n.carrier.Reach(ctx, b))
 }
--- a/internal/node/stub_test.go
+++ b/internal/node/stub_test.go
@@ -22,8 +22,8 @@
 	"craneglade/policy"
 )
 
-// patience is how long a test waits for what must come: far longer than it takes on a busy machine.
-const patience = 20 * time.Second
+// testTimeout bounds each wait of a test. It is far longer than any wait takes on a busy machine.
+const testTimeout = 20 * time.Second
 
 const settingsJSON = `{"balancers":1,"zone":"north","discovery":"push","grades":[
  {"name":"view","aim_s":30,"deadline_s":60,"gain":1,"effect":"free","group":"all"},
@@ -34,27 +34,27 @@
  "report":{"how":"piggyback","names":["concurrent","depth"]},
  "invariants":{"drain_grace_s":2,"cold_s":8,"cold_share":0.3,"fall_s":1.5,"overload_factor":4,"must_ask_in_s":10}}`
 
-// box is a backend whose behaviour a test decides. It records each request whose last byte has come.
-type box struct {
-	ln     net.Listener
-	answer func(c net.Conn, r *http.Request, nth int) bool // false: close the connection
+// stubBackend is a backend whose responses a test decides. It records each request that it has received completely.
+type stubBackend struct {
+	ln      net.Listener
+	respond func(c net.Conn, r *http.Request, nth int) bool // false: close the connection
 
-	mu    sync.Mutex
-	got   []*http.Request
-	conns []net.Conn
-	ended chan struct{} // one for each connection that the node closed
-	shut  chan struct{} // one for each that the box closed
+	mu           sync.Mutex
+	received     []*http.Request
+	conns        []net.Conn
+	disconnected chan struct{} // one for each connection that the node closed
+	closed       chan struct{} // one for each that the backend closed
 }
 
-func newBox(t *testing.T, answer func(c net.Conn, r *http.Request, nth int) bool) *box {
+func newStubBackend(t *testing.T, respond func(c net.Conn, r *http.Request, nth int) bool) *stubBackend {
 	t.Helper()
-	b := &box{answer: answer, ended: make(chan struct{}, 1000), shut: make(chan struct{}, 5000)}
-	b.ln = accept(t, &b.mu, &b.conns, b.talk)
+	b := &stubBackend{respond: respond, disconnected: make(chan struct{}, 1000), closed: make(chan struct{}, 5000)}
+	b.ln = acceptConns(t, &b.mu, &b.conns, b.serve)
 	return b
 }
 
-// accept listens and has each connection talked to until the test ends. The connections so far are kept under mu.
-func accept(t *testing.T, mu *sync.Mutex, conns *[]net.Conn, talk func(net.Conn)) net.Listener {
+// acceptConns listens and calls serve for each connection until the test ends. It appends the connections to conns, under mu.
+func acceptConns(t *testing.T, mu *sync.Mutex, conns *[]net.Conn, serve func(net.Conn)) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -70,7 +70,7 @@
 			mu.Lock()
 			*conns = append(*conns, c)
 			mu.Unlock()
-			wg.Go(func() { talk(c) })
+			wg.Go(func() { serve(c) })
 		}
 	})
 	t.Cleanup(func() {
@@ -85,16 +85,16 @@
 	return ln
 }
 
-func (b *box) talk(c net.Conn) {
+func (b *stubBackend) serve(c net.Conn) {
 	defer func() {
 		c.Close()
-		b.shut <- struct{}{}
+		b.closed <- struct{}{}
 	}()
 	in := bufio.NewReader(c)
 	for {
 		r, err := http.ReadRequest(in)
 		if err != nil {
-			b.ended <- struct{}{}
+			b.disconnected <- struct{}{}
 			return
 		}
 		body, err := io.ReadAll(r.Body)
@@ -103,79 +103,80 @@
 		}
 		r.Body = io.NopCloser(strings.NewReader(string(body)))
 		b.mu.Lock()
-		b.got = append(b.got, r)
-		nth := len(b.got)
+		b.received = append(b.received, r)
+		nth := len(b.received)
 		b.mu.Unlock()
-		if !b.answer(c, r, nth) {
+		if !b.respond(c, r, nth) {
 			return
 		}
 	}
 }
 
-func (b *box) requests() []*http.Request {
+func (b *stubBackend) requests() []*http.Request {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]*http.Request(nil), b.got...)
+	return append([]*http.Request(nil), b.received...)
 }
 
-func (b *box) connections() int {
+func (b *stubBackend) connections() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.conns)
 }
 
-func (b *box) entry(id string) engine.Listed {
+func (b *stubBackend) entry(id string) engine.Listed {
 	return engine.Listed{ID: id, Addr: b.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
 }
 
-// reply writes an answer; headers are lines that end in \r\n.
-func reply(c net.Conn, status int, headers, body string) bool {
+// writeResponse writes a response. headers are lines that end in \r\n.
+func writeResponse(c net.Conn, status int, headers, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), headers,
 		len(body), body)
 	return err == nil
 }
 
-// gate holds back what waits for it until let is called, at the latest by a defer: a box's end waits for its answers.
-func gate() (released chan struct{}, let func()) {
-	released = make(chan struct{})
-	return released, sync.OnceFunc(func() { close(released) })
+// gate returns a channel and the function that closes it. A test that blocks a backend on the channel has to defer open, as closing
+// the backend waits for its responses.
+func gate() (opened chan struct{}, open func()) {
+	opened = make(chan struct{})
+	return opened, sync.OnceFunc(func() { close(opened) })
 }
 
-func served(c net.Conn, r *http.Request, _ int) bool {
-	return reply(c, 200, "", "done "+r.Header.Get("X-Request-Id"))
+func respondOK(c net.Conn, r *http.Request, _ int) bool {
+	return writeResponse(c, 200, "", "done "+r.Header.Get("X-Request-Id"))
 }
 
-// registry is a discovery whose lists a test hands out one by one.
-type registry struct {
-	addr string
-	mu   sync.Mutex
-	urls []string
-	next chan registryAnswer
-	left chan struct{} // one for each call that the node gave up
+// stubDiscovery is a discovery service that answers each call with the next of the test's responses.
+type stubDiscovery struct {
+	addr      string
+	mu        sync.Mutex
+	urls      []string
+	responses chan discoveryResponse
+	cancelled chan struct{} // one for each call that the node cancelled
 }
 
-type registryAnswer struct {
+type discoveryResponse struct {
 	status int
 	list   engine.List
 }
 
-func newRegistry(t *testing.T) *registry {
+func newStubDiscovery(t *testing.T) *stubDiscovery {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &registry{addr: ln.Addr().String(), next: make(chan registryAnswer, 100), left: make(chan struct{}, 100)}
+	g := &stubDiscovery{addr: ln.Addr().String(), responses: make(chan discoveryResponse, 100), cancelled: make(chan struct{}, 100)}
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		g.mu.Lock()
 		g.urls = append(g.urls, r.URL.String())
 		g.mu.Unlock()
 		select {
-		case a := <-g.next:
+		case a := <-g.responses:
 			w.WriteHeader(a.status)
 			json.NewEncoder(w).Encode(a.list)
 		case <-r.Context().Done():
-			g.left <- struct{}{}
+			g.cancelled <- struct{}{}
 		}
 	})}
 	done := make(chan struct{})
@@ -190,29 +191,29 @@
 	return g
 }
 
-func (g *registry) calls() []string {
+func (g *stubDiscovery) calls() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]string(nil), g.urls...)
 }
 
-// quotaFor holds so many connections to boxes.
+// quotaFor returns a quota of n connections to backends.
 func quotaFor(n int) *quota.Quota {
 	r := quota.New(n+1, 0)
-	r.Side(admission.ClientSide).Acquire() // a total of 0 would mean no bound
+	r.Side(admission.ClientSide).Acquire() // a total of 0 would mean no limit
 	return r.Side(admission.BoxSide)
 }
 
-// attempt is one send to a box, without a request of a client.
-func (r *rig) attempt(ctx context.Context, b *engine.Backend, q call, wait time.Duration) policy.Outcome {
+// attempt sends one attempt to a backend, without a client request.
+func (r *testNode) attempt(ctx context.Context, b *engine.Backend, q testRequest, wait time.Duration) policy.Outcome {
 	in, _ := http.NewRequest(q.method, "http://x/api", nil)
 	m := &message.Request{In: in, Body: &message.Body{Memory: []byte(q.body)}}
 	m.Payload = m
 	return r.carrier.Carry(ctx, &engine.Attempt{Request: &m.Request, Backend: b, Wait: wait, Effect: policy.Unsafe}).Outcome
 }
 
-// numbered is the module's number of the box with an id; 0 where none is listed.
-func (r *rig) numbered(id string) uint32 {
+// backendNumber returns the policy's number of the backend with an id, or 0 if none is listed.
+func (r *testNode) backendNumber(id string) uint32 {
 	ids, all := r.engine.Beliefs()
 	for i := range ids {
 		if ids[i] == id {
@@ -222,29 +223,29 @@
 	return 0
 }
 
-// rig is a node that serves on loopback.
-type rig struct {
+// testNode is a node that serves clients on loopback.
+type testNode struct {
 	*node
-	addr   string
-	leave  context.CancelFunc // what SIGTERM does
-	exited chan error
+	addr    string
+	sigterm context.CancelFunc // has the effect of SIGTERM
+	exited  chan error
 }
 
-func newRig(t *testing.T, g *registry, settings string, change func(*Config), known ...engine.Listed) *rig {
+func startNode(t *testing.T, g *stubDiscovery, settings string, change func(*Config), known ...engine.Listed) *testNode {
 	t.Helper()
-	return newRigLogging(t, g, slog.New(slog.DiscardHandler), settings, change, known...)
+	return startNodeWithLog(t, g, slog.New(slog.DiscardHandler), settings, change, known...)
 }
 
-func newRigLogging(t *testing.T, g *registry, log *slog.Logger, settings string, change func(*Config), known ...engine.Listed) *rig {
+func startNodeWithLog(t *testing.T, g *stubDiscovery, log *slog.Logger, settings string, change func(*Config), known ...engine.Listed) *testNode {
 	t.Helper()
 	set, err := wire.DecodeSettings([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	// A busy machine reads late: what a test wants served must not be refused for that (TestABehindNodeRefuses has the refusals).
-	atOnce := func(net.Conn) time.Duration { return 0 }
+	// A busy machine reads late, and the node must not reject requests for that, except in TestOverloadedNodeRejects.
+	noDelay := func(net.Conn) time.Duration { return 0 }
 	cfg := Config{Name: "n0", Discovery: g.addr, Seed: 1, Settings: set, Known: engine.List{Version: 1, Full: true, Servers: known},
-		waited: atOnce}
+		sinceLastReceive: noDelay}
 	if change != nil {
 		change(&cfg)
 	}
@@ -256,26 +257,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, leave := context.WithCancel(context.Background())
-	r := &rig{node: n, addr: ln.Addr().String(), leave: leave, exited: make(chan error, 1)}
+	ctx, cancel := context.WithCancel(context.Background())
+	r := &testNode{node: n, addr: ln.Addr().String(), sigterm: cancel, exited: make(chan error, 1)}
 	go func() { r.exited <- n.front.Serve(ctx, ln) }()
 	t.Cleanup(func() {
-		leave()
+		cancel()
 		select {
 		case <-r.exited:
-		case <-time.After(patience):
-			t.Error("the node did not end")
+		case <-time.After(testTimeout):
+			t.Error("the node did not shut down")
 		}
-		n.end()
+		n.shutdown()
 	})
 	return r
 }
 
-type call struct {
+type testRequest struct {
 	method, class, id, key, body, deadline string
 }
 
-func (c call) text() string {
+func (c testRequest) text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s /api?key=7f HTTP/1.1\r\nHost: backend.local\r\n", c.method)
 	for _, h := range []struct{ name, value string }{{"X-Request-Id", c.id}, {"X-Class", c.class}, {"X-Deadline", c.deadline},
@@ -290,27 +291,29 @@
 	return b.String() + "\r\n" + c.body
 }
 
-func view(id string) call { return call{"GET", "view", id, "", "", "50000m"} }
-func save(id string) call { return call{"POST", "save", id, "k-" + id, "a window", "50000m"} }
-func quote(id string) call {
-	return call{"POST", "quote", id, "", "a door", "50000m"}
+func view(id string) testRequest { return testRequest{"GET", "view", id, "", "", "50000m"} }
+func save(id string) testRequest {
+	return testRequest{"POST", "save", id, "k-" + id, "a window", "50000m"}
+}
+func quote(id string) testRequest {
+	return testRequest{"POST", "quote", id, "", "a door", "50000m"}
 }
 
-// client is one connection to a node.
+// client is a client connection to a node.
 type client struct {
 	t *testing.T
 	net.Conn
 	in *bufio.Reader
 }
 
-func (r *rig) dial(t *testing.T) *client {
+func (r *testNode) dial(t *testing.T) *client {
 	t.Helper()
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return &client{t, c, bufio.NewReader(c)}
 }
 
@@ -321,31 +324,31 @@
 	}
 }
 
-func (c *client) answer() (*http.Response, string) {
+func (c *client) readResponse() (*http.Response, string) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
-		c.t.Fatalf("no answer: %v", err)
+		c.t.Fatalf("no response: %v", err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		c.t.Fatalf("a broken answer: %v", err)
+		c.t.Fatalf("invalid response body: %v", err)
 	}
 	return resp, string(body)
 }
 
-func (c *client) ask(q call) (*http.Response, string) {
+func (c *client) roundTrip(q testRequest) (*http.Response, string) {
 	c.t.Helper()
 	c.send(q.text())
-	return c.answer()
+	return c.readResponse()
 }
 
-// wait returns once ok does, and fails the test if that takes too long.
+// wait returns once ok returns true, and fails the test if that takes longer than testTimeout.
 func wait(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: did not come", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,4 +1,4 @@
-// Package quota holds the descriptors of a node for both of its sides, clients and boxes, at once.
+// Package quota shares the file descriptors of a node between client connections and backend connections.
 package quota
 
 import (
@@ -7,55 +7,56 @@
 	"craneglade/internal/admission"
 )
 
-// Quotas shares out the node's descriptors between its two sides, for use by both at once. What it decides is
-// admission.Descriptors'.
+// Quotas shares the node's descriptors between its two sides, clients and backends. It is safe for concurrent use. The decisions
+// are those of admission.Descriptors.
 type Quotas struct {
-	mu    sync.Mutex
-	count *admission.Descriptors
-	yield [2]func() bool
+	mu          sync.Mutex
+	descriptors *admission.Descriptors
+	reclaim     [2]func() bool
 }
 
-// New returns the quotas of a node; see admission.NewDescriptors.
+// New returns the quotas of a node. The parameters are those of admission.NewDescriptors.
 func New(total, floor int) *Quotas {
-	return &Quotas{count: admission.NewDescriptors(total, floor)}
+	return &Quotas{descriptors: admission.NewDescriptors(total, floor)}
 }
 
-// Yields sets how a side is asked to close one of its idle connections for the other's sake, and to give its descriptor
-// back at once. Set it before the quotas are used; it is called without locks of theirs.
-func (r *Quotas) Yields(s admission.Side, f func() bool) { r.yield[s] = f }
+// SetReclaim sets the function that closes one of a side's idle connections, so that the other side can use its descriptor. f has to
+// release the descriptor before it returns, and reports whether it closed a connection. Call SetReclaim before the quotas are used.
+// f is called without the lock of Quotas.
+func (r *Quotas) SetReclaim(s admission.Side, f func() bool) { r.reclaim[s] = f }
 
-// Quota is one side's.
+// Quota is the quota of one side.
 type Quota struct {
-	all  *Quotas
-	side admission.Side
+	quotas *Quotas
+	side   admission.Side
 }
 
-// Side returns a side's quota.
+// Side returns the quota of a side.
 func (r *Quotas) Side(s admission.Side) *Quota { return &Quota{r, s} }
 
-// Acquire takes a descriptor, if there is one for the side.
+// Acquire reserves a descriptor and reports whether one was available for the side.
 func (r *Quota) Acquire() bool {
-	r.all.mu.Lock()
-	defer r.all.mu.Unlock()
-	return r.all.count.Take(r.side)
+	r.quotas.mu.Lock()
+	defer r.quotas.mu.Unlock()
+	return r.quotas.descriptors.Take(r.side)
 }
 
-// AcquireOrReclaim is Take that has idle connections closed for its sake where there is none: first one of the side's own, by own,
-// which may be nil, then one of the other side where that holds more than it is sure of.
-func (r *Quota) AcquireOrReclaim(own func() bool) bool {
-	if r.Acquire() || own != nil && own() && r.Acquire() {
+// AcquireOrReclaim is Acquire, but closes an idle connection if no descriptor is available: first one of the side itself, by
+// reclaimOwn, which may be nil, then one of the other side, if that uses more descriptors than it is guaranteed.
+func (r *Quota) AcquireOrReclaim(reclaimOwn func() bool) bool {
+	if r.Acquire() || reclaimOwn != nil && reclaimOwn() && r.Acquire() {
 		return true
 	}
 	other := 1 - r.side
-	r.all.mu.Lock()
-	lent := r.all.count.Lent(other)
-	r.all.mu.Unlock()
-	return lent && r.all.yield[other] != nil && r.all.yield[other]() && r.Acquire()
+	r.quotas.mu.Lock()
+	overShare := r.quotas.descriptors.Lent(other)
+	r.quotas.mu.Unlock()
+	return overShare && r.quotas.reclaim[other] != nil && r.quotas.reclaim[other]() && r.Acquire()
 }
 
-// Release gives one back.
+// Release returns a descriptor.
 func (r *Quota) Release() {
-	r.all.mu.Lock()
-	defer r.all.mu.Unlock()
-	r.all.count.Give(r.side)
+	r.quotas.mu.Lock()
+	defer r.quotas.mu.Unlock()
+	r.quotas.descriptors.Give(r.side)
 }
--- a/internal/sock/again.go
+++ b/internal/sock/again.go
@@ -8,14 +8,14 @@
 	"craneglade/internal/timing"
 )
 
-// againEvery is how long after an error that may pass a socket is tried again.
-const againEvery = 10 * time.Millisecond
+// retryInterval is the wait before an operation that failed with a transient error is tried again.
+const retryInterval = 10 * time.Millisecond
 
-// Dialer is a net.Dialer that tries again, within its Timeout, where the machine refuses a connection for a moment. One that the
-// other side refuses is not tried again.
+// Dialer is a net.Dialer that retries, within its Timeout, while this machine cannot open a connection for a transient local reason.
+// A connection that the other side refuses is not retried.
 type Dialer struct{ net.Dialer }
 
-// DialContext connects within ctx and the Timeout, if that is set. Its error is the last one of all tries.
+// DialContext connects before ctx ends and, if Timeout is set, within Timeout. The error it returns is that of the last try.
 func (d *Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	if d.Timeout > 0 {
 		var cancel context.CancelFunc
@@ -24,26 +24,26 @@
 	}
 	for {
 		conn, err := d.Dialer.DialContext(ctx, network, address)
-		if err == nil || !mayPass(err) || !timing.Sleep(ctx, againEvery) {
+		if err == nil || !isTransient(err) || !timing.Sleep(ctx, retryInterval) {
 			return conn, err
 		}
 	}
 }
 
-// Listen listens on a TCP address, without keep-alive. Where the machine refuses that for a moment, or another process has the
-// address, it tries again for as long as patience; waits is then called once with the error.
-func Listen(ctx context.Context, address string, patience time.Duration, waits func(err error)) (net.Listener, error) {
+// Listen listens on a TCP address, with keep-alive disabled. After a transient local error, or while another process has the
+// address, it retries for up to timeout. onRetry is called once, with the first such error.
+func Listen(ctx context.Context, address string, timeout time.Duration, onRetry func(err error)) (net.Listener, error) {
 	config := net.ListenConfig{KeepAlive: -1}
-	end := time.Now().Add(patience)
-	for told := false; ; told = true {
+	deadline := time.Now().Add(timeout)
+	for notified := false; ; notified = true {
 		listener, err := config.Listen(ctx, "tcp", address)
-		if err == nil || !mayPass(err) || time.Now().After(end) {
+		if err == nil || !isTransient(err) || time.Now().After(deadline) {
 			return listener, err
 		}
-		if !told {
-			waits(err)
+		if !notified {
+			onRetry(err)
 		}
-		if !timing.Sleep(ctx, againEvery) {
+		if !timing.Sleep(ctx, retryInterval) {
 			return nil, err
 		}
 	}
--- a/internal/sock/errors.go
+++ b/internal/sock/errors.go
@@ -7,24 +7,25 @@
 	"syscall"
 )
 
-// IsAcceptRetryable tells whether a listener may still be good after an error of its Accept: accept(2) hands on what has befallen the
-// next connection, and fails for want of room that comes back. It is not where the listener is closed or was none.
+// IsAcceptRetryable reports whether Accept may succeed again after err. accept(2) returns network errors of the connection it was
+// to accept, and fails while descriptors or memory are short; neither affects the listener. It returns false if the listener is
+// closed or is not a listening socket.
 func IsAcceptRetryable(err error) bool {
 	return !isOneOf(err, net.ErrClosed, syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK)
 }
 
-// IsLocalFailure tells whether a socket could not be made or connected for want of something on this machine, by socket(2) and
-// connect(2). Nothing has gone out to the other side, and that has no part in it.
+// IsLocalFailure reports whether socket(2) or connect(2) failed because this machine lacks a resource, such as a descriptor, memory
+// or a free port. Nothing was sent to the other side, and the error says nothing about it.
 func IsLocalFailure(err error) bool {
 	return isOneOf(err, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN)
 }
 
-// mayPass tells whether making, binding or connecting a socket may do a moment after an error.
-func mayPass(err error) bool {
+// isTransient reports whether creating, binding or connecting a socket may succeed if it is retried shortly after err.
+func isTransient(err error) bool {
 	return IsLocalFailure(err) || isOneOf(err, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EADDRINUSE)
 }
 
-// isOneOf tells whether an error is one of several.
-func isOneOf(err error, all ...error) bool {
-	return slices.ContainsFunc(all, func(one error) bool { return errors.Is(err, one) })
+// isOneOf reports whether errors.Is holds for err and any of targets.
+func isOneOf(err error, targets ...error) bool {
+	return slices.ContainsFunc(targets, func(target error) bool { return errors.Is(err, target) })
 }
--- a/internal/sock/listener.go
+++ b/internal/sock/listener.go
@@ -8,20 +8,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// backlogEvery is how often a listener's backlog is looked at.
-const backlogEvery = time.Millisecond
+// backlogPollInterval is how often CloseListener checks a listener's backlog.
+const backlogPollInterval = time.Millisecond
 
-// CloseListener closes a listener once nothing waits in its backlog, for whose connections Accept goes on being called, or after
-// patience. The system resets what waits there when a listener closes, and with it requests that this machine had taken.
-func CloseListener(listener net.Listener, patience time.Duration) error {
-	for end := time.Now().Add(patience); connectionWaits(listener) && time.Now().Before(end); {
-		time.Sleep(backlogEvery)
+// CloseListener closes a listener once its backlog is empty, or after timeout. The caller keeps calling Accept meanwhile. Closing a
+// listener makes the kernel reset the connections in its backlog, and so lose requests that this machine had already received.
+func CloseListener(listener net.Listener, timeout time.Duration) error {
+	for deadline := time.Now().Add(timeout); hasPendingConnection(listener) && time.Now().Before(deadline); {
+		time.Sleep(backlogPollInterval)
 	}
 	return listener.Close()
 }
 
-// connectionWaits tells whether a connection waits to be accepted.
-func connectionWaits(listener net.Listener) bool {
+// hasPendingConnection reports whether a connection waits to be accepted.
+func hasPendingConnection(listener net.Listener) bool {
 	socket, ok := listener.(syscall.Conn)
 	if !ok {
 		return false
@@ -30,14 +30,14 @@
 	if err != nil {
 		return false
 	}
-	waits := false
-	raw.Control(func(fd uintptr) { // an error means that it is closed
-		look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
-		n, err := unix.Poll(look, 0)
+	pending := false
+	raw.Control(func(fd uintptr) { // an error means that the socket is closed
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
+		n, err := unix.Poll(fds, 0)
 		for err == unix.EINTR {
-			n, err = unix.Poll(look, 0)
+			n, err = unix.Poll(fds, 0)
 		}
-		waits = n > 0 && look[0].Revents&unix.POLLIN != 0
+		pending = n > 0 && fds[0].Revents&unix.POLLIN != 0
 	})
-	return waits
+	return pending
 }
--- a/internal/sock/pending.go
+++ b/internal/sock/pending.go
@@ -6,52 +6,53 @@
 	"unsafe"
 )
 
-// ReadState is what can be read from a socket at this moment.
+// ReadState says whether a socket can be read at the moment.
 type ReadState uint8
 
 const (
-	Empty    ReadState = iota // no byte has come, and the connection stands
+	Empty    ReadState = iota // no data to read, and the connection is open
 	Readable                  // at least one byte can be read
-	Closed                    // the other side has closed the connection, or it broke
+	Closed                    // the other side has closed the connection, or it failed
 )
 
-// Pending looks at what a socket has received, without taking any of it and without waiting.
+// Pending returns the read state of a connection. It neither consumes data nor blocks.
 func Pending(c net.Conn) ReadState { return NewPeeker(c).Pending() }
 
-// Peeker is Pending again and again on one socket, for one goroutine at a time, without memory for each time.
+// Peeker checks the read state of one connection repeatedly without allocating memory for each check. It is for use by one goroutine
+// at a time.
 type Peeker struct {
-	raw  syscall.RawConn // nil for what is no socket
-	seen ReadState
-	look func(fd uintptr)
+	raw   syscall.RawConn // nil if the connection is not a socket
+	state ReadState
+	peek  func(fd uintptr)
 }
 
-// NewPeeker returns the look at a socket.
+// NewPeeker returns a Peeker for a connection.
 func NewPeeker(c net.Conn) *Peeker {
-	l := &Peeker{}
+	peeker := &Peeker{}
 	if s, ok := c.(syscall.Conn); ok {
-		l.raw, _ = s.SyscallConn()
+		peeker.raw, _ = s.SyscallConn()
 	}
-	l.look = func(fd uintptr) {
+	peeker.peek = func(fd uintptr) {
 		var b byte
 		n, err := uintptr(0), syscall.EINTR
-		for err == syscall.EINTR { // an interrupted look has seen nothing, and says nothing of the other side
+		for err == syscall.EINTR { // EINTR says nothing about the connection
 			n, _, err = syscall.Syscall6(syscall.SYS_RECVFROM, fd, uintptr(unsafe.Pointer(&b)), 1, syscall.MSG_PEEK|syscall.MSG_DONTWAIT, 0, 0)
 		}
 		switch {
 		case err == syscall.EAGAIN, err == syscall.ENOMEM, err == syscall.ENOBUFS:
-			l.seen = Empty
+			peeker.state = Empty
 		case err == 0 && n > 0:
-			l.seen = Readable
+			peeker.state = Readable
 		}
 	}
-	return l
+	return peeker
 }
 
-// Pending looks once.
-func (l *Peeker) Pending() ReadState {
-	l.seen = Closed
-	if l.raw != nil {
-		l.raw.Control(l.look) // an error means that it is closed here
+// Pending returns the current read state.
+func (p *Peeker) Pending() ReadState {
+	p.state = Closed
+	if p.raw != nil {
+		p.raw.Control(p.peek) // an error means that the socket is closed on this side
 	}
-	return l.seen
+	return p.state
 }
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// What a request has waited for in the kernel counts against its time.
-func TestWaitInTheKernel(t *testing.T) {
+// Time that a request spends in the socket buffer counts against its deadline: SinceLastReceive has to include it.
+func TestSinceLastReceiveCountsKernelWait(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -26,7 +26,7 @@
 	}
 	defer s.Close()
 	if Pending(s) != Empty {
-		t.Error("something is pending on a new connection")
+		t.Error("a new connection has pending data")
 	}
 	wait := func(what string, ok func() bool) {
 		t.Helper()
@@ -37,13 +37,13 @@
 		}
 	}
 	io.WriteString(c, "x")
-	wait("bytes", func() bool { return Pending(s) == Readable })
-	wait("the wait in the kernel", func() bool { return SinceLastReceive(s) >= 60*time.Millisecond })
+	wait("pending data", func() bool { return Pending(s) == Readable })
+	wait("60 ms since the last receive", func() bool { return SinceLastReceive(s) >= 60*time.Millisecond })
 	io.WriteString(c, "y")
-	wait("a shorter one after more bytes", func() bool { return SinceLastReceive(s) < 60*time.Millisecond })
+	wait("a shorter time after more data", func() bool { return SinceLastReceive(s) < 60*time.Millisecond })
 	if _, err := io.ReadFull(s, make([]byte, 2)); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
-	wait("the end", func() bool { return Pending(s) == Closed })
+	wait("the close", func() bool { return Pending(s) == Closed })
 }
--- a/internal/sock/waited.go
+++ b/internal/sock/waited.go
@@ -1,4 +1,5 @@
-// Package sock asks Linux what it knows of a connection beyond what package net tells.
+// Package sock provides socket operations that package net does not: the state that Linux keeps of a connection, and retries after
+// transient local errors.
 package sock
 
 import (
@@ -9,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// SinceLastReceive is how long ago the latest bytes of a connection came to this machine: Linux's tcpi_last_data_recv (tcp(7)), in
-// steps of its clock of 1 to 10 ms. It is 0 where the system does not tell.
+// SinceLastReceive returns the time since this machine last received data on a connection: tcpi_last_data_recv of tcp(7), which has
+// the resolution of the kernel's clock tick, 1 to 10 ms. It returns 0 if that is not available.
 func SinceLastReceive(c net.Conn) time.Duration {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -20,11 +21,11 @@
 	if err != nil {
 		return 0
 	}
-	var d time.Duration
-	raw.Control(func(fd uintptr) { // an error means that it is closed here
+	var age time.Duration
+	raw.Control(func(fd uintptr) { // an error means that the socket is closed on this side
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			d = time.Duration(info.Last_data_recv) * time.Millisecond
+			age = time.Duration(info.Last_data_recv) * time.Millisecond
 		}
 	})
-	return d
+	return age
 }
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -1,4 +1,4 @@
-// Package timing waits on the real clock for as long as a context lasts.
+// Package timing provides waits that end with a context.
 package timing
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for a time, or until ctx ends. It tells whether ctx still lasts.
+// Sleep waits for d, or until ctx ends. It reports whether ctx has not ended.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -17,8 +17,8 @@
 	return ctx.Err() == nil
 }
 
-// Every calls f each time d has passed, until ctx ends. Where a call takes longer than d, the times that it misses are
-// left out. d must be above zero.
+// Every calls f at intervals of d until ctx ends. Calls that come due while f runs longer than d are skipped. d must be above
+// zero.
 func Every(ctx context.Context, d time.Duration, f func()) {
 	tick := time.NewTicker(d)
 	defer tick.Stop()
