--- a/internal/node/chunked_test.go
+++ b/internal/node/chunked_test.go
@@ -134,7 +134,7 @@
 		{"Content-Length after", codingLine + "Content-Length: 16\r\n", chunk + end, 400},
 		{"a length that hides a request", fmt.Sprintf("Content-Length: %d\r\n", len(end)+len(hidden)) + codingLine, end + hidden, 400},
 		{"a length, a head beyond the buffer", "Content-Length: 6\r\n" + padding + codingLine, chunk + end, 400},
-		{"a length in other letters", "content-LENGTH:6\r\n" + codingLine, chunk + end, 400},
+		{"Content-Length in other case", "content-LENGTH:6\r\n" + codingLine, chunk + end, 400},
 		{"twice", codingLine + codingLine, chunk + end, 400},
 		{"twice in a line", "Transfer-Encoding: chunked, chunked\r\n", chunk + end, 400},
 		{"another coding before", "Transfer-Encoding: gzip, chunked\r\n", chunk + end, 501},
@@ -147,7 +147,7 @@
 		{"the largest size, truncated", codingLine, "ffffffffffffffff\r\na door\r\n" + end, 408},
 		{"the largest size, over the limit", codingLine, "ffffffffffffffff\r\n" + strings.Repeat("x", message.MaxBody+1), 413},
 		// RFC 9112, 7.1.1, allows a space here; the reader of net/http does not.
-		{"a blank before an extension", codingLine, "6 ;a=b\r\na door\r\n" + end, 400},
+		{"a space before an extension", codingLine, "6 ;a=b\r\na door\r\n" + end, 400},
 		{"a negative size", codingLine, "-6\r\na door\r\n" + end, 400},
 		{"a size with a plus", codingLine, "+6\r\na door\r\n" + end, 400},
 		{"a size with 0x", codingLine, "0x6\r\na door\r\n" + end, 400},
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -34,7 +34,7 @@
 			wait(t, "the first request at the backend", func() bool { return len(b.requests()) == 1 })
 			cl.send(c.more) // returns only because the node reads all of it
 			cl.disconnect()
-			wait(t, "an empty table of requests", func() bool { return r.engine.Open() == 0 })
+			wait(t, "no open requests", func() bool { return r.engine.Open() == 0 })
 			unblock()
 			if n := len(b.requests()); n != 1 {
 				t.Errorf("the backend got %d requests, want only the first", n)
@@ -74,7 +74,7 @@
 			cl.Conn.(*net.TCPConn).CloseWrite()
 			unblock()
 			cl.disconnect()
-			wait(t, "an empty table of requests", func() bool { return r.engine.Open() == 0 })
+			wait(t, "no open requests", func() bool { return r.engine.Open() == 0 })
 			if n := len(b.requests()); n != 0 || dials.Load() != 0 {
 				t.Errorf("%d connections to the backend, %d requests, want none", dials.Load(), n)
 			}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -134,7 +134,7 @@
 		case class < 0:
 			return fmt.Errorf("jsonrpc.method[%d].class: the service has no class %q", i, m.Class)
 		case cfg.Settings.Policy.Classes[class].Effect == policy.Keyed && m.Key == "":
-			return fmt.Errorf("jsonrpc.method[%d].key: class %q may be retried with an idempotency key: set the pointer to it", i, m.Class)
+			return fmt.Errorf("jsonrpc.method[%d].key: requests of class %q may be retried by their idempotency key: set the JSON pointer to it", i, m.Class)
 		case m.Patience == 0 && cfg.Settings.Policy.Classes[class].Deadline <= 0:
 			return fmt.Errorf("jsonrpc.method[%d].patience: class %q has no deadline: set a client timeout", i, m.Class)
 		}
--- a/internal/node/forms_test.go
+++ b/internal/node/forms_test.go
@@ -29,12 +29,12 @@
 		{"a folded line", edit(quote("q").text(), "Host:", "X-Extras: a=1,\r\n b=2\r\nHost:"), target},
 		{"a line feed alone", strings.ReplaceAll(quote("q").text(), "\r\n", "\n"), target},
 		{"the absolute form", edit(quote("q").text(), " /api", " http://backend.local/api"), target},
-		{"a length with zeros before it", edit(quote("q").text(), "Content-Length: 6", "Content-Length: 0006"), target},
+		{"a length with leading zeros", edit(quote("q").text(), "Content-Length: 6", "Content-Length: 0006"), target},
 		{"two equal lengths", edit(quote("q").text(), "Content-Length: 6", "Content-Length: 6\r\nContent-Length: 6"), target},
 		{"a GET of length 0", edit(view("v").text(), "Host:", "Content-Length: 0\r\nHost:"), target},
-		{"a connection to be kept", edit(quote("q").text(), "Host:", "Connection: Keep-Alive\r\nHost:"), target},
+		{"Connection: Keep-Alive", edit(quote("q").text(), "Host:", "Connection: Keep-Alive\r\nHost:"), target},
 		{"escapes", edit(quote("q").text(), target, "/a%2Fpi;x=1/%7e?key=%37f&a=%20|+"), "/a%2Fpi;x=1/%7e?key=%37f&a=%20|+"},
-		{"a query without a name", edit(quote("q").text(), target, "/api?"), "/api?"},
+		{"an empty query", edit(quote("q").text(), target, "/api?"), "/api?"},
 	} {
 		for _, size := range []int{len(c.text), 1} { // at once, and byte by byte
 			name := c.name
@@ -76,7 +76,7 @@
 		{"five", strings.Repeat("\r\n", 5) + quote("q").text(), []int{400}},
 		{"endless", strings.Repeat("\r\n", 20000), []int{400}},
 		{"a carriage return alone", "\r" + quote("q").text(), []int{400}},
-		{"a blank", " \r\n" + quote("q").text(), []int{400}},
+		{"a space", " \r\n" + quote("q").text(), []int{400}},
 		{"between requests", quote("a").text() + "\r\n" + quote("b").text() + "\r\n\r\n" + view("c").text(), []int{200, 200, 200}},
 		{"after chunks", "\r\n" + quote("a").chunkedHead(codingLine) + inChunks("a door", 2) + "\r\n" + quote("b").text(), []int{200, 200}},
 		{"a length and chunks", "\r\n" + both, []int{400}},
@@ -142,11 +142,11 @@
 	const want = "a door"
 	for _, c := range []struct{ name, text string }{
 		{"header names in other case", "HTTP/1.1 200 OK\r\ncontent-LENGTH:6\r\n\r\na door"},
-		{"no reason", "HTTP/1.1 200 \r\nContent-Length: \t6 \r\n\r\na door"},
+		{"no reason phrase", "HTTP/1.1 200 \r\nContent-Length: \t6 \r\n\r\na door"},
 		{"a folded line", "HTTP/1.1 200 OK\r\nX-Other: a\r\n\tb\r\nContent-Length: 6\r\n\r\na door"},
 		{"chunks with an extension and a trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n2;x=\"y\"\r\na \r\n04\r\ndoor\r\n0\r\nX-After: b\r\n\r\n"},
 		{"100 before the response", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\na door"},
-		{"the connection's end", "HTTP/1.1 200 OK\r\nconnection: x, CLOSE\r\n\r\na door"},
+		{"end by close", "HTTP/1.1 200 OK\r\nconnection: x, CLOSE\r\n\r\na door"},
 	} {
 		for _, whole := range []bool{true, false} {
 			name := c.name
--- a/internal/node/lists_test.go
+++ b/internal/node/lists_test.go
@@ -45,8 +45,8 @@
 	return r, c, unblock
 }
 
-// A full list that arrives after failed calls may be old, so a backend that is missing from it has no grace left: an attempt that waits for
-// its connection to that backend is not written, though the backend still responds.
+// A full list that arrives after failed calls may have been announced a while ago, so a backend that is missing from it has no grace left:
+// an attempt that waits for its connection to that backend is not written, though the backend still responds.
 func TestLateWholeListLeavesNoGraceToWhatItLeavesOut(t *testing.T) {
 	t.Parallel()
 	removed, other := newStubBackend(t, respondOK), newStubBackend(t, respondOK)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -115,12 +115,12 @@
 		{"an endless id", without(func(q *testRequest) { q.id = strings.Repeat("x", 257) }), 400},
 		{"two ids", with("X-Request-Id: y"), 400},
 		{"no class", without(func(q *testRequest) { q.class = "" }), 400},
-		{"a class that does not exist", without(func(q *testRequest) { q.class = "sav" }), 400},
+		{"an unknown class", without(func(q *testRequest) { q.class = "sav" }), 400},
 		{"no deadline", without(func(q *testRequest) { q.deadline = "" }), 400},
 		{"a deadline with no unit", without(func(q *testRequest) { q.deadline = "480" }), 400},
 		{"a deadline in an unknown unit", without(func(q *testRequest) { q.deadline = "480s" }), 400},
 		{"a deadline that is no number", without(func(q *testRequest) { q.deadline = "NaNm" }), 400},
-		{"a deadline of nothing", without(func(q *testRequest) { q.deadline = "0m" }), 400},
+		{"a zero deadline", without(func(q *testRequest) { q.deadline = "0m" }), 400},
 		{"a negative deadline", without(func(q *testRequest) { q.deadline = "-5m" }), 400},
 		{"another method", without(func(q *testRequest) { q.method = "PUT" }), 405},
 		{"a GET of a keyed class", without(func(q *testRequest) { q.method, q.body = "GET", "" }), 400},
@@ -135,16 +135,16 @@
 		{"a body too large", without(func(q *testRequest) { q.body = strings.Repeat("x", message.MaxBody+1) }), 413},
 		{"a body too large that is not sent", strings.Replace(save("x").text(), "Length: 8", "Length: 60000000", 1), 413},
 		{"cut short", strings.TrimSuffix(save("x").text(), "ow"), 400},
-		{"chunks that are none", "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: x\r\nX-Class: quote\r\nX-Deadline: 50000m\r\n" +
+		{"malformed chunks", "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: x\r\nX-Class: quote\r\nX-Deadline: 50000m\r\n" +
 			"Transfer-Encoding: chunked\r\n\r\na door", 400},
 		{"a length and chunks", fmt.Sprintf("POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: x\r\nX-Class: quote\r\n"+
 			"X-Deadline: 50000m\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s", len(smuggle), smuggle), 400},
-		{"chunks in disguise", fmt.Sprintf("POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: x\r\nX-Class: quote\r\n"+
+		{"obfuscated Transfer-Encoding", fmt.Sprintf("POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: x\r\nX-Class: quote\r\n"+
 			"X-Deadline: 50000m\r\nContent-Length: %d\r\nTransfer-Encoding : chunked\r\n\r\n%s", len(smuggle), smuggle), 400},
 		{"an unknown encoding", with("Transfer-Encoding: xchunked"), 400},
 		{"another protocol", strings.Replace(save("x").text(), "HTTP/1.1", "HTTP/1.0", 1), 505},
 		{"no host", strings.Replace(save("x").text(), "Host: backend.local\r\n", "", 1), 400},
-		{"noise", "\x16\x03\x01\x02\x00\x01\r\n\r\n", 400},
+		{"binary data", "\x16\x03\x01\x02\x00\x01\r\n\r\n", 400},
 		{"an endless head", "GET /api HTTP/1.1\r\n" + strings.Repeat("X-A: b\r\n", message.MaxHead), 431},
 		{"an expectation", with("Expect: much"), 417},
 	} {
@@ -232,7 +232,7 @@
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\npart")
 			return false
 		}, 500, 503},
-		{"noise", func(c net.Conn, _ *http.Request, _ int) bool {
+		{"binary data", func(c net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(c, "\x16\x03\x01\r\n\r\n")
 			return true
 		}, 500, 503},
@@ -240,7 +240,7 @@
 			return writeResponse(c, 200, "Content-Length: 3\r\n", "a door")
 		},
 			500, 503},
-		{"a length that is too long", func(c net.Conn, _ *http.Request, _ int) bool {
+		{"a Content-Length over the body, connection kept open", func(c net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\npart")
 			return true // the connection stays open
 		}, 500, 503},
@@ -248,7 +248,7 @@
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\npart")
 			return true
 		}, 500, 503},
-		{"chunks that are none", func(c net.Conn, _ *http.Request, _ int) bool {
+		{"malformed chunks", func(c net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na door")
 			return true
 		}, 500, 503},
@@ -848,7 +848,8 @@
 	})
 }
 
-// If every connection has an open request, the request of a new connection is rejected, as it never ran, and the connection is closed.
+// If every connection has an open request, the request of a new connection is rejected with 503, which says that it
+// never ran, and the connection is closed.
 func TestRejectsConnectionOverLimit(t *testing.T) {
 	t.Parallel()
 	release, unblock := gate()
@@ -922,7 +923,7 @@
 	}
 }
 
-// Hundreds of connections that send nothing evict one another, and not a connection that a client has used and will use again.
+// Hundreds of connections that send nothing evict one another, but not a connection that a client has used and will use again.
 func TestUnusedConnectionsAreEvictedFirst(t *testing.T) {
 	t.Parallel()
 	b := newStubBackend(t, respondOK)
--- a/internal/node/races_test.go
+++ b/internal/node/races_test.go
@@ -178,7 +178,7 @@
 	b := newStubBackend(t, respondOK)
 	frozen := time.Now()
 	r := startNode(t, newStubDiscovery(t), settingsJSON, func(cfg *Config) {
-		cfg.now = func() time.Time { return frozen } // connections never become usable by time
+		cfg.now = func() time.Time { return frozen } // the clock never ends an idle wait
 		cfg.pause = func(context.Context, time.Duration) bool {
 			<-time.After(idleWait)
 			return true
@@ -243,7 +243,7 @@
 		b := newStubBackend(t, respondOK)
 		frozen := time.Now()
 		r := startNode(t, newStubDiscovery(t), strings.ReplaceAll(settingsJSON, `"aim_s":30`, `"aim_s":`+c.aim), func(cfg *Config) {
-			cfg.now = func() time.Time { return frozen } // connections never become usable by time
+			cfg.now = func() time.Time { return frozen } // the clock never ends an idle wait
 			cfg.pause = func(context.Context, time.Duration) bool { return true }
 		}, b.entry("s-1"))
 		cl := r.dial(t)
--- a/internal/node/rpc_test.go
+++ b/internal/node/rpc_test.go
@@ -227,8 +227,8 @@
 	return reflect.DeepEqual(read(a), read(b))
 }
 
-// The examples of section 7 of the specification, each on a connection of its own. A call after each checks that the connection stays open,
-// or else that it is closed.
+// The examples of section 7 of the specification, each on a connection of its own. After each, another call checks that the
+// connection is still open, or a read checks that it was closed.
 func TestSpecificationExamples(t *testing.T) {
 	t.Parallel()
 	b := newRPCBackend(t, respondRPC)
@@ -606,7 +606,7 @@
 	busy.send(`{"jsonrpc":"2.0","id":1,"method":"view","params":[1]}`)
 	wait(t, "the call at the backend", func() bool { return b.calls("view") == 1 })
 	silent := []*client{}
-	for range 100 { // sends nothing
+	for range 100 { // these send nothing
 		silent = append(silent, dialRPC(t, addr))
 	}
 	for i := range 20 {
