--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -544,7 +544,7 @@
 	for _, q := range []testRequest{view("v"), save("s")} {
 		be.ShutFrom(time.Now().Add(-time.Millisecond))
 		if o := r.attempt(context.Background(), be, q, testTimeout); o != policy.Moot {
-			t.Errorf("%s: outcome %d, want Moot", q.method, o)
+			t.Errorf("%s: outcome %d, want it never sent", q.method, o)
 		}
 		be.Reopen()
 		if o := r.attempt(context.Background(), be, q, testTimeout); o != policy.OK {
@@ -1121,12 +1121,12 @@
 	defer cancel()
 	none := startNode(t, newStubDiscovery(t), settingsJSON, func(c *Config) { c.backendQuota = quotaFor(0) })
 	if o := none.attempt(ctx, be, quote("q"), testTimeout); o != policy.Moot {
-		t.Errorf("with no descriptor: outcome %d, want Moot", o)
+		t.Errorf("with no descriptor: outcome %d, want it never sent", o)
 	}
 	r := startNode(t, newStubDiscovery(t), settingsJSON, nil)
 	cancel()
 	if o := r.attempt(ctx, &engine.Backend{ID: "s-1", Addr: be.Addr}, quote("q"), testTimeout); o != policy.Canceled {
-		t.Errorf("cancelled before it was sent: outcome %d, want Canceled", o)
+		t.Errorf("cancelled before it was sent: outcome %d, want cancelled", o)
 	}
 	if n := len(b.requests()); n != 0 {
 		t.Errorf("the backend got %d requests", n)
