--- a/internal/httpcarrier/carrier.go
+++ b/internal/httpcarrier/carrier.go
@@ -140,7 +140,7 @@
 	c, err := n.pool.get(until, b, a.Backend, a.Effect == policy.Unsafe)
 	*fresh = *fresh || c == nil && !errors.Is(err, errNoDescriptor) || c != nil && c.idleFor == 0
 	switch {
-	case errors.Is(err, errNoDescriptor), errors.Is(err, reach.ErrStopped), sock.IsOwnTrouble(err), err != nil && errors.Is(context.Cause(until), errRepeatWindow):
+	case errors.Is(err, errNoDescriptor), errors.Is(err, reach.ErrStopped), sock.IsLocalFailure(err), err != nil && errors.Is(context.Cause(until), errRepeatWindow):
 		return engine.Result{Outcome: policy.Moot}, false // not a failure of the backend
 	case err != nil && context.Cause(ctx) == nil, errors.Is(context.Cause(ctx), errTimeout):
 		return engine.Result{Outcome: policy.ConnectFailed}, false
--- a/internal/httpcarrier/pool.go
+++ b/internal/httpcarrier/pool.go
@@ -56,7 +56,7 @@
 		p.sleep = timing.Sleep
 	}
 	start := time.Now()
-	p.reach = &reach.Dialer{Base: cfg.DialNetwork, Now: func() time.Duration { return time.Since(start) }, Take: p.quota.Take, Give: p.quota.Give}
+	p.reach = &reach.Dialer{Base: cfg.DialNetwork, Now: func() time.Duration { return time.Since(start) }, Take: p.quota.Acquire, Give: p.quota.Release}
 	// A request written to a connection that the backend has just closed ends as a reset: close the connection earlier.
 	p.maxIdle = cfg.BackendIdleTimeout * 9 / 10
 	p.backendIdleTimeout, p.start = cfg.BackendIdleTimeout, p.now()
@@ -96,7 +96,7 @@
 	net.Conn
 	limit       io.LimitedReader // between the socket and in: limits the size of an answer
 	in          *bufio.Reader
-	probe       *sock.Look
+	probe       *sock.Peeker
 	backend     *backendPool
 	addr        string         // the address used, if the backend has several; otherwise ""
 	idleFor     time.Duration  // how long it had been idle when it was taken; 0 if it is new
@@ -121,7 +121,7 @@
 		if wait := settleTime - p.now().Sub(c.idleSince); wait > 0 {
 			p.sleep(ctx, wait)
 		}
-		if c.probe.Pending() == sock.Nothing {
+		if c.probe.Pending() == sock.Empty {
 			return c, nil
 		}
 		p.close(c) // the backend has closed it, or sent an unexpected second answer: no request is lost
@@ -181,7 +181,7 @@
 
 // connect opens a connection. At the descriptor limit it first closes an idle connection to another backend.
 func (p *pool) connect(ctx context.Context, k *backendPool, backend *engine.Backend) (*backendConn, error) {
-	if !p.quota.Claim(p.closeOldestIdle) { // this backend has no idle connection, so that of another one is closed
+	if !p.quota.AcquireOrReclaim(p.closeOldestIdle) { // this backend has no idle connection, so that of another one is closed
 		return nil, errNoDescriptor
 	}
 	p.mu.Lock()
@@ -201,7 +201,7 @@
 		p.mu.Unlock()
 		return nil, err
 	}
-	c := &backendConn{Conn: conn, probe: sock.NewLook(conn), backend: k, addr: addr}
+	c := &backendConn{Conn: conn, probe: sock.NewPeeker(conn), backend: k, addr: addr}
 	c.limit.R = conn
 	c.in = bufio.NewReader(&c.limit)
 	return c, nil
@@ -235,7 +235,7 @@
 // countClosed accounts for a closed connection. p.mu is held.
 func (p *pool) countClosed() {
 	p.open--
-	p.quota.Give()
+	p.quota.Release()
 }
 
 // closeOldestIdle closes the connection that has been idle for longest and reports whether there was one.
--- a/internal/httpfront/conn.go
+++ b/internal/httpfront/conn.go
@@ -38,10 +38,10 @@
 	overLimit      bool // its request is refused, as there are too many connections
 	usesRejectSlot bool // it has a reject slot instead of a descriptor from the quota
 
-	probe        *sock.Look // used by the connection's own goroutine
-	attemptProbe closeProbe // used by attempts
-	answered     bool       // a request on it was answered
-	discardBuf   []byte     // buffer for discarded data that followed a request; nil if none was discarded
+	probe        *sock.Peeker // used by the connection's own goroutine
+	attemptProbe closeProbe   // used by attempts
+	answered     bool         // a request on it was answered
+	discardBuf   []byte       // buffer for discarded data that followed a request; nil if none was discarded
 
 	// Guarded by Front.mu.
 	account       admission.Conn
@@ -66,9 +66,9 @@
 func (c *clientConn) clientClosed() bool {
 	for read := 0; read < fastDiscardBytes; read += len(c.discardBuf) {
 		switch c.probe.Pending() {
-		case sock.Nothing:
+		case sock.Empty:
 			return false
-		case sock.Ended:
+		case sock.Closed:
 			return true
 		}
 		c.SetReadDeadline(time.Time{}) // an expired deadline, of reading the request or of an eviction, must not count as a close
@@ -82,14 +82,14 @@
 // closeProbe checks a connection for a close. It may be used by several goroutines.
 type closeProbe struct {
 	mu    sync.Mutex
-	probe *sock.Look
+	probe *sock.Peeker
 }
 
 // ended reports, without blocking, whether the peer closed the connection and all that it sent before was read.
 func (l *closeProbe) ended() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.probe.Pending() == sock.Ended
+	return l.probe.Pending() == sock.Closed
 }
 
 // watchForClose keeps reading while a request is being answered and reports whether the client closed the connection. A
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -93,7 +93,7 @@
 		tenants: admission.NewTenants(cfg.TenantShares),
 		account: admission.NewClients(admission.Limits{Asking: cfg.MaxRequestConns, Silent: silentTimeout, Slow: slowReadAfter})}
 	if s.receiveDelay = cfg.ReceiveDelay; s.receiveDelay == nil {
-		s.receiveDelay = sock.Waited
+		s.receiveDelay = sock.SinceLastReceive
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	return s
@@ -106,17 +106,17 @@
 		conn, err := ln.Accept()
 		if err != nil {
 			<-s.rejectSlots
-			if !sock.AcceptGoesOn(err) {
+			if !sock.IsAcceptRetryable(err) {
 				return err
 			}
 			s.log.Debug("accept failed; retrying", "err", err)
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		c := &clientConn{Conn: conn, start: time.Now(), probe: sock.NewLook(conn), attemptProbe: closeProbe{probe: sock.NewLook(conn)}}
+		c := &clientConn{Conn: conn, start: time.Now(), probe: sock.NewPeeker(conn), attemptProbe: closeProbe{probe: sock.NewPeeker(conn)}}
 		c.limit.R, c.account.Owner, c.account.From = scanningReader{conn, &c.framing}, c, host(conn.RemoteAddr())
 		c.in = bufio.NewReader(&c.limit)
-		c.hasDescriptor = s.quota.Claim(s.EvictIdle)
+		c.hasDescriptor = s.quota.AcquireOrReclaim(s.EvictIdle)
 		s.mu.Lock()
 		if c.usesRejectSlot = !c.hasDescriptor; c.usesRejectSlot {
 			c.overLimit = !s.account.Behind(c.account.From) // a client with fewer connections than average is served all the same
@@ -165,7 +165,7 @@
 func (s *Front) evictIdle(forClient bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	spare := s.account.Spare(s.now(), forClient, func(c *admission.Conn) bool { return sock.Pending(c.Owner.(*clientConn).Conn) != sock.Nothing })
+	spare := s.account.Spare(s.now(), forClient, func(c *admission.Conn) bool { return sock.Pending(c.Owner.(*clientConn).Conn) != sock.Empty })
 	if spare != nil {
 		s.evict(spare.Owner.(*clientConn))
 	}
@@ -176,7 +176,7 @@
 func (s *Front) releaseDescriptor(c *clientConn) {
 	if c.hasDescriptor {
 		c.hasDescriptor = false
-		s.quota.Give()
+		s.quota.Release()
 	}
 }
 
--- a/internal/httpfront/front_test.go
+++ b/internal/httpfront/front_test.go
@@ -109,7 +109,7 @@
 func TestLastLookSeesAClose(t *testing.T) {
 	t.Parallel()
 	client, server := tcpPair(t)
-	l := closeProbe{probe: sock.NewLook(server)}
+	l := closeProbe{probe: sock.NewPeeker(server)}
 	if l.ended() {
 		t.Error("an open connection counts as closed")
 	}
@@ -136,13 +136,13 @@
 func TestExpiredDeadlineIsNotAClose(t *testing.T) {
 	t.Parallel()
 	client, conn := tcpPair(t)
-	c := &clientConn{Conn: conn, probe: sock.NewLook(conn)}
+	c := &clientConn{Conn: conn, probe: sock.NewPeeker(conn)}
 	c.limit.R, c.limit.N = conn, message.MaxHeadBytes
 	c.in = bufio.NewReader(&c.limit)
 	if _, err := io.WriteString(client, "x"); err != nil {
 		t.Fatal(err)
 	}
-	for c.probe.Pending() != sock.Bytes {
+	for c.probe.Pending() != sock.Readable {
 		time.Sleep(time.Millisecond)
 	}
 	c.SetReadDeadline(time.Unix(1, 0))
@@ -150,7 +150,7 @@
 		t.Fatal("an expired deadline counts as a close")
 	}
 	client.Close()
-	for c.probe.Pending() != sock.Ended {
+	for c.probe.Pending() != sock.Closed {
 		time.Sleep(time.Millisecond)
 	}
 	if !c.clientClosed() {
@@ -163,7 +163,7 @@
 	t.Parallel()
 	f := New(Config{Clock: engine.NewClock(), Log: slog.New(slog.DiscardHandler)})
 	client, conn := tcpPair(t)
-	c := &clientConn{Conn: conn, start: time.Now(), probe: sock.NewLook(conn)}
+	c := &clientConn{Conn: conn, start: time.Now(), probe: sock.NewPeeker(conn)}
 	c.limit.R, c.account.Owner = conn, c
 	c.in = bufio.NewReader(&c.limit)
 	f.account.Add(f.now(), &c.account)
--- a/internal/httpfront/shutdown.go
+++ b/internal/httpfront/shutdown.go
@@ -104,7 +104,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if matches(c.account.State()) && sock.Pending(c.Conn) != sock.Bytes {
+		if matches(c.account.State()) && sock.Pending(c.Conn) != sock.Readable {
 			s.evict(c)
 		}
 	}
--- a/internal/rpccarrier/carrier.go
+++ b/internal/rpccarrier/carrier.go
@@ -247,7 +247,7 @@
 	}
 	if n.stopped || ls.retired {
 		l.Close()
-		n.cfg.Quota.Give()
+		n.cfg.Quota.Release()
 		return nil, errConnClosed
 	}
 	ls.all = append(ls.all, l)
@@ -257,12 +257,12 @@
 
 // connect opens a connection within the descriptor quota.
 func (n *Carrier) connect(ctx context.Context, ls *backendLinks, addr string) (*link, error) {
-	if !n.cfg.Quota.Claim(nil) {
+	if !n.cfg.Quota.AcquireOrReclaim(nil) {
 		return nil, errNoDescriptor
 	}
 	conn, err := n.cfg.Dial(ctx, addr)
 	if err != nil {
-		n.cfg.Quota.Give()
+		n.cfg.Quota.Release()
 		return nil, err
 	}
 	return &link{Conn: conn, carrier: n, backend: ls, writing: make(chan struct{}, 1), calls: map[string]chan jsonrpc.Message{}}, nil
@@ -353,7 +353,7 @@
 		}
 	}
 	n.mu.Unlock()
-	n.cfg.Quota.Give()
+	n.cfg.Quota.Release()
 }
 
 // deliver passes a message to its call. An answer without an open call, late or duplicate, is dropped.
--- a/internal/rpcfront/front.go
+++ b/internal/rpcfront/front.go
@@ -153,7 +153,7 @@
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
-			if !sock.AcceptGoesOn(err) {
+			if !sock.IsAcceptRetryable(err) {
 				return err
 			}
 			f.cfg.Log.Debug("accept failed; retrying", "err", err)
@@ -162,7 +162,7 @@
 		}
 		c := &conn{Conn: nc, front: f, slots: make(chan struct{}, f.cfg.MaxInflight), openIDs: map[string]bool{}}
 		c.ctx, c.cancel = context.WithCancel(context.Background())
-		if !f.cfg.Quota.Claim(f.EvictIdle) {
+		if !f.cfg.Quota.AcquireOrReclaim(f.EvictIdle) {
 			c.write(jsonrpc.AppendError(nil, jsonrpc.Null, Refused, "no room for a connection", refusalData(refuseRetryAfter)))
 			c.Close()
 			continue
@@ -204,7 +204,7 @@
 	f.markBusy(c)
 	if c.hasDescriptor {
 		c.hasDescriptor = false
-		f.cfg.Quota.Give()
+		f.cfg.Quota.Release()
 	}
 }
 
--- a/internal/sock/pending.go
+++ b/internal/sock/pending.go
@@ -6,52 +6,53 @@
 	"unsafe"
 )
 
-// Waiting is what can be read from a socket at this moment.
-type Waiting uint8
+// ReadState says whether a socket can be read at the moment.
+type ReadState uint8
 
 const (
-	Nothing Waiting = iota // no byte has come, and the connection stands
-	Bytes                  // at least one byte can be read
-	Ended                  // the other side has closed the connection, or it broke
+	Empty    ReadState = iota // no data to read, and the connection is open
+	Readable                  // at least one byte can be read
+	Closed                    // the other side has closed the connection, or it failed
 )
 
-// Pending looks at what a socket has received, without taking any of it and without waiting.
-func Pending(c net.Conn) Waiting { return NewLook(c).Pending() }
+// Pending returns the read state of a connection. It neither consumes data nor blocks.
+func Pending(c net.Conn) ReadState { return NewPeeker(c).Pending() }
 
-// Look is Pending again and again on one socket, for one goroutine at a time, without memory for each time.
-type Look struct {
-	raw  syscall.RawConn // nil for what is no socket
-	seen Waiting
-	look func(fd uintptr)
+// Peeker checks the read state of one connection repeatedly without allocating memory for each check. It is for use by one goroutine
+// at a time.
+type Peeker struct {
+	raw   syscall.RawConn // nil if the connection is not a socket
+	state ReadState
+	peek  func(fd uintptr)
 }
 
-// NewLook returns the look at a socket.
-func NewLook(c net.Conn) *Look {
-	l := &Look{}
+// NewPeeker returns a Peeker for a connection.
+func NewPeeker(c net.Conn) *Peeker {
+	peeker := &Peeker{}
 	if s, ok := c.(syscall.Conn); ok {
-		l.raw, _ = s.SyscallConn()
+		peeker.raw, _ = s.SyscallConn()
 	}
-	l.look = func(fd uintptr) {
+	peeker.peek = func(fd uintptr) {
 		var b byte
 		n, err := uintptr(0), syscall.EINTR
-		for err == syscall.EINTR { // an interrupted look has seen nothing, and says nothing of the other side
+		for err == syscall.EINTR { // EINTR says nothing about the connection
 			n, _, err = syscall.Syscall6(syscall.SYS_RECVFROM, fd, uintptr(unsafe.Pointer(&b)), 1, syscall.MSG_PEEK|syscall.MSG_DONTWAIT, 0, 0)
 		}
 		switch {
 		case err == syscall.EAGAIN, err == syscall.ENOMEM, err == syscall.ENOBUFS:
-			l.seen = Nothing
+			peeker.state = Empty
 		case err == 0 && n > 0:
-			l.seen = Bytes
+			peeker.state = Readable
 		}
 	}
-	return l
+	return peeker
 }
 
-// Pending looks once.
-func (l *Look) Pending() Waiting {
-	l.seen = Ended
-	if l.raw != nil {
-		l.raw.Control(l.look) // an error means that it is closed here
+// Pending returns the current read state.
+func (p *Peeker) Pending() ReadState {
+	p.state = Closed
+	if p.raw != nil {
+		p.raw.Control(p.peek) // an error means that the socket is closed on this side
 	}
-	return l.seen
+	return p.state
 }
