--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -164,18 +164,18 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nNODE\tNUMBER\tSITE\tSTATE\tHEARD")
 	for _, m := range r.Members {
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%v ago\n", m.Name, m.Number, m.Site, m.State, round(m.Ago))
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%v ago\n", m.Name, m.Number, m.Site, m.State, round(m.SinceHeard))
 	}
-	if len(r.Parts) > 0 {
+	if len(r.Budgets) > 0 {
 		fmt.Fprintln(w, "\nBUDGET\tSPENDABLE\tOWNED\tHELD OF\tLENT TO")
-		for _, p := range r.Parts {
-			fmt.Fprintf(w, "%s\t%.2f%%\t%.2f%%\t%s\t%s\n", p.Budget, 100*p.Spendable, 100*p.Base, loans(p.Held), loans(p.Lent))
+		for _, p := range r.Budgets {
+			fmt.Fprintf(w, "%s\t%.2f%%\t%.2f%%\t%s\t%s\n", p.Budget, 100*p.Spendable, 100*p.Base, loans(p.Borrowed), loans(p.Lent))
 		}
 	}
 	if len(r.Votes) > 0 {
 		fmt.Fprintln(w, "\nBOX\tSITE\tFIND IT BROKEN\tSAY IT ANSWERS\tOUT BY HEARSAY")
 		for _, v := range r.Votes {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%v\n", v.Name, v.Site, v.Bad, v.Good, v.Out)
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%v\n", v.Name, v.Site, v.Unhealthy, v.Healthy, v.Ejected)
 		}
 	}
 	if err := w.Flush(); err != nil {
@@ -193,7 +193,7 @@
 func loans(all []escrow.Loan) string {
 	var out []string
 	for _, l := range all {
-		out = append(out, fmt.Sprintf("%d: %.2f%%", l.With, 100*float64(l.Grains)/float64(escrow.Whole)))
+		out = append(out, fmt.Sprintf("%d: %.2f%%", l.With, 100*float64(l.Grains)/float64(escrow.BudgetGrains)))
 	}
 	return cmp.Or(strings.Join(out, ", "), "-")
 }
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -15,9 +15,9 @@
 func TestTogether(t *testing.T) {
 	r := &peers.Report{Report: shared.Report{Name: "n1", Count: roster.Count{Lower: 2, Upper: 3, Age: 1234 * time.Millisecond},
 		Sites:   map[string]roster.Count{"tacoma": {Lower: 2, Upper: 2, Age: time.Second}, "": {Upper: 1}},
-		Members: []shared.Member{{Name: "n2", Number: 1, Site: "tacoma", State: "alive", Ago: 1234 * time.Millisecond}},
-		Parts:   []shared.Part{{Budget: "quota/a", Spendable: 0.5, Base: 0.25, Held: []escrow.Loan{{With: 2, Grains: escrow.Whole / 4}}}},
-		Votes:   []shared.Vote{{Name: "box-17", Site: "tacoma", Bad: 3, Good: 1, Out: true}}, Capped: 2}}
+		Members: []shared.Member{{Name: "n2", Number: 1, Site: "tacoma", State: "alive", SinceHeard: 1234 * time.Millisecond}},
+		Budgets: []shared.BudgetShare{{Budget: "quota/a", Spendable: 0.5, Base: 0.25, Borrowed: []escrow.Loan{{With: 2, Grains: escrow.BudgetGrains / 4}}}},
+		Votes:   []shared.Vote{{Name: "box-17", Site: "tacoma", Unhealthy: 3, Healthy: 1, Ejected: true}}, Capped: 2}}
 	var b strings.Builder
 	if err := together(&b, r); err != nil {
 		t.Fatal(err)
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -68,7 +68,7 @@
 func (s *sharing) Request(string)                        {}
 func (s *sharing) Crossed(string)                        {}
 func (s *sharing) Outcome(judgement.Key, policy.Outcome) {}
-func (s *sharing) Listed(all []judgement.Backend)        { s.replica.Listed(all) }
+func (s *sharing) Listed(all []judgement.Backend)        { s.replica.SetBackends(all) }
 func (s *sharing) View() shared.View                     { return s.replica.View(s.now) }
 
 // BenchmarkDeltaTold is BenchmarkReplaced where the node shares state, and where it watches sites: both are told all
@@ -82,7 +82,7 @@
 				if to == "sites" {
 					e.Watch(siting.New(&e.set, nil))
 				} else {
-					e.Share(&sharing{shared.New(shared.Config{Name: "n0", Nodes: 1, Terms: escrow.Usual(), Limits: judgement.Usual(), BytesPS: 8192, Datagram: 1400}, time.Hour), time.Hour})
+					e.Share(&sharing{shared.New(shared.Config{Name: "n0", Nodes: 1, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), BytesPerSecond: 8192, DatagramBytes: 1400}, time.Hour), time.Hour})
 				}
 				e.takeList(&List{Version: 1, Full: true, Servers: all}, policy.ListFull)
 				b.ReportAllocs()
--- a/internal/engine/sharer.go
+++ b/internal/engine/sharer.go
@@ -43,13 +43,13 @@
 		return
 	}
 	v := e.sharer.View()
-	e.until = v.Until
+	e.until = v.ValidUntil
 	if e.sites != nil {
-		e.sites.Node.Shares(v.Cross)
-		e.sites.Node.Heard(v.Nodes)
+		e.sites.Node.Shares(v.OverflowShares)
+		e.sites.Node.Heard(v.LiveNodes)
 	}
-	numbers := make(map[judgement.Key]uint32, len(v.Out))
-	if len(v.Out) > 0 {
+	numbers := make(map[judgement.Key]uint32, len(v.Ejected))
+	if len(v.Ejected) > 0 {
 		for _, b := range e.names {
 			numbers[b.key] = b.Number
 		}
--- a/internal/kit/judge/shared.go
+++ b/internal/kit/judge/shared.go
@@ -140,13 +140,13 @@
 			}
 		}
 		sum += n
-		text += fmt.Sprintf(", %s %.2f%%", name, 100*float64(n)/float64(escrow.Whole))
+		text += fmt.Sprintf(", %s %.2f%%", name, 100*float64(n)/float64(escrow.BudgetGrains))
 		lines = append(lines, s.line)
 	}
-	over := sum > escrow.Whole+tolerant*int64(len(nodes))
+	over := sum > escrow.BudgetGrains+tolerant*int64(len(nodes))
 	if over && !j.shared.over[budget] {
 		j.addViolation(Violation{Rule: SharedKept, Name: Overspent, At: r.T, Node: r.Node, Lines: lines,
-			Text: fmt.Sprintf("%.2f%% of %s can be spent at once: %s", 100*float64(sum)/float64(escrow.Whole), budget, text[2:])})
+			Text: fmt.Sprintf("%.2f%% of %s can be spent at once: %s", 100*float64(sum)/float64(escrow.BudgetGrains), budget, text[2:])})
 	}
 	j.shared.over[budget] = over
 }
@@ -161,8 +161,8 @@
 	j.behind(r)
 	old := j.shared.views[r.Node]
 	j.shared.views[r.Node] = r.Record
-	l := judgement.Usual()
-	if most := int(math.Floor(l.Fleet * float64(r.Listed))); r.Out > most && old.Out <= most {
+	l := judgement.DefaultLimits()
+	if most := int(math.Floor(l.MaxFleetFraction * float64(r.Listed))); r.Out > most && old.Out <= most {
 		j.addViolation(Violation{Rule: SharedKept, Name: OverCeiling, At: r.T, Node: r.Node, Lines: []int{r.line},
 			Text: fmt.Sprintf("%d of %d boxes are out by hearsay, and %d are the most", r.Out, r.Listed, most)})
 	}
--- a/internal/kit/judge/shared_test.go
+++ b/internal/kit/judge/shared_test.go
@@ -29,7 +29,7 @@
 }
 
 func TestSharedBounds(t *testing.T) {
-	half := escrow.Whole / 2
+	half := escrow.BudgetGrains / 2
 	loan := func(until int64) trace.Loan { return trace.Loan{Of: 0, Grains: half, Until: until} }
 	view := func(at int64, node string, v trace.Record) trace.Record {
 		v.Kind, v.T, v.Node = trace.View, at, node
--- a/internal/kit/lab/client.go
+++ b/internal/kit/lab/client.go
@@ -75,7 +75,7 @@
 		}
 		n.requests[r.id] = r
 		if n.shared != nil {
-			n.shared.Request(epoch+w.now, rec.Tenant)
+			n.shared.CountRequest(epoch+w.now, rec.Tenant)
 		}
 		n.handle(&policy.Event{Kind: policy.EvRequest, ID: r.id, Class: rec.Class, Tenant: rec.Tenant,
 			Left: max(0, r.wait-(w.now-r.sentAt)-transit)})
--- a/internal/kit/lab/node.go
+++ b/internal/kit/lab/node.go
@@ -262,7 +262,7 @@
 	if n.sites != nil {
 		n.sites.Sent(epoch+w.now, act.Server)
 		if n.shared != nil && n.sites.Node.Crosses(b.plan.Site) {
-			n.shared.Crossed(epoch+w.now, b.plan.Site)
+			n.shared.CountCrossSite(epoch+w.now, b.plan.Site)
 		}
 	}
 	a.life = b.life
@@ -429,8 +429,8 @@
 		n.heard[a.box] = n.w.now
 	}
 	if n.shared != nil {
-		if tells, failed := shared.Tells(o); tells {
-			n.shared.Outcome(epoch+n.w.now, n.key(a.box), failed)
+		if tells, failed := shared.Evidence(o); tells {
+			n.shared.RecordOutcome(epoch+n.w.now, n.key(a.box), failed)
 		}
 	}
 	if n.sites != nil {
--- a/internal/kit/lab/share.go
+++ b/internal/kit/lab/share.go
@@ -44,7 +44,7 @@
 		quotas[t.Name] = t.QuotaPerS
 	}
 	n.shared = shared.New(shared.Config{Name: n.Name, Self: escrow.Node{Number: n.index, Incarnation: uint64(n.life) + 1}, Nodes: set.Nodes, Site: n.Site,
-		Quotas: quotas, Sites: planned(n.w.opt.Sites), Terms: escrow.Usual(), Limits: judgement.Usual(), Use: o.Use, BytesPS: o.BytesPS, Datagram: datagram}, epoch+n.w.now)
+		Quotas: quotas, OverflowSites: planned(n.w.opt.Sites), Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: o.Use, BytesPerSecond: o.BytesPS, DatagramBytes: datagram}, epoch+n.w.now)
 	life := n.life
 	n.every(life, shareStep, func() {
 		n.speak(n.shared.Step(epoch + n.w.now))
@@ -69,7 +69,7 @@
 }
 
 func (n *node) meet(p *node) {
-	if err := n.shared.Joined(epoch+n.w.now, p.Name, p.shared.Meta()); err != nil {
+	if err := n.shared.MemberJoined(epoch+n.w.now, p.Name, p.shared.Meta()); err != nil {
 		panic(err) // it was written by this very program
 	}
 }
@@ -146,8 +146,8 @@
 		}
 	}
 	if n.sites != nil {
-		n.sites.Node.Shares(v.Cross)
-		n.sites.Node.Heard(v.Nodes)
+		n.sites.Node.Shares(v.OverflowShares)
+		n.sites.Node.Heard(v.LiveNodes)
 	}
 	n.handle(v.Event(func(k judgement.Key) (uint32, bool) { x, ok := n.keys[k]; return x, ok }))
 }
@@ -168,7 +168,7 @@
 			all = append(all, judgement.Backend{Key: k, Name: n.w.plan.Boxes[id-1].ID, Site: e.Zone})
 		}
 	}
-	n.shared.Listed(all)
+	n.shared.SetBackends(all)
 }
 
 // died tells the others that a node has ended.
@@ -180,7 +180,7 @@
 	n.w.after(deadAfter, func() {
 		for _, p := range n.w.nodes {
 			if p != n && p.up && p.shared != nil && (n.life == life || !n.up) {
-				p.shared.Gone(epoch+n.w.now, meta, roster.Dead)
+				p.shared.MemberDown(epoch+n.w.now, meta, roster.Dead)
 			}
 		}
 	})
--- a/internal/kit/proof/shared_test.go
+++ b/internal/kit/proof/shared_test.go
@@ -26,10 +26,10 @@
 		old: `		n -= d.out()`, new: `		n -= d.out() / 2`}, false},
 	{fault{name: "a grant that counts each time it comes", names: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
 		old: `	delete(b.asks, owner)
-	if until := a.at + l.terms.Term; g.Lent > 0 && now < until {
-		b.held[owner] = lent{g.Nonce, min(g.Lent, a.want), until}`,
-		new: `	if until := a.at + l.terms.Term; g.Lent > 0 && now < until {
-		b.held[owner] = lent{g.Nonce, b.held[owner].grains + min(g.Lent, a.want), until}`}, true},
+	if until := a.at + l.terms.Term; g.Grains > 0 && now < until {
+		b.held[owner] = lent{g.Nonce, min(g.Grains, a.want), until}`,
+		new: `	if until := a.at + l.terms.Term; g.Grains > 0 && now < until {
+		b.held[owner] = lent{g.Nonce, b.held[owner].grains + min(g.Grains, a.want), until}`}, true},
 	{fault{name: "a life that spends what the one before it lent", names: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
 		old: `	if l.now < l.shyFor {`, new: `	if l.now < l.shyFor && l.now == 0 {`}, false},
 	{fault{name: "what is given back and kept", names: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
@@ -44,10 +44,10 @@
 		old: `	d.loans = append(d.loans, lent{a.Nonce, grains, now + l.terms.out()})`,
 		new: `	d.loans = append(d.loans, lent{a.Nonce, grains, now + l.terms.Term/2})`}, false},
 	{fault{name: "a quorum of one", names: []string{judge.NoQuorum}, file: "internal/shared/judgement/judgement.go", day: "quorum.toml",
-		old: `		if !answered(k) && t.Bad >= p.limits.Quorum && t.Bad > t.Good {`,
-		new: `		if !answered(k) && t.Bad >= 1 && t.Bad > t.Good {`}, false},
+		old: `		if !answered(k) && t.Unhealthy >= p.limits.Quorum && t.Unhealthy > t.Healthy {`,
+		new: `		if !answered(k) && t.Unhealthy >= 1 && t.Unhealthy > t.Healthy {`}, false},
 	{fault{name: "no ceiling", names: []string{judge.OverCeiling}, file: "internal/shared/judgement/judgement.go", day: "ceiling.toml",
-		old: `	return float64(all) <= p.limits.Fleet*float64(len(p.list)) && float64(there) <= p.limits.Site*float64(p.sites[site])`,
+		old: `	return float64(all) <= p.limits.MaxFleetFraction*float64(len(p.list)) && float64(there) <= p.limits.MaxSiteFraction*float64(p.sites[site])`,
 		new: `	return float64(there) <= 2*float64(p.sites[site])`}, false},
 	{fault{name: "the last word counts, and not the newest", names: []string{judge.TurnedBack, judge.Behind}, file: "internal/shared/counts/counts.go", day: "counts.toml",
 		old: `	joined := Join(old.Window, w)`, new: `	joined := w`}, false},
--- a/internal/kit/run/fleet.go
+++ b/internal/kit/run/fleet.go
@@ -193,20 +193,20 @@
 	*from += int64(len(text))
 	us := func(ns int64) int64 { return (ns - r.start.UnixNano()) / 1000 }
 	for line := range bytes.Lines(text) {
-		var a peers.Audited
+		var a peers.AuditRecord
 		if json.Unmarshal(line, &a) != nil {
 			continue // another program's file
 		}
-		rec := trace.Record{Kind: trace.View, T: us(a.At), Node: n.Name, Surely: a.Surely, AtMost: a.AtMost, Every: a.Again / 1000, Listed: a.Listed, Out: a.Out, Votes: a.Votes}
+		rec := trace.Record{Kind: trace.View, T: us(a.At), Node: n.Name, Surely: a.MinNodes, AtMost: a.MaxNodes, Every: a.RepeatInterval / 1000, Listed: a.Backends, Out: a.Ejected, Votes: a.MinVotes}
 		for _, h := range a.Counts {
-			epoch := counts.Epoch.Nanoseconds()
-			to := int64(h.Life)*1e6 + int64(h.Epoch)*epoch // a life is named by the Unix milliseconds of its start
-			rec.Counts = append(rec.Counts, trace.Count{Key: h.Key, Of: h.Of, Life: h.Life, Epoch: h.Epoch, Sum: int64(h.Sum), From: us(to - int64(h.Closed)*epoch), To: us(to)})
+			epoch := counts.EpochDuration.Nanoseconds()
+			to := int64(h.Incarnation)*1e6 + int64(h.Epoch)*epoch // a life is named by the Unix milliseconds of its start
+			rec.Counts = append(rec.Counts, trace.Count{Key: h.Key, Of: h.Node, Life: h.Incarnation, Epoch: h.Epoch, Sum: int64(h.Sum), From: us(to - int64(h.ClosedEpochs)*epoch), To: us(to)})
 		}
 		if a.Budget != "" {
 			rec = trace.Record{Kind: trace.Spend, T: us(a.At), Node: n.Name, Text: a.Budget, Own: a.Own}
-			for _, h := range a.Held {
-				rec.Loans = append(rec.Loans, trace.Loan{Of: h.Of, Grains: h.Grains, Until: us(h.Until)})
+			for _, h := range a.Borrowed {
+				rec.Loans = append(rec.Loans, trace.Loan{Of: h.Owner, Grains: h.Grains, Until: us(h.Until)})
 			}
 		}
 		r.out.Add(&rec)
--- a/internal/kit/scale/mesh/mesh.go
+++ b/internal/kit/scale/mesh/mesh.go
@@ -95,7 +95,7 @@
 	}
 	replica := func(number int) *shared.Replica {
 		return shared.New(shared.Config{Name: name(number), Self: escrow.Node{Number: number, Incarnation: 1}, Nodes: nodes, Site: site(number),
-			Quotas: quotas, Terms: escrow.Usual(), Limits: judgement.Usual(), Use: shared.Use{Quotas: true}, BytesPS: bytesPS, Datagram: datagram}, m.now)
+			Quotas: quotas, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: shared.Use{Quotas: true}, BytesPerSecond: bytesPS, DatagramBytes: datagram}, m.now)
 	}
 	m.full = replica(0)
 	m.join(m.full, 0)
@@ -117,7 +117,7 @@
 			continue
 		}
 		meta := packet.Meta{Node: escrow.Node{Number: number, Incarnation: 1}, Site: site(number)}.Encode()
-		if err := r.Joined(m.now, name(number), meta); err != nil {
+		if err := r.MemberJoined(m.now, name(number), meta); err != nil {
 			panic(err) // it was written by this very program
 		}
 	}
@@ -129,7 +129,7 @@
 	m.now += tick
 	for _, s := range m.sources {
 		for _, tenant := range m.tenants {
-			s.replica.Request(m.now, tenant)
+			s.replica.CountRequest(m.now, tenant)
 		}
 		s.replica.Step(m.now)
 		for range perSecond {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -172,8 +172,8 @@
 	n.follow(ctx, &own.Control)
 	n.names(ctx, &own.DNS)
 	if own.Fleet.Listen != "" {
-		n.peers, err = peers.Start(peers.Config{Fleet: &own.Fleet, Name: cfg.Name, Policy: &cfg.Settings.Policy, Sites: own.Sites.Names(), Clock: clock.Now,
-			Changed: n.engine.Shared, Log: log})
+		n.peers, err = peers.Start(peers.Config{Fleet: &own.Fleet, Name: cfg.Name, Policy: &cfg.Settings.Policy, OverflowSites: own.Sites.Names(), Clock: clock.Now,
+			ViewChanged: n.engine.Shared, Log: log})
 		if err != nil {
 			n.end()
 			return nil, err
--- a/internal/peers/frame/frame.go
+++ b/internal/peers/frame/frame.go
@@ -48,9 +48,9 @@
 
 // Errors of a session. Each ends it.
 var (
-	ErrNotFrames = errors.New("the other side does not speak this framing, or another version of it")
-	ErrTooLarge  = errors.New("a frame is larger than allowed")
-	ErrUnsealed  = errors.New("a frame can't be opened: another key or cluster, or it was changed, repeated or left out on the way")
+	ErrBadMagic     = errors.New("the other side does not speak this framing, or another version of it")
+	ErrTooLarge     = errors.New("a frame is larger than allowed")
+	ErrNotAuthentic = errors.New("a frame can't be opened: another key or cluster, or it was changed, repeated or left out on the way")
 )
 
 // Config is what both sides of a session have in common, and how long this side waits.
@@ -110,7 +110,7 @@
 	c.sent.Add(int64(helloSize))
 	c.received.Add(int64(helloSize))
 	if string(other[:len(magic)]) != magic {
-		return nil, nil, ErrNotFrames
+		return nil, nil, ErrBadMagic
 	}
 	return own, other, nil
 }
@@ -167,7 +167,7 @@
 	size := binary.BigEndian.Uint32(head[:])
 	switch {
 	case size < tagSize:
-		return nil, ErrUnsealed
+		return nil, ErrNotAuthentic
 	case size > uint32(largest+tagSize):
 		return nil, fmt.Errorf("%w: %d bytes, where %d may come", ErrTooLarge, size, largest+tagSize)
 	}
@@ -189,7 +189,7 @@
 		c.opening, c.opened = []*sealer{s}, true
 		return message, nil
 	}
-	return nil, ErrUnsealed
+	return nil, ErrNotAuthentic
 }
 
 // Sent is how many bytes went out.
--- a/internal/peers/frame/frame_test.go
+++ b/internal/peers/frame/frame_test.go
@@ -134,7 +134,7 @@
 		dialed, accepted, w := pair(t, stranger, config("a", firstKey))
 		send(t, dialed, "hello")
 		w.pass(t, w.take(t))
-		refused(t, accepted, name, ErrUnsealed)
+		refused(t, accepted, name, ErrNotAuthentic)
 	}
 }
 
@@ -172,7 +172,7 @@
 			if name == "doubled" {
 				want(t, accepted, "x1")
 			}
-			refused(t, accepted, name, ErrUnsealed)
+			refused(t, accepted, name, ErrNotAuthentic)
 		})
 	}
 }
@@ -184,7 +184,7 @@
 	recorded := w.take(t)
 	_, accepted, again := pair(t, config("a", firstKey), config("a", firstKey))
 	again.pass(t, recorded)
-	refused(t, accepted, "a recorded frame", ErrUnsealed)
+	refused(t, accepted, "a recorded frame", ErrNotAuthentic)
 }
 
 // What one side has sealed is not taken back by it.
@@ -196,7 +196,7 @@
 		t.Fatal(err)
 	}
 	w.pass(t, head)
-	refused(t, accepted, "a reflected frame", ErrUnsealed)
+	refused(t, accepted, "a reflected frame", ErrNotAuthentic)
 }
 
 func TestTornFrames(t *testing.T) {
@@ -227,7 +227,7 @@
 func TestOtherProtocols(t *testing.T) {
 	near, far := connect(t)
 	io.WriteString(near, "GET / HTTP/1.1\r\nHost: somewhere.example\r\n\r\n")
-	if _, err := Accept(far, config("a", firstKey)); !errors.Is(err, ErrNotFrames) {
+	if _, err := Accept(far, config("a", firstKey)); !errors.Is(err, ErrBadMagic) {
 		t.Errorf("accepted: %v", err)
 	}
 	// Nothing at all, for as long as a handshake may take.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -43,13 +43,13 @@
 
 // Config is what Start needs.
 type Config struct {
-	Fleet   *settings.Fleet
-	Name    string
-	Policy  *policy.Settings // its numbers, zone and tenants
-	Sites   []string         // of the plan for their loss, if there is one
-	Clock   func() time.Duration
-	Changed func() // called when there is a new view, from a goroutine of its own; View brings it
-	Log     *slog.Logger
+	Fleet         *settings.Fleet
+	Name          string
+	Policy        *policy.Settings // its numbers, zone and tenants
+	OverflowSites []string         // of the plan for their loss, if there is one
+	Clock         func() time.Duration
+	ViewChanged   func() // called when there is a new view, from a goroutine of its own; View brings it
+	Log           *slog.Logger
 }
 
 // Peers is this node among the others.
@@ -65,7 +65,7 @@
 	replica   *shared.Replica
 	nodes     map[int]*memberlist.Node // that are reached, by number: copies, as memberlist's own change under its lock
 	audit     *os.File
-	audited   map[string]shared.Part
+	audited   map[string]shared.BudgetShare
 	told      map[heardOf]heardAt // counts of others that the audit has
 	auditedAt time.Time
 	closed    bool
@@ -82,14 +82,14 @@
 // is of this node's own address or files.
 func Start(cfg Config) (*Peers, error) {
 	f := cfg.Fleet
-	p := &Peers{cfg: cfg, start: time.Now(), nodes: map[int]*memberlist.Node{}, audited: map[string]shared.Part{}, told: map[heardOf]heardAt{}}
+	p := &Peers{cfg: cfg, start: time.Now(), nodes: map[int]*memberlist.Node{}, audited: map[string]shared.BudgetShare{}, told: map[heardOf]heardAt{}}
 	quotas := map[string]float64{}
 	for _, t := range cfg.Policy.Tenants {
 		quotas[t.Name] = t.QuotaPerS
 	}
 	p.replica = shared.New(shared.Config{Name: cfg.Name, Self: escrow.Node{Number: cfg.Policy.Number, Incarnation: uint64(time.Now().UnixMilli())},
-		Nodes: cfg.Policy.Nodes, Site: cfg.Policy.Zone, Quotas: quotas, Sites: cfg.Sites, Terms: escrow.Usual(), Limits: judgement.Usual(), Use: f.Used,
-		BytesPS: int(f.Bytes), Datagram: f.Datagram}, p.now())
+		Nodes: cfg.Policy.Nodes, Site: cfg.Policy.Zone, Quotas: quotas, OverflowSites: cfg.OverflowSites, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: f.Used,
+		BytesPerSecond: int(f.Bytes), DatagramBytes: f.Datagram}, p.now())
 	keys, err := memberlist.NewKeyring(f.Keys, f.Keys[0])
 	if err != nil {
 		return nil, fmt.Errorf("fleet.key_file: %w", err)
@@ -176,7 +176,7 @@
 		p.mu.Lock()
 		now := p.now()
 		out := p.replica.Step(now)
-		notes, renewed := p.replica.Notes(), p.replica.Renewed()
+		notes, renewed := p.replica.Notes(), p.replica.TakeRenewed()
 		p.record(now)
 		p.mu.Unlock()
 		for _, n := range notes {
@@ -188,7 +188,7 @@
 				p.cfg.Log.Warn("the fleet was not told of this node's new life", "err", err)
 			}
 		}
-		p.cfg.Changed()
+		p.cfg.ViewChanged()
 	})
 }
 
@@ -211,22 +211,22 @@
 func (p *Peers) Request(tenant string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.replica.Request(p.now(), tenant)
+	p.replica.CountRequest(p.now(), tenant)
 }
 
 // Crossed counts a request that goes to another site, as its client's own is lost.
 func (p *Peers) Crossed(site string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.replica.Crossed(p.now(), site)
+	p.replica.CountCrossSite(p.now(), site)
 }
 
 // Outcome notes how an attempt at a backend ended.
 func (p *Peers) Outcome(k judgement.Key, o policy.Outcome) {
-	if tells, failed := shared.Tells(o); tells {
+	if tells, failed := shared.Evidence(o); tells {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.replica.Outcome(p.now(), k, failed)
+		p.replica.RecordOutcome(p.now(), k, failed)
 	}
 }
 
@@ -234,7 +234,7 @@
 func (p *Peers) Listed(list []judgement.Backend) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.replica.Listed(list)
+	p.replica.SetBackends(list)
 }
 
 // View is what the node may act on, until a moment of Config.Clock.
@@ -244,7 +244,7 @@
 	now := p.now()
 	v := p.replica.View(now)
 	p.record(now)
-	v.Until = p.cfg.Clock() + v.Until - now
+	v.ValidUntil = p.cfg.Clock() + v.ValidUntil - now
 	return v
 }
 
@@ -293,26 +293,26 @@
 	return p.audit.Close()
 }
 
-// Audited is one line of the audit. With a budget: what this node may spend of it from a moment on, until a later line or
+// AuditRecord is one line of the audit. With a budget: what this node may spend of it from a moment on, until a later line or
 // the end of what it holds of others. Without one: what it knows of the fleet.
-type Audited struct {
-	At     int64          `json:"at"` // Unix nanoseconds
-	Node   string         `json:"node"`
-	Budget string         `json:"budget,omitempty"`
-	Own    int64          `json:"own,omitempty"` // grains of its own that are not lent
-	Held   []AuditedLoan  `json:"held,omitempty"`
-	Surely int            `json:"surely,omitempty"`   // nodes that are surely there
-	AtMost int            `json:"at_most,omitempty"`  // and that may be
-	Again  int64          `json:"again_ns,omitempty"` // how often nodes tell again of what has not changed
-	Counts []shared.Heard `json:"counts,omitempty"`   // of others, that are new since the line before
-	Listed int            `json:"listed,omitempty"`   // backends that there are,
-	Out    int            `json:"out,omitempty"`      // those out by hearsay,
-	Votes  int            `json:"votes,omitempty"`    // and the fewest nodes that one of them was found broken by when it came out
+type AuditRecord struct {
+	At             int64              `json:"at"` // Unix nanoseconds
+	Node           string             `json:"node"`
+	Budget         string             `json:"budget,omitempty"`
+	Own            int64              `json:"own,omitempty"` // grains of its own that are not lent
+	Borrowed       []AuditLoan        `json:"held,omitempty"`
+	MinNodes       int                `json:"surely,omitempty"`   // nodes that are surely there
+	MaxNodes       int                `json:"at_most,omitempty"`  // and that may be
+	RepeatInterval int64              `json:"again_ns,omitempty"` // how often nodes tell again of what has not changed
+	Counts         []shared.PeerCount `json:"counts,omitempty"`   // of others, that are new since the line before
+	Backends       int                `json:"listed,omitempty"`   // backends that there are,
+	Ejected        int                `json:"out,omitempty"`      // those out by hearsay,
+	MinVotes       int                `json:"votes,omitempty"`    // and the fewest nodes that one of them was found broken by when it came out
 }
 
-// AuditedLoan is what is held of another node.
-type AuditedLoan struct {
-	Of     int   `json:"of"`
+// AuditLoan is what is held of another node.
+type AuditLoan struct {
+	Owner  int   `json:"of"`
 	Grains int64 `json:"grains"`
 	Until  int64 `json:"until"` // Unix nanoseconds
 }
@@ -327,29 +327,29 @@
 	report := p.replica.Report(now)
 	if all {
 		p.auditedAt = at
-		line := Audited{At: at.UnixNano(), Node: p.cfg.Name, Surely: report.Count.Lower, AtMost: report.Count.Upper, Listed: report.Listed, Out: report.Out,
-			Votes: report.Fewest, Again: int64(p.replica.Again()), Counts: p.heard(now)}
+		line := AuditRecord{At: at.UnixNano(), Node: p.cfg.Name, MinNodes: report.Count.Lower, MaxNodes: report.Count.Upper, Backends: report.Backends, Ejected: report.Ejected,
+			MinVotes: report.MinVotes, RepeatInterval: int64(p.replica.RepeatInterval()), Counts: p.heard(now)}
 		p.write(&line)
 	}
-	for _, part := range report.Parts {
+	for _, part := range report.Budgets {
 		old := p.audited[part.Budget]
-		if !all && old.Spendable == part.Spendable && slices.Equal(old.Held, part.Held) {
+		if !all && old.Spendable == part.Spendable && slices.Equal(old.Borrowed, part.Borrowed) {
 			continue
 		}
 		p.audited[part.Budget] = part
-		line := Audited{At: at.UnixNano(), Node: p.cfg.Name, Budget: part.Budget, Own: int64(part.Spendable*float64(escrow.Whole) + 0.5)}
-		for _, h := range part.Held {
+		line := AuditRecord{At: at.UnixNano(), Node: p.cfg.Name, Budget: part.Budget, Own: int64(part.Spendable*float64(escrow.BudgetGrains) + 0.5)}
+		for _, h := range part.Borrowed {
 			line.Own -= h.Grains
-			line.Held = append(line.Held, AuditedLoan{h.With, h.Grains, at.Add(h.Until - now).UnixNano()})
+			line.Borrowed = append(line.Borrowed, AuditLoan{h.With, h.Grains, at.Add(h.Until - now).UnixNano()})
 		}
 		p.write(&line)
 	}
 }
 
 // heard is what the node has heard of others' counts since the last call. p.mu is held.
-func (p *Peers) heard(now time.Duration) (fresh []shared.Heard) {
-	for _, h := range p.replica.Heard(now) {
-		k, v := heardOf{h.Key, h.Of}, heardAt{h.Life, h.Epoch, h.Sum}
+func (p *Peers) heard(now time.Duration) (fresh []shared.PeerCount) {
+	for _, h := range p.replica.PeerCounts(now) {
+		k, v := heardOf{h.Key, h.Node}, heardAt{h.Incarnation, h.Epoch, h.Sum}
 		if p.told[k] != v {
 			p.told[k] = v
 			fresh = append(fresh, h)
@@ -358,7 +358,7 @@
 	return fresh
 }
 
-func (p *Peers) write(line *Audited) {
+func (p *Peers) write(line *AuditRecord) {
 	text, err := json.Marshal(line)
 	if err == nil {
 		_, err = p.audit.Write(append(text, '\n'))
@@ -427,11 +427,11 @@
 	defer p.mu.Unlock()
 	node := *n
 	node.Meta = bytes.Clone(n.Meta)
-	if err := p.replica.Joined(p.now(), n.Name, node.Meta); err != nil {
+	if err := p.replica.MemberJoined(p.now(), n.Name, node.Meta); err != nil {
 		p.cfg.Log.Warn("a member says of itself what can't be read", "member", n.Name, "err", err)
 		return
 	}
-	if number, ok := p.replica.Number(n.Name); ok {
+	if number, ok := p.replica.MemberNumber(n.Name); ok {
 		p.nodes[number] = &node
 	}
 }
@@ -449,7 +449,7 @@
 			delete(p.nodes, number)
 		}
 	}
-	p.replica.Gone(p.now(), n.Meta, roster.Dead) // one that leaves has said so itself
+	p.replica.MemberDown(p.now(), n.Meta, roster.Dead) // one that leaves has said so itself
 }
 
 // NotifyConflict is told of two members with one name.
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -44,7 +44,7 @@
 	t.Helper()
 	start := time.Now()
 	p, err := Start(Config{Fleet: f, Name: fmt.Sprintf("n%d", number), Policy: &policy.Settings{Number: number, Nodes: 3, Zone: "north",
-		Tenants: []policy.Tenant{{Name: "a", QuotaPerS: 90}}}, Clock: func() time.Duration { return time.Since(start) }, Changed: func() {},
+		Tenants: []policy.Tenant{{Name: "a", QuotaPerS: 90}}}, Clock: func() time.Duration { return time.Since(start) }, ViewChanged: func() {},
 		Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 }
 
 // part is what a node may spend of a tenant's share.
-func part(p *Peers) float64 { return p.Report().Parts[0].Spendable }
+func part(p *Peers) float64 { return p.Report().Budgets[0].Spendable }
 
 func TestMembersFindEachOtherAndShare(t *testing.T) {
 	t.Parallel()
@@ -105,13 +105,13 @@
 			p.Outcome(2, policy.ConnectFailed)
 		}
 		v := all[2].View()
-		return len(v.Out) == 1 && v.Out[0] == 2
+		return len(v.Ejected) == 1 && v.Ejected[0] == 2
 	})
 	if sum := part(all[0]) + part(all[1]) + part(all[2]); sum > 1 {
 		t.Errorf("together they have %v of one", sum)
 	}
 	r := all[2].Report()
-	if len(r.Members) != 2 || len(r.Parts) != 1 || len(r.Votes) != 1 || r.Votes[0].Name != "s-2" || r.Traffic.SentBytes == 0 {
+	if len(r.Members) != 2 || len(r.Budgets) != 1 || len(r.Votes) != 1 || r.Votes[0].Name != "s-2" || r.Traffic.SentBytes == 0 {
 		t.Errorf("%+v", r)
 	}
 	// One that leaves gives back and is known to have left; a later life of its is known as one.
@@ -126,14 +126,14 @@
 	}
 	held, known := false, 0
 	for line := range strings.Lines(string(text)) {
-		var a Audited
+		var a AuditRecord
 		if err := json.Unmarshal([]byte(line), &a); err == nil && a.Budget == "" {
-			known = max(known, a.Surely)
+			known = max(known, a.MinNodes)
 			continue
 		} else if err != nil || a.Node != "n1" || a.Budget != "quota/a" || a.At == 0 || a.Own < 0 || a.Own > escrow.Base(1, 3) {
 			t.Errorf("%s: %v", line, err)
 		}
-		held = held || len(a.Held) > 0 && a.Held[0].Grains > 0 && a.Held[0].Until > a.At
+		held = held || len(a.Borrowed) > 0 && a.Borrowed[0].Grains > 0 && a.Borrowed[0].Until > a.At
 	}
 	if !held || known != 3 {
 		t.Errorf("the audit tells of no loan, or of %d nodes:\n%s", known, text)
@@ -182,7 +182,7 @@
 		}
 	}
 	wait(t, "them all", func() bool { return p.Report().Traffic.Received >= 50 })
-	if r := p.Report(); r.Stats.Bad == 0 || len(r.Members) != 0 || r.Parts[0].Spendable <= 0 {
+	if r := p.Report(); r.Stats.Bad == 0 || len(r.Members) != 0 || r.Budgets[0].Spendable <= 0 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -191,7 +191,7 @@
 	t.Parallel()
 	p, _ := begin(t, 0, fleetOf(free(t), "one", [][]byte{key}))
 	_, err := Start(Config{Fleet: fleetOf(p.cfg.Fleet.Listen, "one", [][]byte{key}), Name: "x", Policy: &policy.Settings{Nodes: 1}, Clock: func() time.Duration { return 0 },
-		Changed: func() {}, Log: slog.New(slog.DiscardHandler)})
+		ViewChanged: func() {}, Log: slog.New(slog.DiscardHandler)})
 	if err == nil || !strings.Contains(err.Error(), "fleet.listen") {
 		t.Errorf("error %v does not name the key", err)
 	}
--- a/internal/shared/bridge.go
+++ b/internal/shared/bridge.go
@@ -8,9 +8,9 @@
 	"craneglade/policy"
 )
 
-// Tells says what an attempt's outcome shows of its backend: whether anything, and whether that it failed. A backend that
+// Evidence says what an attempt's outcome shows of its backend: whether anything, and whether that it failed. A backend that
 // turns away what it has no room for is not broken, and one whose attempt was called off has shown nothing.
-func Tells(o policy.Outcome) (tells, failed bool) {
+func Evidence(o policy.Outcome) (tells, failed bool) {
 	switch o {
 	case policy.OK:
 		return true, false
@@ -23,8 +23,8 @@
 // Event is a view as the decision module takes it. Number gives the module's number of a backend; false for one that it
 // does not know.
 func (v *View) Event(number func(judgement.Key) (uint32, bool)) *policy.Event {
-	s := &policy.Shared{Within: v.Within}
-	for _, k := range v.Out {
+	s := &policy.Shared{Within: v.QuotaFractions}
+	for _, k := range v.Ejected {
 		if n, known := number(k); known {
 			s.Out = append(s.Out, n)
 		}
--- a/internal/shared/broadcasts.go
+++ b/internal/shared/broadcasts.go
@@ -97,8 +97,8 @@
 	return frames
 }
 
-// Again is how often this node tells again what has not changed.
-func (r *Replica) Again() time.Duration { return r.repeatInterval }
+// RepeatInterval is how often this node tells again what has not changed.
+func (r *Replica) RepeatInterval() time.Duration { return r.repeatInterval }
 
 // staleAfter is the age from which what was told says nothing about the present.
 func (r *Replica) staleAfter() time.Duration { return staleAfterRepeats * r.repeatInterval }
@@ -106,9 +106,9 @@
 // entriesPerSecond is how many entries of its own a node may tell in a second. With all other nodes' entries, which each
 // node passes on as often as the queue does, it then keeps within its bytes and its datagrams.
 func (r *Replica) entriesPerSecond() float64 {
-	nodes := float64(r.roster.Size() + 1)
+	nodes := float64(r.roster.PeerCount() + 1)
 	transmissions := retransmitFactor * max(1, math.Ceil(math.Log10(nodes+1)))
-	bytesPerSecond := min(float64(r.cfg.BytesPS), maxDatagramsPerSecond*float64(r.cfg.Datagram))
+	bytesPerSecond := min(float64(r.cfg.BytesPerSecond), maxDatagramsPerSecond*float64(r.cfg.DatagramBytes))
 	return entryByteShare * bytesPerSecond / (typicalEntryBytes * transmissions * nodes)
 }
 
@@ -132,12 +132,12 @@
 
 // queueSights queues this node's observations of backends: urgent ones first, and these also without tokens.
 func (r *Replica) queueSights() {
-	keys, sights, urgent := r.pool.News(r.clock.now, max(0, int(maxBurst+r.tokens)))
+	keys, sights, urgent := r.pool.TakeUpdates(r.clock.now, max(0, int(maxBurst+r.tokens)))
 	for i, key := range keys {
 		if i >= urgent && r.tokens < 1 {
 			return // it is told at the next step
 		}
-		r.tell(packet.Entry{Kind: packet.Sight, Backend: key, Sight: sights[i]}, i < urgent)
+		r.tell(packet.Entry{Kind: packet.Observation, Backend: key, Observation: sights[i]}, i < urgent)
 	}
 }
 
--- a/internal/shared/budgets.go
+++ b/internal/shared/budgets.go
@@ -22,7 +22,7 @@
 		return r.cfg.Quotas[tenant] > 0
 	}
 	site, is := strings.CutPrefix(name, crossPrefix)
-	return is && slices.Contains(r.cfg.Sites, site)
+	return is && slices.Contains(r.cfg.OverflowSites, site)
 }
 
 // eachBudget calls f with the name of each budget that is used, in a fixed order.
@@ -37,7 +37,7 @@
 
 // eachCrossing calls f with the budget of each site that may get lost sites' load, in the order of their names.
 func (r *Replica) eachCrossing(f func(budget, site string)) {
-	for _, site := range slices.Sorted(slices.Values(r.cfg.Sites)) {
+	for _, site := range slices.Sorted(slices.Values(r.cfg.OverflowSites)) {
 		f(crossPrefix+site, site)
 	}
 }
@@ -53,7 +53,7 @@
 
 // spendablePart is what this node may spend of a budget, as a fraction of the whole.
 func (r *Replica) spendablePart(now time.Duration, budget string) float64 {
-	return float64(r.ledger.Spendable(now, budget)) / float64(escrow.Whole)
+	return float64(r.ledger.Spendable(now, budget)) / float64(escrow.BudgetGrains)
 }
 
 // planLoans returns the messages that ask owners for parts of budgets that are needed here, and give back those that are
@@ -62,12 +62,12 @@
 	var messages []Message
 	r.eachBudget(func(budget string) {
 		for _, order := range r.ledger.Plan(now, budget, r.demands(budget), r.staleAfter()) {
-			if order.Ask != nil {
+			if order.Request != nil {
 				r.stats.Asked++
 				messages = append(messages, r.message(order.Owner,
-					packet.Entry{Kind: packet.Ask, Key: budget, Nonce: order.Ask.Nonce, Grains: order.Ask.Want}))
+					packet.Entry{Kind: packet.LoanRequest, Key: budget, Nonce: order.Request.Nonce, Grains: order.Request.Grains}))
 			} else {
-				messages = append(messages, r.message(order.Owner, returnEntry(budget, order.Back.Nonce)))
+				messages = append(messages, r.message(order.Owner, returnEntry(budget, order.Return.Nonce)))
 			}
 		}
 	})
@@ -78,8 +78,8 @@
 func (r *Replica) returnLoans(now time.Duration) []Message {
 	var messages []Message
 	r.eachBudget(func(budget string) {
-		for _, loan := range r.ledger.Holds(now, budget) {
-			if back, tell := r.ledger.GiveBack(now, budget, loan.With); tell {
+		for _, loan := range r.ledger.Borrowed(now, budget) {
+			if back, tell := r.ledger.ReturnLoan(now, budget, loan.With); tell {
 				messages = append(messages, r.message(loan.With, returnEntry(budget, back.Nonce)))
 			}
 		}
@@ -96,13 +96,13 @@
 	if !r.isBudget(e.Key) {
 		return Message{}, false // another node's settings have it
 	}
-	grant, ok := r.ledger.Lend(now, escrow.Ask{Budget: e.Key, From: e.Node, Nonce: e.Nonce, Want: e.Grains})
+	grant, ok := r.ledger.Lend(now, escrow.LoanRequest{Budget: e.Key, From: e.Node, Nonce: e.Nonce, Grains: e.Grains})
 	if !ok {
 		return Message{}, false
 	}
 	r.stats.Lent++
 	return r.message(e.Node.Number, packet.Entry{Kind: packet.Grant, Key: grant.Budget, Nonce: grant.Nonce,
-		Grains: grant.Lent, To: grant.To}), true
+		Grains: grant.Grains, To: grant.To}), true
 }
 
 // receiveGrant takes what an owner has lent to this node.
@@ -110,8 +110,8 @@
 	if !r.isBudget(e.Key) {
 		return
 	}
-	grant := escrow.Grant{Budget: e.Key, To: e.To, Nonce: e.Nonce, Lent: e.Grains}
-	if r.ledger.Granted(now, e.Node.Number, grant) {
+	grant := escrow.Grant{Budget: e.Key, To: e.To, Nonce: e.Nonce, Grains: e.Grains}
+	if r.ledger.AcceptGrant(now, e.Node.Number, grant) {
 		r.stats.Granted++
 	}
 }
@@ -119,6 +119,6 @@
 // receiveReturn takes back what this node has lent.
 func (r *Replica) receiveReturn(now time.Duration, e *packet.Entry) {
 	if r.isBudget(e.Key) {
-		r.ledger.Returned(now, escrow.Return{Budget: e.Key, From: e.Node, Nonce: e.Nonce})
+		r.ledger.AcceptReturn(now, escrow.Return{Budget: e.Key, From: e.Node, Nonce: e.Nonce})
 	}
 }
--- a/internal/shared/counts/counts.go
+++ b/internal/shared/counts/counts.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	Epochs = 8                      // that a window keeps, the open one included
-	Epoch  = 500 * time.Millisecond // by the clock of the node that counts
+	WindowEpochs  = 8                      // that a window keeps, the open one included
+	EpochDuration = 500 * time.Millisecond // by the clock of the node that counts
 )
 
 // Window is what one life of a node has counted lately. The zero value has counted nothing.
 type Window struct {
-	Incarnation uint64         // of the life; a later life's window replaces an earlier one's
-	Epoch       uint64         // the open one, from 0 at the life's start
-	Counts      [Epochs]uint64 // of the epochs Epoch-i
+	Incarnation uint64               // of the life; a later life's window replaces an earlier one's
+	Epoch       uint64               // the open one, from 0 at the life's start
+	Counts      [WindowEpochs]uint64 // of the epochs Epoch-i
 }
 
-// At is the epoch in which a moment lies, as a span since the start of the life.
-func At(since time.Duration) uint64 { return uint64(max(0, since) / Epoch) }
+// EpochAt is the epoch in which a moment lies, as a span since the start of the life.
+func EpochAt(since time.Duration) uint64 { return uint64(max(0, since) / EpochDuration) }
 
 // turn opens an epoch; what is older than the window goes.
 func (w *Window) turn(epoch uint64) {
 	if epoch <= w.Epoch {
 		return
 	}
-	by := min(epoch-w.Epoch, Epochs)
-	copy(w.Counts[by:], w.Counts[:Epochs-by])
+	by := min(epoch-w.Epoch, WindowEpochs)
+	copy(w.Counts[by:], w.Counts[:WindowEpochs-by])
 	clear(w.Counts[:by])
 	w.Epoch = epoch
 }
@@ -66,7 +66,7 @@
 
 // Closed is what was counted in the epochs that are closed and kept, and how many these are.
 func (w Window) Closed() (sum, epochs uint64) {
-	epochs = min(w.Epoch, Epochs-1)
+	epochs = min(w.Epoch, WindowEpochs-1)
 	for _, n := range w.Counts[1 : epochs+1] {
 		sum += min(n, math.MaxUint64-sum)
 	}
@@ -79,33 +79,33 @@
 	if closed == 0 {
 		return -1
 	}
-	return float64(sum) / (float64(closed) * Epoch.Seconds())
+	return float64(sum) / (float64(closed) * EpochDuration.Seconds())
 }
 
-// Told is a window with the moment, by this node's clock, at which it was counted.
-type Told struct {
+// TimedWindow is a window with the moment, by this node's clock, at which it was counted.
+type TimedWindow struct {
 	Window
-	At time.Duration
+	CountedAt time.Duration
 }
 
 // Table is what is known here of every node's windows, by key.
 type Table struct {
-	keys map[string]map[int]*Told
+	keys map[string]map[int]*TimedWindow
 }
 
 // NewTable returns a table in which nothing is known.
-func NewTable() *Table { return &Table{keys: map[string]map[int]*Told{}} }
+func NewTable() *Table { return &Table{keys: map[string]map[int]*TimedWindow{}} }
 
-// Tell takes in a node's window that was counted at a moment, and tells whether it says anything new.
-func (t *Table) Tell(key string, node int, w Window, at time.Duration) bool {
+// Merge takes in a node's window that was counted at a moment, and tells whether it says anything new.
+func (t *Table) Merge(key string, node int, w Window, at time.Duration) bool {
 	nodes := t.keys[key]
 	if nodes == nil {
-		nodes = map[int]*Told{}
+		nodes = map[int]*TimedWindow{}
 		t.keys[key] = nodes
 	}
 	old := nodes[node]
 	if old == nil {
-		nodes[node] = &Told{w, at}
+		nodes[node] = &TimedWindow{w, at}
 		return true
 	}
 	joined := Join(old.Window, w)
@@ -113,24 +113,24 @@
 		return false
 	}
 	if joined.Incarnation != old.Incarnation || joined.Epoch != old.Epoch {
-		old.At = at
+		old.CountedAt = at
 	}
 	old.Window = joined
 	return true
 }
 
-// Of is what is known of a node's window; false where nothing is.
-func (t *Table) Of(key string, node int) (Told, bool) {
+// Get is what is known of a node's window; false where nothing is.
+func (t *Table) Get(key string, node int) (TimedWindow, bool) {
 	if w := t.keys[key][node]; w != nil {
 		return *w, true
 	}
-	return Told{}, false
+	return TimedWindow{}, false
 }
 
 // Rates calls f with each node's rate for a key and the age of what is known, in no order.
 func (t *Table) Rates(now time.Duration, key string, f func(node int, rate float64, age time.Duration)) {
 	for node, w := range t.keys[key] {
-		f(node, w.Rate(), max(0, now-w.At))
+		f(node, w.Rate(), max(0, now-w.CountedAt))
 	}
 }
 
@@ -138,7 +138,7 @@
 func (t *Table) Prune(now, age time.Duration) {
 	for key, nodes := range t.keys {
 		for node, w := range nodes {
-			if now-w.At > age {
+			if now-w.CountedAt > age {
 				delete(nodes, node)
 			}
 		}
@@ -149,7 +149,7 @@
 }
 
 // All calls f with all that is known, in no order.
-func (t *Table) All(f func(key string, node int, w Told)) {
+func (t *Table) All(f func(key string, node int, w TimedWindow)) {
 	for key, nodes := range t.keys {
 		for node, w := range nodes {
 			f(key, node, *w)
--- a/internal/shared/counts/counts_test.go
+++ b/internal/shared/counts/counts_test.go
@@ -42,14 +42,14 @@
 			own.Add(epoch, rapid.Uint64Range(0, 5).Draw(t, "n"))
 			sent = append(sent, own)
 			if rapid.Bool().Draw(t, "arrives") { // any that was ever sent, any number of times
-				table.Tell("k", 4, sent[rapid.IntRange(0, len(sent)-1).Draw(t, "which")], 0)
+				table.Merge("k", 4, sent[rapid.IntRange(0, len(sent)-1).Draw(t, "which")], 0)
 			}
 		}
-		table.Tell("k", 4, own, time.Second)
-		if got, _ := table.Of("k", 4); got.Window != own {
+		table.Merge("k", 4, own, time.Second)
+		if got, _ := table.Get("k", 4); got.Window != own {
 			t.Fatalf("known %v, counted %v", got.Window, own)
 		}
-		if table.Tell("k", 4, own, time.Second) {
+		if table.Merge("k", 4, own, time.Second) {
 			t.Fatal("what is known already counts as new")
 		}
 	})
@@ -76,9 +76,9 @@
 		t.Errorf("a later life does not replace an earlier one: %v", got)
 	}
 	table := NewTable()
-	table.Tell("k", 1, w, time.Second)
+	table.Merge("k", 1, w, time.Second)
 	table.Prune(5*time.Second, 3*time.Second)
-	if _, ok := table.Of("k", 1); ok || len(table.keys) > 0 {
+	if _, ok := table.Get("k", 1); ok || len(table.keys) > 0 {
 		t.Error("what is old is kept for good")
 	}
 }
--- a/internal/shared/escrow/escrow.go
+++ b/internal/shared/escrow/escrow.go
@@ -18,26 +18,26 @@
 	"time"
 )
 
-// Whole is a budget in grains.
-const Whole = int64(1) << 20
+// BudgetGrains is a budget in grains.
+const BudgetGrains = int64(1) << 20
 
 // Terms say for how long parts are lent. The zero value is of no use; Usual is.
 type Terms struct {
-	Term  time.Duration // of a loan, by the borrower's clock, from its asking on
-	Drift float64       // by how much, as a part, a clock may run faster or slower than true
-	Gap   time.Duration // between two steps of one node; after a longer one it is not known how much time has passed
-	Keep  float64       // part of what a node owns that it never lends
+	Term       time.Duration // of a loan, by the borrower's clock, from its asking on
+	Drift      float64       // by how much, as a part, a clock may run faster or slower than true
+	MaxStepGap time.Duration // between two steps of one node; after a longer one it is not known how much time has passed
+	NeverLent  float64       // part of what a node owns that it never lends
 }
 
-// Usual are the terms in service.
-func Usual() Terms {
-	return Terms{Term: 3 * time.Second, Drift: 0.05, Gap: time.Second, Keep: 0.25}
+// DefaultTerms are the terms in service.
+func DefaultTerms() Terms {
+	return Terms{Term: 3 * time.Second, Drift: 0.05, MaxStepGap: time.Second, NeverLent: 0.25}
 }
 
 // out is for how long a lender counts a loan as out, by its own clock: the whole term on the slowest clock of a borrower,
 // read on the fastest clock of a lender, and one step that may have gone by unseen.
 func (t Terms) out() time.Duration {
-	return time.Duration(float64(t.Term)*(1+t.Drift)/(1-t.Drift)) + t.Gap
+	return time.Duration(float64(t.Term)*(1+t.Drift)/(1-t.Drift)) + t.MaxStepGap
 }
 
 // Base is what node number of so many owns of a budget. The parts of all add up to Whole; a number outside the fleet owns
@@ -47,7 +47,7 @@
 		return 0
 	}
 	i, n := int64(number), int64(nodes)
-	return Whole*(i+1)/n - Whole*i/n
+	return BudgetGrains*(i+1)/n - BudgetGrains*i/n
 }
 
 // Node names one life of a node.
@@ -56,12 +56,12 @@
 	Incarnation uint64 // higher in each later life under a number
 }
 
-// Ask asks an owner for grains. A later ask of one life has a higher Nonce, and stands for what was lent before too.
-type Ask struct {
+// LoanRequest asks an owner for grains. A later ask of one life has a higher Nonce, and stands for what was lent before too.
+type LoanRequest struct {
 	Budget string
 	From   Node
 	Nonce  uint64
-	Want   int64
+	Grains int64
 }
 
 // Grant answers an ask, with what was lent; 0 for nothing. It names the life that asked: a later one counts its asks
@@ -70,7 +70,7 @@
 	Budget string
 	To     Node
 	Nonce  uint64
-	Lent   int64
+	Grains int64
 }
 
 // Return tells an owner that its borrower holds nothing any more of what was lent up to Nonce.
@@ -154,7 +154,7 @@
 	l.now = now
 	back := gap < 0
 	shift := time.Duration(0)
-	if back || gap > l.terms.Gap {
+	if back || gap > l.terms.MaxStepGap {
 		shift = gap
 		l.shyFor += shift
 	}
@@ -178,7 +178,7 @@
 }
 
 // lendable is the part of its own that a node may ever lend.
-func (l *Ledger) lendable(b *book) int64 { return b.base - int64(l.terms.Keep*float64(b.base)) }
+func (l *Ledger) lendable(b *book) int64 { return b.base - int64(l.terms.NeverLent*float64(b.base)) }
 
 // own is what a node has of its own now.
 func (l *Ledger) own(b *book) int64 {
@@ -203,8 +203,8 @@
 	return n
 }
 
-// Until is when what is spendable falls next by time alone, without a message; false where it does not.
-func (l *Ledger) Until(now time.Duration, budget string) (time.Duration, bool) {
+// NextExpiry is when what is spendable falls next by time alone, without a message; false where it does not.
+func (l *Ledger) NextExpiry(now time.Duration, budget string) (time.Duration, bool) {
 	l.advance(now)
 	first, any := time.Duration(0), false
 	for _, h := range l.book(budget).held {
@@ -215,21 +215,23 @@
 	return first, any
 }
 
-// Need tells what the node could use of a budget: of its own it lends no more than what is beyond.
-func (l *Ledger) Need(budget string, grains int64) { l.book(budget).need = min(max(grains, 0), Whole) }
+// SetNeed tells what the node could use of a budget: of its own it lends no more than what is beyond.
+func (l *Ledger) SetNeed(budget string, grains int64) {
+	l.book(budget).need = min(max(grains, 0), BudgetGrains)
+}
 
-// Ask makes an ask to an owner, which stands until it is answered or a term is over.
-func (l *Ledger) Ask(now time.Duration, budget string, owner int, want int64) Ask {
+// RequestLoan makes an ask to an owner, which stands until it is answered or a term is over.
+func (l *Ledger) RequestLoan(now time.Duration, budget string, owner int, want int64) LoanRequest {
 	l.advance(now)
 	b := l.book(budget)
 	l.nonce++
 	b.nonces[owner] = l.nonce
 	b.asks[owner] = asked{l.nonce, now, want}
-	return Ask{budget, l.self, l.nonce, want}
+	return LoanRequest{budget, l.self, l.nonce, want}
 }
 
-// Asking tells whether an ask to an owner is out.
-func (l *Ledger) Asking(now time.Duration, budget string, owner int) bool {
+// RequestPending tells whether an ask to an owner is out.
+func (l *Ledger) RequestPending(now time.Duration, budget string, owner int) bool {
 	l.advance(now)
 	_, out := l.book(budget).asks[owner]
 	return out
@@ -237,7 +239,7 @@
 
 // Lend answers an ask; false for one that is not answered: a doubled or late one of before a later one. An ask that came
 // before gets the answer that it got then, and nothing more is lent for it.
-func (l *Ledger) Lend(now time.Duration, a Ask) (Grant, bool) {
+func (l *Ledger) Lend(now time.Duration, a LoanRequest) (Grant, bool) {
 	l.advance(now)
 	b := l.book(a.Budget)
 	d := b.debtors[a.From]
@@ -256,7 +258,7 @@
 			free -= o.out()
 		}
 	}
-	grains := max(0, min(a.Want, free, b.base-b.need-(l.lendable(b)-free)))
+	grains := max(0, min(a.Grains, free, b.base-b.need-(l.lendable(b)-free)))
 	if grains == 0 {
 		return Grant{a.Budget, a.From, a.Nonce, 0}, true
 	}
@@ -269,8 +271,8 @@
 	return Grant{a.Budget, a.From, a.Nonce, grains}, true
 }
 
-// Granted takes an owner's answer, and tells whether it was one to the latest ask. The term runs from that ask on.
-func (l *Ledger) Granted(now time.Duration, owner int, g Grant) bool {
+// AcceptGrant takes an owner's answer, and tells whether it was one to the latest ask. The term runs from that ask on.
+func (l *Ledger) AcceptGrant(now time.Duration, owner int, g Grant) bool {
 	l.advance(now)
 	b := l.book(g.Budget)
 	a, out := b.asks[owner]
@@ -278,14 +280,14 @@
 		return false
 	}
 	delete(b.asks, owner)
-	if until := a.at + l.terms.Term; g.Lent > 0 && now < until {
-		b.held[owner] = lent{g.Nonce, min(g.Lent, a.want), until}
+	if until := a.at + l.terms.Term; g.Grains > 0 && now < until {
+		b.held[owner] = lent{g.Nonce, min(g.Grains, a.want), until}
 	}
 	return true
 }
 
-// GiveBack ends what is held of an owner, and any ask to it; false where there is nothing to tell the owner.
-func (l *Ledger) GiveBack(now time.Duration, budget string, owner int) (Return, bool) {
+// ReturnLoan ends what is held of an owner, and any ask to it; false where there is nothing to tell the owner.
+func (l *Ledger) ReturnLoan(now time.Duration, budget string, owner int) (Return, bool) {
 	l.advance(now)
 	b := l.book(budget)
 	_, holds := b.held[owner]
@@ -295,8 +297,8 @@
 	return Return{budget, l.self, b.nonces[owner]}, holds || asks
 }
 
-// Returned takes back what a borrower holds no more.
-func (l *Ledger) Returned(now time.Duration, r Return) {
+// AcceptReturn takes back what a borrower holds no more.
+func (l *Ledger) AcceptReturn(now time.Duration, r Return) {
 	l.advance(now)
 	d := l.book(r.Budget).debtors[r.From]
 	if d == nil {
@@ -309,8 +311,8 @@
 	}
 }
 
-// Holds lists what is held of other owners, by their number.
-func (l *Ledger) Holds(now time.Duration, budget string) []Loan {
+// Borrowed lists what is held of other owners, by their number.
+func (l *Ledger) Borrowed(now time.Duration, budget string) []Loan {
 	l.advance(now)
 	var out []Loan
 	for owner, h := range l.book(budget).held {
--- a/internal/shared/escrow/escrow_test.go
+++ b/internal/shared/escrow/escrow_test.go
@@ -17,17 +17,17 @@
 		for i := -2; i < n+2; i++ {
 			sum += Base(i, n)
 		}
-		if sum != Whole {
-			t.Errorf("%d nodes own %d of %d", n, sum, Whole)
+		if sum != BudgetGrains {
+			t.Errorf("%d nodes own %d of %d", n, sum, BudgetGrains)
 		}
 	}
 }
 
 // settled is a ledger whose first moments are over.
 func settled(number, nodes int) (*Ledger, time.Duration) {
-	l := New(Usual(), Node{number, 1}, nodes, 0)
+	l := New(DefaultTerms(), Node{number, 1}, nodes, 0)
 	now := time.Duration(0)
-	for ; now < Usual().out(); now += 500 * ms {
+	for ; now < DefaultTerms().out(); now += 500 * ms {
 		l.Spendable(now, "b")
 	}
 	return l, now
@@ -37,23 +37,23 @@
 	lender, now := settled(0, 4)
 	borrower, _ := settled(1, 4)
 	base := Base(0, 4)
-	a := borrower.Ask(now, "b", 0, base/2)
+	a := borrower.RequestLoan(now, "b", 0, base/2)
 	g, ok := lender.Lend(now, a)
-	if !ok || g.Lent != base/2 || lender.Spendable(now, "b") != base/2 {
+	if !ok || g.Grains != base/2 || lender.Spendable(now, "b") != base/2 {
 		t.Fatalf("lent %+v (%v), left %d", g, ok, lender.Spendable(now, "b"))
 	}
 	if again, ok := lender.Lend(now, a); !ok || again != g || lender.Spendable(now, "b") != base/2 {
 		t.Errorf("a doubled ask got %+v (%v), left %d", again, ok, lender.Spendable(now, "b"))
 	}
-	if !borrower.Granted(now, 0, g) || borrower.Granted(now, 0, g) || borrower.Spendable(now, "b") != base+base/2 {
+	if !borrower.AcceptGrant(now, 0, g) || borrower.AcceptGrant(now, 0, g) || borrower.Spendable(now, "b") != base+base/2 {
 		t.Errorf("the borrower has %d", borrower.Spendable(now, "b"))
 	}
-	back, ok := borrower.GiveBack(now, "b", 0)
+	back, ok := borrower.ReturnLoan(now, "b", 0)
 	if !ok || borrower.Spendable(now, "b") != base {
 		t.Errorf("after giving back the borrower has %d", borrower.Spendable(now, "b"))
 	}
-	lender.Returned(now, back)
-	lender.Returned(now, back)
+	lender.AcceptReturn(now, back)
+	lender.AcceptReturn(now, back)
 	if got := lender.Spendable(now, "b"); got != base {
 		t.Errorf("the lender has %d of %d again", got, base)
 	}
@@ -64,15 +64,15 @@
 	lender, now := settled(0, 4)
 	borrower, _ := settled(1, 4)
 	base := Base(0, 4)
-	lender.Lend(now, borrower.Ask(now, "b", 0, base/2))
-	second := borrower.Ask(now+100*ms, "b", 0, base/4)
-	if g, _ := lender.Lend(now+100*ms, second); g.Lent != base/4 {
-		t.Errorf("lent %d again, want %d: the one life holds one loan", g.Lent, base/4)
+	lender.Lend(now, borrower.RequestLoan(now, "b", 0, base/2))
+	second := borrower.RequestLoan(now+100*ms, "b", 0, base/4)
+	if g, _ := lender.Lend(now+100*ms, second); g.Grains != base/4 {
+		t.Errorf("lent %d again, want %d: the one life holds one loan", g.Grains, base/4)
 	}
 	if got := lender.Spendable(now+200*ms, "b"); got != base-base/2 {
 		t.Errorf("%d are the lender's, want half: the first grant may have arrived", got)
 	}
-	end := now + 100*ms + Usual().out()
+	end := now + 100*ms + DefaultTerms().out()
 	for at := now + 300*ms; at < end; at += 200 * ms {
 		if got := lender.Spendable(at, "b"); got > base-base/4 {
 			t.Fatalf("%d are the lender's %v before the loan's end", got, end-at)
@@ -87,9 +87,9 @@
 	node, now := settled(0, 4)
 	other, _ := settled(1, 4)
 	base := Base(0, 4)
-	g, _ := other.Lend(now, node.Ask(now, "b", 1, base/4))
-	node.Granted(now, 1, g)
-	node.Lend(now, other.Ask(now, "b", 0, base/2))
+	g, _ := other.Lend(now, node.RequestLoan(now, "b", 1, base/4))
+	node.AcceptGrant(now, 1, g)
+	node.Lend(now, other.RequestLoan(now, "b", 0, base/2))
 	if got := node.Spendable(now, "b"); got != base-base/2+base/4 {
 		t.Fatalf("%d before the stall", got)
 	}
@@ -105,17 +105,17 @@
 	lender, now := settled(0, 4)
 	borrower, _ := settled(1, 4)
 	base := Base(0, 4)
-	g, _ := lender.Lend(now, borrower.Ask(now, "b", 0, base))
-	borrower.Granted(now, 0, g)
-	if g.Lent != base-int64(Usual().Keep*float64(base)) {
-		t.Errorf("lent %d of %d", g.Lent, base)
+	g, _ := lender.Lend(now, borrower.RequestLoan(now, "b", 0, base))
+	borrower.AcceptGrant(now, 0, g)
+	if g.Grains != base-int64(DefaultTerms().NeverLent*float64(base)) {
+		t.Errorf("lent %d of %d", g.Grains, base)
 	}
-	again := New(Usual(), Node{0, 2}, 4, now+100*ms)
-	if got := again.Spendable(now+100*ms, "b"); got != base-g.Lent {
-		t.Errorf("the next life has %d, want the %d that were never lent", got, base-g.Lent)
+	again := New(DefaultTerms(), Node{0, 2}, 4, now+100*ms)
+	if got := again.Spendable(now+100*ms, "b"); got != base-g.Grains {
+		t.Errorf("the next life has %d, want the %d that were never lent", got, base-g.Grains)
 	}
-	if got, _ := again.Lend(now+200*ms, Ask{"b", Node{2, 1}, 1, base}); got.Lent != 0 {
-		t.Errorf("the next life lends %d that may be out", got.Lent)
+	if got, _ := again.Lend(now+200*ms, LoanRequest{"b", Node{2, 1}, 1, base}); got.Grains != 0 {
+		t.Errorf("the next life lends %d that may be out", got.Grains)
 	}
 }
 
@@ -123,10 +123,10 @@
 func TestAGrantIsForTheLifeThatAsked(t *testing.T) {
 	lender, now := settled(0, 4)
 	first, _ := settled(1, 4)
-	g, _ := lender.Lend(now, first.Ask(now, "b", 0, 1000))
-	next := New(Usual(), Node{1, 2}, 4, now)
-	next.Ask(now, "b", 0, 1000)
-	if next.Granted(now, 0, g) {
+	g, _ := lender.Lend(now, first.RequestLoan(now, "b", 0, 1000))
+	next := New(DefaultTerms(), Node{1, 2}, 4, now)
+	next.RequestLoan(now, "b", 0, 1000)
+	if next.AcceptGrant(now, 0, g) {
 		t.Error("it took the grant of the life before it")
 	}
 }
@@ -145,18 +145,18 @@
 			for _, l := range ls {
 				for _, o := range l.Plan(now, "b", d, time.Second) {
 					switch {
-					case o.Ask != nil:
-						if g, ok := ls[o.Owner].Lend(now, *o.Ask); ok {
-							l.Granted(now, o.Owner, g)
+					case o.Request != nil:
+						if g, ok := ls[o.Owner].Lend(now, *o.Request); ok {
+							l.AcceptGrant(now, o.Owner, g)
 						}
-					case o.Back != nil:
-						ls[o.Owner].Returned(now, *o.Back)
+					case o.Return != nil:
+						ls[o.Owner].AcceptReturn(now, *o.Return)
 					}
 				}
 			}
 		}
 	}
-	have := func(i int) float64 { return float64(ls[i].Spendable(now, "b")) / float64(Whole) }
+	have := func(i int) float64 { return float64(ls[i].Spendable(now, "b")) / float64(BudgetGrains) }
 	run([]Demand{{0, 90, 0}, {1, 5, 0}, {2, 5, 0}, {3, 0, 0}}, 40)
 	if have(0) < 0.75 || have(1) < 0.0625 || have(0)+have(1)+have(2)+have(3) > 1 {
 		t.Errorf("parts %.3f %.3f %.3f %.3f for a demand of 90, 5, 5, 0", have(0), have(1), have(2), have(3))
@@ -225,14 +225,14 @@
 	}
 	at := s.clock(w.now)
 	switch x := f.what.(type) {
-	case Ask:
+	case LoanRequest:
 		if g, ok := s.l.Lend(at, x); ok {
 			w.send(f.to, f.from, g)
 		}
 	case Grant:
-		s.l.Granted(at, f.from, x)
+		s.l.AcceptGrant(at, f.from, x)
 	case Return:
-		s.l.Returned(at, x)
+		s.l.AcceptReturn(at, x)
 	}
 }
 
@@ -245,8 +245,8 @@
 			sum, parts = sum+n, append(parts, n)
 		}
 	}
-	if sum > Whole {
-		w.t.Fatalf("at %v %d of %d can be spent: %v", w.now, sum, Whole, parts)
+	if sum > BudgetGrains {
+		w.t.Fatalf("at %v %d of %d can be spent: %v", w.now, sum, BudgetGrains, parts)
 	}
 }
 
@@ -258,7 +258,7 @@
 		n := rapid.IntRange(2, 6).Draw(t, "nodes")
 		w := &world{t: t, lives: 1}
 		// Beside the terms in service some in which the drift of the clocks is a good part of a term.
-		terms := rapid.SampledFrom([]Terms{Usual(), {Term: time.Second, Drift: 0.25, Gap: 300 * ms, Keep: 0.25}}).Draw(t, "terms")
+		terms := rapid.SampledFrom([]Terms{DefaultTerms(), {Term: time.Second, Drift: 0.25, MaxStepGap: 300 * ms, NeverLent: 0.25}}).Draw(t, "terms")
 		drift := terms.Drift
 		for i := range n {
 			s := &seat{number: i, rate: rapid.SampledFrom([]float64{1 - drift, 1, 1 + drift}).Draw(t, "rate"),
@@ -275,11 +275,11 @@
 			switch rapid.IntRange(0, 11).Draw(t, "what") {
 			case 0, 1, 2:
 				if awake {
-					w.send(s.number, other, s.l.Ask(at, "b", other, rapid.Int64Range(1, Whole).Draw(t, "want")))
+					w.send(s.number, other, s.l.RequestLoan(at, "b", other, rapid.Int64Range(1, BudgetGrains).Draw(t, "want")))
 				}
 			case 3:
 				if awake {
-					if back, ok := s.l.GiveBack(at, "b", other); ok {
+					if back, ok := s.l.ReturnLoan(at, "b", other); ok {
 						w.send(s.number, other, back)
 					}
 				}
@@ -290,7 +290,7 @@
 			case 5:
 				s.stall = max(s.stall, w.now+time.Duration(rapid.IntRange(100, 9000).Draw(t, "stall"))*ms)
 			case 6: // its clock is set while it runs; what is beyond a gap it notices
-				if jump := time.Duration(rapid.IntRange(-10000, 10000).Draw(t, "jump")) * ms; awake && (jump < -time.Second || jump > terms.Gap) {
+				if jump := time.Duration(rapid.IntRange(-10000, 10000).Draw(t, "jump")) * ms; awake && (jump < -time.Second || jump > terms.MaxStepGap) {
 					s.l.Spendable(at, "b")
 					s.offset += jump
 				}
@@ -303,10 +303,10 @@
 						d = append(d, Demand{i, float64(rapid.IntRange(0, 100).Draw(t, "demand")), 0})
 					}
 					for _, o := range s.l.Plan(at, "b", d, time.Second) {
-						if o.Ask != nil {
-							w.send(s.number, o.Owner, *o.Ask)
+						if o.Request != nil {
+							w.send(s.number, o.Owner, *o.Request)
 						} else {
-							w.send(s.number, o.Owner, *o.Back)
+							w.send(s.number, o.Owner, *o.Return)
 						}
 					}
 				}
@@ -320,7 +320,7 @@
 			}
 			w.check()
 			for _, s := range w.nodes {
-				if s.stall <= w.now && len(s.l.Holds(s.clock(w.now), "b")) > 0 {
+				if s.stall <= w.now && len(s.l.Borrowed(s.clock(w.now), "b")) > 0 {
 					moved++
 				}
 			}
@@ -334,7 +334,7 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{3, 30, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l := New(Usual(), Node{1, 1}, n, 0)
+			l := New(DefaultTerms(), Node{1, 1}, n, 0)
 			var d []Demand
 			for i := range n {
 				d = append(d, Demand{i, float64(i % 7), 0})
--- a/internal/shared/escrow/plan.go
+++ b/internal/shared/escrow/plan.go
@@ -31,7 +31,7 @@
 			rates[d.Number] = d.Rate
 		}
 	}
-	free, sum := Whole, 0.0
+	free, sum := BudgetGrains, 0.0
 	for i, r := range rates {
 		out[i] = Base(i, nodes)
 		if r < 0 {
@@ -48,16 +48,16 @@
 	return out
 }
 
-// Order is one thing to tell an owner: an ask, or what is given back.
-type Order struct {
-	Owner int
-	Ask   *Ask
-	Back  *Return
+// OwnerMessage is one thing to tell an owner: an ask, or what is given back.
+type OwnerMessage struct {
+	Owner   int
+	Request *LoanRequest
+	Return  *Return
 }
 
 // Plan says whom to ask for what, and what to give back, by demand. It sets the node's own need. Called again within a
 // short time it repeats nothing: what is held is renewed after half of its term.
-func (l *Ledger) Plan(now time.Duration, budget string, all []Demand, fresh time.Duration) []Order {
+func (l *Ledger) Plan(now time.Duration, budget string, all []Demand, fresh time.Duration) []OwnerMessage {
 	l.advance(now)
 	b := l.book(budget)
 	shares := Shares(all, l.nodes, fresh)
@@ -67,13 +67,13 @@
 		}
 		return int64(margin * float64(shares[number]))
 	}
-	l.Need(budget, needs(l.self.Number))
-	var orders []Order
+	l.SetNeed(budget, needs(l.self.Number))
+	var orders []OwnerMessage
 	lack := needs(l.self.Number) - b.base
 	if lack <= b.base/worth {
-		for _, h := range l.Holds(now, budget) {
-			if back, tell := l.GiveBack(now, budget, h.With); tell {
-				orders = append(orders, Order{Owner: h.With, Back: &back})
+		for _, h := range l.Borrowed(now, budget) {
+			if back, tell := l.ReturnLoan(now, budget, h.With); tell {
+				orders = append(orders, OwnerMessage{Owner: h.With, Return: &back})
 			}
 		}
 		return orders
@@ -88,7 +88,7 @@
 			continue
 		}
 		base := Base(d.Number, l.nodes)
-		n := min(base-needs(d.Number), base-int64(l.terms.Keep*float64(base)))
+		n := min(base-needs(d.Number), base-int64(l.terms.NeverLent*float64(base)))
 		if h, ok := b.held[d.Number]; n > base/worth || ok {
 			owners = append(owners, spare{d.Number, max(n, h.grains)})
 		}
@@ -109,8 +109,8 @@
 	for _, o := range owners {
 		if lack <= 0 {
 			if _, holds := b.held[o.owner]; holds {
-				if back, tell := l.GiveBack(now, budget, o.owner); tell {
-					orders = append(orders, Order{Owner: o.owner, Back: &back})
+				if back, tell := l.ReturnLoan(now, budget, o.owner); tell {
+					orders = append(orders, OwnerMessage{Owner: o.owner, Return: &back})
 				}
 			}
 			continue
@@ -118,15 +118,15 @@
 		want := min(lack, o.grains)
 		lack -= want
 		h, holds := b.held[o.owner]
-		if l.Asking(now, budget, o.owner) && now-b.asks[o.owner].at < l.terms.Term/6 {
+		if l.RequestPending(now, budget, o.owner) && now-b.asks[o.owner].at < l.terms.Term/6 {
 			continue // its answer may be on its way
 		}
 		if holds && h.until-now > l.terms.Term/2 && h.grains >= want*3/4 || asks == lenders {
 			continue
 		}
 		asks++
-		a := l.Ask(now, budget, o.owner, want)
-		orders = append(orders, Order{Owner: o.owner, Ask: &a})
+		a := l.RequestLoan(now, budget, o.owner, want)
+		orders = append(orders, OwnerMessage{Owner: o.owner, Request: &a})
 	}
 	return orders
 }
--- a/internal/shared/judgement/judgement.go
+++ b/internal/shared/judgement/judgement.go
@@ -28,32 +28,32 @@
 
 // Limits bound what hearsay may do.
 type Limits struct {
-	Memory time.Duration // evidence fades over this
-	Quorum int           // so many nodes at least must find a backend broken, this one counted too
-	Least  float64       // failures lately that make a node's verdict
-	Share  float64       // and the part of what it tried that they must be
-	Fleet  float64       // part of all backends that may be out by hearsay at a time
-	Site   float64       // and of one site's
-	Own    time.Duration // an answer of its own within this goes before any hearsay
-	Hold   time.Duration // for how long a backend is out; longer while the nodes still agree
-	Every  time.Duration // what is seen is told this often where it is no news
+	DecayTime         time.Duration // evidence fades over this
+	Quorum            int           // so many nodes at least must find a backend broken, this one counted too
+	MinFailures       float64       // failures lately that make a node's verdict
+	MinFailedFraction float64       // and the part of what it tried that they must be
+	MaxFleetFraction  float64       // part of all backends that may be out by hearsay at a time
+	MaxSiteFraction   float64       // and of one site's
+	OwnSuccessWindow  time.Duration // an answer of its own within this goes before any hearsay
+	EjectionTime      time.Duration // for how long a backend is out; longer while the nodes still agree
+	ReportInterval    time.Duration // what is seen is told this often where it is no news
 }
 
-// Usual are the limits in service.
-func Usual() Limits {
-	return Limits{Memory: 5 * time.Second, Quorum: 2, Least: 1.2, Share: 0.5, Fleet: 0.25, Site: 0.5, Own: time.Second,
-		Hold: 2 * time.Second, Every: time.Second}
+// DefaultLimits are the limits in service.
+func DefaultLimits() Limits {
+	return Limits{DecayTime: 5 * time.Second, Quorum: 2, MinFailures: 1.2, MinFailedFraction: 0.5, MaxFleetFraction: 0.25, MaxSiteFraction: 0.5, OwnSuccessWindow: time.Second,
+		EjectionTime: 2 * time.Second, ReportInterval: time.Second}
 }
 
-// Sight is what one node has seen of one backend lately. A later one has a higher Seq.
-type Sight struct {
+// Observation is what one node has seen of one backend lately. A later one has a higher Seq.
+type Observation struct {
 	Seq    uint64
 	Tried  float64 // attempts, fading
 	Failed float64 // of them
 }
 
 // valid tells whether a sight can be true.
-func (s Sight) valid() bool {
+func (s Observation) valid() bool {
 	ok := func(x float64) bool { return x >= 0 && x < math.MaxInt32 }
 	return ok(s.Tried) && ok(s.Failed) && s.Failed <= s.Tried+1e-9
 }
@@ -68,21 +68,21 @@
 
 // seen is a sight with when it was told, by this node's clock.
 type seen struct {
-	Sight
+	Observation
 	at time.Duration
 }
 
 // fade is what is left of a sight's evidence.
 func (s *seen) fade(now time.Duration, l *Limits) float64 {
-	return math.Exp(-max(0, now-s.at).Seconds() / l.Memory.Seconds())
+	return math.Exp(-max(0, now-s.at).Seconds() / l.DecayTime.Seconds())
 }
 
 func (s *seen) verdict(now time.Duration, l *Limits) verdict {
 	f := s.fade(now, l)
 	switch {
-	case s.Failed*f >= l.Least && s.Failed >= l.Share*s.Tried:
+	case s.Failed*f >= l.MinFailures && s.Failed >= l.MinFailedFraction*s.Tried:
 		return bad
-	case s.Tried*f >= 0.5 && s.Failed < l.Share*s.Tried:
+	case s.Tried*f >= 0.5 && s.Failed < l.MinFailedFraction*s.Tried:
 		return good
 	}
 	return none
@@ -117,8 +117,8 @@
 		out: map[Key]time.Duration{}}
 }
 
-// List sets the backends that there are. What is known of others is forgotten.
-func (p *Pool) List(all []Backend) {
+// SetBackends sets the backends that there are. What is known of others is forgotten.
+func (p *Pool) SetBackends(all []Backend) {
 	clear(p.list)
 	clear(p.sites)
 	for _, b := range all {
@@ -134,15 +134,15 @@
 	p.hold()
 }
 
-// Out tells whether a backend is out by hearsay.
-func (p *Pool) Out(k Key) bool {
+// Ejected tells whether a backend is out by hearsay.
+func (p *Pool) Ejected(k Key) bool {
 	_, is := p.out[k]
 	return is
 }
 
 // room tells whether so many may be out, and so many of a site's.
 func (p *Pool) room(all int, site string, there int) bool {
-	return float64(all) <= p.limits.Fleet*float64(len(p.list)) && float64(there) <= p.limits.Site*float64(p.sites[site])
+	return float64(all) <= p.limits.MaxFleetFraction*float64(len(p.list)) && float64(there) <= p.limits.MaxSiteFraction*float64(p.sites[site])
 }
 
 // hold keeps the ceilings where fewer backends are listed than when some came out: those whose time is over first come back.
@@ -163,7 +163,7 @@
 func (p *Pool) mine(now time.Duration, k Key) *own {
 	o := p.own[k]
 	if o == nil {
-		o = &own{answered: -1, toldAt: now - p.limits.Every}
+		o = &own{answered: -1, toldAt: now - p.limits.ReportInterval}
 		o.at = now
 		p.own[k] = o
 	}
@@ -172,8 +172,8 @@
 	return o
 }
 
-// Tried notes an attempt of this node's own. One of a backend that is not listed is not kept.
-func (p *Pool) Tried(now time.Duration, k Key, failed bool) {
+// RecordAttempt notes an attempt of this node's own. One of a backend that is not listed is not kept.
+func (p *Pool) RecordAttempt(now time.Duration, k Key, failed bool) {
 	if _, listed := p.list[k]; !listed {
 		return
 	}
@@ -186,9 +186,9 @@
 	}
 }
 
-// Tell takes in a sight of another node's that was seen at a moment, and tells whether it says anything new. One that can't
+// Merge takes in a sight of another node's that was seen at a moment, and tells whether it says anything new. One that can't
 // be true is an error of its sender, and changes nothing.
-func (p *Pool) Tell(number int, incarnation uint64, k Key, s Sight, at time.Duration) (fresh, possible bool) {
+func (p *Pool) Merge(number int, incarnation uint64, k Key, s Observation, at time.Duration) (fresh, possible bool) {
 	if !s.valid() {
 		return false, false
 	}
@@ -210,9 +210,9 @@
 	return true, true
 }
 
-// News is what this node has to tell of backends: those whose verdict changed first, then what it told longest ago.
+// TakeUpdates is what this node has to tell of backends: those whose verdict changed first, then what it told longest ago.
 // It counts as told.
-func (p *Pool) News(now time.Duration, most int) (keys []Key, sights []Sight, urgent int) {
+func (p *Pool) TakeUpdates(now time.Duration, most int) (keys []Key, sights []Observation, urgent int) {
 	type item struct {
 		k      Key
 		urgent bool
@@ -222,7 +222,7 @@
 	for k, o := range p.own {
 		v := o.verdict(now, &p.limits)
 		changed := v != o.told && v != none
-		if changed || now-o.toldAt >= p.limits.Every && o.Tried*o.fade(now, &p.limits) > 0.1 {
+		if changed || now-o.toldAt >= p.limits.ReportInterval && o.Tried*o.fade(now, &p.limits) > 0.1 {
 			all = append(all, item{k, changed, o.toldAt})
 		}
 	}
@@ -239,7 +239,7 @@
 		o := p.mine(now, it.k)
 		o.Seq++
 		o.told, o.toldAt = o.verdict(now, &p.limits), now
-		keys, sights = append(keys, it.k), append(sights, o.Sight)
+		keys, sights = append(keys, it.k), append(sights, o.Observation)
 		if it.urgent {
 			urgent++
 		}
@@ -247,30 +247,30 @@
 	return keys, sights, urgent
 }
 
-// Sights lists all that this node last told, for a full exchange.
-func (p *Pool) Sights(f func(k Key, s Sight, at time.Duration)) {
+// OwnObservations lists all that this node last told, for a full exchange.
+func (p *Pool) OwnObservations(f func(k Key, s Observation, at time.Duration)) {
 	for k, o := range p.own {
 		if o.Seq > 0 {
-			f(k, o.Sight, o.at)
+			f(k, o.Observation, o.at)
 		}
 	}
 }
 
-// Others lists all that others told, for a full exchange.
-func (p *Pool) Others(f func(number int, incarnation uint64, k Key, s Sight, at time.Duration)) {
+// PeerObservations lists all that others told, for a full exchange.
+func (p *Pool) PeerObservations(f func(number int, incarnation uint64, k Key, s Observation, at time.Duration)) {
 	for n, m := range p.members {
 		for k, s := range m.sights {
-			f(n, m.incarnation, k, s.Sight, s.at)
+			f(n, m.incarnation, k, s.Observation, s.at)
 		}
 	}
 }
 
 // Votes are what is held for and against a backend.
 type Votes struct {
-	Key       Key
-	Bad, Good int  // nodes that find it broken, or that it answers; this one included
-	Own       bool // this node is one of the former
-	Out       bool // by hearsay
+	Key                Key
+	Unhealthy, Healthy int  // nodes that find it broken, or that it answers; this one included
+	OwnUnhealthy       bool // this node is one of the former
+	Ejected            bool // by hearsay
 }
 
 // liars are the members whose word counts nothing: they find most of what they tell of broken, and most others disagree.
@@ -332,9 +332,9 @@
 			tally[k] = t
 		}
 		if v == bad {
-			t.Bad++
+			t.Unhealthy++
 		} else {
-			t.Good++
+			t.Healthy++
 		}
 	}
 	for n, m := range p.members {
@@ -348,18 +348,18 @@
 		v := o.verdict(now, &p.limits)
 		count(k, v)
 		if v == bad {
-			tally[k].Own = true
+			tally[k].OwnUnhealthy = true
 		}
 	}
 	answered := func(k Key) bool {
 		o := p.own[k]
-		return o != nil && o.answered >= 0 && now-o.answered <= p.limits.Own
+		return o != nil && o.answered >= 0 && now-o.answered <= p.limits.OwnSuccessWindow
 	}
 	// What this node saw itself goes before what others say.
 	maps.DeleteFunc(p.out, func(k Key, until time.Duration) bool { return now >= until || answered(k) })
 	var agreed []*Votes
 	for k, t := range tally {
-		if !answered(k) && t.Bad >= p.limits.Quorum && t.Bad > t.Good {
+		if !answered(k) && t.Unhealthy >= p.limits.Quorum && t.Unhealthy > t.Healthy {
 			agreed = append(agreed, t)
 		}
 	}
@@ -372,7 +372,7 @@
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(b.Bad-b.Good, a.Bad-a.Good), cmp.Compare(a.Key, b.Key))
+		return cmp.Or(cmp.Compare(b.Unhealthy-b.Healthy, a.Unhealthy-a.Healthy), cmp.Compare(a.Key, b.Key))
 	})
 	sites := map[string]int{}
 	for k := range p.out {
@@ -388,15 +388,15 @@
 			}
 			sites[site]++
 		}
-		p.out[t.Key] = now + p.limits.Hold
+		p.out[t.Key] = now + p.limits.EjectionTime
 	}
 	for k := range p.out {
 		out = append(out, k)
 	}
 	slices.Sort(out)
 	for _, t := range tally {
-		_, t.Out = p.out[t.Key]
-		if t.Bad > 0 || t.Out {
+		_, t.Ejected = p.out[t.Key]
+		if t.Unhealthy > 0 || t.Ejected {
 			votes = append(votes, *t)
 		}
 	}
@@ -410,7 +410,7 @@
 // Prune forgets the sights that tell nothing any more.
 func (p *Pool) Prune(now time.Duration) {
 	for n, m := range p.members {
-		maps.DeleteFunc(m.sights, func(_ Key, s *seen) bool { return now-s.at > 10*p.limits.Memory })
+		maps.DeleteFunc(m.sights, func(_ Key, s *seen) bool { return now-s.at > 10*p.limits.DecayTime })
 		if len(m.sights) == 0 {
 			delete(p.members, n)
 		}
--- a/internal/shared/judgement/judgement_test.go
+++ b/internal/shared/judgement/judgement_test.go
@@ -13,18 +13,18 @@
 
 // pool is one of a node that knows 16 backends in two sites.
 func pool() *Pool {
-	p := New(Usual())
+	p := New(DefaultLimits())
 	var list []Backend
 	for k := Key(1); k <= 16; k++ {
 		list = append(list, Backend{Key: k, Site: []string{"north", "south"}[k%2]})
 	}
-	p.List(list)
+	p.SetBackends(list)
 	return p
 }
 
 // say has a member tell of a backend.
 func say(p *Pool, number int, k Key, seq uint64, tried, failed float64, at time.Duration) bool {
-	fresh, _ := p.Tell(number, 1, k, Sight{seq, tried, failed}, at)
+	fresh, _ := p.Merge(number, 1, k, Observation{seq, tried, failed}, at)
 	return fresh
 }
 
@@ -40,7 +40,7 @@
 	if got := out(p, 0); !slices.Equal(got, []Key{3}) {
 		t.Errorf("two nodes' word takes out %v, want 3", got)
 	}
-	if got := out(p, Usual().Hold-1); !slices.Equal(got, []Key{3}) {
+	if got := out(p, DefaultLimits().EjectionTime-1); !slices.Equal(got, []Key{3}) {
 		t.Errorf("out is %v while it is held", got)
 	}
 	if got := out(p, 20*sec); len(got) > 0 {
@@ -60,7 +60,7 @@
 
 func TestOwnAnswersGoBeforeHearsay(t *testing.T) {
 	p := pool()
-	p.Tried(0, 3, false)
+	p.RecordAttempt(0, 3, false)
 	for n := range 6 {
 		say(p, n, 3, 1, 4, 4, 0)
 	}
@@ -70,7 +70,7 @@
 	if got := out(p, 3*sec/2); !slices.Equal(got, []Key{3}) {
 		t.Errorf("out is %v once that answer is old", got)
 	}
-	p.Tried(8*sec/5, 3, false)
+	p.RecordAttempt(8*sec/5, 3, false)
 	if got := out(p, 8*sec/5); len(got) > 0 {
 		t.Errorf("an answer leaves %v out", got)
 	}
@@ -80,7 +80,7 @@
 	p := pool()
 	say(p, 1, 3, 1, 4, 4, 0)
 	for range 3 {
-		p.Tried(0, 3, true)
+		p.RecordAttempt(0, 3, true)
 	}
 	keys, votes := p.Decide(0)
 	if !slices.Equal(keys, []Key{3}) || len(votes) != 1 || votes[0] != (Votes{3, 2, 0, true, true}) {
@@ -122,8 +122,8 @@
 	if again := out(p, sec); !slices.Equal(again, got) {
 		t.Errorf("out were %v and are %v: those that are out stay so", got, again)
 	}
-	p = New(Usual())
-	p.List([]Backend{{Key: 1, Site: "north"}, {Key: 2, Site: "south"}, {Key: 3, Site: "south"}, {Key: 4, Site: "south"}, {Key: 5, Site: "south"}, {Key: 6, Site: "south"}, {Key: 7, Site: "south"}, {Key: 8, Site: "south"}})
+	p = New(DefaultLimits())
+	p.SetBackends([]Backend{{Key: 1, Site: "north"}, {Key: 2, Site: "south"}, {Key: 3, Site: "south"}, {Key: 4, Site: "south"}, {Key: 5, Site: "south"}, {Key: 6, Site: "south"}, {Key: 7, Site: "south"}, {Key: 8, Site: "south"}})
 	for n := range 3 {
 		say(p, n, 1, 1, 5, 5, 0)
 	}
@@ -147,10 +147,10 @@
 	for k := Key(1); k <= 10; k++ {
 		fewer = append(fewer, Backend{Key: k, Site: []string{"north", "south"}[k%2]})
 	}
-	p.List(fewer)
+	p.SetBackends(fewer)
 	left := 0
 	for k := Key(1); k <= 4; k++ {
-		if p.Out(k) {
+		if p.Ejected(k) {
 			left++
 		}
 	}
@@ -164,24 +164,24 @@
 
 func TestWhatCantBeTrueIsRefused(t *testing.T) {
 	p := pool()
-	for _, s := range []Sight{{1, 2, 3}, {1, -1, 0}, {1, math.NaN(), 0}, {1, math.Inf(1), 0}, {1, 1, math.NaN()}, {1, 1e300, 1}} {
-		if _, possible := p.Tell(1, 1, 3, s, 0); possible {
+	for _, s := range []Observation{{1, 2, 3}, {1, -1, 0}, {1, math.NaN(), 0}, {1, math.Inf(1), 0}, {1, 1, math.NaN()}, {1, 1e300, 1}} {
+		if _, possible := p.Merge(1, 1, 3, s, 0); possible {
 			t.Errorf("%+v is taken in", s)
 		}
 	}
-	if fresh, possible := p.Tell(1, 1, 99, Sight{1, 1, 1}, 0); fresh || !possible {
+	if fresh, possible := p.Merge(1, 1, 99, Observation{1, 1, 1}, 0); fresh || !possible {
 		t.Error("a backend that is not listed here is no fault of its teller, and no news")
 	}
 }
 
 func TestLivesAndTurns(t *testing.T) {
 	p := pool()
-	p.Tell(1, 2, 3, Sight{5, 4, 4}, 0)
+	p.Merge(1, 2, 3, Observation{5, 4, 4}, 0)
 	for _, c := range []struct {
 		life, seq uint64
 		want      bool
 	}{{2, 5, false}, {2, 4, false}, {1, 9, false}, {2, 6, true}, {3, 1, true}} {
-		if fresh, _ := p.Tell(1, c.life, 3, Sight{c.seq, 1, 0}, 0); fresh != c.want {
+		if fresh, _ := p.Merge(1, c.life, 3, Observation{c.seq, 1, 0}, 0); fresh != c.want {
 			t.Errorf("life %d, number %d: new %v", c.life, c.seq, fresh)
 		}
 	}
@@ -190,25 +190,25 @@
 func TestNewsGoesOutOnceAndChangesFirst(t *testing.T) {
 	p := pool()
 	for k := Key(1); k <= 8; k++ {
-		p.Tried(0, k, false)
+		p.RecordAttempt(0, k, false)
 	}
-	keys, sights, urgent := p.News(0, 6)
+	keys, sights, urgent := p.TakeUpdates(0, 6)
 	if len(keys) != 6 || urgent != 6 || sights[0].Tried != 1 {
 		t.Errorf("%v %+v %d", keys, sights, urgent)
 	}
-	if keys, _, _ := p.News(0, 6); len(keys) != 2 {
+	if keys, _, _ := p.TakeUpdates(0, 6); len(keys) != 2 {
 		t.Errorf("then %v, want the other two", keys)
 	}
-	if keys, _, _ := p.News(sec/2, 6); len(keys) != 0 {
+	if keys, _, _ := p.TakeUpdates(sec/2, 6); len(keys) != 0 {
 		t.Errorf("nothing has changed, and %v is told", keys)
 	}
 	for range 5 {
-		p.Tried(sec/2, 8, true)
+		p.RecordAttempt(sec/2, 8, true)
 	}
-	if keys, _, urgent := p.News(sec/2, 6); len(keys) != 1 || keys[0] != 8 || urgent != 1 {
+	if keys, _, urgent := p.TakeUpdates(sec/2, 6); len(keys) != 1 || keys[0] != 8 || urgent != 1 {
 		t.Errorf("what has broken: %v, %d urgent", keys, urgent)
 	}
-	if keys, _, urgent := p.News(3*sec/2, 16); len(keys) != 8 || urgent != 0 {
+	if keys, _, urgent := p.TakeUpdates(3*sec/2, 16); len(keys) != 8 || urgent != 0 {
 		t.Errorf("later %v, %d urgent", keys, urgent)
 	}
 }
@@ -216,7 +216,7 @@
 // Whatever members tell, in whatever order: no more are out than the ceilings allow, each by a quorum, and none that has
 // just answered here.
 func TestCeilingsHold(t *testing.T) {
-	l := Usual()
+	l := DefaultLimits()
 	rapid.Check(t, func(t *rapid.T) {
 		p, now, since := pool(), time.Duration(0), map[Key]time.Duration{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -224,26 +224,26 @@
 			k := Key(rapid.IntRange(1, 18).Draw(t, "backend"))
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				p.Tried(now, k, true)
+				p.RecordAttempt(now, k, true)
 			case 1:
-				p.Tried(now, k, false)
+				p.RecordAttempt(now, k, false)
 				since[k] = now
 			default:
 				tried := rapid.Float64Range(0, 10).Draw(t, "tried")
-				p.Tell(rapid.IntRange(1, 5).Draw(t, "node"), rapid.Uint64Range(1, 2).Draw(t, "life"), k,
-					Sight{rapid.Uint64Range(1, 40).Draw(t, "seq"), tried, tried * float64(rapid.IntRange(0, 1).Draw(t, "bad"))}, now)
+				p.Merge(rapid.IntRange(1, 5).Draw(t, "node"), rapid.Uint64Range(1, 2).Draw(t, "life"), k,
+					Observation{rapid.Uint64Range(1, 40).Draw(t, "seq"), tried, tried * float64(rapid.IntRange(0, 1).Draw(t, "bad"))}, now)
 			}
 			keys, votes := p.Decide(now)
 			if len(keys) > 4 {
 				t.Fatalf("%d of 16 are out", len(keys))
 			}
 			for _, k := range keys {
-				if at, ok := since[k]; ok && now-at <= l.Own && k <= 16 {
+				if at, ok := since[k]; ok && now-at <= l.OwnSuccessWindow && k <= 16 {
 					t.Fatalf("%d is out and answered %v ago", k, now-at)
 				}
 			}
 			for _, v := range votes {
-				if v.Out && !slices.Contains(keys, v.Key) {
+				if v.Ejected && !slices.Contains(keys, v.Key) {
 					t.Fatalf("votes say that %d is out", v.Key)
 				}
 			}
@@ -252,12 +252,12 @@
 }
 
 func BenchmarkDecide(b *testing.B) {
-	p := New(Usual())
+	p := New(DefaultLimits())
 	var list []Backend
 	for k := Key(1); k <= 200; k++ {
 		list = append(list, Backend{Key: k, Site: "north"})
 	}
-	p.List(list)
+	p.SetBackends(list)
 	for n := range 300 {
 		for i := range 6 {
 			say(p, n, Key(1+(n*6+i)%200), 1, 5, float64(n%8/7)*5, 0)
--- a/internal/shared/judgements.go
+++ b/internal/shared/judgements.go
@@ -15,14 +15,14 @@
 	ejectedBy int  // the nodes that found it broken when that last changed
 }
 
-// Outcome records how an attempt at a backend ended.
-func (r *Replica) Outcome(now time.Duration, key judgement.Key, failed bool) {
+// RecordOutcome records how an attempt at a backend ended.
+func (r *Replica) RecordOutcome(now time.Duration, key judgement.Key, failed bool) {
 	r.advance(now)
-	r.pool.Tried(r.clock.now, key, failed)
+	r.pool.RecordAttempt(r.clock.now, key, failed)
 }
 
-// Listed sets the list of backends.
-func (r *Replica) Listed(list []judgement.Backend) {
+// SetBackends sets the list of backends.
+func (r *Replica) SetBackends(list []judgement.Backend) {
 	before := map[judgement.Key]backend{}
 	for _, b := range r.backends {
 		before[b.Key] = b
@@ -32,10 +32,10 @@
 		old := before[b.Key]
 		r.backends = append(r.backends, backend{b, old.ejected, old.ejectedBy})
 	}
-	r.pool.List(list)
+	r.pool.SetBackends(list)
 	for i := range r.backends { // of fewer backends fewer may be ejected
 		b := &r.backends[i]
-		b.ejected = b.ejected && r.pool.Out(b.Key)
+		b.ejected = b.ejected && r.pool.Ejected(b.Key)
 	}
 }
 
@@ -61,8 +61,8 @@
 	args := []any{"backend", b.Name, "site", b.Site}
 	for _, v := range r.votes {
 		if v.Key == b.Key {
-			args = append(args, "against", v.Bad, "for", v.Good)
-			b.ejectedBy = v.Bad
+			args = append(args, "against", v.Unhealthy, "for", v.Healthy)
+			b.ejectedBy = v.Unhealthy
 		}
 	}
 	r.note(text, args...)
@@ -70,12 +70,12 @@
 
 // receiveSight takes in another node's observation of a backend and passes on what is new.
 func (r *Replica) receiveSight(e *packet.Entry, sentAt time.Duration) {
-	isNew, possible := r.pool.Tell(e.Node.Number, e.Node.Incarnation, e.Backend, e.Sight, sentAt)
+	isNew, possible := r.pool.Merge(e.Node.Number, e.Node.Incarnation, e.Backend, e.Observation, sentAt)
 	if !possible {
 		r.stats.Bad++
 		return
 	}
 	if isNew {
-		r.forward(e, sentAt, e.Sight.Failed >= r.cfg.Limits.Least)
+		r.forward(e, sentAt, e.Observation.Failed >= r.cfg.Limits.MinFailures)
 	}
 }
--- a/internal/shared/localcounts.go
+++ b/internal/shared/localcounts.go
@@ -31,21 +31,21 @@
 		}
 	}
 	if cfg.Use.Crossing {
-		for _, site := range cfg.Sites {
+		for _, site := range cfg.OverflowSites {
 			add(crossPrefix + site)
 		}
 	}
 	return local
 }
 
-// Request counts a request of this node's clients.
-func (r *Replica) Request(now time.Duration, tenant string) {
+// CountRequest counts a request of this node's clients.
+func (r *Replica) CountRequest(now time.Duration, tenant string) {
 	r.advance(now)
 	r.count(quotaPrefix + tenant)
 }
 
-// Crossed counts a request of this node's clients that goes to another site because their own is lost.
-func (r *Replica) Crossed(now time.Duration, site string) {
+// CountCrossSite counts a request of this node's clients that goes to another site because their own is lost.
+func (r *Replica) CountCrossSite(now time.Duration, site string) {
 	r.advance(now)
 	r.count(crossPrefix + site)
 }
@@ -58,7 +58,7 @@
 }
 
 // epoch is the current epoch of this node's counts.
-func (r *Replica) epoch() uint64 { return counts.At(r.clock.elapsed()) }
+func (r *Replica) epoch() uint64 { return counts.EpochAt(r.clock.elapsed()) }
 
 // demands returns what is known of each member's rate under a key, by number.
 func (r *Replica) demands(key string) []escrow.Demand {
@@ -67,7 +67,7 @@
 		demands = append(demands, escrow.Demand{Number: r.cfg.Self.Number, Rate: c.Rate()})
 	}
 	r.table.Rates(r.clock.now, key, func(node int, rate float64, age time.Duration) {
-		if m, known := r.roster.Of(node); known && (m.State == roster.Dead || m.State == roster.Left) {
+		if m, known := r.roster.Get(node); known && (m.State == roster.Dead || m.State == roster.Left) {
 			return
 		}
 		demands = append(demands, escrow.Demand{Number: node, Rate: rate, Age: age})
--- a/internal/shared/membership.go
+++ b/internal/shared/membership.go
@@ -12,8 +12,8 @@
 // renewalInterval is the shortest time between two renewals of this node's incarnation.
 const renewalInterval = 10 * time.Second
 
-// Number returns the number of the member with a name; false where no such member was heard of.
-func (r *Replica) Number(name string) (int, bool) {
+// MemberNumber returns the number of the member with a name; false where no such member was heard of.
+func (r *Replica) MemberNumber(name string) (int, bool) {
 	for _, m := range r.roster.Members(r.clock.now) {
 		if m.Name == name {
 			return m.Number, true
@@ -25,15 +25,15 @@
 // Meta returns the description of this node that its membership carries to the others.
 func (r *Replica) Meta() []byte { return packet.Meta{Node: r.cfg.Self, Site: r.cfg.Site}.Encode() }
 
-// Renewed reports, once for each change, that Meta has changed.
-func (r *Replica) Renewed() bool {
+// TakeRenewed reports, once for each change, that Meta has changed.
+func (r *Replica) TakeRenewed() bool {
 	renewed := r.renewed
 	r.renewed = false
 	return renewed
 }
 
-// Joined records that a member is there, with its Meta. The error names the member; it changes nothing but a count.
-func (r *Replica) Joined(now time.Duration, name string, meta []byte) error {
+// MemberJoined records that a member is there, with its Meta. The error names the member; it changes nothing but a count.
+func (r *Replica) MemberJoined(now time.Duration, name string, meta []byte) error {
 	r.advance(now)
 	m, err := packet.DecodeMeta(meta)
 	if err != nil {
@@ -41,12 +41,12 @@
 		return fmt.Errorf("member %s: %w", name, err)
 	}
 	member := roster.Member{Name: name, Number: m.Node.Number, Incarnation: m.Node.Incarnation, Site: m.Site}
-	switch r.roster.Hear(member, r.clock.now) {
+	switch r.roster.Update(member, r.clock.now) {
 	case roster.Joined:
 		r.note("a member is here", "member", name, "number", m.Node.Number, "site", m.Site)
-	case roster.Again:
+	case roster.Restarted:
 		r.noteRestart(member)
-	case roster.Clash:
+	case roster.Conflict:
 		r.note("another member has a number that is taken: give each node its own", "member", name, "number", m.Node.Number)
 	case roster.Stale:
 		r.stats.Stale++
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// Gone records that a member is suspected or dead, by the Meta that it last sent. One that can't be read is ignored.
-func (r *Replica) Gone(now time.Duration, meta []byte, state roster.State) {
+// MemberDown records that a member is suspected or dead, by the Meta that it last sent. One that can't be read is ignored.
+func (r *Replica) MemberDown(now time.Duration, meta []byte, state roster.State) {
 	r.advance(now)
 	if m, err := packet.DecodeMeta(meta); err == nil {
 		r.setState(m.Node, state)
@@ -64,16 +64,16 @@
 
 // setState records the state of a member that is not alive.
 func (r *Replica) setState(node escrow.Node, state roster.State) {
-	if r.roster.Set(node.Number, node.Incarnation, state) {
-		m, _ := r.roster.Of(node.Number)
+	if r.roster.SetState(node.Number, node.Incarnation, state) {
+		m, _ := r.roster.Get(node.Number)
 		r.note("a member is not here", "member", m.Name, "number", node.Number, "state", state.String())
 	}
 }
 
 // heardFrom records that a member sent something at a moment.
 func (r *Replica) heardFrom(node escrow.Node, sentAt time.Duration) {
-	if r.roster.Heard(node.Number, node.Incarnation, sentAt) {
-		m, _ := r.roster.Of(node.Number)
+	if r.roster.RecordContact(node.Number, node.Incarnation, sentAt) {
+		m, _ := r.roster.Get(node.Number)
 		r.noteRestart(m)
 	}
 }
@@ -93,7 +93,7 @@
 	r.renewed = true
 	r.cfg.Self.Incarnation = heard + 1
 	r.ledger = escrow.New(r.cfg.Terms, r.cfg.Self, r.cfg.Nodes, r.clock.caller)
-	r.roster.Renew(r.cfg.Self.Incarnation)
+	r.roster.SetIncarnation(r.cfg.Self.Incarnation)
 	for _, c := range r.localCounts {
 		c.Incarnation = r.cfg.Self.Incarnation
 	}
--- a/internal/shared/packet/packet.go
+++ b/internal/shared/packet/packet.go
@@ -24,27 +24,27 @@
 type Kind uint8
 
 const (
-	Window Kind = iota + 1 // Key, Window: what Node has counted
-	Sight                  // Backend, Sight: what Node has seen of a backend
-	Ask                    // Key, Nonce, Grains: Node asks for part of a budget
-	Grant                  // Key, Nonce, Grains, To: Node has lent it
-	Return                 // Key, Nonce: Node holds nothing any more of what it was lent up to there
-	Leave                  // Node ends
+	Window      Kind = iota + 1 // Key, Window: what Node has counted
+	Observation                 // Backend, Sight: what Node has seen of a backend
+	LoanRequest                 // Key, Nonce, Grains: Node asks for part of a budget
+	Grant                       // Key, Nonce, Grains, To: Node has lent it
+	Return                      // Key, Nonce: Node holds nothing any more of what it was lent up to there
+	Leave                       // Node ends
 	kinds
 )
 
 // Entry is one thing that a node says. Only the fields of its kind are written.
 type Entry struct {
-	Kind    Kind
-	Node    escrow.Node   // who says it
-	Age     time.Duration // since it was true, whole milliseconds
-	Key     string        // of a count, or of a budget
-	Window  counts.Window
-	Backend judgement.Key
-	Sight   judgement.Sight
-	Nonce   uint64
-	Grains  int64
-	To      escrow.Node
+	Kind        Kind
+	Node        escrow.Node   // who says it
+	Age         time.Duration // since it was true, whole milliseconds
+	Key         string        // of a count, or of a budget
+	Window      counts.Window
+	Backend     judgement.Key
+	Observation judgement.Observation
+	Nonce       uint64
+	Grains      int64
+	To          escrow.Node
 }
 
 const (
@@ -96,7 +96,7 @@
 	b = varint(b, fNumber, uint64(e.Node.Number))
 	b = varint(b, fIncarnation, e.Node.Incarnation)
 	b = protowire.AppendFixed32(protowire.AppendTag(b, fAge, protowire.Fixed32Type), uint32(min(millis(e.Age), math.MaxUint32)))
-	if e.Kind != Sight {
+	if e.Kind != Observation {
 		b = protowire.AppendString(protowire.AppendTag(b, fKey, protowire.BytesType), e.Key)
 	}
 	switch e.Kind {
@@ -107,12 +107,12 @@
 			packed = protowire.AppendVarint(packed, n)
 		}
 		b = protowire.AppendBytes(protowire.AppendTag(b, fCounts, protowire.BytesType), packed)
-	case Sight:
+	case Observation:
 		b = protowire.AppendFixed64(protowire.AppendTag(b, fBackend, protowire.Fixed64Type), uint64(e.Backend))
-		b = varint(b, fSeq, e.Sight.Seq)
-		b = varint(b, fTried, rounded(e.Sight.Tried))
-		b = varint(b, fFailed, min(rounded(e.Sight.Failed), rounded(e.Sight.Tried)))
-	case Ask, Grant, Return:
+		b = varint(b, fSeq, e.Observation.Seq)
+		b = varint(b, fTried, rounded(e.Observation.Tried))
+		b = varint(b, fFailed, min(rounded(e.Observation.Failed), rounded(e.Observation.Tried)))
+	case LoanRequest, Grant, Return:
 		b = varint(b, fNonce, e.Nonce)
 		b = varint(b, fGrains, uint64(max(0, e.Grains)))
 		if e.Kind == Grant {
@@ -196,7 +196,7 @@
 				if size < 0 {
 					return protowire.ParseError(size)
 				}
-				if i < counts.Epochs {
+				if i < counts.WindowEpochs {
 					e.Window.Counts[i] = n
 				}
 				text = text[size:]
@@ -204,16 +204,16 @@
 		case fBackend:
 			e.Backend = judgement.Key(v)
 		case fSeq:
-			e.Sight.Seq = v
+			e.Observation.Seq = v
 		case fTried:
-			e.Sight.Tried = float64(v) / parts
+			e.Observation.Tried = float64(v) / parts
 		case fFailed:
-			e.Sight.Failed = float64(v) / parts
+			e.Observation.Failed = float64(v) / parts
 		case fNonce:
 			e.Nonce = v
 		case fGrains:
-			if v > uint64(escrow.Whole) {
-				return fmt.Errorf("%d grains, and a budget has %d", v, escrow.Whole)
+			if v > uint64(escrow.BudgetGrains) {
+				return fmt.Errorf("%d grains, and a budget has %d", v, escrow.BudgetGrains)
 			}
 			e.Grains = int64(v)
 		}
--- a/internal/shared/packet/packet_test.go
+++ b/internal/shared/packet/packet_test.go
@@ -25,17 +25,17 @@
 	case Window:
 		e.Key = rapid.StringN(0, 20, 80).Draw(t, "key")
 		e.Window.Epoch = rapid.Uint64().Draw(t, "epoch")
-		for i := range counts.Epochs {
+		for i := range counts.WindowEpochs {
 			e.Window.Counts[i] = rapid.Uint64().Draw(t, "count")
 		}
-	case Sight:
+	case Observation:
 		e.Backend = judgement.Key(rapid.Uint64().Draw(t, "backend"))
 		tried := rapid.IntRange(0, 1000).Draw(t, "tried")
-		e.Sight = judgement.Sight{Seq: rapid.Uint64().Draw(t, "seq"), Tried: float64(tried) / parts,
+		e.Observation = judgement.Observation{Seq: rapid.Uint64().Draw(t, "seq"), Tried: float64(tried) / parts,
 			Failed: float64(rapid.IntRange(0, tried).Draw(t, "failed")) / parts}
-	case Ask, Grant, Return:
+	case LoanRequest, Grant, Return:
 		e.Key = rapid.StringN(0, 20, 80).Draw(t, "budget")
-		e.Nonce, e.Grains = rapid.Uint64().Draw(t, "nonce"), rapid.Int64Range(0, escrow.Whole).Draw(t, "grains")
+		e.Nonce, e.Grains = rapid.Uint64().Draw(t, "nonce"), rapid.Int64Range(0, escrow.BudgetGrains).Draw(t, "grains")
 		if e.Kind == Grant {
 			e.To = node(t, "to")
 		}
@@ -65,7 +65,7 @@
 
 // What a version after this one writes: fields and kinds that are not known here, between those that are.
 func TestTheNextVersion(t *testing.T) {
-	known := Entry{Kind: Ask, Node: escrow.Node{Number: 3, Incarnation: 7}, Key: "quota/a", Nonce: 4, Grains: 1000,
+	known := Entry{Kind: LoanRequest, Node: escrow.Node{Number: 3, Incarnation: 7}, Key: "quota/a", Nonce: 4, Grains: 1000,
 		Window: counts.Window{Incarnation: 7}}
 	grown := protowire.AppendString(protowire.AppendTag(known.append(nil), 40, protowire.BytesType), "a field of the future")
 	grown = protowire.AppendFixed64(protowire.AppendTag(grown, 41, protowire.Fixed64Type), 1)
@@ -82,13 +82,13 @@
 }
 
 func TestWhatNoVersionWrites(t *testing.T) {
-	good := Frame(Entry{Kind: Ask, Key: "b", Grains: 5})
+	good := Frame(Entry{Kind: LoanRequest, Key: "b", Grains: 5})
 	for name, b := range map[string][]byte{
 		"cut off":           good[:len(good)-1],
 		"no version":        good[2:],
-		"grains":            Frame(Entry{Kind: Ask, Grains: escrow.Whole + 1}),
-		"a long key":        Frame(Entry{Kind: Ask, Key: string(make([]byte, maxKey+1))}),
-		"a number":          Frame(Entry{Kind: Ask, Node: escrow.Node{Number: maxNumber + 1}}),
+		"grains":            Frame(Entry{Kind: LoanRequest, Grains: escrow.BudgetGrains + 1}),
+		"a long key":        Frame(Entry{Kind: LoanRequest, Key: string(make([]byte, maxKey+1))}),
+		"a number":          Frame(Entry{Kind: LoanRequest, Node: escrow.Node{Number: maxNumber + 1}}),
 		"no fields":         {0xff, 0xff},
 		"entry as a number": varint(varint(nil, fVersion, 1), fEntry, 9),
 	} {
@@ -99,7 +99,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(Frame(Entry{Kind: Window, Key: "tenant"}, Entry{Kind: Sight, Backend: 5, Sight: judgement.Sight{Seq: 1, Tried: 2, Failed: 1}},
+	f.Add(Frame(Entry{Kind: Window, Key: "tenant"}, Entry{Kind: Observation, Backend: 5, Observation: judgement.Observation{Seq: 1, Tried: 2, Failed: 1}},
 		Entry{Kind: Grant, Key: "quota/a", Nonce: 3, Grains: 5, To: escrow.Node{Number: 1, Incarnation: 2}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		all, _, err := Decode(b)
--- a/internal/shared/queue_test.go
+++ b/internal/shared/queue_test.go
@@ -27,14 +27,14 @@
 			}
 		}
 	}
-	f.run(2*time.Minute, func(_ int, r *Replica) { r.Request(f.now, "a") })
+	f.run(2*time.Minute, func(_ int, r *Replica) { r.CountRequest(f.now, "a") })
 	for i, r := range f.nodes {
 		for _, tenant := range tenants {
 			heard := 0
 			r.table.Rates(r.clock.now, quotaPrefix+tenant, func(of int, _ float64, age time.Duration) {
 				heard++
-				if age > 3*r.Again() {
-					t.Errorf("node %d has a count of node %d for tenant %s that is %v old; each is told every %v", i, of, tenant, age, r.Again())
+				if age > 3*r.RepeatInterval() {
+					t.Errorf("node %d has a count of node %d for tenant %s that is %v old; each is told every %v", i, of, tenant, age, r.RepeatInterval())
 				}
 			})
 			if heard != nodes-1 {
--- a/internal/shared/receive.go
+++ b/internal/shared/receive.go
@@ -33,7 +33,7 @@
 		return Message{}, false
 	}
 	r.stats.Received++
-	if !r.roster.Believe(e.Node.Number, e.Node.Incarnation) {
+	if !r.roster.Accepts(e.Node.Number, e.Node.Incarnation) {
 		r.stats.Stale++
 		return Message{}, false
 	}
@@ -42,9 +42,9 @@
 	switch e.Kind {
 	case packet.Window:
 		r.receiveWindow(e, sentAt)
-	case packet.Sight:
+	case packet.Observation:
 		r.receiveSight(e, sentAt)
-	case packet.Ask:
+	case packet.LoanRequest:
 		return r.receiveAsk(now, e)
 	case packet.Grant:
 		r.receiveGrant(now, e)
@@ -65,7 +65,7 @@
 
 // receiveWindow takes in another node's count and passes on what is new.
 func (r *Replica) receiveWindow(e *packet.Entry, sentAt time.Duration) {
-	if r.table.Tell(e.Key, e.Node.Number, e.Window, sentAt) {
+	if r.table.Merge(e.Key, e.Node.Number, e.Window, sentAt) {
 		r.forward(e, sentAt, false)
 	}
 }
--- a/internal/shared/replica.go
+++ b/internal/shared/replica.go
@@ -30,18 +30,18 @@
 
 // Config is what a replica is made from.
 type Config struct {
-	Name    string             // this node's name
-	Self    escrow.Node        // its number and incarnation
-	Nodes   int                // number of nodes that the settings name, this one included
-	Site    string             // where this node is
-	Quotas  map[string]float64 // by tenant, in requests a second over all nodes
-	Sites   []string           // sites that may get the load of lost ones
-	Terms   escrow.Terms       // of loans between nodes
-	Limits  judgement.Limits   // of judgements on backends
-	Use     Use
-	BytesPS int // bytes that this node may send in a second
-
-	Datagram int // size of the largest datagram in bytes
+	Name           string             // this node's name
+	Self           escrow.Node        // its number and incarnation
+	Nodes          int                // number of nodes that the settings name, this one included
+	Site           string             // where this node is
+	Quotas         map[string]float64 // by tenant, in requests a second over all nodes
+	OverflowSites  []string           // sites that may get the load of lost ones
+	Terms          escrow.Terms       // of loans between nodes
+	Limits         judgement.Limits   // of judgements on backends
+	Use            Use
+	BytesPerSecond int // bytes that this node may send in a second
+
+	DatagramBytes int // size of the largest datagram in bytes
 }
 
 // Message is a frame for one member.
@@ -97,7 +97,7 @@
 		tokens:         maxBurst,
 		repeatInterval: minRepeatInterval,
 	}
-	fleetSize := func() int { return r.roster.Size() + 1 }
+	fleetSize := func() int { return r.roster.PeerCount() + 1 }
 	r.urgentQueue = newQueue(fleetSize, urgentRetransmitFactor)
 	r.ordinaryQueue = newQueue(fleetSize, retransmitFactor)
 	return r
@@ -108,7 +108,7 @@
 func (r *Replica) Step(now time.Duration) []Message {
 	r.advance(now)
 	r.refillTokens()
-	r.roster.Fresh(r.staleAfter())
+	r.roster.SetStaleAfter(r.staleAfter())
 	r.queueNews()
 	messages := r.planLoans(now)
 	if r.cfg.Use.Ejections {
--- a/internal/shared/replica_test.go
+++ b/internal/shared/replica_test.go
@@ -37,7 +37,7 @@
 
 func config(i, n int, life uint64) Config {
 	return Config{Name: fmt.Sprintf("n%d", i), Self: escrow.Node{Number: i, Incarnation: life}, Nodes: n, Site: []string{"north", "south"}[i%2],
-		Quotas: map[string]float64{"a": quotaPS, "none": 0}, Terms: escrow.Usual(), Limits: judgement.Usual(), Use: Use{Escrow: true, Ejections: true}, BytesPS: 64 << 10, Datagram: 1400}
+		Quotas: map[string]float64{"a": quotaPS, "none": 0}, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: Use{Escrow: true, Ejections: true}, BytesPerSecond: 64 << 10, DatagramBytes: 1400}
 }
 
 func newFleet(t testing.TB, n int) *fleet {
@@ -61,7 +61,7 @@
 func (f *fleet) restart(i int) {
 	f.lives[i]++
 	f.nodes[i] = New(config(i, len(f.nodes), f.lives[i]), f.now)
-	f.nodes[i].Listed(backends())
+	f.nodes[i].SetBackends(backends())
 	for j, o := range f.nodes {
 		if j != i && o != nil && !f.cut(i, j) {
 			f.meet(i, j)
@@ -71,7 +71,7 @@
 }
 
 func (f *fleet) meet(i, j int) {
-	if err := f.nodes[i].Joined(f.now, f.nodes[j].cfg.Name, f.nodes[j].Meta()); err != nil {
+	if err := f.nodes[i].MemberJoined(f.now, f.nodes[j].cfg.Name, f.nodes[j].Meta()); err != nil {
 		f.t.Fatal(err)
 	}
 }
@@ -121,7 +121,7 @@
 
 func (f *fleet) sum() (sum float64, each []float64) {
 	for _, r := range f.nodes {
-		q := quotaPS * r.Report(f.now).Parts[0].Spendable
+		q := quotaPS * r.Report(f.now).Budgets[0].Spendable
 		sum, each = sum+q, append(each, q)
 	}
 	return sum, each
@@ -133,17 +133,17 @@
 	f.run(15*time.Second, func(i int, r *Replica) {
 		if i == 2 {
 			for range 5 {
-				r.Request(f.now, "a")
+				r.CountRequest(f.now, "a")
 			}
 		}
-		r.Request(f.now, "none")
-		r.Request(f.now, "of no share")
+		r.CountRequest(f.now, "none")
+		r.CountRequest(f.now, "of no share")
 	})
 	sum, each := f.sum()
 	if sum > quotaPS*(1+1e-6) || each[2] < 0.7*quotaPS {
 		t.Errorf("%.1f in all, each %.1f, want node 2 to have most of %.0f", sum, each, quotaPS)
 	}
-	if _, ok := f.nodes[0].table.Of("quota/none", 1); ok {
+	if _, ok := f.nodes[0].table.Get("quota/none", 1); ok {
 		t.Error("what has no share is counted")
 	}
 }
@@ -156,13 +156,13 @@
 	}
 	f.run(15*time.Second, func(i int, r *Replica) { // 420 a second, and 100 are the share
 		for range 1 + i {
-			r.Request(f.now, "a")
+			r.CountRequest(f.now, "a")
 		}
 	})
 	whole := 0.0
 	for i, r := range f.nodes {
 		whole += r.localCounts["quota/a"].Rate()
-		if got := r.View(f.now).Within["a"]; got < 0.22 || got > 0.27 {
+		if got := r.View(f.now).QuotaFractions["a"]; got < 0.22 || got > 0.27 {
 			t.Errorf("node %d: %.3f of its requests lie within, want 100 of %d", i, got, 20*21)
 		}
 	}
@@ -173,11 +173,11 @@
 	for range 100 {
 		f.now += 50 * time.Millisecond
 		for range 6 {
-			alone.Request(f.now, "a")
+			alone.CountRequest(f.now, "a")
 		}
 		alone.Step(f.now)
 	}
-	if got, want := alone.View(f.now).Within["a"], quotaPS/6/120; got < 0.9*want || got > 1.1*want {
+	if got, want := alone.View(f.now).QuotaFractions["a"], quotaPS/6/120; got < 0.9*want || got > 1.1*want {
 		t.Errorf("alone %.3f, want its sixth of the share: %.3f", got, want)
 	}
 }
@@ -206,7 +206,7 @@
 			}
 			f.run(time.Duration(rapid.IntRange(100, 3000).Draw(t, "ms"))*time.Millisecond, func(i int, r *Replica) {
 				if i == hot || f.rng.IntN(10) == 0 {
-					r.Request(f.now, "a")
+					r.CountRequest(f.now, "a")
 				}
 				sum, each := f.sum()
 				if sum > quotaPS*(1+1e-6) {
@@ -229,14 +229,14 @@
 	f.run(4*time.Second, func(i int, r *Replica) {
 		for _, b := range backends() {
 			if i < 3 && f.now%(500*time.Millisecond) == 0 { // half of the nodes use it, the others will not have to
-				r.Outcome(f.now, b.Key, b.Key == bad)
+				r.RecordOutcome(f.now, b.Key, b.Key == bad)
 			}
 		}
 	})
 	for i, r := range f.nodes {
 		v := r.View(f.now)
-		if len(v.Out) != 1 || v.Out[0] != bad {
-			t.Errorf("node %d leaves out %v, want the one that fails", i, v.Out)
+		if len(v.Ejected) != 1 || v.Ejected[0] != bad {
+			t.Errorf("node %d leaves out %v, want the one that fails", i, v.Ejected)
 		}
 		ev := v.Event(func(k judgement.Key) (uint32, bool) { return 7, k == bad })
 		if ev.Kind != policy.EvShared || len(ev.Shared.Out) != 1 || ev.Shared.Out[0] != 7 {
@@ -257,20 +257,20 @@
 	f := newFleet(t, 2)
 	f.lives[1] = 1000
 	f.restart(1)
-	f.nodes[1].Request(f.now, "a")
-	f.run(5*time.Second, func(_ int, r *Replica) { r.Request(f.now, "a") })
+	f.nodes[1].CountRequest(f.now, "a")
+	f.run(5*time.Second, func(_ int, r *Replica) { r.CountRequest(f.now, "a") })
 	f.lives[1] = 10
 	f.restart(1)
 	if f.nodes[1].cfg.Self.Incarnation != 11 {
 		t.Fatal("the test has another life in mind")
 	}
 	f.carry(0, 1, f.nodes[0].State(f.now))
-	if got := f.nodes[1].cfg.Self.Incarnation; got != 1002 || !f.nodes[1].Renewed() || f.nodes[1].Renewed() {
+	if got := f.nodes[1].cfg.Self.Incarnation; got != 1002 || !f.nodes[1].TakeRenewed() || f.nodes[1].TakeRenewed() {
 		t.Errorf("it goes on as life %d, want 1002, and tells so once", got)
 	}
 	f.meet(0, 1)
-	f.run(5*time.Second, func(_ int, r *Replica) { r.Request(f.now, "a") })
-	if w, ok := f.nodes[0].table.Of("quota/a", 1); !ok || w.Incarnation != 1002 {
+	f.run(5*time.Second, func(_ int, r *Replica) { r.CountRequest(f.now, "a") })
+	if w, ok := f.nodes[0].table.Get("quota/a", 1); !ok || w.Incarnation != 1002 {
 		t.Errorf("the other knows of life %d", w.Incarnation)
 	}
 }
@@ -280,7 +280,7 @@
 	f := newFleet(t, 6)
 	for i := range f.nodes {
 		c := config(i, 6, 9)
-		c.Use, c.Sites = Use{Crossing: true}, []string{"east", "west"}
+		c.Use, c.OverflowSites = Use{Crossing: true}, []string{"east", "west"}
 		f.lives[i] = 9
 		f.nodes[i] = New(c, f.now)
 	}
@@ -294,21 +294,21 @@
 	for range 10 {
 		f.run(time.Second, func(i int, r *Replica) {
 			if i < 2 {
-				r.Crossed(f.now, "east")
+				r.CountCrossSite(f.now, "east")
 			}
 		})
 		sum := 0.0
 		for _, r := range f.nodes {
-			sum += r.View(f.now).Cross["east"]
+			sum += r.View(f.now).OverflowShares["east"]
 		}
 		if sum > 1.0001 {
 			t.Fatalf("%.3f of the whole can be brought there", sum)
 		}
 	}
-	if has := f.nodes[0].View(f.now).Cross["east"] + f.nodes[1].View(f.now).Cross["east"]; has < 0.7 {
+	if has := f.nodes[0].View(f.now).OverflowShares["east"] + f.nodes[1].View(f.now).OverflowShares["east"]; has < 0.7 {
 		t.Errorf("the two nodes that need it have %.2f", has)
 	}
-	if has := f.nodes[0].View(f.now).Cross["west"]; has < 0.16 || has > 0.17 {
+	if has := f.nodes[0].View(f.now).OverflowShares["west"]; has < 0.16 || has > 0.17 {
 		t.Errorf("of what nobody needs one has %.2f, and owns a sixth", has)
 	}
 	if f.nodes[0].isBudget("cross/north") || !f.nodes[0].isBudget("cross/west") {
@@ -325,7 +325,7 @@
 		if i == 60 {
 			f.now -= 10 * time.Second
 		}
-		r.Request(f.now, "a")
+		r.CountRequest(f.now, "a")
 		r.Step(f.now)
 		if rate := r.localCounts[quotaPrefix+"a"].Rate(); i > 10 && (rate < 9 || rate > 11) {
 			t.Fatalf("request %d, one each 100 ms: a rate of %.1f", i, rate)
@@ -338,12 +338,12 @@
 	if _, err := f.nodes[0].Receive(f.now, []byte("GET / HTTP/1.1")); err == nil {
 		t.Error("what is no frame is taken")
 	}
-	if err := f.nodes[0].Joined(f.now, "x", []byte{1, 2, 3}); err == nil {
+	if err := f.nodes[0].MemberJoined(f.now, "x", []byte{1, 2, 3}); err == nil {
 		t.Error("a member that says nonsense of itself is taken")
 	}
 	// An ask for a budget that there is not, and words of a life that is over, get no answer.
-	ask := packet.Entry{Kind: packet.Ask, Node: escrow.Node{Number: 1, Incarnation: 2}, Key: "quota/none", Nonce: 1, Grains: 5}
-	old := packet.Entry{Kind: packet.Ask, Node: escrow.Node{Number: 1, Incarnation: 1}, Key: "quota/a", Nonce: 1, Grains: 5}
+	ask := packet.Entry{Kind: packet.LoanRequest, Node: escrow.Node{Number: 1, Incarnation: 2}, Key: "quota/none", Nonce: 1, Grains: 5}
+	old := packet.Entry{Kind: packet.LoanRequest, Node: escrow.Node{Number: 1, Incarnation: 1}, Key: "quota/a", Nonce: 1, Grains: 5}
 	window := packet.Entry{Kind: packet.Window, Node: escrow.Node{Number: 1, Incarnation: 1}, Key: "quota/a", Window: counts.Window{Incarnation: 1, Epoch: 3}}
 	if out, err := f.nodes[0].Receive(f.now, packet.Frame(ask, old, window)); err != nil || len(out) > 0 {
 		t.Errorf("%d answers, %v", len(out), err)
@@ -351,7 +351,7 @@
 	if r := f.nodes[0].Report(f.now); r.Stats.Stale != 2 || r.Stats.Bad != 2 || len(r.Members) != 2 {
 		t.Errorf("%+v", r.Stats)
 	}
-	f.nodes[0].Gone(f.now, f.nodes[1].Meta(), roster.Dead)
+	f.nodes[0].MemberDown(f.now, f.nodes[1].Meta(), roster.Dead)
 	if r := f.nodes[0].Report(f.now); r.Count.Lower != 2 || r.Count.Upper != 3 || r.Members[0].State != "dead" {
 		t.Errorf("%+v %+v", r.Count, r.Members)
 	}
@@ -364,10 +364,10 @@
 		load := func(i int, r *Replica) {
 			for _, b := range backends() {
 				if f.rng.IntN(20) == 0 {
-					r.Outcome(f.now, b.Key, false)
+					r.RecordOutcome(f.now, b.Key, false)
 				}
 			}
-			r.Request(f.now, "a")
+			r.CountRequest(f.now, "a")
 		}
 		f.run(5*time.Second, load) // the burst of a start
 		f.bytes = 0
@@ -400,10 +400,10 @@
 				f.run(4*time.Second, func(i int, r *Replica) {
 					if f.now == from && (i == first || i == second) {
 						for range 4 {
-							r.Outcome(f.now, bad, true)
+							r.RecordOutcome(f.now, bad, true)
 						}
 					}
-					if at[i] == 0 && len(r.View(f.now).Out) > 0 {
+					if at[i] == 0 && len(r.View(f.now).Ejected) > 0 {
 						at[i] = f.now - from
 					}
 				})
@@ -423,11 +423,11 @@
 
 func BenchmarkReceive(b *testing.B) {
 	f := newFleet(b, 30)
-	f.run(2*time.Second, func(i int, r *Replica) { r.Outcome(f.now, backends()[i%8].Key, false) })
+	f.run(2*time.Second, func(i int, r *Replica) { r.RecordOutcome(f.now, backends()[i%8].Key, false) })
 	var frames [][]byte
 	for i := range uint64(1000) {
-		frames = append(frames, packet.Frame(packet.Entry{Kind: packet.Sight, Node: escrow.Node{Number: 1 + int(i%29), Incarnation: 2}, Backend: Key("3", 0),
-			Sight: judgement.Sight{Seq: 1000 + i, Tried: 3, Failed: 1}}))
+		frames = append(frames, packet.Frame(packet.Entry{Kind: packet.Observation, Node: escrow.Node{Number: 1 + int(i%29), Incarnation: 2}, Backend: Key("3", 0),
+			Observation: judgement.Observation{Seq: 1000 + i, Tried: 3, Failed: 1}}))
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -443,8 +443,8 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			f := newFleet(b, n)
 			f.run(2*time.Second, func(i int, r *Replica) {
-				r.Request(f.now, "a")
-				r.Outcome(f.now, backends()[i%8].Key, false)
+				r.CountRequest(f.now, "a")
+				r.RecordOutcome(f.now, backends()[i%8].Key, false)
 			})
 			b.ReportAllocs()
 			b.ResetTimer()
--- a/internal/shared/roster/roster.go
+++ b/internal/shared/roster/roster.go
@@ -15,10 +15,10 @@
 type State uint8
 
 const (
-	Alive   State = iota // it was heard of lately
-	Doubted              // it is said to be there, and has said nothing itself for a while
-	Dead                 // the others have given it up
-	Left                 // it has said goodbye
+	Alive     State = iota // it was heard of lately
+	Suspected              // it is said to be there, and has said nothing itself for a while
+	Dead                   // the others have given it up
+	Left                   // it has said goodbye
 )
 
 func (s State) String() string { return [...]string{"alive", "doubted", "dead", "left"}[s] }
@@ -30,7 +30,7 @@
 	Incarnation uint64
 	Site        string
 	State       State
-	Heard       time.Duration // when the latest word from it was said, by this node's clock
+	LastHeard   time.Duration // when the latest word from it was said, by this node's clock
 }
 
 // Count is how many nodes there are: Lower that are surely there, Upper that there may be. Age is that of the oldest word
@@ -54,78 +54,78 @@
 	return &Roster{self: self, nodes: nodes, fresh: fresh, members: map[int]*Member{}}
 }
 
-// Fresh sets for how long after its latest word a member counts as surely there.
-func (r *Roster) Fresh(d time.Duration) { r.fresh = d }
+// SetStaleAfter sets for how long after its latest word a member counts as surely there.
+func (r *Roster) SetStaleAfter(d time.Duration) { r.fresh = d }
 
-// Verdict is what becomes of news of a member.
-type Verdict uint8
+// UpdateResult is what becomes of news of a member.
+type UpdateResult uint8
 
 const (
-	Known  Verdict = iota // nothing but its age is new
-	Joined                // it was not there before, or not as alive
-	Again                 // it is a later life under its number
-	Stale                 // an earlier life than the one that is known: to be ignored
-	Clash                 // another node has the number: to be ignored, and told to somebody
+	Unchanged UpdateResult = iota // nothing but its age is new
+	Joined                        // it was not there before, or not as alive
+	Restarted                     // it is a later life under its number
+	Stale                         // an earlier life than the one that is known: to be ignored
+	Conflict                      // another node has the number: to be ignored, and told to somebody
 )
 
-// Hear takes in a word from a member, said at a moment. Nothing that a life says counts once a later one was heard of.
-func (r *Roster) Hear(m Member, at time.Duration) Verdict {
+// Update takes in a word from a member, said at a moment. Nothing that a life says counts once a later one was heard of.
+func (r *Roster) Update(m Member, at time.Duration) UpdateResult {
 	if m.Number == r.self.Number {
 		if m.Name == r.self.Name && m.Incarnation <= r.self.Incarnation {
 			return Stale
 		}
-		return Clash
+		return Conflict
 	}
 	old := r.members[m.Number]
 	switch {
 	case old == nil:
-		m.Heard = at
+		m.LastHeard = at
 		r.members[m.Number] = &m
 		return Joined
-	case old.Name != m.Name && old.State == Alive && at-old.Heard < r.fresh:
-		return Clash
+	case old.Name != m.Name && old.State == Alive && at-old.LastHeard < r.fresh:
+		return Conflict
 	case m.Incarnation < old.Incarnation:
 		return Stale
 	case m.Incarnation > old.Incarnation:
-		m.Heard, m.State = at, Alive
+		m.LastHeard, m.State = at, Alive
 		*old = m
-		return Again
+		return Restarted
 	}
-	old.Heard = max(old.Heard, at)
+	old.LastHeard = max(old.LastHeard, at)
 	if old.State != Alive {
 		old.State = Alive
 		return Joined
 	}
-	return Known
+	return Unchanged
 }
 
-// Renew has this node live on under a later incarnation.
-func (r *Roster) Renew(incarnation uint64) { r.self.Incarnation = incarnation }
+// SetIncarnation has this node live on under a later incarnation.
+func (r *Roster) SetIncarnation(incarnation uint64) { r.self.Incarnation = incarnation }
 
-// Believe tells whether what a life under a number says is to be believed: not where a later one is known.
-func (r *Roster) Believe(number int, incarnation uint64) bool {
+// Accepts tells whether what a life under a number says is to be believed: not where a later one is known.
+func (r *Roster) Accepts(number int, incarnation uint64) bool {
 	old := r.members[number]
 	return number != r.self.Number && (old == nil || incarnation >= old.Incarnation)
 }
 
-// Heard notes a word that a member said at a moment, in anything that came from it, and tells whether it is of a later life than
+// RecordContact notes a word that a member said at a moment, in anything that came from it, and tells whether it is of a later life than
 // was known: who restarts quickly is not always found out otherwise, as others may pass its words on before it has joined anew.
-func (r *Roster) Heard(number int, incarnation uint64, at time.Duration) (later bool) {
+func (r *Roster) RecordContact(number int, incarnation uint64, at time.Duration) (later bool) {
 	old := r.members[number]
 	switch {
 	case old == nil || incarnation < old.Incarnation:
 	case incarnation > old.Incarnation:
-		old.Incarnation, old.Heard, old.State = incarnation, at, Alive
+		old.Incarnation, old.LastHeard, old.State = incarnation, at, Alive
 		return true
 	default:
-		old.Heard = max(old.Heard, at)
+		old.LastHeard = max(old.LastHeard, at)
 	}
 	return false
 }
 
-// Set notes a member's standing, and tells whether that is new. It counts for the named life only; one that has left is
+// SetState notes a member's standing, and tells whether that is new. It counts for the named life only; one that has left is
 // not dead.
-func (r *Roster) Set(number int, incarnation uint64, s State) bool {
+func (r *Roster) SetState(number int, incarnation uint64, s State) bool {
 	old := r.members[number]
 	if old == nil || old.Incarnation != incarnation || old.State == s || old.State == Left && s != Alive {
 		return false
@@ -139,8 +139,8 @@
 	out := make([]Member, 0, len(r.members))
 	for _, m := range r.members {
 		x := *m
-		if x.State == Alive && now-x.Heard > r.fresh {
-			x.State = Doubted
+		if x.State == Alive && now-x.LastHeard > r.fresh {
+			x.State = Suspected
 		}
 		out = append(out, x)
 	}
@@ -148,11 +148,11 @@
 	return out
 }
 
-// Size is how many others were ever heard of.
-func (r *Roster) Size() int { return len(r.members) }
+// PeerCount is how many others were ever heard of.
+func (r *Roster) PeerCount() int { return len(r.members) }
 
-// Of is a member by its number; false where nobody was heard under it.
-func (r *Roster) Of(number int) (Member, bool) {
+// Get is a member by its number; false where nobody was heard under it.
+func (r *Roster) Get(number int) (Member, bool) {
 	if m := r.members[number]; m != nil {
 		return *m, true
 	}
@@ -168,7 +168,7 @@
 		if m.Number < 0 || m.Number >= r.nodes {
 			beyond++
 		}
-		if age := now - m.Heard; m.State == Alive && age <= r.fresh {
+		if age := now - m.LastHeard; m.State == Alive && age <= r.fresh {
 			c.Lower++
 			c.Age = max(c.Age, age)
 		}
@@ -185,7 +185,7 @@
 		if m.State != Left {
 			c.Upper++
 		}
-		if age := now - m.Heard; m.State == Alive && age <= r.fresh {
+		if age := now - m.LastHeard; m.State == Alive && age <= r.fresh {
 			c.Lower++
 			c.Age = max(c.Age, age)
 		}
--- a/internal/shared/scale_test.go
+++ b/internal/shared/scale_test.go
@@ -24,7 +24,7 @@
 	tb.Helper()
 	before := heapInUse()
 	cfg := config(0, nodes, 1)
-	cfg.Use, cfg.BytesPS = Use{Quotas: true}, allowedBytes
+	cfg.Use, cfg.BytesPerSecond = Use{Quotas: true}, allowedBytes
 	cfg.Quotas = map[string]float64{}
 	for i := range tenants {
 		cfg.Quotas[fmt.Sprint("tenant-", i)] = quotaPS
@@ -34,7 +34,7 @@
 	for i := 1; i < nodes; i++ {
 		other := config(i, nodes, 1)
 		meta := packet.Meta{Node: other.Self, Site: other.Site}.Encode()
-		if err := r.Joined(now, other.Name, meta); err != nil {
+		if err := r.MemberJoined(now, other.Name, meta); err != nil {
 			tb.Fatal(err)
 		}
 	}
@@ -42,7 +42,7 @@
 	r.Step(now) // the interval follows from the fleet's size
 	for i := 1; i < nodes; i++ {
 		for tenant := range cfg.Quotas {
-			w := counts.Window{Incarnation: 1, Epoch: 20, Counts: [counts.Epochs]uint64{1, 20, 20, 20, 20, 20, 20, 20}}
+			w := counts.Window{Incarnation: 1, Epoch: 20, Counts: [counts.WindowEpochs]uint64{1, 20, 20, 20, 20, 20, 20, 20}}
 			frame := packet.Frame(packet.Entry{Kind: packet.Window, Node: escrow.Node{Number: i, Incarnation: 1}, Key: quotaPrefix + tenant, Window: w})
 			if _, err := r.Receive(now, frame); err != nil {
 				tb.Fatal(err)
@@ -81,7 +81,7 @@
 					r.ordinaryQueue.Reset()
 				}
 				b.ReportMetric(float64(heap), "heap-B")
-				b.ReportMetric(r.Again().Seconds(), "interval-s")
+				b.ReportMetric(r.RepeatInterval().Seconds(), "interval-s")
 				b.ReportMetric(float64(whole), "whole-B")
 			})
 			b.Run("view", func(b *testing.B) {
@@ -106,10 +106,10 @@
 			f.rng = rand.New(rand.NewPCG(seed, 2))
 			for i := range f.nodes {
 				cfg := config(i, n, 9)
-				cfg.Use, cfg.BytesPS = Use{Quotas: true}, allowedBytes
+				cfg.Use, cfg.BytesPerSecond = Use{Quotas: true}, allowedBytes
 				cfg.Quotas = map[string]float64{"a": quotaPS, "b": quotaPS, "c": quotaPS, "d": quotaPS}
 				f.nodes[i] = New(cfg, f.now)
-				f.nodes[i].Listed([]judgement.Backend{})
+				f.nodes[i].SetBackends([]judgement.Backend{})
 			}
 			for i := range f.nodes {
 				for j := range f.nodes {
@@ -125,14 +125,14 @@
 			for range int(span / time.Second) { // a look each second, so that no phase is met by chance
 				f.run(time.Second, func(i int, r *Replica) {
 					if f.now%(200*time.Millisecond) == 0 || i%3 == 0 {
-						r.Request(f.now, "a")
+						r.CountRequest(f.now, "a")
 					}
 				})
 				for _, r := range f.nodes {
 					ages = append(ages, r.ages(quotaPrefix+"a", n)...)
 				}
 			}
-			told := f.nodes[0].Again()
+			told := f.nodes[0].RepeatInterval()
 			if told < minRepeatInterval {
 				t.Errorf("%d nodes are told every %v, more often than ever meant", n, told)
 			}
--- a/internal/shared/state.go
+++ b/internal/shared/state.go
@@ -32,8 +32,8 @@
 	for key, c := range r.localCounts {
 		entries = append(entries, packet.Entry{Kind: packet.Window, Node: r.cfg.Self, Key: key, Window: c.Window})
 	}
-	r.table.All(func(key string, node int, told counts.Told) {
-		age := r.clock.now - told.At
+	r.table.All(func(key string, node int, told counts.TimedWindow) {
+		age := r.clock.now - told.CountedAt
 		if age > r.staleAfter() {
 			return
 		}
@@ -46,16 +46,16 @@
 // sightEntries returns the observations of backends of this node and those of the others that are not too old.
 func (r *Replica) sightEntries() []packet.Entry {
 	var entries []packet.Entry
-	r.pool.Sights(func(key judgement.Key, sight judgement.Sight, at time.Duration) {
-		entries = append(entries, packet.Entry{Kind: packet.Sight, Node: r.cfg.Self, Backend: key, Sight: sight, Age: r.clock.now - at})
+	r.pool.OwnObservations(func(key judgement.Key, sight judgement.Observation, at time.Duration) {
+		entries = append(entries, packet.Entry{Kind: packet.Observation, Node: r.cfg.Self, Backend: key, Observation: sight, Age: r.clock.now - at})
 	})
-	r.pool.Others(func(number int, incarnation uint64, key judgement.Key, sight judgement.Sight, at time.Duration) {
+	r.pool.PeerObservations(func(number int, incarnation uint64, key judgement.Key, sight judgement.Observation, at time.Duration) {
 		age := r.clock.now - at
-		if age > sightMemories*r.cfg.Limits.Memory {
+		if age > sightMemories*r.cfg.Limits.DecayTime {
 			return
 		}
 		from := escrow.Node{Number: number, Incarnation: incarnation}
-		entries = append(entries, packet.Entry{Kind: packet.Sight, Node: from, Backend: key, Sight: sight, Age: age})
+		entries = append(entries, packet.Entry{Kind: packet.Observation, Node: from, Backend: key, Observation: sight, Age: age})
 	})
 	return entries
 }
--- a/internal/shared/view.go
+++ b/internal/shared/view.go
@@ -15,19 +15,19 @@
 
 // View is what the node may act on until Until.
 type View struct {
-	Within map[string]float64 // by tenant: fraction of its requests here that lie within its quota; nil where that is not shared
-	Cross  map[string]float64 // by site: fraction of the load of lost sites that this node may send there; nil where that is not shared
-	Nodes  map[string]int     // by site: nodes that are surely there
-	Out    []judgement.Key    // backends that enough nodes find broken
-	Until  time.Duration
+	QuotaFractions map[string]float64 // by tenant: fraction of its requests here that lie within its quota; nil where that is not shared
+	OverflowShares map[string]float64 // by site: fraction of the load of lost sites that this node may send there; nil where that is not shared
+	LiveNodes      map[string]int     // by site: nodes that are surely there
+	Ejected        []judgement.Key    // backends that enough nodes find broken
+	ValidUntil     time.Duration
 }
 
 // View returns what may be acted on now.
 func (r *Replica) View(now time.Duration) View {
 	r.advance(now)
-	v := View{Until: now + viewValidity, Nodes: map[string]int{}}
+	v := View{ValidUntil: now + viewValidity, LiveNodes: map[string]int{}}
 	for site, count := range r.roster.Sites(r.clock.now) {
-		v.Nodes[site] = count.Lower
+		v.LiveNodes[site] = count.Lower
 	}
 	if r.cfg.Use.Quotas || r.cfg.Use.Escrow {
 		r.viewQuotas(now, &v)
@@ -37,7 +37,7 @@
 	}
 	for _, b := range r.backends {
 		if b.ejected {
-			v.Out = append(v.Out, b.Key)
+			v.Ejected = append(v.Ejected, b.Key)
 		}
 	}
 	return v
@@ -45,7 +45,7 @@
 
 // viewQuotas sets the fraction of each tenant's requests that lies within its quota.
 func (r *Replica) viewQuotas(now time.Duration, v *View) {
-	v.Within = map[string]float64{}
+	v.QuotaFractions = map[string]float64{}
 	r.eachQuota(func(budget, tenant string) {
 		localRate := r.localCounts[budget].Rate()
 		if localRate < 0 {
@@ -59,20 +59,20 @@
 			allowed = r.cfg.Quotas[tenant]
 			rate = r.totalRate(budget, localRate)
 		}
-		v.Within[tenant] = max(minWithin, min(1, allowed/max(rate, minWithin)))
+		v.QuotaFractions[tenant] = max(minWithin, min(1, allowed/max(rate, minWithin)))
 	})
 }
 
 // viewCrossing sets this node's part of the load that may go to each site.
 func (r *Replica) viewCrossing(now time.Duration, v *View) {
-	v.Cross = map[string]float64{}
-	r.eachCrossing(func(budget, site string) { v.Cross[site] = r.viewPart(now, budget, v) })
+	v.OverflowShares = map[string]float64{}
+	r.eachCrossing(func(budget, site string) { v.OverflowShares[site] = r.viewPart(now, budget, v) })
 }
 
 // viewPart is what this node may spend of a budget, as a fraction of the whole. The view ends when that falls.
 func (r *Replica) viewPart(now time.Duration, budget string, v *View) float64 {
-	if until, falls := r.ledger.Until(now, budget); falls {
-		v.Until = min(v.Until, until)
+	if until, falls := r.ledger.NextExpiry(now, budget); falls {
+		v.ValidUntil = min(v.ValidUntil, until)
 	}
 	return r.spendablePart(now, budget)
 }
