--- a/internal/kit/proof/scripts_test.go
+++ b/internal/kit/proof/scripts_test.go
@@ -176,7 +176,7 @@
 	for i := range entries {
 		b = protowire.AppendBytes(protowire.AppendTag(b, fEntry, protowire.BytesType), entries[i].append(nil))`,
 		new: `	b := varint(varint(nil, fVersion, Version+1), 99, 7)
-	b = protowire.AppendBytes(protowire.AppendTag(b, fEntry, protowire.BytesType), varint(varint(nil, fKind, uint64(kinds)), 98, 7))
+	b = protowire.AppendBytes(protowire.AppendTag(b, fEntry, protowire.BytesType), varint(varint(nil, fKind, uint64(kindEnd)), 98, 7))
 	for i := range entries {
 		b = protowire.AppendBytes(protowire.AppendTag(b, fEntry, protowire.BytesType), varint(entries[i].append(nil), 97, 7))`}, later)
 	text := fmt.Sprintf("#!/bin/sh\ncase \"$GW_NAME\" in\n*[02468]) exec %s \"$@\" ;;\n*) exec %s \"$@\" ;;\nesac\n", later, now)
--- a/internal/kit/proof/shared_test.go
+++ b/internal/kit/proof/shared_test.go
@@ -20,37 +20,37 @@
 	often bool // played by CI
 }{
 	{fault{name: "a loan that never ends at its borrower", names: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
-		old: `		maps.DeleteFunc(b.held, func(_ int, x lent) bool { return now >= x.until })`,
-		new: `		maps.DeleteFunc(b.held, func(_ int, x lent) bool { return now >= x.until+time.Minute })`}, false},
+		old: `		maps.DeleteFunc(b.borrowed, func(_ int, x loan) bool { return now >= x.expires })`,
+		new: `		maps.DeleteFunc(b.borrowed, func(_ int, x loan) bool { return now >= x.expires+time.Minute })`}, false},
 	{fault{name: "a loan that its owner goes on spending", names: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
-		old: `		n -= d.out()`, new: `		n -= d.out() / 2`}, false},
+		old: `		n -= d.outstanding()`, new: `		n -= d.outstanding() / 2`}, false},
 	{fault{name: "a grant that counts each time it comes", names: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
-		old: `	delete(b.asks, owner)
-	if until := a.at + l.terms.Term; g.Grains > 0 && now < until {
-		b.held[owner] = lent{g.Nonce, min(g.Grains, a.want), until}`,
-		new: `	if until := a.at + l.terms.Term; g.Grains > 0 && now < until {
-		b.held[owner] = lent{g.Nonce, b.held[owner].grains + min(g.Grains, a.want), until}`}, true},
+		old: `	delete(b.pending, owner)
+	if until := a.sentAt + l.terms.Term; g.Grains > 0 && now < until {
+		b.borrowed[owner] = loan{g.Nonce, min(g.Grains, a.grains), until}`,
+		new: `	if until := a.sentAt + l.terms.Term; g.Grains > 0 && now < until {
+		b.borrowed[owner] = loan{g.Nonce, b.borrowed[owner].grains + min(g.Grains, a.grains), until}`}, true},
 	{fault{name: "a life that spends what the one before it lent", names: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
-		old: `	if l.now < l.shyFor {`, new: `	if l.now < l.shyFor && l.now == 0 {`}, false},
+		old: `	if l.now < l.quarantineUntil {`, new: `	if l.now < l.quarantineUntil && l.now == 0 {`}, false},
 	{fault{name: "what is given back and kept", names: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
-		old: `	delete(b.held, owner)
-	delete(b.asks, owner)
-	return Return{budget, l.self, b.nonces[owner]}, holds || asks`,
-		new: `	delete(b.asks, owner)
-	return Return{budget, l.self, b.nonces[owner]}, holds || asks`}, false},
+		old: `	delete(b.borrowed, owner)
+	delete(b.pending, owner)
+	return Return{budget, l.self, b.lastNonces[owner]}, borrowed || pending`,
+		new: `	delete(b.pending, owner)
+	return Return{budget, l.self, b.lastNonces[owner]}, borrowed || pending`}, false},
 	{fault{name: "more owners' parts than a whole", names: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
 		old: `	i, n := int64(number), int64(nodes)`, new: `	i, n := int64(number), int64(nodes)-1`}, false},
 	{fault{name: "a loan that is out at its owner for half its term", names: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
-		old: `	d.loans = append(d.loans, lent{a.Nonce, grains, now + l.terms.out()})`,
-		new: `	d.loans = append(d.loans, lent{a.Nonce, grains, now + l.terms.Term/2})`}, false},
+		old: `	d.loans = append(d.loans, loan{a.Nonce, grains, now + l.terms.lenderTerm()})`,
+		new: `	d.loans = append(d.loans, loan{a.Nonce, grains, now + l.terms.Term/2})`}, false},
 	{fault{name: "a quorum of one", names: []string{judge.NoQuorum}, file: "internal/shared/judgement/judgement.go", day: "quorum.toml",
-		old: `		if !answered(k) && t.Unhealthy >= p.limits.Quorum && t.Unhealthy > t.Healthy {`,
-		new: `		if !answered(k) && t.Unhealthy >= 1 && t.Unhealthy > t.Healthy {`}, false},
+		old: `		if !succeededLately(k) && t.Unhealthy >= p.limits.Quorum && t.Unhealthy > t.Healthy {`,
+		new: `		if !succeededLately(k) && t.Unhealthy >= 1 && t.Unhealthy > t.Healthy {`}, false},
 	{fault{name: "no ceiling", names: []string{judge.OverCeiling}, file: "internal/shared/judgement/judgement.go", day: "ceiling.toml",
-		old: `	return float64(all) <= p.limits.MaxFleetFraction*float64(len(p.list)) && float64(there) <= p.limits.MaxSiteFraction*float64(p.sites[site])`,
-		new: `	return float64(there) <= 2*float64(p.sites[site])`}, false},
+		old: `	return float64(ejected) <= p.limits.MaxFleetFraction*float64(len(p.siteOf)) && float64(ejectedInSite) <= p.limits.MaxSiteFraction*float64(p.siteSizes[site])`,
+		new: `	return float64(ejectedInSite) <= 2*float64(p.siteSizes[site])`}, false},
 	{fault{name: "the last word counts, and not the newest", names: []string{judge.TurnedBack, judge.Behind}, file: "internal/shared/counts/counts.go", day: "counts.toml",
-		old: `	joined := Join(old.Window, w)`, new: `	joined := w`}, false},
+		old: `	joined := Join(old.Window, window)`, new: `	joined := window`}, false},
 	{fault{name: "an earlier life believed", names: []string{judge.Behind, judge.TurnedBack}, file: "internal/shared/counts/counts.go", day: "counts.toml",
 		old: `		if a.Incarnation > b.Incarnation {`, new: `		if a.Incarnation < b.Incarnation {`}, false},
 	{fault{name: "a life that begins its counts anew under the name of the one before", names: []string{judge.Behind, judge.TurnedBack}, file: "internal/peers/peers.go", day: "counts.toml",
@@ -59,7 +59,7 @@
 	{fault{name: "requests counted twice", names: []string{judge.Miscounted}, file: "internal/shared/counts/counts.go", day: "counts.toml",
 		old: `	w.Counts[0] += n`, new: `	w.Counts[0] += 2 * n`}, false},
 	{fault{name: "a bound that leaves silent members out", names: []string{judge.OutOfBounds}, file: "internal/shared/roster/roster.go", day: "counts.toml",
-		old: `	c := Count{Lower: 1, Upper: max(r.nodes, 1)}`, new: `	c := Count{Lower: 1, Upper: 1}`}, false},
+		old: `	c := Count{Lower: 1, Upper: max(r.configured, 1)}`, new: `	c := Count{Lower: 1, Upper: 1}`}, false},
 	{fault{name: "a seed is asked once", names: []string{judge.Apart}, file: "internal/peers/peers.go", day: "apart.toml",
 		old: `		case <-time.After(rejoinEvery):`, new: `		case <-time.After(time.Hour):`}, false},
 }
--- a/internal/shared/bridge.go
+++ b/internal/shared/bridge.go
@@ -8,8 +8,8 @@
 	"craneglade/policy"
 )
 
-// Evidence says what an attempt's outcome shows of its backend: whether anything, and whether that it failed. A backend that
-// turns away what it has no room for is not broken, and one whose attempt was called off has shown nothing.
+// Evidence returns what an attempt's outcome shows of its backend: whether anything, and if so, whether the attempt failed.
+// A backend that rejects a request for lack of capacity is not failing, and a cancelled attempt shows nothing.
 func Evidence(o policy.Outcome) (tells, failed bool) {
 	switch o {
 	case policy.OK:
@@ -20,20 +20,20 @@
 	return false, false
 }
 
-// Event is a view as the decision module takes it. Number gives the module's number of a backend; false for one that it
-// does not know.
-func (v *View) Event(number func(judgement.Key) (uint32, bool)) *policy.Event {
+// Event returns the view as an event of the policy. The function numberOf returns the policy's number of a backend; false
+// for one that it does not know.
+func (v *View) Event(numberOf func(judgement.Key) (uint32, bool)) *policy.Event {
 	s := &policy.Shared{Within: v.QuotaFractions}
 	for _, k := range v.Ejected {
-		if n, known := number(k); known {
+		if n, known := numberOf(k); known {
 			s.Out = append(s.Out, n)
 		}
 	}
 	return &policy.Event{Kind: policy.EvShared, Shared: s}
 }
 
-// Key is a backend's: of its id on the list and the moment of its start there, in milliseconds, as another start is
-// another backend.
+// Key returns the key of a backend, from its id on the list and the time of its start there in milliseconds: after a
+// restart it is another backend.
 func Key(id string, startedMS int64) judgement.Key {
 	return judgement.Key(subset.Hash(fmt.Sprintf("%s@%d", id, startedMS)))
 }
--- a/internal/shared/clock.go
+++ b/internal/shared/clock.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// clock is a time that never goes back, made of the caller's, which may.
+// clock is a monotonic time that follows the caller's, which can go back.
 type clock struct {
-	start  time.Duration
-	now    time.Duration
-	caller time.Duration // the latest time that the caller gave
-	ahead  time.Duration // by how much now is ahead of it, because the caller's clock was set back
+	start     time.Duration
+	now       time.Duration
+	callerNow time.Duration // the caller's latest time
+	offset    time.Duration // by which now is ahead of callerNow, because the caller's clock was set back
 }
 
-func newClock(now time.Duration) clock { return clock{start: now, now: now, caller: now} }
+func newClock(now time.Duration) clock { return clock{start: now, now: now, callerNow: now} }
 
-// advance moves to the caller's time. Where that was set back, no time has passed, and the clock goes on from where it is:
-// one that stood still until the old time was reached again would count all requests until then into one epoch.
+// advance moves to the caller's time. Where that was set back, no time has passed, and the clock continues from its present
+// value. If it stopped until the caller's time caught up, all requests until then would count in one epoch.
 func (c *clock) advance(caller time.Duration) {
-	c.ahead += max(0, c.caller-caller)
-	c.caller = caller
-	c.now = caller + c.ahead
+	c.offset += max(0, c.callerNow-caller)
+	c.callerNow = caller
+	c.now = caller + c.offset
 }
 
-// elapsed is the time since the start.
+// elapsed returns the time since the start.
 func (c *clock) elapsed() time.Duration { return c.now - c.start }
 
-// advance moves the replica's clock. The ledger is not given this one but the caller's, as its loans end by that.
+// advance moves the replica's clock. The ledger gets the caller's time instead, as its loans expire by that.
 func (r *Replica) advance(now time.Duration) { r.clock.advance(now) }
--- a/internal/shared/escrow/plan.go
+++ b/internal/shared/escrow/plan.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// Demand is what a member would use of a budget, as far as it is known here.
+// Demand is what is known here of a member's use of a budget.
 type Demand struct {
 	Number int
-	Rate   float64       // in any unit, the same for all; negative for one that is not known
-	Age    time.Duration // of what is known
+	Rate   float64       // in any unit, the same for all; negative where unknown
+	Age    time.Duration // of the rate
 }
 
 const (
-	lenders = 4    // asked at a time
-	margin  = 1.25 // more than a node's share by demand is left to it, as demand moves
-	worth   = 64   // parts of a node's own: an ask for less is not worth its messages
+	maxRequestsPerPlan = 4    // owners that one call of Plan asks
+	demandMargin       = 1.25 // a node keeps this many times its share by demand, as demand changes
+	minLoanDivisor     = 64   // a loan of less than 1/64 of a node's own grains is not worth its messages
 )
 
-// Shares are the members' parts of a budget by demand, in grains, by their numbers. Members of whom nothing is known, or
-// nothing new for longer than fresh, need what they own. All together they are a budget at most.
-func Shares(all []Demand, nodes int, fresh time.Duration) []int64 {
+// Shares returns the members' shares of a budget by demand, in grains, by their numbers. A member whose rate is unknown, or
+// older than staleAfter, keeps what it owns. The shares add up to at most one budget.
+func Shares(all []Demand, nodes int, staleAfter time.Duration) []int64 {
 	out, rates := make([]int64, nodes), make([]float64, nodes)
 	for i := range rates {
 		rates[i] = -1
 	}
 	for _, d := range all {
-		if d.Rate >= 0 && d.Age <= fresh && d.Number >= 0 && d.Number < nodes {
+		if d.Rate >= 0 && d.Age <= staleAfter && d.Number >= 0 && d.Number < nodes {
 			rates[d.Number] = d.Rate
 		}
 	}
@@ -48,55 +48,56 @@
 	return out
 }
 
-// OwnerMessage is one thing to tell an owner: an ask, or what is given back.
+// OwnerMessage is a message to an owner: either a request or a return.
 type OwnerMessage struct {
 	Owner   int
 	Request *LoanRequest
 	Return  *Return
 }
 
-// Plan says whom to ask for what, and what to give back, by demand. It sets the node's own need. Called again within a
-// short time it repeats nothing: what is held is renewed after half of its term.
-func (l *Ledger) Plan(now time.Duration, budget string, all []Demand, fresh time.Duration) []OwnerMessage {
+// Plan returns the requests and returns that bring this node's grains in line with the demand, and sets the node's own
+// need. Called again soon it does not repeat itself. A loan is renewed after half of its term.
+func (l *Ledger) Plan(now time.Duration, budget string, all []Demand, staleAfter time.Duration) []OwnerMessage {
 	l.advance(now)
-	b := l.book(budget)
-	shares := Shares(all, l.nodes, fresh)
-	needs := func(number int) int64 {
+	b := l.account(budget)
+	shares := Shares(all, l.nodes, staleAfter)
+	neededBy := func(number int) int64 {
 		if number < 0 || number >= l.nodes {
 			return 0
 		}
-		return int64(margin * float64(shares[number]))
+		return int64(demandMargin * float64(shares[number]))
 	}
-	l.SetNeed(budget, needs(l.self.Number))
-	var orders []OwnerMessage
-	lack := needs(l.self.Number) - b.base
-	if lack <= b.base/worth {
+	l.SetNeed(budget, neededBy(l.self.Number))
+	var messages []OwnerMessage
+	missing := neededBy(l.self.Number) - b.base
+	if missing <= b.base/minLoanDivisor {
 		for _, h := range l.Borrowed(now, budget) {
-			if back, tell := l.ReturnLoan(now, budget, h.With); tell {
-				orders = append(orders, OwnerMessage{Owner: h.With, Return: &back})
+			if back, notify := l.ReturnLoan(now, budget, h.With); notify {
+				messages = append(messages, OwnerMessage{Owner: h.With, Return: &back})
 			}
 		}
-		return orders
+		return messages
 	}
-	type spare struct {
+	type lender struct {
 		owner  int
 		grains int64
 	}
-	var owners []spare
+	var owners []lender
 	for _, d := range all {
-		if d.Number == l.self.Number || d.Rate < 0 || d.Age > fresh {
+		if d.Number == l.self.Number || d.Rate < 0 || d.Age > staleAfter {
 			continue
 		}
 		base := Base(d.Number, l.nodes)
-		n := min(base-needs(d.Number), base-int64(l.terms.NeverLent*float64(base)))
-		if h, ok := b.held[d.Number]; n > base/worth || ok {
-			owners = append(owners, spare{d.Number, max(n, h.grains)})
+		n := min(base-neededBy(d.Number), base-int64(l.terms.NeverLent*float64(base)))
+		if h, ok := b.borrowed[d.Number]; n > base/minLoanDivisor || ok {
+			owners = append(owners, lender{d.Number, max(n, h.grains)})
 		}
 	}
-	// Whoever has lent already first: a loan that is renewed costs no more than a new one, and leaves the others alone.
-	slices.SortFunc(owners, func(x, y spare) int {
-		_, hx := b.held[x.owner]
-		_, hy := b.held[y.owner]
+	// Owners that have lent already come first: renewing a loan costs no more than a new one, and leaves the other owners
+	// alone.
+	slices.SortFunc(owners, func(x, y lender) int {
+		_, hx := b.borrowed[x.owner]
+		_, hy := b.borrowed[y.owner]
 		if hx != hy {
 			if hx {
 				return -1
@@ -105,28 +106,28 @@
 		}
 		return cmp.Or(cmp.Compare(y.grains, x.grains), cmp.Compare(x.owner, y.owner))
 	})
-	asks := 0
+	requests := 0
 	for _, o := range owners {
-		if lack <= 0 {
-			if _, holds := b.held[o.owner]; holds {
-				if back, tell := l.ReturnLoan(now, budget, o.owner); tell {
-					orders = append(orders, OwnerMessage{Owner: o.owner, Return: &back})
+		if missing <= 0 {
+			if _, holds := b.borrowed[o.owner]; holds {
+				if back, notify := l.ReturnLoan(now, budget, o.owner); notify {
+					messages = append(messages, OwnerMessage{Owner: o.owner, Return: &back})
 				}
 			}
 			continue
 		}
-		want := min(lack, o.grains)
-		lack -= want
-		h, holds := b.held[o.owner]
-		if l.RequestPending(now, budget, o.owner) && now-b.asks[o.owner].at < l.terms.Term/6 {
-			continue // its answer may be on its way
+		want := min(missing, o.grains)
+		missing -= want
+		h, holds := b.borrowed[o.owner]
+		if l.RequestPending(now, budget, o.owner) && now-b.pending[o.owner].sentAt < l.terms.Term/6 {
+			continue // its answer may be in flight
 		}
-		if holds && h.until-now > l.terms.Term/2 && h.grains >= want*3/4 || asks == lenders {
+		if holds && h.expires-now > l.terms.Term/2 && h.grains >= want*3/4 || requests == maxRequestsPerPlan {
 			continue
 		}
-		asks++
+		requests++
 		a := l.RequestLoan(now, budget, o.owner, want)
-		orders = append(orders, OwnerMessage{Owner: o.owner, Request: &a})
+		messages = append(messages, OwnerMessage{Owner: o.owner, Request: &a})
 	}
-	return orders
+	return messages
 }
--- a/internal/shared/judgement/judgement.go
+++ b/internal/shared/judgement/judgement.go
@@ -1,11 +1,12 @@
-// Package judgement pools what the nodes of a fleet see of backends, so that all of them keep from one that is broken
-// once enough of them have met it, and nobody's bad luck, lie or cut line takes one out for all.
+// Package judgement decides on outlier ejection from the observations of all nodes of a fleet. A failing backend is ejected
+// on every node once a quorum of nodes has seen it fail, and no single node that is unlucky, wrong or partitioned can eject
+// one for all.
 //
-// Each node tells of each backend what it tried and what failed lately, both fading. What another node tells is hearsay:
-// it takes a backend out only where enough nodes agree (a quorum, and more of them than say that it answers), only up to
-// a part of all backends and of each site's, and never against what this node saw itself a moment ago.
+// Each node reports for each backend how many attempts it made and how many failed, both decaying. Other nodes' reports
+// eject a backend only if a quorum of nodes finds it unhealthy and these are more than those that find it healthy; only up
+// to a fraction of all backends and of each site's; and never if this node itself has had a success there a moment ago.
 //
-// There is no I/O, clock or goroutine here, and nothing is safe for concurrent use.
+// The package has no I/O, clock or goroutines. Nothing in it is safe for concurrent use.
 package judgement
 
 import (
@@ -16,43 +17,43 @@
 	"time"
 )
 
-// Key names one life of a backend, the same at every node.
+// Key identifies one incarnation of a backend, and is the same at every node.
 type Key uint64
 
-// Backend is one that the list names.
+// Backend is a backend on the list.
 type Backend struct {
 	Key  Key
-	Name string // for people
+	Name string // for operators
 	Site string
 }
 
-// Limits bound what hearsay may do.
+// Limits are the conditions and bounds of ejection.
 type Limits struct {
-	DecayTime         time.Duration // evidence fades over this
-	Quorum            int           // so many nodes at least must find a backend broken, this one counted too
-	MinFailures       float64       // failures lately that make a node's verdict
-	MinFailedFraction float64       // and the part of what it tried that they must be
-	MaxFleetFraction  float64       // part of all backends that may be out by hearsay at a time
-	MaxSiteFraction   float64       // and of one site's
-	OwnSuccessWindow  time.Duration // an answer of its own within this goes before any hearsay
-	EjectionTime      time.Duration // for how long a backend is out; longer while the nodes still agree
-	ReportInterval    time.Duration // what is seen is told this often where it is no news
+	DecayTime         time.Duration // time constant with which evidence decays
+	Quorum            int           // nodes that must find a backend unhealthy, this one included
+	MinFailures       float64       // decayed failures from which a node finds a backend unhealthy,
+	MinFailedFraction float64       // if they are also this fraction of its attempts
+	MaxFleetFraction  float64       // fraction of all backends that may be ejected at a time
+	MaxSiteFraction   float64       // fraction of one site's backends
+	OwnSuccessWindow  time.Duration // a success of this node's own within this time rules out ejection
+	EjectionTime      time.Duration // length of an ejection, renewed while the nodes agree
+	ReportInterval    time.Duration // interval at which unchanged observations are reported
 }
 
-// DefaultLimits are the limits in service.
+// DefaultLimits returns the limits in service.
 func DefaultLimits() Limits {
 	return Limits{DecayTime: 5 * time.Second, Quorum: 2, MinFailures: 1.2, MinFailedFraction: 0.5, MaxFleetFraction: 0.25, MaxSiteFraction: 0.5, OwnSuccessWindow: time.Second,
 		EjectionTime: 2 * time.Second, ReportInterval: time.Second}
 }
 
-// Observation is what one node has seen of one backend lately. A later one has a higher Seq.
+// Observation is what one node has recently seen of one backend. A later one has a higher Seq.
 type Observation struct {
 	Seq    uint64
-	Tried  float64 // attempts, fading
-	Failed float64 // of them
+	Tried  float64 // attempts, decayed
+	Failed float64 // those of them that failed, decayed
 }
 
-// valid tells whether a sight can be true.
+// valid reports whether an observation is possible.
 func (s Observation) valid() bool {
 	ok := func(x float64) bool { return x >= 0 && x < math.MaxInt32 }
 	return ok(s.Tried) && ok(s.Failed) && s.Failed <= s.Tried+1e-9
@@ -61,158 +62,161 @@
 type verdict int8
 
 const (
-	none verdict = iota
-	good
-	bad
+	unknown verdict = iota
+	healthy
+	unhealthy
 )
 
-// seen is a sight with when it was told, by this node's clock.
-type seen struct {
+// timedObservation is an observation with the time, by this node's clock, from which it decays.
+type timedObservation struct {
 	Observation
 	at time.Duration
 }
 
-// fade is what is left of a sight's evidence.
-func (s *seen) fade(now time.Duration, l *Limits) float64 {
+// decayFactor returns the fraction of an observation's evidence that remains.
+func (s *timedObservation) decayFactor(now time.Duration, l *Limits) float64 {
 	return math.Exp(-max(0, now-s.at).Seconds() / l.DecayTime.Seconds())
 }
 
-func (s *seen) verdict(now time.Duration, l *Limits) verdict {
-	f := s.fade(now, l)
+func (s *timedObservation) verdict(now time.Duration, l *Limits) verdict {
+	f := s.decayFactor(now, l)
 	switch {
 	case s.Failed*f >= l.MinFailures && s.Failed >= l.MinFailedFraction*s.Tried:
-		return bad
+		return unhealthy
 	case s.Tried*f >= 0.5 && s.Failed < l.MinFailedFraction*s.Tried:
-		return good
+		return healthy
 	}
-	return none
+	return unknown
 }
 
-type member struct {
-	incarnation uint64
-	sights      map[Key]*seen
+type peer struct {
+	incarnation  uint64
+	observations map[Key]*timedObservation
 }
 
-type own struct {
-	seen
-	answered time.Duration // when it last did; negative for never
-	told     verdict       // when it was last told to others,
-	toldAt   time.Duration // and when that was
+type ownObservation struct {
+	timedObservation
+	lastSuccess time.Duration // negative for never
+	reported    verdict       // the verdict last reported to other nodes,
+	reportedAt  time.Duration // and when
 }
 
-// Pool is one node's view of all evidence.
+// Pool is the evidence that one node has, and the ejections that follow from it.
 type Pool struct {
-	limits  Limits
-	list    map[Key]string // site, by backend
-	sites   map[string]int
-	own     map[Key]*own
-	members map[int]*member
-	out     map[Key]time.Duration // out by hearsay until then
-	capped  int                   // that would be out if it were not for the ceilings, at the last decision
+	limits       Limits
+	siteOf       map[Key]string // of each listed backend
+	siteSizes    map[string]int
+	own          map[Key]*ownObservation
+	peers        map[int]*peer
+	ejectedUntil map[Key]time.Duration // when each ejection ends
+	capped       int                   // backends that only the ceilings kept from ejection at the last decision
 }
 
 // New returns a pool without evidence.
 func New(l Limits) *Pool {
-	return &Pool{limits: l, list: map[Key]string{}, sites: map[string]int{}, own: map[Key]*own{}, members: map[int]*member{},
-		out: map[Key]time.Duration{}}
+	return &Pool{limits: l, siteOf: map[Key]string{}, siteSizes: map[string]int{}, own: map[Key]*ownObservation{}, peers: map[int]*peer{},
+		ejectedUntil: map[Key]time.Duration{}}
 }
 
-// SetBackends sets the backends that there are. What is known of others is forgotten.
+// SetBackends sets the list of backends, and forgets everything about others.
 func (p *Pool) SetBackends(all []Backend) {
-	clear(p.list)
-	clear(p.sites)
+	clear(p.siteOf)
+	clear(p.siteSizes)
 	for _, b := range all {
-		p.list[b.Key] = b.Site
-		p.sites[b.Site]++
+		p.siteOf[b.Key] = b.Site
+		p.siteSizes[b.Site]++
 	}
-	gone := func(k Key) bool { _, listed := p.list[k]; return !listed }
-	maps.DeleteFunc(p.own, func(k Key, _ *own) bool { return gone(k) })
-	maps.DeleteFunc(p.out, func(k Key, _ time.Duration) bool { return gone(k) })
-	for _, m := range p.members {
-		maps.DeleteFunc(m.sights, func(k Key, _ *seen) bool { return gone(k) })
+	removed := func(k Key) bool { _, listed := p.siteOf[k]; return !listed }
+	maps.DeleteFunc(p.own, func(k Key, _ *ownObservation) bool { return removed(k) })
+	maps.DeleteFunc(p.ejectedUntil, func(k Key, _ time.Duration) bool { return removed(k) })
+	for _, m := range p.peers {
+		maps.DeleteFunc(m.observations, func(k Key, _ *timedObservation) bool { return removed(k) })
 	}
-	p.hold()
+	p.enforceCeilings()
 }
 
-// Ejected tells whether a backend is out by hearsay.
+// Ejected reports whether a backend is ejected.
 func (p *Pool) Ejected(k Key) bool {
-	_, is := p.out[k]
+	_, is := p.ejectedUntil[k]
 	return is
 }
 
-// room tells whether so many may be out, and so many of a site's.
-func (p *Pool) room(all int, site string, there int) bool {
-	return float64(all) <= p.limits.MaxFleetFraction*float64(len(p.list)) && float64(there) <= p.limits.MaxSiteFraction*float64(p.sites[site])
+// withinCeilings reports whether that many backends may be ejected, that many of them in a site.
+func (p *Pool) withinCeilings(ejected int, site string, ejectedInSite int) bool {
+	return float64(ejected) <= p.limits.MaxFleetFraction*float64(len(p.siteOf)) && float64(ejectedInSite) <= p.limits.MaxSiteFraction*float64(p.siteSizes[site])
 }
 
-// hold keeps the ceilings where fewer backends are listed than when some came out: those whose time is over first come back.
-func (p *Pool) hold() {
+// enforceCeilings ends ejections until the ceilings hold again for a list that has shrunk, starting with those that would
+// end first.
+func (p *Pool) enforceCeilings() {
 	sites := map[string]int{}
-	for k := range p.out {
-		sites[p.list[k]]++
+	for k := range p.ejectedUntil {
+		sites[p.siteOf[k]]++
 	}
-	order := slices.SortedFunc(maps.Keys(p.out), func(a, b Key) int { return cmp.Or(cmp.Compare(p.out[a], p.out[b]), cmp.Compare(a, b)) })
+	order := slices.SortedFunc(maps.Keys(p.ejectedUntil), func(a, b Key) int {
+		return cmp.Or(cmp.Compare(p.ejectedUntil[a], p.ejectedUntil[b]), cmp.Compare(a, b))
+	})
 	for _, k := range order {
-		if site := p.list[k]; !p.room(len(p.out), site, sites[site]) {
-			delete(p.out, k)
+		if site := p.siteOf[k]; !p.withinCeilings(len(p.ejectedUntil), site, sites[site]) {
+			delete(p.ejectedUntil, k)
 			sites[site]--
 		}
 	}
 }
 
-func (p *Pool) mine(now time.Duration, k Key) *own {
+func (p *Pool) decayOwn(now time.Duration, k Key) *ownObservation {
 	o := p.own[k]
 	if o == nil {
-		o = &own{answered: -1, toldAt: now - p.limits.ReportInterval}
+		o = &ownObservation{lastSuccess: -1, reportedAt: now - p.limits.ReportInterval}
 		o.at = now
 		p.own[k] = o
 	}
-	f := o.fade(now, &p.limits)
+	f := o.decayFactor(now, &p.limits)
 	o.Tried, o.Failed, o.at = o.Tried*f, o.Failed*f, max(o.at, now)
 	return o
 }
 
-// RecordAttempt notes an attempt of this node's own. One of a backend that is not listed is not kept.
+// RecordAttempt records an attempt of this node. Attempts at backends that are not listed are ignored.
 func (p *Pool) RecordAttempt(now time.Duration, k Key, failed bool) {
-	if _, listed := p.list[k]; !listed {
+	if _, listed := p.siteOf[k]; !listed {
 		return
 	}
-	o := p.mine(now, k)
+	o := p.decayOwn(now, k)
 	o.Tried++
 	if failed {
 		o.Failed++
 	} else {
-		o.answered = now
+		o.lastSuccess = now
 	}
 }
 
-// Merge takes in a sight of another node's that was seen at a moment, and tells whether it says anything new. One that can't
-// be true is an error of its sender, and changes nothing.
-func (p *Pool) Merge(number int, incarnation uint64, k Key, s Observation, at time.Duration) (fresh, possible bool) {
+// Merge records another node's observation as of a time, and reports whether it is new and whether it is valid. An invalid
+// one is its sender's error and changes nothing.
+func (p *Pool) Merge(number int, incarnation uint64, k Key, s Observation, at time.Duration) (isNew, valid bool) {
 	if !s.valid() {
 		return false, false
 	}
-	if _, listed := p.list[k]; !listed {
+	if _, listed := p.siteOf[k]; !listed {
 		return false, true
 	}
-	m := p.members[number]
+	m := p.peers[number]
 	switch {
 	case m == nil || incarnation > m.incarnation:
-		m = &member{incarnation, map[Key]*seen{}}
-		p.members[number] = m
+		m = &peer{incarnation, map[Key]*timedObservation{}}
+		p.peers[number] = m
 	case incarnation < m.incarnation:
 		return false, true
 	}
-	if old := m.sights[k]; old != nil && s.Seq <= old.Seq {
+	if old := m.observations[k]; old != nil && s.Seq <= old.Seq {
 		return false, true
 	}
-	m.sights[k] = &seen{s, at}
+	m.observations[k] = &timedObservation{s, at}
 	return true, true
 }
 
-// TakeUpdates is what this node has to tell of backends: those whose verdict changed first, then what it told longest ago.
-// It counts as told.
-func (p *Pool) TakeUpdates(now time.Duration, most int) (keys []Key, sights []Observation, urgent int) {
+// TakeUpdates returns up to limit observations to report to other nodes, and marks them as reported: the urgent ones, whose
+// verdict has changed, first, then those that were reported longest ago.
+func (p *Pool) TakeUpdates(now time.Duration, limit int) (keys []Key, observations []Observation, urgent int) {
 	type item struct {
 		k      Key
 		urgent bool
@@ -221,9 +225,9 @@
 	var all []item
 	for k, o := range p.own {
 		v := o.verdict(now, &p.limits)
-		changed := v != o.told && v != none
-		if changed || now-o.toldAt >= p.limits.ReportInterval && o.Tried*o.fade(now, &p.limits) > 0.1 {
-			all = append(all, item{k, changed, o.toldAt})
+		changed := v != o.reported && v != unknown
+		if changed || now-o.reportedAt >= p.limits.ReportInterval && o.Tried*o.decayFactor(now, &p.limits) > 0.1 {
+			all = append(all, item{k, changed, o.reportedAt})
 		}
 	}
 	slices.SortFunc(all, func(a, b item) int {
@@ -235,19 +239,19 @@
 		}
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.k, b.k))
 	})
-	for _, it := range all[:min(most, len(all))] {
-		o := p.mine(now, it.k)
+	for _, it := range all[:min(limit, len(all))] {
+		o := p.decayOwn(now, it.k)
 		o.Seq++
-		o.told, o.toldAt = o.verdict(now, &p.limits), now
-		keys, sights = append(keys, it.k), append(sights, o.Observation)
+		o.reported, o.reportedAt = o.verdict(now, &p.limits), now
+		keys, observations = append(keys, it.k), append(observations, o.Observation)
 		if it.urgent {
 			urgent++
 		}
 	}
-	return keys, sights, urgent
+	return keys, observations, urgent
 }
 
-// OwnObservations lists all that this node last told, for a full exchange.
+// OwnObservations calls f with each observation that this node has reported, for a full exchange of state.
 func (p *Pool) OwnObservations(f func(k Key, s Observation, at time.Duration)) {
 	for k, o := range p.own {
 		if o.Seq > 0 {
@@ -256,74 +260,77 @@
 	}
 }
 
-// PeerObservations lists all that others told, for a full exchange.
+// PeerObservations calls f with each observation of other nodes, for a full exchange of state.
 func (p *Pool) PeerObservations(f func(number int, incarnation uint64, k Key, s Observation, at time.Duration)) {
-	for n, m := range p.members {
-		for k, s := range m.sights {
+	for n, m := range p.peers {
+		for k, s := range m.observations {
 			f(n, m.incarnation, k, s.Observation, s.at)
 		}
 	}
 }
 
-// Votes are what is held for and against a backend.
+// Votes are the verdicts of all nodes on a backend.
 type Votes struct {
 	Key                Key
-	Unhealthy, Healthy int  // nodes that find it broken, or that it answers; this one included
+	Unhealthy, Healthy int  // nodes with that verdict, this one included
 	OwnUnhealthy       bool // this node is one of the former
-	Ejected            bool // by hearsay
+	Ejected            bool // on this node
 }
 
-// liars are the members whose word counts nothing: they find most of what they tell of broken, and most others disagree.
-func (p *Pool) liars(now time.Duration) map[int]bool {
-	against := map[Key][2]int{} // good and bad votes
-	type tally struct{ bad, all int }
+// discreditedPeers returns the nodes whose verdicts are not counted: they find at least three backends unhealthy, these are
+// more than half of those that they have a verdict on, and of at least half of these at least as many nodes have a healthy
+// verdict as an unhealthy one. Such a node is cut off, broken or malicious.
+func (p *Pool) discreditedPeers(now time.Duration) map[int]bool {
+	votes := map[Key][2]int{} // numbers of healthy and unhealthy verdicts
+	type tally struct{ unhealthy, all int }
 	tallies := map[int]*tally{}
-	for n, m := range p.members {
+	for n, m := range p.peers {
 		t := &tally{}
 		tallies[n] = t
-		for k, s := range m.sights {
-			switch v := against[k]; s.verdict(now, &p.limits) {
-			case good:
-				against[k] = [2]int{v[0] + 1, v[1]}
+		for k, s := range m.observations {
+			switch v := votes[k]; s.verdict(now, &p.limits) {
+			case healthy:
+				votes[k] = [2]int{v[0] + 1, v[1]}
 				t.all++
-			case bad:
-				against[k] = [2]int{v[0], v[1] + 1}
+			case unhealthy:
+				votes[k] = [2]int{v[0], v[1] + 1}
 				t.all++
-				t.bad++
+				t.unhealthy++
 			}
 		}
 	}
 	for k, o := range p.own {
-		switch v := against[k]; o.verdict(now, &p.limits) {
-		case good:
-			against[k] = [2]int{v[0] + 1, v[1]}
-		case bad:
-			against[k] = [2]int{v[0], v[1] + 1}
+		switch v := votes[k]; o.verdict(now, &p.limits) {
+		case healthy:
+			votes[k] = [2]int{v[0] + 1, v[1]}
+		case unhealthy:
+			votes[k] = [2]int{v[0], v[1] + 1}
 		}
 	}
-	out := map[int]bool{}
-	for n, m := range p.members {
+	discredited := map[int]bool{}
+	for n, m := range p.peers {
 		t := tallies[n]
-		if t.bad < 3 || 2*t.bad <= t.all {
+		if t.unhealthy < 3 || 2*t.unhealthy <= t.all {
 			continue
 		}
-		denied := 0
-		for k, s := range m.sights {
-			if v := against[k]; s.verdict(now, &p.limits) == bad && v[0] >= v[1] {
-				denied++
+		contradicted := 0
+		for k, s := range m.observations {
+			if v := votes[k]; s.verdict(now, &p.limits) == unhealthy && v[0] >= v[1] {
+				contradicted++
 			}
 		}
-		out[n] = 2*denied >= t.bad
+		discredited[n] = 2*contradicted >= t.unhealthy
 	}
-	return out
+	return discredited
 }
 
-// Decide says which backends are out by hearsay, and what was counted of each that anybody finds broken, by key.
-func (p *Pool) Decide(now time.Duration) (out []Key, votes []Votes) {
-	liars := p.liars(now)
+// Decide updates the ejections. It returns the keys of the ejected backends, and the votes on each backend that is ejected
+// or that any node finds unhealthy, both ordered by key.
+func (p *Pool) Decide(now time.Duration) (ejected []Key, votes []Votes) {
+	discredited := p.discreditedPeers(now)
 	tally := map[Key]*Votes{}
 	count := func(k Key, v verdict) {
-		if v == none {
+		if v == unknown {
 			return
 		}
 		t := tally[k]
@@ -331,15 +338,15 @@
 			t = &Votes{Key: k}
 			tally[k] = t
 		}
-		if v == bad {
+		if v == unhealthy {
 			t.Unhealthy++
 		} else {
 			t.Healthy++
 		}
 	}
-	for n, m := range p.members {
-		if !liars[n] {
-			for k, s := range m.sights {
+	for n, m := range p.peers {
+		if !discredited[n] {
+			for k, s := range m.observations {
 				count(k, s.verdict(now, &p.limits))
 			}
 		}
@@ -347,25 +354,25 @@
 	for k, o := range p.own {
 		v := o.verdict(now, &p.limits)
 		count(k, v)
-		if v == bad {
+		if v == unhealthy {
 			tally[k].OwnUnhealthy = true
 		}
 	}
-	answered := func(k Key) bool {
+	succeededLately := func(k Key) bool {
 		o := p.own[k]
-		return o != nil && o.answered >= 0 && now-o.answered <= p.limits.OwnSuccessWindow
+		return o != nil && o.lastSuccess >= 0 && now-o.lastSuccess <= p.limits.OwnSuccessWindow
 	}
-	// What this node saw itself goes before what others say.
-	maps.DeleteFunc(p.out, func(k Key, until time.Duration) bool { return now >= until || answered(k) })
+	// This node's own successes override the reports of others.
+	maps.DeleteFunc(p.ejectedUntil, func(k Key, until time.Duration) bool { return now >= until || succeededLately(k) })
 	var agreed []*Votes
 	for k, t := range tally {
-		if !answered(k) && t.Unhealthy >= p.limits.Quorum && t.Unhealthy > t.Healthy {
+		if !succeededLately(k) && t.Unhealthy >= p.limits.Quorum && t.Unhealthy > t.Healthy {
 			agreed = append(agreed, t)
 		}
 	}
 	slices.SortFunc(agreed, func(a, b *Votes) int {
-		_, x := p.out[a.Key]
-		_, y := p.out[b.Key]
+		_, x := p.ejectedUntil[a.Key]
+		_, y := p.ejectedUntil[b.Key]
 		if x != y {
 			if x {
 				return -1
@@ -375,44 +382,44 @@
 		return cmp.Or(cmp.Compare(b.Unhealthy-b.Healthy, a.Unhealthy-a.Healthy), cmp.Compare(a.Key, b.Key))
 	})
 	sites := map[string]int{}
-	for k := range p.out {
-		sites[p.list[k]]++
+	for k := range p.ejectedUntil {
+		sites[p.siteOf[k]]++
 	}
 	p.capped = 0
 	for _, t := range agreed {
-		site := p.list[t.Key]
-		if _, is := p.out[t.Key]; !is {
-			if !p.room(len(p.out)+1, site, sites[site]+1) {
+		site := p.siteOf[t.Key]
+		if _, is := p.ejectedUntil[t.Key]; !is {
+			if !p.withinCeilings(len(p.ejectedUntil)+1, site, sites[site]+1) {
 				p.capped++
 				continue
 			}
 			sites[site]++
 		}
-		p.out[t.Key] = now + p.limits.EjectionTime
+		p.ejectedUntil[t.Key] = now + p.limits.EjectionTime
 	}
-	for k := range p.out {
-		out = append(out, k)
+	for k := range p.ejectedUntil {
+		ejected = append(ejected, k)
 	}
-	slices.Sort(out)
+	slices.Sort(ejected)
 	for _, t := range tally {
-		_, t.Ejected = p.out[t.Key]
+		_, t.Ejected = p.ejectedUntil[t.Key]
 		if t.Unhealthy > 0 || t.Ejected {
 			votes = append(votes, *t)
 		}
 	}
 	slices.SortFunc(votes, func(a, b Votes) int { return cmp.Compare(a.Key, b.Key) })
-	return out, votes
+	return ejected, votes
 }
 
-// Capped is how many more would have been out at the last decision without the ceilings.
+// Capped returns how many more backends the last decision would have ejected without the ceilings.
 func (p *Pool) Capped() int { return p.capped }
 
-// Prune forgets the sights that tell nothing any more.
+// Prune removes other nodes' observations whose evidence has decayed.
 func (p *Pool) Prune(now time.Duration) {
-	for n, m := range p.members {
-		maps.DeleteFunc(m.sights, func(_ Key, s *seen) bool { return now-s.at > 10*p.limits.DecayTime })
-		if len(m.sights) == 0 {
-			delete(p.members, n)
+	for n, m := range p.peers {
+		maps.DeleteFunc(m.observations, func(_ Key, s *timedObservation) bool { return now-s.at > 10*p.limits.DecayTime })
+		if len(m.observations) == 0 {
+			delete(p.peers, n)
 		}
 	}
 }
--- a/internal/shared/judgement/judgement_test.go
+++ b/internal/shared/judgement/judgement_test.go
@@ -11,8 +11,8 @@
 
 const sec = time.Second
 
-// pool is one of a node that knows 16 backends in two sites.
-func pool() *Pool {
+// newTestPool returns the pool of a node that knows 16 backends in two sites.
+func newTestPool() *Pool {
 	p := New(DefaultLimits())
 	var list []Backend
 	for k := Key(1); k <= 16; k++ {
@@ -22,63 +22,63 @@
 	return p
 }
 
-// say has a member tell of a backend.
-func say(p *Pool, number int, k Key, seq uint64, tried, failed float64, at time.Duration) bool {
+// report merges an observation of another node.
+func report(p *Pool, number int, k Key, seq uint64, tried, failed float64, at time.Duration) bool {
 	fresh, _ := p.Merge(number, 1, k, Observation{seq, tried, failed}, at)
 	return fresh
 }
 
-func out(p *Pool, at time.Duration) []Key { keys, _ := p.Decide(at); return keys }
+func ejectedAt(p *Pool, at time.Duration) []Key { keys, _ := p.Decide(at); return keys }
 
-func TestAQuorumTakesABackendOut(t *testing.T) {
-	p := pool()
-	say(p, 1, 3, 1, 4, 4, 0)
-	if got := out(p, 0); len(got) > 0 {
-		t.Errorf("one node's word takes out %v", got)
+func TestQuorumEjects(t *testing.T) {
+	p := newTestPool()
+	report(p, 1, 3, 1, 4, 4, 0)
+	if got := ejectedAt(p, 0); len(got) > 0 {
+		t.Errorf("%v ejected by one node, below the quorum", got)
 	}
-	say(p, 2, 3, 1, 4, 4, 0)
-	if got := out(p, 0); !slices.Equal(got, []Key{3}) {
-		t.Errorf("two nodes' word takes out %v, want 3", got)
+	report(p, 2, 3, 1, 4, 4, 0)
+	if got := ejectedAt(p, 0); !slices.Equal(got, []Key{3}) {
+		t.Errorf("%v ejected by two nodes, want backend 3", got)
 	}
-	if got := out(p, DefaultLimits().EjectionTime-1); !slices.Equal(got, []Key{3}) {
-		t.Errorf("out is %v while it is held", got)
+	if got := ejectedAt(p, DefaultLimits().EjectionTime-1); !slices.Equal(got, []Key{3}) {
+		t.Errorf("%v ejected before the ejection time is over, want backend 3", got)
 	}
-	if got := out(p, 20*sec); len(got) > 0 {
-		t.Errorf("out is %v once the evidence has faded", got)
+	if got := ejectedAt(p, 20*sec); len(got) > 0 {
+		t.Errorf("%v ejected after the evidence has decayed", got)
 	}
 }
 
-func TestMoreThatItAnswersThanThatItFails(t *testing.T) {
-	p := pool()
+func TestTiedVotesDoNotEject(t *testing.T) {
+	p := newTestPool()
 	for n := range 6 {
-		say(p, n, 3, 1, 4, float64(n%2)*4, 0)
+		report(p, n, 3, 1, 4, float64(n%2)*4, 0)
 	}
-	if got := out(p, 0); len(got) > 0 {
-		t.Errorf("half of the nodes take out %v", got)
+	if got := ejectedAt(p, 0); len(got) > 0 {
+		t.Errorf("%v ejected by half of the nodes", got)
 	}
 }
 
-func TestOwnAnswersGoBeforeHearsay(t *testing.T) {
-	p := pool()
+func TestOwnSuccessOverridesPeerReports(t *testing.T) {
+	p := newTestPool()
 	p.RecordAttempt(0, 3, false)
 	for n := range 6 {
-		say(p, n, 3, 1, 4, 4, 0)
+		report(p, n, 3, 1, 4, 4, 0)
 	}
-	if got := out(p, sec/2); len(got) > 0 {
-		t.Errorf("hearsay takes out %v, which has just answered here", got)
+	if got := ejectedAt(p, sec/2); len(got) > 0 {
+		t.Errorf("%v ejected by peers' reports just after a success of this node", got)
 	}
-	if got := out(p, 3*sec/2); !slices.Equal(got, []Key{3}) {
-		t.Errorf("out is %v once that answer is old", got)
+	if got := ejectedAt(p, 3*sec/2); !slices.Equal(got, []Key{3}) {
+		t.Errorf("%v ejected once that success is old, want backend 3", got)
 	}
 	p.RecordAttempt(8*sec/5, 3, false)
-	if got := out(p, 8*sec/5); len(got) > 0 {
-		t.Errorf("an answer leaves %v out", got)
+	if got := ejectedAt(p, 8*sec/5); len(got) > 0 {
+		t.Errorf("%v ejected in spite of a success of this node", got)
 	}
 }
 
-func TestOwnFailuresCountAsOneVote(t *testing.T) {
-	p := pool()
-	say(p, 1, 3, 1, 4, 4, 0)
+func TestOwnFailuresAreOneVote(t *testing.T) {
+	p := newTestPool()
+	report(p, 1, 3, 1, 4, 4, 0)
 	for range 3 {
 		p.RecordAttempt(0, 3, true)
 	}
@@ -88,107 +88,108 @@
 	}
 }
 
-// A node that finds everything broken, as one does that is cut off or lies, counts nothing where the others answer for it.
-func TestALiarCountsNothing(t *testing.T) {
-	p := pool()
+// A node that finds everything unhealthy, as a partitioned or malicious one does, is not counted where others find the
+// backends healthy.
+func TestContradictedPeerIsDiscredited(t *testing.T) {
+	p := newTestPool()
 	for k := Key(1); k <= 16; k++ {
-		say(p, 1, k, 1, 5, 5, 0)
-		say(p, 2, k, 1, 5, 0, 0)
+		report(p, 1, k, 1, 5, 5, 0)
+		report(p, 2, k, 1, 5, 0, 0)
 		if k != 7 {
-			say(p, 3, k, 1, 5, 0, 0)
+			report(p, 3, k, 1, 5, 0, 0)
 		}
 	}
-	say(p, 3, 7, 1, 5, 5, 0) // with the liar that would be a quorum, and two against one
-	if got := out(p, 0); len(got) > 0 {
-		t.Errorf("a liar's word takes out %v", got)
+	report(p, 3, 7, 1, 5, 5, 0) // with the discredited node this would be a quorum, and two against one
+	if got := ejectedAt(p, 0); len(got) > 0 {
+		t.Errorf("%v ejected with the vote of a discredited node", got)
 	}
-	say(p, 4, 7, 1, 5, 5, 0)
-	if got := out(p, 0); !slices.Equal(got, []Key{7}) {
-		t.Errorf("honest nodes take out %v, want 7", got)
+	report(p, 4, 7, 1, 5, 5, 0)
+	if got := ejectedAt(p, 0); !slices.Equal(got, []Key{7}) {
+		t.Errorf("%v ejected by credible nodes, want backend 7", got)
 	}
 }
 
-func TestCeilings(t *testing.T) {
-	p := pool()
+func TestEjectionCeilings(t *testing.T) {
+	p := newTestPool()
 	for k := Key(1); k <= 16; k++ {
-		for n := range 3 { // nobody answers for any: everything may be down
-			say(p, n, k, 1, 5, 5, 0)
+		for n := range 3 { // no node finds any healthy: everything may be down
+			report(p, n, k, 1, 5, 5, 0)
 		}
 	}
-	got := out(p, 0)
+	got := ejectedAt(p, 0)
 	if len(got) != 4 || p.Capped() != 12 {
-		t.Errorf("%d of 16 out, %d held back", len(got), p.Capped())
+		t.Errorf("%d of 16 ejected, want 4; %d capped, want 12", len(got), p.Capped())
 	}
-	if again := out(p, sec); !slices.Equal(again, got) {
-		t.Errorf("out were %v and are %v: those that are out stay so", got, again)
+	if again := ejectedAt(p, sec); !slices.Equal(again, got) {
+		t.Errorf("ejected were %v and are %v, want no change", got, again)
 	}
 	p = New(DefaultLimits())
 	p.SetBackends([]Backend{{Key: 1, Site: "north"}, {Key: 2, Site: "south"}, {Key: 3, Site: "south"}, {Key: 4, Site: "south"}, {Key: 5, Site: "south"}, {Key: 6, Site: "south"}, {Key: 7, Site: "south"}, {Key: 8, Site: "south"}})
 	for n := range 3 {
-		say(p, n, 1, 1, 5, 5, 0)
+		report(p, n, 1, 1, 5, 5, 0)
 	}
-	if got := out(p, 0); len(got) > 0 {
-		t.Errorf("the only one of a site is out: %v", got)
+	if got := ejectedAt(p, 0); len(got) > 0 {
+		t.Errorf("the only backend of a site is ejected: %v", got)
 	}
 }
 
-// The ceilings hold where backends leave the list while others are out, at once and at the next decision.
-func TestCeilingsHoldWhenTheListShrinks(t *testing.T) {
-	p := pool()
+// The ceilings hold where the list shrinks while backends are ejected, at once and at the next decision.
+func TestEjectionCeilingsAfterListShrinks(t *testing.T) {
+	p := newTestPool()
 	for k := Key(1); k <= 4; k++ { // a quarter of sixteen
 		for n := range 3 {
-			say(p, n, k, 1, 4, 4, 0)
+			report(p, n, k, 1, 4, 4, 0)
 		}
 	}
-	if got := out(p, 0); len(got) != 4 {
-		t.Fatalf("out: %v", got)
+	if got := ejectedAt(p, 0); len(got) != 4 {
+		t.Fatalf("ejected: %v", got)
 	}
 	var fewer []Backend
 	for k := Key(1); k <= 10; k++ {
 		fewer = append(fewer, Backend{Key: k, Site: []string{"north", "south"}[k%2]})
 	}
 	p.SetBackends(fewer)
-	left := 0
+	ejected := 0
 	for k := Key(1); k <= 4; k++ {
 		if p.Ejected(k) {
-			left++
+			ejected++
 		}
 	}
-	if left != 2 {
-		t.Errorf("%d of ten are out, and two are the most", left)
+	if ejected != 2 {
+		t.Errorf("%d of 10 are ejected, want 2", ejected)
 	}
-	if got := out(p, 1); len(got) != 2 {
-		t.Errorf("out: %v", got)
+	if got := ejectedAt(p, 1); len(got) != 2 {
+		t.Errorf("ejected: %v", got)
 	}
 }
 
-func TestWhatCantBeTrueIsRefused(t *testing.T) {
-	p := pool()
+func TestInvalidObservationIsRejected(t *testing.T) {
+	p := newTestPool()
 	for _, s := range []Observation{{1, 2, 3}, {1, -1, 0}, {1, math.NaN(), 0}, {1, math.Inf(1), 0}, {1, 1, math.NaN()}, {1, 1e300, 1}} {
-		if _, possible := p.Merge(1, 1, 3, s, 0); possible {
-			t.Errorf("%+v is taken in", s)
+		if _, valid := p.Merge(1, 1, 3, s, 0); valid {
+			t.Errorf("%+v is accepted as valid", s)
 		}
 	}
-	if fresh, possible := p.Merge(1, 1, 99, Observation{1, 1, 1}, 0); fresh || !possible {
-		t.Error("a backend that is not listed here is no fault of its teller, and no news")
+	if isNew, valid := p.Merge(1, 1, 99, Observation{1, 1, 1}, 0); isNew || !valid {
+		t.Error("an observation of a backend that is not listed here: want it valid and not new")
 	}
 }
 
-func TestLivesAndTurns(t *testing.T) {
-	p := pool()
+func TestStaleObservationIsIgnored(t *testing.T) {
+	p := newTestPool()
 	p.Merge(1, 2, 3, Observation{5, 4, 4}, 0)
 	for _, c := range []struct {
-		life, seq uint64
-		want      bool
+		incarnation, seq uint64
+		want             bool
 	}{{2, 5, false}, {2, 4, false}, {1, 9, false}, {2, 6, true}, {3, 1, true}} {
-		if fresh, _ := p.Merge(1, c.life, 3, Observation{c.seq, 1, 0}, 0); fresh != c.want {
-			t.Errorf("life %d, number %d: new %v", c.life, c.seq, fresh)
+		if isNew, _ := p.Merge(1, c.incarnation, 3, Observation{c.seq, 1, 0}, 0); isNew != c.want {
+			t.Errorf("incarnation %d, seq %d: new %v", c.incarnation, c.seq, isNew)
 		}
 	}
 }
 
-func TestNewsGoesOutOnceAndChangesFirst(t *testing.T) {
-	p := pool()
+func TestUpdatesAreSentOnceAndChangesFirst(t *testing.T) {
+	p := newTestPool()
 	for k := Key(1); k <= 8; k++ {
 		p.RecordAttempt(0, k, false)
 	}
@@ -197,28 +198,28 @@
 		t.Errorf("%v %+v %d", keys, sights, urgent)
 	}
 	if keys, _, _ := p.TakeUpdates(0, 6); len(keys) != 2 {
-		t.Errorf("then %v, want the other two", keys)
+		t.Errorf("second call: %v, want the other two", keys)
 	}
 	if keys, _, _ := p.TakeUpdates(sec/2, 6); len(keys) != 0 {
-		t.Errorf("nothing has changed, and %v is told", keys)
+		t.Errorf("%v are reported without a change", keys)
 	}
 	for range 5 {
 		p.RecordAttempt(sec/2, 8, true)
 	}
 	if keys, _, urgent := p.TakeUpdates(sec/2, 6); len(keys) != 1 || keys[0] != 8 || urgent != 1 {
-		t.Errorf("what has broken: %v, %d urgent", keys, urgent)
+		t.Errorf("after the verdict has changed: %v, %d urgent", keys, urgent)
 	}
 	if keys, _, urgent := p.TakeUpdates(3*sec/2, 16); len(keys) != 8 || urgent != 0 {
-		t.Errorf("later %v, %d urgent", keys, urgent)
+		t.Errorf("after the report interval: %v, %d urgent", keys, urgent)
 	}
 }
 
-// Whatever members tell, in whatever order: no more are out than the ceilings allow, each by a quorum, and none that has
-// just answered here.
-func TestCeilingsHold(t *testing.T) {
+// Whatever members report, in whatever order: no more backends are ejected than the ceilings allow, and none that has just
+// succeeded here.
+func TestEjectionCeilingsUnderRandomReports(t *testing.T) {
 	l := DefaultLimits()
 	rapid.Check(t, func(t *rapid.T) {
-		p, now, since := pool(), time.Duration(0), map[Key]time.Duration{}
+		p, now, lastSuccess := newTestPool(), time.Duration(0), map[Key]time.Duration{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 800).Draw(t, "ms")) * time.Millisecond
 			k := Key(rapid.IntRange(1, 18).Draw(t, "backend"))
@@ -227,7 +228,7 @@
 				p.RecordAttempt(now, k, true)
 			case 1:
 				p.RecordAttempt(now, k, false)
-				since[k] = now
+				lastSuccess[k] = now
 			default:
 				tried := rapid.Float64Range(0, 10).Draw(t, "tried")
 				p.Merge(rapid.IntRange(1, 5).Draw(t, "node"), rapid.Uint64Range(1, 2).Draw(t, "life"), k,
@@ -235,16 +236,16 @@
 			}
 			keys, votes := p.Decide(now)
 			if len(keys) > 4 {
-				t.Fatalf("%d of 16 are out", len(keys))
+				t.Fatalf("%d of 16 are ejected", len(keys))
 			}
 			for _, k := range keys {
-				if at, ok := since[k]; ok && now-at <= l.OwnSuccessWindow && k <= 16 {
-					t.Fatalf("%d is out and answered %v ago", k, now-at)
+				if at, ok := lastSuccess[k]; ok && now-at <= l.OwnSuccessWindow && k <= 16 {
+					t.Fatalf("%d is ejected and succeeded %v ago", k, now-at)
 				}
 			}
 			for _, v := range votes {
 				if v.Ejected && !slices.Contains(keys, v.Key) {
-					t.Fatalf("votes say that %d is out", v.Key)
+					t.Fatalf("the votes have %d as ejected, and the keys do not", v.Key)
 				}
 			}
 		}
@@ -260,7 +261,7 @@
 	p.SetBackends(list)
 	for n := range 300 {
 		for i := range 6 {
-			say(p, n, Key(1+(n*6+i)%200), 1, 5, float64(n%8/7)*5, 0)
+			report(p, n, Key(1+(n*6+i)%200), 1, 5, float64(n%8/7)*5, 0)
 		}
 	}
 	b.ReportAllocs()
--- a/internal/shared/judgements.go
+++ b/internal/shared/judgements.go
@@ -8,11 +8,11 @@
 	"craneglade/internal/shared/packet"
 )
 
-// backend is one on the list.
+// backend is a backend on the list.
 type backend struct {
 	judgement.Backend
-	ejected   bool // at the last step, by the judgement of enough nodes
-	ejectedBy int  // the nodes that found it broken when that last changed
+	ejected   bool // at the last step
+	ejectedBy int  // nodes that found it unhealthy when ejected last changed
 }
 
 // RecordOutcome records how an attempt at a backend ended.
@@ -33,14 +33,14 @@
 		r.backends = append(r.backends, backend{b, old.ejected, old.ejectedBy})
 	}
 	r.pool.SetBackends(list)
-	for i := range r.backends { // of fewer backends fewer may be ejected
+	for i := range r.backends { // on a shorter list the ceilings allow fewer ejections
 		b := &r.backends[i]
 		b.ejected = b.ejected && r.pool.Ejected(b.Key)
 	}
 }
 
-// judge decides anew which backends are ejected.
-func (r *Replica) judge() {
+// updateEjections decides which backends are ejected.
+func (r *Replica) updateEjections() {
 	ejected, votes := r.pool.Decide(r.clock.now)
 	r.votes = votes
 	for i := range r.backends {
@@ -51,12 +51,12 @@
 	}
 }
 
-// setEjected records and notes that a backend is ejected, or no longer so.
+// setEjected records that a backend's ejection has begun or ended, and adds a note.
 func (r *Replica) setEjected(b *backend, ejected bool) {
 	b.ejected = ejected
-	text := "a backend is no longer out by hearsay"
+	text := "backend no longer ejected by the fleet"
 	if ejected {
-		text = "a backend is out by hearsay"
+		text = "backend ejected by the fleet"
 	}
 	args := []any{"backend", b.Name, "site", b.Site}
 	for _, v := range r.votes {
@@ -68,10 +68,10 @@
 	r.note(text, args...)
 }
 
-// receiveSight takes in another node's observation of a backend and passes on what is new.
-func (r *Replica) receiveSight(e *packet.Entry, sentAt time.Duration) {
-	isNew, possible := r.pool.Merge(e.Node.Number, e.Node.Incarnation, e.Backend, e.Observation, sentAt)
-	if !possible {
+// receiveObservation merges another node's observation of a backend, and forwards it if it is new.
+func (r *Replica) receiveObservation(e *packet.Entry, sentAt time.Duration) {
+	isNew, valid := r.pool.Merge(e.Node.Number, e.Node.Incarnation, e.Backend, e.Observation, sentAt)
+	if !valid {
 		r.stats.Bad++
 		return
 	}
--- a/internal/shared/localcounts.go
+++ b/internal/shared/localcounts.go
@@ -10,20 +10,20 @@
 	"craneglade/internal/shared/roster"
 )
 
-// localCount is what this node has counted under a key.
+// localCount is this node's own count for a key.
 type localCount struct {
 	counts.Window
-	toldRate float64       // the rate that was last told to the other nodes
-	toldAt   time.Duration // when it was
+	announcedRate float64       // rate in the latest update to the other nodes
+	announcedAt   time.Duration // when that was sent
 }
 
-// newLocalCounts returns the counts of a node that has counted nothing. A tenant with a quota has one also where it sends
-// no requests: nodes that need more have to know that this one does not.
+// newLocalCounts returns the empty counts of a node. A tenant with a quota has one even if it sends no requests here: nodes
+// that need more of its quota must know that this one needs none.
 func newLocalCounts(cfg Config, now time.Duration) map[string]*localCount {
-	longAgo := now - time.Hour // so that the first rate is told at once
+	longAgo := now - time.Hour // so that the first rate is sent at once
 	local := map[string]*localCount{}
 	add := func(key string) {
-		local[key] = &localCount{Window: counts.Window{Incarnation: cfg.Self.Incarnation}, toldAt: longAgo}
+		local[key] = &localCount{Window: counts.Window{Incarnation: cfg.Self.Incarnation}, announcedAt: longAgo}
 	}
 	for tenant, quota := range cfg.Quotas {
 		if quota > 0 {
@@ -32,7 +32,7 @@
 	}
 	if cfg.Use.Crossing {
 		for _, site := range cfg.OverflowSites {
-			add(crossPrefix + site)
+			add(overflowPrefix + site)
 		}
 	}
 	return local
@@ -47,20 +47,20 @@
 // CountCrossSite counts a request of this node's clients that goes to another site because their own is lost.
 func (r *Replica) CountCrossSite(now time.Duration, site string) {
 	r.advance(now)
-	r.count(crossPrefix + site)
+	r.count(overflowPrefix + site)
 }
 
-// count adds a request under a key, where there is a count for it.
+// count counts a request under a key, if that has a count.
 func (r *Replica) count(key string) {
 	if c := r.localCounts[key]; c != nil {
 		c.Add(r.epoch(), 1)
 	}
 }
 
-// epoch is the current epoch of this node's counts.
+// epoch returns the current epoch of this node's counts.
 func (r *Replica) epoch() uint64 { return counts.EpochAt(r.clock.elapsed()) }
 
-// demands returns what is known of each member's rate under a key, by number.
+// demands returns the known rate of each member for a key, ordered by number.
 func (r *Replica) demands(key string) []escrow.Demand {
 	var demands []escrow.Demand
 	if c := r.localCounts[key]; c != nil {
@@ -76,8 +76,8 @@
 	return demands
 }
 
-// totalRate estimates the rate of all nodes together under a key. Nodes of which nothing is known count as the mean of the
-// others, so that a node that hears nobody keeps to its own part.
+// totalRate estimates the rate of all nodes together for a key. Nodes of unknown rate count as the mean of the others, so
+// that an isolated node limits itself to its own fraction of the quota.
 func (r *Replica) totalRate(key string, localRate float64) float64 {
 	sum, known := localRate, 1
 	staleAfter := r.staleAfter()
--- a/internal/shared/membership.go
+++ b/internal/shared/membership.go
@@ -9,10 +9,10 @@
 	"craneglade/internal/shared/roster"
 )
 
-// renewalInterval is the shortest time between two renewals of this node's incarnation.
-const renewalInterval = 10 * time.Second
+// minIncarnationChangeInterval is the shortest time between two changes of this node's incarnation.
+const minIncarnationChangeInterval = 10 * time.Second
 
-// MemberNumber returns the number of the member with a name; false where no such member was heard of.
+// MemberNumber returns the number of the member with a name; false where there is none.
 func (r *Replica) MemberNumber(name string) (int, bool) {
 	for _, m := range r.roster.Members(r.clock.now) {
 		if m.Name == name {
@@ -22,17 +22,18 @@
 	return 0, false
 }
 
-// Meta returns the description of this node that its membership carries to the others.
+// Meta returns this node's description of itself for the membership.
 func (r *Replica) Meta() []byte { return packet.Meta{Node: r.cfg.Self, Site: r.cfg.Site}.Encode() }
 
 // TakeRenewed reports, once for each change, that Meta has changed.
 func (r *Replica) TakeRenewed() bool {
-	renewed := r.renewed
-	r.renewed = false
+	renewed := r.incarnationChanged
+	r.incarnationChanged = false
 	return renewed
 }
 
-// MemberJoined records that a member is there, with its Meta. The error names the member; it changes nothing but a count.
+// MemberJoined records that a member is alive, with its Meta. An error names the member, and has no effect but on the
+// statistics.
 func (r *Replica) MemberJoined(now time.Duration, name string, meta []byte) error {
 	r.advance(now)
 	m, err := packet.DecodeMeta(meta)
@@ -43,18 +44,18 @@
 	member := roster.Member{Name: name, Number: m.Node.Number, Incarnation: m.Node.Incarnation, Site: m.Site}
 	switch r.roster.Update(member, r.clock.now) {
 	case roster.Joined:
-		r.note("a member is here", "member", name, "number", m.Node.Number, "site", m.Site)
+		r.note("member joined", "member", name, "number", m.Node.Number, "site", m.Site)
 	case roster.Restarted:
 		r.noteRestart(member)
 	case roster.Conflict:
-		r.note("another member has a number that is taken: give each node its own", "member", name, "number", m.Node.Number)
+		r.note("member ignored, as its node number is in use: give each node its own", "member", name, "number", m.Node.Number)
 	case roster.Stale:
 		r.stats.Stale++
 	}
 	return nil
 }
 
-// MemberDown records that a member is suspected or dead, by the Meta that it last sent. One that can't be read is ignored.
+// MemberDown records that a member is not alive, by the Meta that it last sent. A Meta that can't be decoded is ignored.
 func (r *Replica) MemberDown(now time.Duration, meta []byte, state roster.State) {
 	r.advance(now)
 	if m, err := packet.DecodeMeta(meta); err == nil {
@@ -66,12 +67,12 @@
 func (r *Replica) setState(node escrow.Node, state roster.State) {
 	if r.roster.SetState(node.Number, node.Incarnation, state) {
 		m, _ := r.roster.Get(node.Number)
-		r.note("a member is not here", "member", m.Name, "number", node.Number, "state", state.String())
+		r.note("member is not alive", "member", m.Name, "number", node.Number, "state", state.String())
 	}
 }
 
-// heardFrom records that a member sent something at a moment.
-func (r *Replica) heardFrom(node escrow.Node, sentAt time.Duration) {
+// recordContact records that a member sent an entry at a time.
+func (r *Replica) recordContact(node escrow.Node, sentAt time.Duration) {
 	if r.roster.RecordContact(node.Number, node.Incarnation, sentAt) {
 		m, _ := r.roster.Get(node.Number)
 		r.noteRestart(m)
@@ -79,28 +80,28 @@
 }
 
 func (r *Replica) noteRestart(m roster.Member) {
-	r.note("a member is here again, in a later life", "member", m.Name, "number", m.Number, "site", m.Site)
+	r.note("member restarted", "member", m.Name, "number", m.Number, "site", m.Site)
 }
 
-// renew gives this node an incarnation after one that was heard of under its own number, which an earlier process had by
-// a clock that ran ahead. What that one was granted does not count for the new one.
-func (r *Replica) renew(heard uint64) {
-	if r.renewedAt > 0 && r.clock.now-r.renewedAt < renewalInterval {
-		r.note("another node says that it has this one's number: give each node its own", "number", r.cfg.Self.Number)
+// takeNextIncarnation gives this node the incarnation after one that was seen under its own number. That belongs to an
+// earlier process of this node, whose clock ran ahead. Loans to the old incarnation do not count for the new one.
+func (r *Replica) takeNextIncarnation(seen uint64) {
+	if r.incarnationChangedAt > 0 && r.clock.now-r.incarnationChangedAt < minIncarnationChangeInterval {
+		r.note("another node uses the number of this node: give each node its own", "number", r.cfg.Self.Number)
 		return
 	}
-	r.renewedAt = max(r.clock.now, 1)
-	r.renewed = true
-	r.cfg.Self.Incarnation = heard + 1
-	r.ledger = escrow.New(r.cfg.Terms, r.cfg.Self, r.cfg.Nodes, r.clock.caller)
+	r.incarnationChangedAt = max(r.clock.now, 1)
+	r.incarnationChanged = true
+	r.cfg.Self.Incarnation = seen + 1
+	r.ledger = escrow.New(r.cfg.Terms, r.cfg.Self, r.cfg.Nodes, r.clock.callerNow)
 	r.roster.SetIncarnation(r.cfg.Self.Incarnation)
 	for _, c := range r.localCounts {
 		c.Incarnation = r.cfg.Self.Incarnation
 	}
-	r.note("a later life of this node was heard of: beginning one after it", "number", r.cfg.Self.Number)
+	r.note("the fleet knows a later incarnation of this node: taking the next one", "number", r.cfg.Self.Number)
 }
 
-// Leave returns the messages that say goodbye to the members and give back what this node holds of their budgets.
+// Leave returns the messages that tell the members that this node leaves, and return its loans.
 func (r *Replica) Leave(now time.Duration) []Message {
 	r.advance(now)
 	var messages []Message
@@ -112,12 +113,12 @@
 	return append(messages, r.returnLoans(now)...)
 }
 
-// noteFleetSize tells the operator where the bounds of the fleet's size have changed since the last step.
+// noteFleetSize adds a note where the bounds of the fleet's size have changed since the last step.
 func (r *Replica) noteFleetSize() {
 	count := r.roster.Count(r.clock.now)
-	if count.Lower == r.seenCount.Lower && count.Upper == r.seenCount.Upper {
+	if count.Lower == r.notedCount.Lower && count.Upper == r.notedCount.Upper {
 		return
 	}
-	r.seenCount = count
-	r.note("the fleet's size is known anew", "surely", count.Lower, "at_most", count.Upper, "age", count.Age)
+	r.notedCount = count
+	r.note("fleet size changed", "surely", count.Lower, "at_most", count.Upper, "age", count.Age)
 }
--- a/internal/shared/packet/packet.go
+++ b/internal/shared/packet/packet.go
@@ -1,7 +1,7 @@
-// Package packet is the form in which nodes tell each other what they share: Protocol Buffers' wire format
-// (https://protobuf.dev/programming-guides/encoding), read and written field by field. A frame holds any number of
-// entries. A field or a kind of entry that a node does not know is passed over and counted, so that older and newer
-// versions run side by side: a new version adds fields and kinds, and changes the meaning of none.
+// Package packet is the wire format of what nodes share: Protocol Buffers encoding
+// (https://protobuf.dev/programming-guides/encoding), read and written field by field. A frame has any number of entries. A
+// reader skips fields that it does not know, and skips and counts entries of a kind that it does not know, so that older
+// and newer versions work together: a new version adds fields and kinds, and never changes the meaning of existing ones.
 package packet
 
 import (
@@ -17,28 +17,28 @@
 	"craneglade/internal/shared/judgement"
 )
 
-// Version is that of what is written. A reader takes any from 1 on.
+// Version is the version that is written. A reader accepts any version from 1 on.
 const Version = 1
 
-// Kind says what an entry is.
+// Kind is the type of an entry.
 type Kind uint8
 
 const (
-	Window      Kind = iota + 1 // Key, Window: what Node has counted
-	Observation                 // Backend, Sight: what Node has seen of a backend
-	LoanRequest                 // Key, Nonce, Grains: Node asks for part of a budget
-	Grant                       // Key, Nonce, Grains, To: Node has lent it
-	Return                      // Key, Nonce: Node holds nothing any more of what it was lent up to there
-	Leave                       // Node ends
-	kinds
+	Window      Kind = iota + 1 // Key, Window: counts of Node
+	Observation                 // Backend, Observation: what Node has seen of a backend
+	LoanRequest                 // Key, Nonce, Grains: Node asks for grains of a budget
+	Grant                       // Key, Nonce, Grains, To: Node has lent grains to To
+	Return                      // Key, Nonce: Node has released all loans up to Nonce
+	Leave                       // Node leaves the fleet
+	kindEnd
 )
 
-// Entry is one thing that a node says. Only the fields of its kind are written.
+// Entry is one item of a frame. Only the fields of its kind are written.
 type Entry struct {
 	Kind        Kind
-	Node        escrow.Node   // who says it
-	Age         time.Duration // since it was true, whole milliseconds
-	Key         string        // of a count, or of a budget
+	Node        escrow.Node   // the node that it comes from
+	Age         time.Duration // in whole milliseconds
+	Key         string        // of a count or a budget
 	Window      counts.Window
 	Backend     judgement.Key
 	Observation judgement.Observation
@@ -48,32 +48,32 @@
 }
 
 const (
-	maxKey     = 128   // bytes
-	MaxEntries = 16384 // of a frame
-	maxNumber  = 1 << 20
-	parts      = 16 // that sights are rounded to
+	maxKeyBytes      = 128
+	MaxEntries       = 16384 // entries in a frame
+	maxNodeNumber    = 1 << 20
+	observationScale = 16 // attempts and failures are rounded to 1/16
 )
 
-// The numbers of the fields.
+// Field numbers of a frame, and then of an entry.
 const (
 	fVersion = 1
 	fEntry   = 2
 
-	fKind        = 1
-	fNumber      = 2
-	fIncarnation = 3
-	fAge         = 4
-	fKey         = 5
-	fEpoch       = 6
-	fCounts      = 7
-	fBackend     = 8
-	fSeq         = 9
-	fTried       = 10
-	fFailed      = 11
-	fNonce       = 12
-	fGrains      = 13
-	fToNumber    = 14
-	fToLife      = 15
+	fKind          = 1
+	fNumber        = 2
+	fIncarnation   = 3
+	fAge           = 4
+	fKey           = 5
+	fEpoch         = 6
+	fCounts        = 7
+	fBackend       = 8
+	fSeq           = 9
+	fTried         = 10
+	fFailed        = 11
+	fNonce         = 12
+	fGrains        = 13
+	fToNumber      = 14
+	fToIncarnation = 15
 )
 
 func varint(b []byte, f protowire.Number, v uint64) []byte {
@@ -82,7 +82,7 @@
 
 func millis(d time.Duration) uint64 { return uint64(max(0, d) / time.Millisecond) }
 
-// Frame writes entries. One of an age of any size has the same length, so that it may be written again when it is older.
+// Frame encodes entries. The length does not depend on their ages, so that an entry that has waited can be encoded again.
 func Frame(entries ...Entry) []byte {
 	b := varint(nil, fVersion, Version)
 	for i := range entries {
@@ -110,41 +110,43 @@
 	case Observation:
 		b = protowire.AppendFixed64(protowire.AppendTag(b, fBackend, protowire.Fixed64Type), uint64(e.Backend))
 		b = varint(b, fSeq, e.Observation.Seq)
-		b = varint(b, fTried, rounded(e.Observation.Tried))
-		b = varint(b, fFailed, min(rounded(e.Observation.Failed), rounded(e.Observation.Tried)))
+		b = varint(b, fTried, scaled(e.Observation.Tried))
+		b = varint(b, fFailed, min(scaled(e.Observation.Failed), scaled(e.Observation.Tried)))
 	case LoanRequest, Grant, Return:
 		b = varint(b, fNonce, e.Nonce)
 		b = varint(b, fGrains, uint64(max(0, e.Grains)))
 		if e.Kind == Grant {
 			b = varint(b, fToNumber, uint64(e.To.Number))
-			b = varint(b, fToLife, e.To.Incarnation)
+			b = varint(b, fToIncarnation, e.To.Incarnation)
 		}
 	}
 	return b
 }
 
-func rounded(x float64) uint64 { return uint64(math.Round(min(max(0, x), math.MaxInt32) * parts)) }
+func scaled(x float64) uint64 {
+	return uint64(math.Round(min(max(0, x), math.MaxInt32) * observationScale))
+}
 
-// Decode reads a frame. Skipped is the number of entries of a kind that is not known here. An error says what no version
-// writes; nothing of such a frame is to be used.
+// Decode decodes a frame. Skipped is the number of entries of unknown kinds. On an error the frame is malformed, and
+// nothing of it is returned.
 func Decode(b []byte) (entries []Entry, skipped int, err error) {
 	version := uint64(0)
-	err = fields(b, func(f protowire.Number, v uint64, text []byte) error {
+	err = parseFields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
 		case fVersion:
 			version = v
 		case fEntry:
-			if text == nil {
-				return errors.New("an entry that is a number")
+			if data == nil {
+				return errors.New("an entry is encoded as a number, not as bytes")
 			}
 			if len(entries)+skipped >= MaxEntries {
-				return fmt.Errorf("more than %d entries", MaxEntries)
+				return fmt.Errorf("frame has more than %d entries", MaxEntries)
 			}
-			e, err := decode(text)
+			e, err := decode(data)
 			if err != nil {
 				return err
 			}
-			if e.Kind == 0 || e.Kind >= kinds {
+			if e.Kind == 0 || e.Kind >= kindEnd {
 				skipped++
 			} else {
 				entries = append(entries, e)
@@ -153,7 +155,7 @@
 		return nil
 	})
 	if err == nil && version == 0 {
-		err = errors.New("no version")
+		err = errors.New("version is missing")
 	}
 	if err != nil {
 		return nil, 0, fmt.Errorf("packet: %w", err)
@@ -164,13 +166,13 @@
 func decode(b []byte) (Entry, error) {
 	var e Entry
 	kind := uint64(0)
-	err := fields(b, func(f protowire.Number, v uint64, text []byte) error {
+	err := parseFields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
 		case fKind:
 			kind = v
 		case fNumber, fToNumber:
-			if v > maxNumber {
-				return fmt.Errorf("node number %d", v)
+			if v > maxNodeNumber {
+				return fmt.Errorf("node number %d is out of range", v)
 			}
 			if f == fNumber {
 				e.Node.Number = int(v)
@@ -179,59 +181,60 @@
 			}
 		case fIncarnation:
 			e.Node.Incarnation = v
-		case fToLife:
+		case fToIncarnation:
 			e.To.Incarnation = v
 		case fAge:
-			e.Age = span(v)
+			e.Age = ageOf(v)
 		case fKey:
-			if len(text) > maxKey {
-				return fmt.Errorf("a key of %d bytes, and %d are the most", len(text), maxKey)
+			if len(data) > maxKeyBytes {
+				return fmt.Errorf("key has %d bytes, and the maximum is %d", len(data), maxKeyBytes)
 			}
-			e.Key = string(text)
+			e.Key = string(data)
 		case fEpoch:
 			e.Window.Epoch = v
 		case fCounts:
-			for i := 0; len(text) > 0; i++ {
-				n, size := protowire.ConsumeVarint(text)
+			for i := 0; len(data) > 0; i++ {
+				n, size := protowire.ConsumeVarint(data)
 				if size < 0 {
 					return protowire.ParseError(size)
 				}
 				if i < counts.WindowEpochs {
 					e.Window.Counts[i] = n
 				}
-				text = text[size:]
+				data = data[size:]
 			}
 		case fBackend:
 			e.Backend = judgement.Key(v)
 		case fSeq:
 			e.Observation.Seq = v
 		case fTried:
-			e.Observation.Tried = float64(v) / parts
+			e.Observation.Tried = float64(v) / observationScale
 		case fFailed:
-			e.Observation.Failed = float64(v) / parts
+			e.Observation.Failed = float64(v) / observationScale
 		case fNonce:
 			e.Nonce = v
 		case fGrains:
 			if v > uint64(escrow.BudgetGrains) {
-				return fmt.Errorf("%d grains, and a budget has %d", v, escrow.BudgetGrains)
+				return fmt.Errorf("%d grains are more than the %d of a budget", v, escrow.BudgetGrains)
 			}
 			e.Grains = int64(v)
 		}
 		return nil
 	})
-	if kind < uint64(kinds) {
+	if kind < uint64(kindEnd) {
 		e.Kind = Kind(kind)
 	}
 	e.Window.Incarnation = e.Node.Incarnation
 	return e, err
 }
 
-func span(ms uint64) time.Duration {
+func ageOf(ms uint64) time.Duration {
 	return time.Duration(min(ms, uint64(24*time.Hour/time.Millisecond))) * time.Millisecond
 }
 
-// fields calls f with each field: v of one that is a number, text of one that is bytes, which is nil for the former.
-func fields(b []byte, f func(n protowire.Number, v uint64, text []byte) error) error {
+// parseFields calls f with each field. A numeric field has its value in v and nil data; a bytes field has its value in
+// data.
+func parseFields(b []byte, f func(n protowire.Number, v uint64, data []byte) error) error {
 	for len(b) > 0 {
 		n, t, size := protowire.ConsumeTag(b)
 		if size < 0 {
@@ -239,7 +242,7 @@
 		}
 		b = b[size:]
 		var v uint64
-		var text []byte
+		var data []byte
 		switch t {
 		case protowire.VarintType:
 			v, size = protowire.ConsumeVarint(b)
@@ -250,8 +253,8 @@
 		case protowire.Fixed64Type:
 			v, size = protowire.ConsumeFixed64(b)
 		case protowire.BytesType:
-			if text, size = protowire.ConsumeBytes(b); text == nil && size > 0 {
-				text = []byte{}
+			if data, size = protowire.ConsumeBytes(b); data == nil && size > 0 {
+				data = []byte{}
 			}
 		default:
 			size = protowire.ConsumeFieldValue(n, t, b)
@@ -260,20 +263,20 @@
 			return protowire.ParseError(size)
 		}
 		b = b[size:]
-		if err := f(n, v, text); err != nil {
+		if err := f(n, v, data); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Meta is what a member says of itself when it joins, beside its name and address.
+// Meta is a node's description of itself in the membership, besides its name and address.
 type Meta struct {
 	Node escrow.Node
 	Site string
 }
 
-// Encode writes a Meta, in the form of an entry without a kind.
+// Encode encodes the description, as an entry without a kind.
 func (m Meta) Encode() []byte {
 	b := varint(nil, fVersion, Version)
 	b = varint(b, fNumber, uint64(m.Node.Number))
@@ -281,11 +284,11 @@
 	return protowire.AppendString(protowire.AppendTag(b, fKey, protowire.BytesType), m.Site)
 }
 
-// DecodeMeta reads a Meta. An error says what no version writes.
+// DecodeMeta decodes a description. On an error it is malformed.
 func DecodeMeta(b []byte) (Meta, error) {
 	e, err := decode(b)
 	if err == nil && e.Node.Incarnation == 0 {
-		err = errors.New("no incarnation")
+		err = errors.New("incarnation is missing")
 	}
 	if err != nil {
 		return Meta{}, fmt.Errorf("packet: meta: %w", err)
--- a/internal/shared/packet/packet_test.go
+++ b/internal/shared/packet/packet_test.go
@@ -14,7 +14,7 @@
 )
 
 func node(t *rapid.T, name string) escrow.Node {
-	return escrow.Node{Number: rapid.IntRange(0, maxNumber).Draw(t, name), Incarnation: rapid.Uint64().Draw(t, name+" life")}
+	return escrow.Node{Number: rapid.IntRange(0, maxNodeNumber).Draw(t, name), Incarnation: rapid.Uint64().Draw(t, name+" life")}
 }
 
 func entry(t *rapid.T) Entry {
@@ -31,8 +31,8 @@
 	case Observation:
 		e.Backend = judgement.Key(rapid.Uint64().Draw(t, "backend"))
 		tried := rapid.IntRange(0, 1000).Draw(t, "tried")
-		e.Observation = judgement.Observation{Seq: rapid.Uint64().Draw(t, "seq"), Tried: float64(tried) / parts,
-			Failed: float64(rapid.IntRange(0, tried).Draw(t, "failed")) / parts}
+		e.Observation = judgement.Observation{Seq: rapid.Uint64().Draw(t, "seq"), Tried: float64(tried) / observationScale,
+			Failed: float64(rapid.IntRange(0, tried).Draw(t, "failed")) / observationScale}
 	case LoanRequest, Grant, Return:
 		e.Key = rapid.StringN(0, 20, 80).Draw(t, "budget")
 		e.Nonce, e.Grains = rapid.Uint64().Draw(t, "nonce"), rapid.Int64Range(0, escrow.BudgetGrains).Draw(t, "grains")
@@ -43,12 +43,12 @@
 	return e
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.SliceOfN(rapid.Custom(entry), 0, 5).Draw(t, "entries")
 		got, skipped, err := Decode(Frame(all...))
 		if err != nil || skipped != 0 || len(got) != len(all) {
-			t.Fatalf("%d of %d, %d skipped, error %v", len(got), len(all), skipped, err)
+			t.Fatalf("%d of %d entries, %d skipped, error %v", len(got), len(all), skipped, err)
 		}
 		for i := range all {
 			if !reflect.DeepEqual(got[i], all[i]) {
@@ -57,14 +57,14 @@
 			older := all[i]
 			older.Age += time.Hour
 			if len(Frame(older)) != len(Frame(all[i])) {
-				t.Fatal("an entry grows with its age")
+				t.Fatal("the length of an entry depends on its age")
 			}
 		}
 	})
 }
 
-// What a version after this one writes: fields and kinds that are not known here, between those that are.
-func TestTheNextVersion(t *testing.T) {
+// A frame of a later version has unknown fields and entries of unknown kinds among the known ones.
+func TestUnknownFieldsAndKindsAreSkipped(t *testing.T) {
 	known := Entry{Kind: LoanRequest, Node: escrow.Node{Number: 3, Incarnation: 7}, Key: "quota/a", Nonce: 4, Grains: 1000,
 		Window: counts.Window{Incarnation: 7}}
 	grown := protowire.AppendString(protowire.AppendTag(known.append(nil), 40, protowire.BytesType), "a field of the future")
@@ -81,14 +81,14 @@
 	}
 }
 
-func TestWhatNoVersionWrites(t *testing.T) {
+func TestMalformedFrames(t *testing.T) {
 	good := Frame(Entry{Kind: LoanRequest, Key: "b", Grains: 5})
 	for name, b := range map[string][]byte{
 		"cut off":           good[:len(good)-1],
 		"no version":        good[2:],
 		"grains":            Frame(Entry{Kind: LoanRequest, Grains: escrow.BudgetGrains + 1}),
-		"a long key":        Frame(Entry{Kind: LoanRequest, Key: string(make([]byte, maxKey+1))}),
-		"a number":          Frame(Entry{Kind: LoanRequest, Node: escrow.Node{Number: maxNumber + 1}}),
+		"a long key":        Frame(Entry{Kind: LoanRequest, Key: string(make([]byte, maxKeyBytes+1))}),
+		"a number":          Frame(Entry{Kind: LoanRequest, Node: escrow.Node{Number: maxNodeNumber + 1}}),
 		"no fields":         {0xff, 0xff},
 		"entry as a number": varint(varint(nil, fVersion, 1), fEntry, 9),
 	} {
@@ -106,10 +106,10 @@
 		if err != nil {
 			return
 		}
-		// What was read is written in a form that reads the same.
+		// What was decoded can be encoded and decoded again.
 		again, skipped, err := Decode(Frame(all...))
 		if err != nil || skipped != 0 || len(again) != len(all) {
-			t.Fatalf("%d of %d, error %v", len(again), len(all), err)
+			t.Fatalf("%d of %d entries, error %v", len(again), len(all), err)
 		}
 	})
 }
--- a/internal/shared/queue.go
+++ b/internal/shared/queue.go
@@ -2,26 +2,26 @@
 
 import "github.com/hashicorp/memberlist"
 
-// keeper is an item that stays in a queue for good, as it is larger than anything that is ever asked for. A queue of
-// memberlist v0.7.0 begins its items' numbers anew whenever it is empty, also in the middle of putting a new item in the
-// place of one with its name. Two items can then have one number, and where they are equally long too the one drops the
-// other out of the queue but not out of its list of names; from then on that name is dropped at each turn, and the others
-// never hear of it again. A queue that is never empty numbers on.
-type keeper struct{}
+// placeholder is an item that is never sent, as it is larger than any limit, and so keeps a queue from ever being empty. A
+// queue of memberlist v0.7.0 restarts its items' numbers whenever it is empty, also while it replaces an item by a new one
+// of the same name. Two items can then have the same number. If they also have the same length, one displaces the other in
+// the queue but not in its table of names; from then on every new item of that name is dropped, and the other nodes never
+// receive it again.
+type placeholder struct{}
 
-// keeperBytes is more than any datagram has room for.
-const keeperBytes = 1 << 20
+// placeholderBytes is more than fits into any datagram.
+const placeholderBytes = 1 << 20
 
-var keeperMessage = make([]byte, keeperBytes)
+var placeholderMessage = make([]byte, placeholderBytes)
 
-func (keeper) Name() string                          { return "keeper" }
-func (keeper) Invalidates(memberlist.Broadcast) bool { return false }
-func (keeper) Message() []byte                       { return keeperMessage }
-func (keeper) Finished()                             {}
+func (placeholder) Name() string                          { return "keeper" }
+func (placeholder) Invalidates(memberlist.Broadcast) bool { return false }
+func (placeholder) Message() []byte                       { return placeholderMessage }
+func (placeholder) Finished()                             {}
 
-// newQueue returns a queue in which nothing waits to be sent.
-func newQueue(size func() int, multiplier int) *memberlist.TransmitLimitedQueue {
-	q := &memberlist.TransmitLimitedQueue{NumNodes: size, RetransmitMult: multiplier}
-	q.QueueBroadcast(keeper{})
+// newQueue returns a queue that has nothing to send.
+func newQueue(fleetSize func() int, multiplier int) *memberlist.TransmitLimitedQueue {
+	q := &memberlist.TransmitLimitedQueue{NumNodes: fleetSize, RetransmitMult: multiplier}
+	q.QueueBroadcast(placeholder{})
 	return q
 }
--- a/internal/shared/queue_test.go
+++ b/internal/shared/queue_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Every count is told at each of its turns, for as long as it goes on, and is heard by all: several tenants that all nodes
-// are asked for evenly, with names of one length.
-func TestEachCountIsToldForGood(t *testing.T) {
+// Each node repeats each of its counts, so that no other node's copy becomes stale: with several tenants that all nodes
+// serve equally, whose names have the same length.
+func TestCountsAreRepeatedBeforeTheyAreStale(t *testing.T) {
 	const nodes = 12
 	f := newFleet(t, nodes)
 	tenants := []string{"a", "b", "c", "d"}
@@ -16,14 +16,14 @@
 		cfg.Use = Use{Quotas: true}
 		cfg.Quotas = map[string]float64{}
 		for _, tenant := range tenants {
-			cfg.Quotas[tenant] = quotaPS
+			cfg.Quotas[tenant] = quotaPerSecond
 		}
 		f.nodes[i] = New(cfg, f.now)
 	}
 	for i := range f.nodes {
 		for j := range f.nodes {
 			if i != j {
-				f.meet(i, j)
+				f.introduce(i, j)
 			}
 		}
 	}
@@ -34,7 +34,7 @@
 			r.table.Rates(r.clock.now, quotaPrefix+tenant, func(of int, _ float64, age time.Duration) {
 				heard++
 				if age > 3*r.RepeatInterval() {
-					t.Errorf("node %d has a count of node %d for tenant %s that is %v old; each is told every %v", i, of, tenant, age, r.RepeatInterval())
+					t.Errorf("node %d has a count of node %d for tenant %s that is %v old; counts are repeated every %v", i, of, tenant, age, r.RepeatInterval())
 				}
 			})
 			if heard != nodes-1 {
@@ -44,14 +44,14 @@
 	}
 }
 
-// An item that takes the place of the only one in a queue, as it has its name, is not lost to those that come behind it.
-func TestAQueueLosesNothing(t *testing.T) {
+// An item that replaces the only one in a queue, by its name, must not displace later items.
+func TestQueueReplacementKeepsOtherItems(t *testing.T) {
 	r := New(config(0, 3, 1), time.Hour)
 	q := newQueue(func() int { return 3 }, 1)
 	for _, name := range []string{"a", "a", "b", "c"} {
 		q.QueueBroadcast(&queuedEntry{replica: r, name: name, sentAt: r.clock.now})
 	}
 	if got := len(q.GetBroadcasts(0, 1<<16)); got != 3 {
-		t.Errorf("%d of 3 items come out of the queue", got)
+		t.Errorf("%d of 3 items are sent", got)
 	}
 }
--- a/internal/shared/receive.go
+++ b/internal/shared/receive.go
@@ -7,8 +7,8 @@
 	"craneglade/internal/shared/roster"
 )
 
-// Receive takes in a frame and returns the replies to members. An error is the sender's fault; such a frame changes
-// nothing but the counts of what came.
+// Receive handles a frame and returns the replies to members. On an error the frame is malformed, and has no effect but on
+// the statistics.
 func (r *Replica) Receive(now time.Duration, frame []byte) ([]Message, error) {
 	r.advance(now)
 	entries, skipped, err := packet.Decode(frame)
@@ -26,7 +26,7 @@
 	return replies, nil
 }
 
-// receiveEntry takes in one entry of a frame, and returns the reply where there is one.
+// receiveEntry handles one entry of a frame, and returns the reply where there is one.
 func (r *Replica) receiveEntry(now time.Duration, e *packet.Entry) (reply Message, ok bool) {
 	if e.Node.Number == r.cfg.Self.Number {
 		r.receiveOwn(e)
@@ -38,14 +38,14 @@
 		return Message{}, false
 	}
 	sentAt := r.clock.now - e.Age
-	r.heardFrom(e.Node, sentAt) // before the entry may say that the member leaves
+	r.recordContact(e.Node, sentAt) // first, as the entry may say that the member leaves
 	switch e.Kind {
 	case packet.Window:
 		r.receiveWindow(e, sentAt)
 	case packet.Observation:
-		r.receiveSight(e, sentAt)
+		r.receiveObservation(e, sentAt)
 	case packet.LoanRequest:
-		return r.receiveAsk(now, e)
+		return r.receiveLoanRequest(now, e)
 	case packet.Grant:
 		r.receiveGrant(now, e)
 	case packet.Return:
@@ -56,21 +56,21 @@
 	return Message{}, false
 }
 
-// receiveOwn takes in an entry under this node's number that came back to it.
+// receiveOwn handles an entry under this node's own number.
 func (r *Replica) receiveOwn(e *packet.Entry) {
 	if e.Node.Incarnation > r.cfg.Self.Incarnation {
-		r.renew(e.Node.Incarnation)
+		r.takeNextIncarnation(e.Node.Incarnation)
 	}
 }
 
-// receiveWindow takes in another node's count and passes on what is new.
+// receiveWindow merges another node's count, and forwards it if it is new.
 func (r *Replica) receiveWindow(e *packet.Entry, sentAt time.Duration) {
 	if r.table.Merge(e.Key, e.Node.Number, e.Window, sentAt) {
 		r.forward(e, sentAt, false)
 	}
 }
 
-// message returns a message to one member, with an entry in this node's name.
+// message returns a message to one member, with an entry from this node.
 func (r *Replica) message(to int, e packet.Entry) Message {
 	e.Node = r.cfg.Self
 	return Message{to, packet.Frame(e)}
--- a/internal/shared/replica.go
+++ b/internal/shared/replica.go
@@ -1,9 +1,9 @@
-// Package shared holds the state that the nodes of a fleet share, as one node knows it: the members, the request counts
-// of all nodes, the parts of each budget, and the judgements on backends. Replica is a state machine. Its caller hands in
-// local events and the other nodes' messages with the time, and delivers the messages that it returns. The bounds of its
-// errors are in docs/design/shared-state.md.
+// Package shared is the state that the nodes of a fleet share, as one node knows it: the members, the request counts of all
+// nodes, this node's share of each budget, and the evidence on failing backends. Replica is a state machine: its caller
+// passes local events and the other nodes' messages with the time, and delivers the messages that it returns. The bounds of
+// its errors are in docs/design/shared-state.md.
 //
-// There is no I/O, clock or goroutine here. Nothing is safe for concurrent use.
+// The package has no I/O, clock or goroutines. Nothing in it is safe for concurrent use.
 package shared
 
 import (
@@ -17,31 +17,31 @@
 	"craneglade/internal/shared/roster"
 )
 
-// stepInterval is how often Step is to be called.
+// stepInterval is the interval at which Step is to be called.
 const stepInterval = 250 * time.Millisecond
 
-// Use says what the shared state is used for. It is told to other nodes in any case.
+// Use selects what the shared state is used for. The state is sent to other nodes in any case.
 type Use struct {
-	Quotas    bool // a tenant's requests within its quota follow from the counts of all nodes
-	Escrow    bool // they follow from this node's part of the quota; all parts together never exceed it
-	Ejections bool // a backend that enough other nodes find broken is left out here too
-	Crossing  bool // the load of lost sites that may go to another site follows from this node's part of it
+	Quotas    bool // quotas are enforced by the request counts of all nodes
+	Escrow    bool // quotas are enforced by this node's share; all shares together never exceed the quota
+	Ejections bool // a backend that a quorum of nodes finds unhealthy is ejected here too
+	Crossing  bool // load of lost sites goes to another site up to this node's share of what that may get
 }
 
-// Config is what a replica is made from.
+// Config configures a replica.
 type Config struct {
 	Name           string             // this node's name
 	Self           escrow.Node        // its number and incarnation
 	Nodes          int                // number of nodes that the settings name, this one included
-	Site           string             // where this node is
-	Quotas         map[string]float64 // by tenant, in requests a second over all nodes
-	OverflowSites  []string           // sites that may get the load of lost ones
+	Site           string             // of this node
+	Quotas         map[string]float64 // by tenant, in requests per second over all nodes
+	OverflowSites  []string           // sites that can take the load of lost ones
 	Terms          escrow.Terms       // of loans between nodes
-	Limits         judgement.Limits   // of judgements on backends
+	Limits         judgement.Limits   // of ejections
 	Use            Use
-	BytesPerSecond int // bytes that this node may send in a second
+	BytesPerSecond int // that this node can send
 
-	DatagramBytes int // size of the largest datagram in bytes
+	DatagramBytes int // size of the largest datagram
 }
 
 // Message is a frame for one member.
@@ -57,17 +57,17 @@
 	lastStep time.Duration // when Step was last called
 
 	// Members.
-	roster    *roster.Roster
-	seenCount roster.Count  // the fleet's size at the last step
-	renewed   bool          // this node has a new incarnation that Renewed has not told yet
-	renewedAt time.Duration // when it got the latest one; 0 for never
+	roster               *roster.Roster
+	notedCount           roster.Count  // the fleet's size at the last step
+	incarnationChanged   bool          // since the last call of TakeRenewed
+	incarnationChangedAt time.Duration // 0 for never
 
 	// Counts and budgets.
 	localCounts map[string]*localCount // by key
 	table       *counts.Table          // counts of the other nodes
 	ledger      *escrow.Ledger
 
-	// Judgements.
+	// Ejections.
 	backends []backend
 	pool     *judgement.Pool
 	votes    []judgement.Votes // of the last step
@@ -75,14 +75,14 @@
 	// Broadcasts.
 	urgentQueue    *memberlist.TransmitLimitedQueue
 	ordinaryQueue  *memberlist.TransmitLimitedQueue
-	tokens         float64       // entries that may be told now
-	repeatInterval time.Duration // how often what has not changed is told again; it grows with the fleet
+	tokens         float64       // entries of its own that the node can queue now
+	repeatInterval time.Duration // interval at which unchanged entries are sent again; grows with the fleet
 
 	stats Stats
 	notes []Note
 }
 
-// New returns the replica of a node that has just started and heard nobody.
+// New returns the replica of a node that has just started and knows no other.
 func New(cfg Config, now time.Duration) *Replica {
 	self := roster.Member{Name: cfg.Name, Number: cfg.Self.Number, Incarnation: cfg.Self.Incarnation, Site: cfg.Site}
 	r := &Replica{
@@ -103,16 +103,16 @@
 	return r
 }
 
-// Step does what time alone makes due: it queues news for the other nodes, asks for parts of budgets and judges backends.
-// It returns the messages for single members.
+// Step does what is due by the passing of time: it queues updates for the other nodes, requests and returns loans, and
+// updates the ejections. It returns the messages for single members.
 func (r *Replica) Step(now time.Duration) []Message {
 	r.advance(now)
 	r.refillTokens()
 	r.roster.SetStaleAfter(r.staleAfter())
-	r.queueNews()
+	r.queueUpdates()
 	messages := r.planLoans(now)
 	if r.cfg.Use.Ejections {
-		r.judge()
+		r.updateEjections()
 	}
 	r.table.Prune(r.clock.now, pruneAfterStale*r.staleAfter())
 	r.pool.Prune(r.clock.now)
--- a/internal/shared/replica_test.go
+++ b/internal/shared/replica_test.go
@@ -19,32 +19,32 @@
 	"craneglade/policy"
 )
 
-const quotaPS = 100.0
+const quotaPerSecond = 100.0
 
 var long = flag.Bool("long", false, "measure in large fleets too")
 
-// fleet is some replicas and what carries between them.
+// fleet is a set of replicas and a simulated network between them.
 type fleet struct {
-	t     testing.TB
-	now   time.Duration
-	nodes []*Replica
-	lives []uint64
-	rng   *rand.Rand
-	loss  float64
-	cut   func(from, to int) bool
-	bytes int
+	t            testing.TB
+	now          time.Duration
+	nodes        []*Replica
+	incarnations []uint64
+	rng          *rand.Rand
+	loss         float64
+	partitioned  func(from, to int) bool
+	bytes        int
 }
 
-func config(i, n int, life uint64) Config {
-	return Config{Name: fmt.Sprintf("n%d", i), Self: escrow.Node{Number: i, Incarnation: life}, Nodes: n, Site: []string{"north", "south"}[i%2],
-		Quotas: map[string]float64{"a": quotaPS, "none": 0}, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: Use{Escrow: true, Ejections: true}, BytesPerSecond: 64 << 10, DatagramBytes: 1400}
+func config(i, n int, incarnation uint64) Config {
+	return Config{Name: fmt.Sprintf("n%d", i), Self: escrow.Node{Number: i, Incarnation: incarnation}, Nodes: n, Site: []string{"north", "south"}[i%2],
+		Quotas: map[string]float64{"a": quotaPerSecond, "none": 0}, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: Use{Escrow: true, Ejections: true}, BytesPerSecond: 64 << 10, DatagramBytes: 1400}
 }
 
 func newFleet(t testing.TB, n int) *fleet {
-	f := &fleet{t: t, now: time.Hour, rng: rand.New(rand.NewPCG(1, 2)), cut: func(int, int) bool { return false },
-		nodes: make([]*Replica, n), lives: make([]uint64, n)}
+	f := &fleet{t: t, now: time.Hour, rng: rand.New(rand.NewPCG(1, 2)), partitioned: func(int, int) bool { return false },
+		nodes: make([]*Replica, n), incarnations: make([]uint64, n)}
 	for i := range n {
-		f.lives[i] = 1
+		f.incarnations[i] = 1
 		f.restart(i)
 	}
 	return f
@@ -57,20 +57,20 @@
 	return all
 }
 
-// restart begins a node's next life.
+// restart starts a node's next incarnation.
 func (f *fleet) restart(i int) {
-	f.lives[i]++
-	f.nodes[i] = New(config(i, len(f.nodes), f.lives[i]), f.now)
+	f.incarnations[i]++
+	f.nodes[i] = New(config(i, len(f.nodes), f.incarnations[i]), f.now)
 	f.nodes[i].SetBackends(backends())
 	for j, o := range f.nodes {
-		if j != i && o != nil && !f.cut(i, j) {
-			f.meet(i, j)
-			f.meet(j, i)
+		if j != i && o != nil && !f.partitioned(i, j) {
+			f.introduce(i, j)
+			f.introduce(j, i)
 		}
 	}
 }
 
-func (f *fleet) meet(i, j int) {
+func (f *fleet) introduce(i, j int) {
 	if err := f.nodes[i].MemberJoined(f.now, f.nodes[j].cfg.Name, f.nodes[j].Meta()); err != nil {
 		f.t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 
 func (f *fleet) carry(from, to int, b []byte) {
 	f.bytes += len(b)
-	if f.cut(from, to) || f.rng.Float64() < f.loss {
+	if f.partitioned(from, to) || f.rng.Float64() < f.loss {
 		return
 	}
 	out, err := f.nodes[to].Receive(f.now, b)
@@ -96,7 +96,7 @@
 	}
 }
 
-// run lets time pass, with requests and outcomes of the nodes' own by load, which may be nil.
+// run advances the time. In each step load, if not nil, adds requests and outcomes at each node.
 func (f *fleet) run(d time.Duration, load func(i int, r *Replica)) {
 	for end := f.now + d; f.now < end; f.now += 50 * time.Millisecond {
 		for i, r := range f.nodes {
@@ -119,15 +119,15 @@
 	}
 }
 
-func (f *fleet) sum() (sum float64, each []float64) {
+func (f *fleet) spendablePerSecond() (sum float64, each []float64) {
 	for _, r := range f.nodes {
-		q := quotaPS * r.Report(f.now).Budgets[0].Spendable
+		q := quotaPerSecond * r.Report(f.now).Budgets[0].Spendable
 		sum, each = sum+q, append(each, q)
 	}
 	return sum, each
 }
 
-// A tenant that asks at one node alone gets its whole share there but for what the others never lend.
+// A tenant whose requests all arrive at one node gets its whole quota there, but for what the other nodes never lend.
 func TestPartsFollowTheDemand(t *testing.T) {
 	f := newFleet(t, 6)
 	f.run(15*time.Second, func(i int, r *Replica) {
@@ -139,22 +139,23 @@
 		r.CountRequest(f.now, "none")
 		r.CountRequest(f.now, "of no share")
 	})
-	sum, each := f.sum()
-	if sum > quotaPS*(1+1e-6) || each[2] < 0.7*quotaPS {
-		t.Errorf("%.1f in all, each %.1f, want node 2 to have most of %.0f", sum, each, quotaPS)
+	sum, each := f.spendablePerSecond()
+	if sum > quotaPerSecond*(1+1e-6) || each[2] < 0.7*quotaPerSecond {
+		t.Errorf("%.1f in all, by node %.1f, want node 2 to have most of %.0f", sum, each, quotaPerSecond)
 	}
 	if _, ok := f.nodes[0].table.Get("quota/none", 1); ok {
-		t.Error("what has no share is counted")
+		t.Error("a tenant without a quota is counted")
 	}
 }
 
-// By counts alone the part that lies within a share is the same at every node, and a node that hears nobody keeps to its own.
+// With quotas enforced by counts the fraction of requests within a quota is the same at every node, and an isolated node
+// limits itself to its own fraction of the quota.
 func TestWithinAShareByCounts(t *testing.T) {
 	f := newFleet(t, 6)
 	for _, r := range f.nodes {
 		r.cfg.Use = Use{Quotas: true}
 	}
-	f.run(15*time.Second, func(i int, r *Replica) { // 420 a second, and 100 are the share
+	f.run(15*time.Second, func(i int, r *Replica) { // 420 requests per second, and the quota is 100
 		for range 1 + i {
 			r.CountRequest(f.now, "a")
 		}
@@ -163,11 +164,11 @@
 	for i, r := range f.nodes {
 		whole += r.localCounts["quota/a"].Rate()
 		if got := r.View(f.now).QuotaFractions["a"]; got < 0.22 || got > 0.27 {
-			t.Errorf("node %d: %.3f of its requests lie within, want 100 of %d", i, got, 20*21)
+			t.Errorf("node %d: %.3f of its requests are within the quota, want 100 of %d", i, got, 20*21)
 		}
 	}
 	if whole < 410 || whole > 430 {
-		t.Fatalf("the test asks for %.0f a second", whole)
+		t.Fatalf("the test sends %.0f requests per second, want 420", whole)
 	}
 	alone := New(f.nodes[5].cfg, f.now)
 	for range 100 {
@@ -177,13 +178,13 @@
 		}
 		alone.Step(f.now)
 	}
-	if got, want := alone.View(f.now).QuotaFractions["a"], quotaPS/6/120; got < 0.9*want || got > 1.1*want {
-		t.Errorf("alone %.3f, want its sixth of the share: %.3f", got, want)
+	if got, want := alone.View(f.now).QuotaFractions["a"], quotaPerSecond/6/120; got < 0.9*want || got > 1.1*want {
+		t.Errorf("isolated node: %.3f, want a sixth of the quota: %.3f", got, want)
 	}
 }
 
-// Whatever is lost, cut off or started again between them, nodes together never have more than a share.
-func TestTheShareHolds(t *testing.T) {
+// The nodes together never have more than a quota, through message loss, partitions and restarts.
+func TestQuotaIsNeverExceeded(t *testing.T) {
 	moved := 0
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "nodes")
@@ -196,98 +197,99 @@
 				f.loss = rapid.Float64Range(0, 0.9).Draw(t, "loss")
 			case 1:
 				side := rapid.IntRange(0, 1<<n-1).Draw(t, "side")
-				f.cut = func(from, to int) bool { return side>>from&1 != side>>to&1 }
+				f.partitioned = func(from, to int) bool { return side>>from&1 != side>>to&1 }
 			case 2:
 				f.restart(rapid.IntRange(0, n-1).Draw(t, "node"))
 			case 3:
 				hot = rapid.IntRange(0, n-1).Draw(t, "hot")
 			case 4:
-				f.cut = func(int, int) bool { return false }
+				f.partitioned = func(int, int) bool { return false }
 			}
 			f.run(time.Duration(rapid.IntRange(100, 3000).Draw(t, "ms"))*time.Millisecond, func(i int, r *Replica) {
 				if i == hot || f.rng.IntN(10) == 0 {
 					r.CountRequest(f.now, "a")
 				}
-				sum, each := f.sum()
-				if sum > quotaPS*(1+1e-6) {
-					t.Fatalf("%v of %v: %v", sum, quotaPS, each)
+				sum, each := f.spendablePerSecond()
+				if sum > quotaPerSecond*(1+1e-6) {
+					t.Fatalf("%v of %v: %v", sum, quotaPerSecond, each)
 				}
-				if each[i] > quotaPS/float64(n)+1 {
+				if each[i] > quotaPerSecond/float64(n)+1 {
 					moved++
 				}
 			})
 		}
 	})
 	if moved == 0 {
-		t.Error("no part ever moved: the scripts test nothing")
+		t.Error("no node ever borrowed: the scripts test nothing")
 	}
 }
 
-func TestABrokenBackendIsOutForAll(t *testing.T) {
+func TestUnhealthyBackendIsEjectedOnAllNodes(t *testing.T) {
 	f := newFleet(t, 6)
-	bad := Key("3", 0)
+	key := Key("3", 0)
 	f.run(4*time.Second, func(i int, r *Replica) {
 		for _, b := range backends() {
-			if i < 3 && f.now%(500*time.Millisecond) == 0 { // half of the nodes use it, the others will not have to
-				r.RecordOutcome(f.now, b.Key, b.Key == bad)
+			if i < 3 && f.now%(500*time.Millisecond) == 0 { // half of the nodes send requests to it; the others learn from them
+				r.RecordOutcome(f.now, b.Key, b.Key == key)
 			}
 		}
 	})
 	for i, r := range f.nodes {
 		v := r.View(f.now)
-		if len(v.Ejected) != 1 || v.Ejected[0] != bad {
-			t.Errorf("node %d leaves out %v, want the one that fails", i, v.Ejected)
+		if len(v.Ejected) != 1 || v.Ejected[0] != key {
+			t.Errorf("node %d: %v ejected, want the failing backend", i, v.Ejected)
 		}
-		ev := v.Event(func(k judgement.Key) (uint32, bool) { return 7, k == bad })
+		ev := v.Event(func(k judgement.Key) (uint32, bool) { return 7, k == key })
 		if ev.Kind != policy.EvShared || len(ev.Shared.Out) != 1 || ev.Shared.Out[0] != 7 {
 			t.Errorf("as an event: %+v", ev.Shared)
 		}
 	}
-	said := ""
+	text := ""
 	for _, n := range f.nodes[5].Notes() {
-		said += n.Text + "\n"
+		text += n.Text + "\n"
 	}
-	if !strings.Contains(said, "out by hearsay") || !strings.Contains(said, "a member is here") {
-		t.Errorf("an operator is told:\n%s", said)
+	if !strings.Contains(text, "backend ejected") || !strings.Contains(text, "member joined") {
+		t.Errorf("the notes lack an ejection or a join:\n%s", text)
 	}
 }
 
-// One that was here before, by a clock that ran ahead, is outlived: what it says counts nothing, and this one's word does.
-func TestALifeBeforeByAClockThatRanAhead(t *testing.T) {
+// A node whose earlier process had a later incarnation, from a clock that ran ahead, takes the next one, so that its own
+// entries count and not those of the earlier process.
+func TestEarlierIncarnationFromAClockThatRanAhead(t *testing.T) {
 	f := newFleet(t, 2)
-	f.lives[1] = 1000
+	f.incarnations[1] = 1000
 	f.restart(1)
 	f.nodes[1].CountRequest(f.now, "a")
 	f.run(5*time.Second, func(_ int, r *Replica) { r.CountRequest(f.now, "a") })
-	f.lives[1] = 10
+	f.incarnations[1] = 10
 	f.restart(1)
 	if f.nodes[1].cfg.Self.Incarnation != 11 {
-		t.Fatal("the test has another life in mind")
+		t.Fatal("the test starts with another incarnation")
 	}
 	f.carry(0, 1, f.nodes[0].State(f.now))
 	if got := f.nodes[1].cfg.Self.Incarnation; got != 1002 || !f.nodes[1].TakeRenewed() || f.nodes[1].TakeRenewed() {
-		t.Errorf("it goes on as life %d, want 1002, and tells so once", got)
+		t.Errorf("incarnation %d, want 1002, reported exactly once", got)
 	}
-	f.meet(0, 1)
+	f.introduce(0, 1)
 	f.run(5*time.Second, func(_ int, r *Replica) { r.CountRequest(f.now, "a") })
 	if w, ok := f.nodes[0].table.Get("quota/a", 1); !ok || w.Incarnation != 1002 {
-		t.Errorf("the other knows of life %d", w.Incarnation)
+		t.Errorf("the other node knows incarnation %d, want 1002", w.Incarnation)
 	}
 }
 
-// What lost sites' load may bring to another goes to the nodes that have such load, and stays one whole.
-func TestCrossingFollowsTheDemand(t *testing.T) {
+// The share of lost sites' load moves to the nodes that have such load, and all shares never add up to more than one.
+func TestOverflowSharesFollowTheDemand(t *testing.T) {
 	f := newFleet(t, 6)
 	for i := range f.nodes {
 		c := config(i, 6, 9)
 		c.Use, c.OverflowSites = Use{Crossing: true}, []string{"east", "west"}
-		f.lives[i] = 9
+		f.incarnations[i] = 9
 		f.nodes[i] = New(c, f.now)
 	}
 	for i := range f.nodes {
 		for j := range f.nodes {
 			if i != j {
-				f.meet(i, j)
+				f.introduce(i, j)
 			}
 		}
 	}
@@ -302,21 +304,21 @@
 			sum += r.View(f.now).OverflowShares["east"]
 		}
 		if sum > 1.0001 {
-			t.Fatalf("%.3f of the whole can be brought there", sum)
+			t.Fatalf("the shares add up to %.3f", sum)
 		}
 	}
 	if has := f.nodes[0].View(f.now).OverflowShares["east"] + f.nodes[1].View(f.now).OverflowShares["east"]; has < 0.7 {
-		t.Errorf("the two nodes that need it have %.2f", has)
+		t.Errorf("the two nodes with demand have %.2f", has)
 	}
 	if has := f.nodes[0].View(f.now).OverflowShares["west"]; has < 0.16 || has > 0.17 {
-		t.Errorf("of what nobody needs one has %.2f, and owns a sixth", has)
+		t.Errorf("a node has %.2f of a budget without demand, want the sixth that it owns", has)
 	}
 	if f.nodes[0].isBudget("cross/north") || !f.nodes[0].isBudget("cross/west") {
-		t.Error("a site that is in no plan has a budget, or one that is has none")
+		t.Error("a site that can't take lost sites' load has a budget, or one that can has none")
 	}
 }
 
-// What a node counts a second stays what it is when its clock is set back.
+// A node's request rate stays right when its clock is set back.
 func TestCountsWhenTheClockIsSetBack(t *testing.T) {
 	f := newFleet(t, 1)
 	r := f.nodes[0]
@@ -328,25 +330,25 @@
 		r.CountRequest(f.now, "a")
 		r.Step(f.now)
 		if rate := r.localCounts[quotaPrefix+"a"].Rate(); i > 10 && (rate < 9 || rate > 11) {
-			t.Fatalf("request %d, one each 100 ms: a rate of %.1f", i, rate)
+			t.Fatalf("request %d, one per 100 ms: rate %.1f, want 10", i, rate)
 		}
 	}
 }
 
-func TestWhatComesFromNobodyKnown(t *testing.T) {
+func TestUnknownAndStaleInputIsIgnored(t *testing.T) {
 	f := newFleet(t, 3)
 	if _, err := f.nodes[0].Receive(f.now, []byte("GET / HTTP/1.1")); err == nil {
-		t.Error("what is no frame is taken")
+		t.Error("a malformed frame is accepted")
 	}
 	if err := f.nodes[0].MemberJoined(f.now, "x", []byte{1, 2, 3}); err == nil {
-		t.Error("a member that says nonsense of itself is taken")
+		t.Error("a member with a malformed Meta is accepted")
 	}
-	// An ask for a budget that there is not, and words of a life that is over, get no answer.
+	// A request for a loan of an unknown budget, and entries of an earlier incarnation, get no reply.
 	ask := packet.Entry{Kind: packet.LoanRequest, Node: escrow.Node{Number: 1, Incarnation: 2}, Key: "quota/none", Nonce: 1, Grains: 5}
 	old := packet.Entry{Kind: packet.LoanRequest, Node: escrow.Node{Number: 1, Incarnation: 1}, Key: "quota/a", Nonce: 1, Grains: 5}
 	window := packet.Entry{Kind: packet.Window, Node: escrow.Node{Number: 1, Incarnation: 1}, Key: "quota/a", Window: counts.Window{Incarnation: 1, Epoch: 3}}
 	if out, err := f.nodes[0].Receive(f.now, packet.Frame(ask, old, window)); err != nil || len(out) > 0 {
-		t.Errorf("%d answers, %v", len(out), err)
+		t.Errorf("%d replies, %v", len(out), err)
 	}
 	if r := f.nodes[0].Report(f.now); r.Stats.Stale != 2 || r.Stats.Bad != 2 || len(r.Members) != 2 {
 		t.Errorf("%+v", r.Stats)
@@ -357,8 +359,8 @@
 	}
 }
 
-// The bytes that a node sends grow with what there is to tell, and stay within its budget when the fleet grows.
-func TestBytesStayWithinTheBudget(t *testing.T) {
+// The bytes that a node sends stay within its limit when the fleet grows.
+func TestBytesSentStayWithinLimit(t *testing.T) {
 	for _, n := range []int{3, 30} {
 		f := newFleet(t, n)
 		load := func(i int, r *Replica) {
@@ -369,19 +371,19 @@
 			}
 			r.CountRequest(f.now, "a")
 		}
-		f.run(5*time.Second, load) // the burst of a start
+		f.run(5*time.Second, load) // the burst at the start
 		f.bytes = 0
 		f.run(5*time.Second, load)
 		each := float64(f.bytes) / 5 / float64(n)
-		t.Logf("%d nodes: %.0f bytes a node a second", n, each)
+		t.Logf("%d nodes: %.0f bytes/s per node", n, each)
 		if each > 64<<10 {
-			t.Errorf("%d nodes: %.0f bytes a node a second, and %d are its budget", n, each, 64<<10)
+			t.Errorf("%d nodes: %.0f bytes/s per node, and its limit is %d", n, each, 64<<10)
 		}
 	}
 }
 
-// How long after the last vote that a quorum needs a backend is out at the other nodes, in virtual time.
-func TestHowSoonAVerdictIsKnown(t *testing.T) {
+// The time from the last vote that a quorum needs until a backend is ejected on the other nodes, in virtual time.
+func TestEjectionDelayAcrossFleet(t *testing.T) {
 	sizes, rounds := []int{12}, 3
 	if *long {
 		sizes, rounds = []int{12, 60}, 12
@@ -391,8 +393,8 @@
 			f := newFleet(t, n)
 			f.loss = loss
 			f.run(3*time.Second, nil)
-			bad := Key("3", 0)
-			var took []float64
+			key := Key("3", 0)
+			var delays []float64
 			for round := range rounds {
 				from := f.now
 				at := make([]time.Duration, n)
@@ -400,7 +402,7 @@
 				f.run(4*time.Second, func(i int, r *Replica) {
 					if f.now == from && (i == first || i == second) {
 						for range 4 {
-							r.RecordOutcome(f.now, bad, true)
+							r.RecordOutcome(f.now, key, true)
 						}
 					}
 					if at[i] == 0 && len(r.View(f.now).Ejected) > 0 {
@@ -409,14 +411,14 @@
 				})
 				for i := range at {
 					if at[i] == 0 {
-						t.Errorf("%d nodes, %.0f%% lost, round %d: node %d does not know within 4 s", n, 100*loss, round, i)
+						t.Errorf("%d nodes, %.0f%% lost, round %d: not ejected on node %d within 4 s", n, 100*loss, round, i)
 					}
-					took = append(took, at[i].Seconds())
+					delays = append(delays, at[i].Seconds())
 				}
-				f.run(20*time.Second, nil) // until it is forgotten
+				f.run(20*time.Second, nil) // until the ejection has ended
 			}
-			slices.Sort(took)
-			t.Logf("%d nodes, %.0f%% lost: p50 %.2f s, p99 %.2f s", n, 100*loss, took[len(took)/2], took[len(took)*99/100])
+			slices.Sort(delays)
+			t.Logf("%d nodes, %.0f%% lost: p50 %.2f s, p99 %.2f s", n, 100*loss, delays[len(delays)/2], delays[len(delays)*99/100])
 		}
 	}
 }
--- a/internal/shared/report.go
+++ b/internal/shared/report.go
@@ -10,7 +10,7 @@
 	"craneglade/internal/shared/roster"
 )
 
-// Note is a line for an operator's log.
+// Note is an entry for the operator's log.
 type Note struct {
 	Text string
 	Args []any // key, value, key, value
@@ -25,23 +25,23 @@
 
 func (r *Replica) note(text string, args ...any) { r.notes = append(r.notes, Note{text, args}) }
 
-// Stats count what came and went since the start.
+// Stats are counters since the start.
 type Stats struct {
-	Received, Skipped, Bad, Stale int // entries; Bad counts frames too
-	Told, Forwarded               int // entries of its own, and of others
-	Asked, Lent, Granted          int // parts of budgets
+	Received, Skipped, Bad, Stale int // entries received; Bad also counts frames
+	Told, Forwarded               int // entries queued for sending: this node's own, and other nodes'
+	Asked, Lent, Granted          int // loans: requests sent, requests answered, answers received
 }
 
-// BudgetShare is one budget as this node has it.
+// BudgetShare is this node's share of one budget.
 type BudgetShare struct {
 	Budget    string        `json:"budget"`
-	Spendable float64       `json:"spendable"` // as a fraction of the whole budget
-	Base      float64       `json:"base"`      // owned by this node, as a fraction of the whole
+	Spendable float64       `json:"spendable"` // fraction of the whole budget
+	Base      float64       `json:"base"`      // fraction of the whole budget that this node owns
 	Borrowed  []escrow.Loan `json:"held,omitempty"`
 	Lent      []escrow.Loan `json:"lent,omitempty"`
 }
 
-// Member is another node, for an operator.
+// Member is another node, as an operator sees it.
 type Member struct {
 	Name        string        `json:"name"`
 	Number      int           `json:"number"`
@@ -51,40 +51,40 @@
 	SinceHeard  time.Duration `json:"heard_ns_ago"`
 }
 
-// Vote is what is held for and against a backend, by its name on the list.
+// Vote has the verdicts of all nodes on a backend.
 type Vote struct {
 	Name         string `json:"name"`
 	Site         string `json:"site"`
-	Unhealthy    int    `json:"find_it_broken"` // nodes; this one included
+	Unhealthy    int    `json:"find_it_broken"` // nodes, this one included
 	Healthy      int    `json:"say_it_answers"`
 	OwnUnhealthy bool   `json:"this_node_finds_it_broken"`
 	Ejected      bool   `json:"out"`
 }
 
-// PeerCount is what this node knows of another one's count.
+// PeerCount is another node's count as this node knows it.
 type PeerCount struct {
 	Key          string        `json:"key"`
-	Node         int           `json:"of"`    // the other node's number
-	Incarnation  uint64        `json:"life"`  // its incarnation
-	Epoch        uint64        `json:"epoch"` // the open one, of counts.Epoch each since the incarnation's start
+	Node         int           `json:"of"` // the other node's number
+	Incarnation  uint64        `json:"life"`
+	Epoch        uint64        `json:"epoch"` // the open one, each of counts.EpochDuration, from 0 at the start of the incarnation
 	ClosedEpochs uint64        `json:"closed_epochs"`
-	Sum          uint64        `json:"sum"` // in the closed ones
+	Sum          uint64        `json:"sum"` // of the closed epochs
 	Age          time.Duration `json:"ns_ago"`
 }
 
-// PeerCounts lists what is known of the other nodes' counts, by key and number.
+// PeerCounts returns the known counts of the other nodes, ordered by key and number.
 func (r *Replica) PeerCounts(now time.Duration) []PeerCount {
 	r.advance(now)
 	var all []PeerCount
-	r.table.All(func(key string, node int, told counts.TimedWindow) {
-		sum, closed := told.Closed()
-		all = append(all, PeerCount{key, node, told.Incarnation, told.Epoch, closed, sum, max(0, r.clock.now-told.CountedAt)})
+	r.table.All(func(key string, node int, window counts.TimedWindow) {
+		sum, closed := window.Closed()
+		all = append(all, PeerCount{key, node, window.Incarnation, window.Epoch, closed, sum, max(0, r.clock.now-window.CountedAt)})
 	})
 	slices.SortFunc(all, func(a, b PeerCount) int { return cmp.Or(cmp.Compare(a.Key, b.Key), cmp.Compare(a.Node, b.Node)) })
 	return all
 }
 
-// Report is all that a node knows, for an operator.
+// Report is everything that a node knows, as an operator sees it.
 type Report struct {
 	Name     string                  `json:"name"`
 	Number   int                     `json:"number"`
@@ -93,10 +93,10 @@
 	Members  []Member                `json:"members"`
 	Budgets  []BudgetShare           `json:"parts"`
 	Votes    []Vote                  `json:"votes"`
-	Backends int                     `json:"listed"`    // backends on the list,
-	Ejected  int                     `json:"out"`       // those of them that are ejected by the judgement of enough nodes,
-	MinVotes int                     `json:"fewest"`    // the fewest nodes that found one of those broken when it was ejected,
-	Capped   int                     `json:"held_back"` // and those that only the ceilings keep in use
+	Backends int                     `json:"listed"`    // on the list
+	Ejected  int                     `json:"out"`       // of these, by a quorum of nodes
+	MinVotes int                     `json:"fewest"`    // lowest number of nodes that found one of those unhealthy when it was ejected
+	Capped   int                     `json:"held_back"` // backends that only the ceilings keep from ejection
 	Stats    Stats                   `json:"stats"`
 }
 
@@ -109,7 +109,7 @@
 		Count:    r.roster.Count(r.clock.now),
 		Sites:    r.roster.Sites(r.clock.now),
 		Members:  r.reportMembers(),
-		Budgets:  r.reportParts(now),
+		Budgets:  r.reportBudgets(now),
 		Votes:    r.reportVotes(),
 		Backends: len(r.backends),
 		Capped:   r.pool.Capped(),
@@ -148,13 +148,13 @@
 	return votes
 }
 
-func (r *Replica) reportParts(now time.Duration) []BudgetShare {
+func (r *Replica) reportBudgets(now time.Duration) []BudgetShare {
 	base := float64(escrow.Base(r.cfg.Self.Number, r.cfg.Nodes)) / float64(escrow.BudgetGrains)
 	var parts []BudgetShare
 	r.eachBudget(func(budget string) {
 		parts = append(parts, BudgetShare{
 			Budget:    budget,
-			Spendable: r.spendablePart(now, budget),
+			Spendable: r.spendableFraction(now, budget),
 			Base:      base,
 			Borrowed:  r.ledger.Borrowed(now, budget),
 			Lent:      r.ledger.Lent(now, budget),
--- a/internal/shared/roster/roster.go
+++ b/internal/shared/roster/roster.go
@@ -1,8 +1,8 @@
-// Package roster knows who is in the fleet, as far as this node has heard: every member with the age of the latest word
-// from it, and how many there are as bounds, never as a bare number. Whether a member answers is found out elsewhere, by
-// a library that keeps to SWIM; this package decides what to make of it.
+// Package roster has the members of the fleet as this node knows them: each with the age of the latest message from it, and
+// the number of nodes as bounds, never as a single number. Failure detection is left to a SWIM library; this package keeps
+// the state that follows from its events.
 //
-// There is no I/O, clock or goroutine here, and nothing is safe for concurrent use.
+// The package has no I/O, clock or goroutines. Nothing in it is safe for concurrent use.
 package roster
 
 import (
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// State is a member's standing.
+// State is the state of a member.
 type State uint8
 
 const (
-	Alive     State = iota // it was heard of lately
-	Suspected              // it is said to be there, and has said nothing itself for a while
-	Dead                   // the others have given it up
-	Left                   // it has said goodbye
+	Alive     State = iota // not known to be dead or left
+	Suspected              // alive, but not heard from within staleAfter
+	Dead                   // the failure detector of the fleet has declared it dead
+	Left                   // it has announced that it leaves
 )
 
 func (s State) String() string { return [...]string{"alive", "doubted", "dead", "left"}[s] }
@@ -26,15 +26,15 @@
 // Member is one node of the fleet.
 type Member struct {
 	Name        string
-	Number      int // among the nodes that the settings tell of
+	Number      int // among the nodes that the settings name
 	Incarnation uint64
 	Site        string
 	State       State
-	LastHeard   time.Duration // when the latest word from it was said, by this node's clock
+	LastHeard   time.Duration // when the latest message from it was sent, by this node's clock
 }
 
-// Count is how many nodes there are: Lower that are surely there, Upper that there may be. Age is that of the oldest word
-// that Lower counts on.
+// Count is the number of nodes: at least Lower, which are confirmed alive, and at most Upper. Age is the age of the oldest
+// message that Lower depends on.
 type Count struct {
 	Lower, Upper int
 	Age          time.Duration
@@ -42,33 +42,34 @@
 
 // Roster is one node's view of the fleet, itself included.
 type Roster struct {
-	self    Member
-	nodes   int           // that the settings tell of
-	fresh   time.Duration // a member that was heard within this is surely there
-	members map[int]*Member
+	self       Member
+	configured int           // number of nodes that the settings name
+	staleAfter time.Duration // a member heard from within this time is confirmed alive
+	members    map[int]*Member
 }
 
-// New returns the view of a node that has heard nobody. Fresh is for how long after its latest word a member counts as
-// surely there.
-func New(self Member, nodes int, fresh time.Duration) *Roster {
-	return &Roster{self: self, nodes: nodes, fresh: fresh, members: map[int]*Member{}}
+// New returns the view of a node that has heard from no other. A member is confirmed alive for staleAfter after its latest
+// message.
+func New(self Member, configured int, staleAfter time.Duration) *Roster {
+	return &Roster{self: self, configured: configured, staleAfter: staleAfter, members: map[int]*Member{}}
 }
 
-// SetStaleAfter sets for how long after its latest word a member counts as surely there.
-func (r *Roster) SetStaleAfter(d time.Duration) { r.fresh = d }
+// SetStaleAfter sets for how long after its latest message a member is confirmed alive.
+func (r *Roster) SetStaleAfter(d time.Duration) { r.staleAfter = d }
 
-// UpdateResult is what becomes of news of a member.
+// UpdateResult is the effect of an update about a member.
 type UpdateResult uint8
 
 const (
-	Unchanged UpdateResult = iota // nothing but its age is new
-	Joined                        // it was not there before, or not as alive
-	Restarted                     // it is a later life under its number
-	Stale                         // an earlier life than the one that is known: to be ignored
-	Conflict                      // another node has the number: to be ignored, and told to somebody
+	Unchanged UpdateResult = iota // at most its age is new
+	Joined                        // it was unknown, or not alive
+	Restarted                     // it has a later incarnation
+	Stale                         // an earlier incarnation than the known one: ignored
+	Conflict                      // another node has its number: ignored, and to be reported
 )
 
-// Update takes in a word from a member, said at a moment. Nothing that a life says counts once a later one was heard of.
+// Update records that a member was heard from at a time. Once a later incarnation is known, messages of earlier ones are
+// ignored.
 func (r *Roster) Update(m Member, at time.Duration) UpdateResult {
 	if m.Number == r.self.Number {
 		if m.Name == r.self.Name && m.Incarnation <= r.self.Incarnation {
@@ -82,7 +83,7 @@
 		m.LastHeard = at
 		r.members[m.Number] = &m
 		return Joined
-	case old.Name != m.Name && old.State == Alive && at-old.LastHeard < r.fresh:
+	case old.Name != m.Name && old.State == Alive && at-old.LastHeard < r.staleAfter:
 		return Conflict
 	case m.Incarnation < old.Incarnation:
 		return Stale
@@ -99,17 +100,19 @@
 	return Unchanged
 }
 
-// SetIncarnation has this node live on under a later incarnation.
+// SetIncarnation sets this node's own incarnation.
 func (r *Roster) SetIncarnation(incarnation uint64) { r.self.Incarnation = incarnation }
 
-// Accepts tells whether what a life under a number says is to be believed: not where a later one is known.
+// Accepts reports whether messages of an incarnation of a node are to be accepted: not if a later one is known, or if the
+// number is this node's own.
 func (r *Roster) Accepts(number int, incarnation uint64) bool {
 	old := r.members[number]
 	return number != r.self.Number && (old == nil || incarnation >= old.Incarnation)
 }
 
-// RecordContact notes a word that a member said at a moment, in anything that came from it, and tells whether it is of a later life than
-// was known: who restarts quickly is not always found out otherwise, as others may pass its words on before it has joined anew.
+// RecordContact records that a member sent a message at a time, and reports whether it is of a later incarnation than was
+// known. A member that restarts quickly may only be noticed this way, as others can forward its messages before it has
+// joined again.
 func (r *Roster) RecordContact(number int, incarnation uint64, at time.Duration) (later bool) {
 	old := r.members[number]
 	switch {
@@ -123,8 +126,8 @@
 	return false
 }
 
-// SetState notes a member's standing, and tells whether that is new. It counts for the named life only; one that has left is
-// not dead.
+// SetState sets a member's state, and reports whether it has changed. It applies to the given incarnation only. A member
+// that has left does not become dead.
 func (r *Roster) SetState(number int, incarnation uint64, s State) bool {
 	old := r.members[number]
 	if old == nil || old.Incarnation != incarnation || old.State == s || old.State == Left && s != Alive {
@@ -134,12 +137,12 @@
 	return true
 }
 
-// Members lists all others as they stand now, by number.
+// Members returns the state of all other members now, ordered by number.
 func (r *Roster) Members(now time.Duration) []Member {
 	out := make([]Member, 0, len(r.members))
 	for _, m := range r.members {
 		x := *m
-		if x.State == Alive && now-x.LastHeard > r.fresh {
+		if x.State == Alive && now-x.LastHeard > r.staleAfter {
 			x.State = Suspected
 		}
 		out = append(out, x)
@@ -148,10 +151,10 @@
 	return out
 }
 
-// PeerCount is how many others were ever heard of.
+// PeerCount returns how many other members were ever heard from.
 func (r *Roster) PeerCount() int { return len(r.members) }
 
-// Get is a member by its number; false where nobody was heard under it.
+// Get returns the member with a number; false where none is known.
 func (r *Roster) Get(number int) (Member, bool) {
 	if m := r.members[number]; m != nil {
 		return *m, true
@@ -159,25 +162,26 @@
 	return Member{}, false
 }
 
-// Count counts the whole fleet. A member that says nothing may be there all the same: only one that has left, or is told
-// to be dead by now, is not, and of those the settings count there may be as many again under their numbers.
+// Count returns the bounds of the fleet's size. A member that is silent, dead or has left still counts towards Upper if the
+// settings name its number, as another node may run under that number; Upper also counts every member whose number the
+// settings do not name.
 func (r *Roster) Count(now time.Duration) Count {
-	c := Count{Lower: 1, Upper: max(r.nodes, 1)}
-	beyond := 0
+	c := Count{Lower: 1, Upper: max(r.configured, 1)}
+	unconfigured := 0
 	for _, m := range r.members {
-		if m.Number < 0 || m.Number >= r.nodes {
-			beyond++
+		if m.Number < 0 || m.Number >= r.configured {
+			unconfigured++
 		}
-		if age := now - m.LastHeard; m.State == Alive && age <= r.fresh {
+		if age := now - m.LastHeard; m.State == Alive && age <= r.staleAfter {
 			c.Lower++
 			c.Age = max(c.Age, age)
 		}
 	}
-	c.Upper = max(c.Upper+beyond, c.Lower)
+	c.Upper = max(c.Upper+unconfigured, c.Lower)
 	return c
 }
 
-// Sites counts by site: Upper is who was ever heard of there and has not left.
+// Sites returns the bounds by site: Upper counts the members that were ever heard from there and have not left.
 func (r *Roster) Sites(now time.Duration) map[string]Count {
 	out := map[string]Count{r.self.Site: {Lower: 1, Upper: 1}}
 	for _, m := range r.members {
@@ -185,7 +189,7 @@
 		if m.State != Left {
 			c.Upper++
 		}
-		if age := now - m.LastHeard; m.State == Alive && age <= r.fresh {
+		if age := now - m.LastHeard; m.State == Alive && age <= r.staleAfter {
 			c.Lower++
 			c.Age = max(c.Age, age)
 		}
--- a/internal/shared/scale_test.go
+++ b/internal/shared/scale_test.go
@@ -15,19 +15,19 @@
 	"craneglade/internal/shared/packet"
 )
 
-// allowedBytes is what a node of the target may send for control in a second.
-const allowedBytes = 8 << 10
+// allowedBytesPerSecond is what a node of the target size may send for control traffic.
+const allowedBytesPerSecond = 8 << 10
 
-// heardAll returns the replica of one of n nodes that has heard the counts of all others for each tenant, and the heap
-// that it holds. Nothing of that waits to be sent on.
-func heardAll(tb testing.TB, nodes, tenants int) (r *Replica, now time.Duration, heap uint64) {
+// replicaWithAllCounts returns the replica of one of n nodes that has received the counts of all others for each tenant,
+// and the heap that it uses. None of that waits to be forwarded.
+func replicaWithAllCounts(tb testing.TB, nodes, tenants int) (r *Replica, now time.Duration, heap uint64) {
 	tb.Helper()
 	before := heapInUse()
 	cfg := config(0, nodes, 1)
-	cfg.Use, cfg.BytesPerSecond = Use{Quotas: true}, allowedBytes
+	cfg.Use, cfg.BytesPerSecond = Use{Quotas: true}, allowedBytesPerSecond
 	cfg.Quotas = map[string]float64{}
 	for i := range tenants {
-		cfg.Quotas[fmt.Sprint("tenant-", i)] = quotaPS
+		cfg.Quotas[fmt.Sprint("tenant-", i)] = quotaPerSecond
 	}
 	now = time.Hour
 	r = New(cfg, now)
@@ -39,7 +39,7 @@
 		}
 	}
 	now += 10 * time.Second
-	r.Step(now) // the interval follows from the fleet's size
+	r.Step(now) // sets the repeat interval by the fleet's size
 	for i := 1; i < nodes; i++ {
 		for tenant := range cfg.Quotas {
 			w := counts.Window{Incarnation: 1, Epoch: 20, Counts: [counts.WindowEpochs]uint64{1, 20, 20, 20, 20, 20, 20, 20}}
@@ -62,21 +62,21 @@
 	return m.HeapAlloc
 }
 
-var flatSizes = []struct{ nodes, tenants int }{
+var fleetSizes = []struct{ nodes, tenants int }{
 	{12, 4}, {60, 4}, {300, 4}, {1500, 4}, {5900, 4},
 	{12, 100}, {60, 100}, {300, 100}, {1500, 100}, {5900, 100},
 	{12, 1000}, {60, 1000}, {300, 1000}, {1500, 1000},
 }
 
-// BenchmarkFlat is what the flat mesh costs a node that has heard everybody: a Step, a View (taken with the engine's lock
-// held), the heap, how often it is told again what has not changed, and the bytes of its side of a whole exchange.
+// BenchmarkFlat measures what the flat mesh costs a node that has heard from all others: a Step, a View (which is taken
+// with the engine locked), the heap, the repeat interval, and the bytes of its side of a full exchange.
 func BenchmarkFlat(b *testing.B) {
-	for _, size := range flatSizes {
+	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("nodes=%d/tenants=%d", size.nodes, size.tenants), func(b *testing.B) {
-			r, now, heap := heardAll(b, size.nodes, size.tenants)
+			r, now, heap := replicaWithAllCounts(b, size.nodes, size.tenants)
 			whole := len(r.State(now))
 			b.Run("step", func(b *testing.B) {
-				for b.Loop() { // at one moment, or what was heard would be forgotten meanwhile
+				for b.Loop() { // the time stands still, as the received counts would expire otherwise
 					r.Step(now)
 					r.ordinaryQueue.Reset()
 				}
@@ -93,8 +93,8 @@
 	}
 }
 
-// How old the counts of others are that a node acts on, and how many it counts at all, with all bytes that are allowed and
-// nothing lost, in virtual time. -long plays more than a dozen nodes.
+// The age of the other nodes' counts that a node uses, and how many it has at all, with all bytes that are allowed and no
+// loss, in virtual time. More than a dozen nodes only with -long.
 func TestAgeOfCountsByFleet(t *testing.T) {
 	sizes := []int{12}
 	if *long {
@@ -106,15 +106,15 @@
 			f.rng = rand.New(rand.NewPCG(seed, 2))
 			for i := range f.nodes {
 				cfg := config(i, n, 9)
-				cfg.Use, cfg.BytesPerSecond = Use{Quotas: true}, allowedBytes
-				cfg.Quotas = map[string]float64{"a": quotaPS, "b": quotaPS, "c": quotaPS, "d": quotaPS}
+				cfg.Use, cfg.BytesPerSecond = Use{Quotas: true}, allowedBytesPerSecond
+				cfg.Quotas = map[string]float64{"a": quotaPerSecond, "b": quotaPerSecond, "c": quotaPerSecond, "d": quotaPerSecond}
 				f.nodes[i] = New(cfg, f.now)
 				f.nodes[i].SetBackends([]judgement.Backend{})
 			}
 			for i := range f.nodes {
 				for j := range f.nodes {
 					if i != j {
-						f.meet(i, j)
+						f.introduce(i, j)
 					}
 				}
 			}
@@ -122,7 +122,7 @@
 			f.run(span, nil)
 			f.bytes = 0
 			var ages []float64
-			for range int(span / time.Second) { // a look each second, so that no phase is met by chance
+			for range int(span / time.Second) { // sampled each second, so as not to hit one phase by chance
 				f.run(time.Second, func(i int, r *Replica) {
 					if f.now%(200*time.Millisecond) == 0 || i%3 == 0 {
 						r.CountRequest(f.now, "a")
@@ -132,18 +132,18 @@
 					ages = append(ages, r.ages(quotaPrefix+"a", n)...)
 				}
 			}
-			told := f.nodes[0].RepeatInterval()
-			if told < minRepeatInterval {
-				t.Errorf("%d nodes are told every %v, more often than ever meant", n, told)
+			repeatInterval := f.nodes[0].RepeatInterval()
+			if repeatInterval < minRepeatInterval {
+				t.Errorf("%d nodes: the repeat interval %v is below the minimum", n, repeatInterval)
 			}
 			slices.Sort(ages)
-			t.Logf("%d nodes, seed %d: told every %.1f s, age p50 %.1f s, p99 %.1f s; sent %.0f bytes a second a node", n, seed,
-				told.Seconds(), ages[len(ages)/2], ages[len(ages)*99/100], float64(f.bytes)/span.Seconds()/float64(n))
+			t.Logf("%d nodes, seed %d: repeat interval %.1f s, age p50 %.1f s, p99 %.1f s; sent %.0f bytes/s per node", n, seed,
+				repeatInterval.Seconds(), ages[len(ages)/2], ages[len(ages)*99/100], float64(f.bytes)/span.Seconds()/float64(n))
 		}
 	}
 }
 
-// ages are those of the counts of all others for a key, infinite for what is not known.
+// ages returns the ages in seconds of the counts of all other nodes for a key, infinite for unknown ones.
 func (r *Replica) ages(key string, nodes int) (all []float64) {
 	r.table.Rates(r.clock.now, key, func(_ int, _ float64, age time.Duration) { all = append(all, age.Seconds()) })
 	for len(all) < nodes-1 {
