--- a/internal/peers/frame/frame.go
+++ b/internal/peers/frame/frame.go
@@ -1,11 +1,11 @@
-// Package frame carries messages over a stream in frames that are sealed with the keys of a fleet.
+// Package frame carries messages over a stream in frames that are encrypted and authenticated with the keys of a fleet.
 //
-// A session begins with a hello of each side: a magic number and 32 random bytes. From the fleet's key, the cluster's name
-// and both hellos each direction derives a key of its own (HKDF-SHA-256), and seals its frames with AES-GCM under it. The
-// nonce is the frame's sequence number, and the additional data are the cluster's name and that number, so that a frame can
-// be replayed, reordered or left out neither within a session nor from another one, and none is taken from another cluster.
+// A session begins with a hello from each side: a magic number and 32 random bytes. From the fleet's key, the cluster's
+// name and both hellos each direction derives its own key (HKDF-SHA-256), which seals its frames with AES-GCM. The nonce is
+// the frame's sequence number, and the additional data are the cluster's name and the nonce. So frames can't be replayed,
+// reordered or left out within a session, replayed in another session, or accepted from another cluster.
 //
-// On the wire a frame is the length of what is sealed, as four bytes in big-endian order, and that many bytes.
+// On the wire a frame is the length of the sealed message, as four bytes in big-endian order, and the sealed message.
 package frame
 
 import (
@@ -25,10 +25,11 @@
 
 // Sizes in bytes.
 const (
-	// MaxMessage is the largest message that a frame carries.
+	// MaxMessage is the size of the largest message.
 	MaxMessage = 4 << 20
-	// maxFirst is the largest first message of a session: until it is opened nobody has shown that the other side has a key.
-	maxFirst = 4 << 10
+	// maxFirstMessage is the size of the largest first message of a session: before it is opened, the other side has not
+	// shown that it has a key.
+	maxFirstMessage = 4 << 10
 
 	lengthSize = 4
 	tagSize    = 16
@@ -37,51 +38,51 @@
 	helloSize  = len(magic) + randomSize
 )
 
-// magic begins a hello; its last byte is the version of the framing.
+// magic starts each hello. Its last byte is the version of the framing.
 const magic = "CGF\x01"
 
-// The labels by which each direction derives its key.
+// Labels for the key derivation of each direction.
 const (
 	toAcceptor = "to acceptor"
 	toDialer   = "to dialer"
 )
 
-// Errors of a session. Each ends it.
+// Errors of a session. Each of them ends it.
 var (
-	ErrBadMagic     = errors.New("the other side does not speak this framing, or another version of it")
-	ErrTooLarge     = errors.New("a frame is larger than allowed")
-	ErrNotAuthentic = errors.New("a frame can't be opened: another key or cluster, or it was changed, repeated or left out on the way")
+	ErrBadMagic     = errors.New("the other side uses another protocol or another version of the framing")
+	ErrTooLarge     = errors.New("frame is larger than allowed")
+	ErrNotAuthentic = errors.New("frame can't be decrypted: key or cluster differs, or frames were changed, repeated or left out")
 )
 
-// Config is what both sides of a session have in common, and how long this side waits.
+// Config has the keys and cluster, which both sides must share, and the timeouts of this side.
 type Config struct {
-	Keys         [][]byte      // of 16, 24 or 32 bytes: the first seals, all open
-	Cluster      string        // sessions with another cluster are refused
-	Handshake    time.Duration // for both hellos and the first frame of the other side
-	ReadTimeout  time.Duration // a session on which nothing comes for so long ends
-	WriteTimeout time.Duration // for one frame to be taken by the other side's machine
+	Keys         [][]byte      // 16, 24 or 32 bytes each: the first seals, any opens
+	Cluster      string        // sessions with another cluster fail
+	Handshake    time.Duration // for both hellos and the other side's first frame
+	ReadTimeout  time.Duration // a session that receives nothing for this long ends
+	WriteTimeout time.Duration // for sending one frame
 }
 
-// Conn is one session. One goroutine may read while another writes. Close may be called from any.
+// Conn is one session. One goroutine may read while another writes. Any may call Close.
 type Conn struct {
-	conn     net.Conn
-	cfg      Config
-	begun    time.Time
-	seal     *sealer
-	opening  []*sealer // one for each key, until the first frame tells which the other side seals with; then that one alone
-	opened   bool
-	sent     atomic.Int64
-	received atomic.Int64
+	conn          net.Conn
+	cfg           Config
+	startedAt     time.Time
+	seal          *sealer
+	openers       []*sealer // one for each key; after the first frame only the one whose key the other side seals with
+	authenticated bool
+	sent          atomic.Int64
+	received      atomic.Int64
 }
 
-// Dial begins a session on a connection that this side has opened. On an error the connection is closed.
-func Dial(conn net.Conn, cfg Config) (*Conn, error) { return begin(conn, cfg, true) }
+// Dial starts a session on a connection that this side has opened. On an error it closes the connection.
+func Dial(conn net.Conn, cfg Config) (*Conn, error) { return handshake(conn, cfg, true) }
 
-// Accept begins a session on a connection that the other side has opened. On an error the connection is closed.
-func Accept(conn net.Conn, cfg Config) (*Conn, error) { return begin(conn, cfg, false) }
+// Accept starts a session on a connection that the other side has opened. On an error it closes the connection.
+func Accept(conn net.Conn, cfg Config) (*Conn, error) { return handshake(conn, cfg, false) }
 
-func begin(conn net.Conn, cfg Config, dialer bool) (*Conn, error) {
-	c := &Conn{conn: conn, cfg: cfg, begun: time.Now()}
+func handshake(conn net.Conn, cfg Config, dialer bool) (*Conn, error) {
+	c := &Conn{conn: conn, cfg: cfg, startedAt: time.Now()}
 	own, other, err := c.exchangeHellos()
 	if err == nil {
 		err = c.deriveKeys(own, other, dialer)
@@ -92,10 +93,10 @@
 	return c, nil
 }
 
-// exchangeHellos sends this side's hello and reads the other's. Both fit into any socket's buffer, so that neither side
-// waits for the other to read.
+// exchangeHellos sends this side's hello and reads the other's. Both fit into any socket buffer, so that neither side
+// blocks until the other reads.
 func (c *Conn) exchangeHellos() (own, other []byte, err error) {
-	if err := c.conn.SetDeadline(c.begun.Add(c.cfg.Handshake)); err != nil {
+	if err := c.conn.SetDeadline(c.startedAt.Add(c.cfg.Handshake)); err != nil {
 		return nil, nil, err
 	}
 	own = append([]byte(magic), make([]byte, randomSize)...)
@@ -128,12 +129,12 @@
 		if err != nil {
 			return err
 		}
-		c.opening = append(c.opening, s)
+		c.openers = append(c.openers, s)
 	}
 	return nil
 }
 
-// Write sends one message.
+// Write sends a message.
 func (c *Conn) Write(message []byte) error {
 	if len(message) > MaxMessage {
 		return ErrTooLarge
@@ -151,11 +152,11 @@
 	return nil
 }
 
-// Read waits for the next message. After an error the session is of no more use.
+// Read waits for the next message. After an error the session is unusable.
 func (c *Conn) Read() ([]byte, error) {
-	deadline, largest := time.Now().Add(c.cfg.ReadTimeout), MaxMessage
-	if !c.opened {
-		deadline, largest = c.begun.Add(c.cfg.Handshake), maxFirst
+	deadline, maxMessage := time.Now().Add(c.cfg.ReadTimeout), MaxMessage
+	if !c.authenticated {
+		deadline, maxMessage = c.startedAt.Add(c.cfg.Handshake), maxFirstMessage
 	}
 	if err := c.conn.SetReadDeadline(deadline); err != nil {
 		return nil, err
@@ -168,8 +169,8 @@
 	switch {
 	case size < tagSize:
 		return nil, ErrNotAuthentic
-	case size > uint32(largest+tagSize):
-		return nil, fmt.Errorf("%w: %d bytes, where %d may come", ErrTooLarge, size, largest+tagSize)
+	case size > uint32(maxMessage+tagSize):
+		return nil, fmt.Errorf("%w: %d bytes, and the limit is %d", ErrTooLarge, size, maxMessage+tagSize)
 	}
 	sealed := make([]byte, size)
 	if _, err := io.ReadFull(c.conn, sealed); err != nil {
@@ -179,33 +180,33 @@
 	return c.open(sealed)
 }
 
-// open opens the next frame, the first of a session with each key in turn.
+// open opens the next frame. It tries each key on the first frame of a session.
 func (c *Conn) open(sealed []byte) ([]byte, error) {
-	for _, s := range c.opening {
+	for _, s := range c.openers {
 		message, err := s.open(sealed)
 		if err != nil {
 			continue
 		}
-		c.opening, c.opened = []*sealer{s}, true
+		c.openers, c.authenticated = []*sealer{s}, true
 		return message, nil
 	}
 	return nil, ErrNotAuthentic
 }
 
-// Sent is how many bytes went out.
+// Sent returns the number of bytes sent.
 func (c *Conn) Sent() int64 { return c.sent.Load() }
 
-// Received is how many bytes came in.
+// Received returns the number of bytes received.
 func (c *Conn) Received() int64 { return c.received.Load() }
 
-// Close ends the session. Reads and writes under way return.
+// Close ends the session. Pending reads and writes return an error.
 func (c *Conn) Close() error { return c.conn.Close() }
 
-// sealer seals or opens the frames of one direction, in their order.
+// sealer seals or opens the frames of one direction, in order.
 type sealer struct {
-	aead    cipher.AEAD
-	cluster string
-	next    uint64 // the sequence number of the next frame
+	aead         cipher.AEAD
+	cluster      string
+	nextSequence uint64
 }
 
 func newSealer(key []byte, cluster string, hellos []byte, direction string) (*sealer, error) {
@@ -224,17 +225,17 @@
 	return &sealer{aead: aead, cluster: cluster}, nil
 }
 
-// nonce and additional data of the next frame.
+// parameters returns the nonce and the additional data of the next frame.
 func (s *sealer) parameters() (nonce, additional []byte) {
 	nonce = make([]byte, nonceSize)
-	binary.BigEndian.PutUint64(nonce[nonceSize-8:], s.next)
+	binary.BigEndian.PutUint64(nonce[nonceSize-8:], s.nextSequence)
 	return nonce, append([]byte(s.cluster), nonce...)
 }
 
 // seal appends the sealed message to out.
 func (s *sealer) seal(out, message []byte) []byte {
 	nonce, additional := s.parameters()
-	s.next++
+	s.nextSequence++
 	return s.aead.Seal(out, nonce, message, additional)
 }
 
@@ -242,7 +243,7 @@
 	nonce, additional := s.parameters()
 	message, err := s.aead.Open(nil, nonce, sealed, additional)
 	if err == nil {
-		s.next++
+		s.nextSequence++
 	}
 	return message, err
 }
--- a/internal/peers/frame/frame_test.go
+++ b/internal/peers/frame/frame_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 var (
 	firstKey  = bytes.Repeat([]byte{1}, 16)
@@ -19,16 +19,16 @@
 )
 
 func config(cluster string, keys ...[]byte) Config {
-	return Config{Keys: keys, Cluster: cluster, Handshake: patience, ReadTimeout: patience, WriteTimeout: patience}
+	return Config{Keys: keys, Cluster: cluster, Handshake: testTimeout, ReadTimeout: testTimeout, WriteTimeout: testTimeout}
 }
 
-// pair is the two ends of a connection on loopback, between which stands a wire that the test turns.
-func pair(t *testing.T, dialer, acceptor Config) (*Conn, *Conn, *wire) {
+// connectedPair returns both ends of a session over loopback, with an interceptor for the frames of the dialer.
+func connectedPair(t *testing.T, dialer, acceptor Config) (*Conn, *Conn, *interceptor) {
 	t.Helper()
 	near, far := connect(t)
 	nearAcceptor, farAcceptor := connect(t)
-	w := &wire{from: far, to: nearAcceptor}
-	go io.Copy(far, nearAcceptor) // what the acceptor says goes straight through
+	w := &interceptor{from: far, to: nearAcceptor}
+	go io.Copy(far, nearAcceptor) // what the acceptor sends passes unchanged
 	var accepted *Conn
 	var acceptErr error
 	var begun sync.WaitGroup
@@ -61,10 +61,10 @@
 	return near, far
 }
 
-// wire takes frames from the dialer and hands to the acceptor what a test makes of them.
-type wire struct{ from, to net.Conn }
+// interceptor reads frames from the dialer, and forwards to the acceptor what a test makes of them.
+type interceptor struct{ from, to net.Conn }
 
-func (w *wire) take(t *testing.T) []byte {
+func (w *interceptor) readFrame(t *testing.T) []byte {
 	t.Helper()
 	head := make([]byte, lengthSize)
 	if _, err := io.ReadFull(w.from, head); err != nil {
@@ -77,28 +77,28 @@
 	return append(head, body...)
 }
 
-func (w *wire) pass(t *testing.T, frame []byte) {
+func (w *interceptor) forward(t *testing.T, frame []byte) {
 	t.Helper()
 	if _, err := w.to.Write(frame); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func send(t *testing.T, c *Conn, text string) {
+func writeText(t *testing.T, c *Conn, text string) {
 	t.Helper()
 	if err := c.Write([]byte(text)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func want(t *testing.T, c *Conn, text string) {
+func wantText(t *testing.T, c *Conn, text string) {
 	t.Helper()
 	if got, err := c.Read(); err != nil || string(got) != text {
 		t.Fatalf("read %q, %v, want %q", got, err, text)
 	}
 }
 
-func refused(t *testing.T, c *Conn, what string, want error) {
+func wantError(t *testing.T, c *Conn, what string, want error) {
 	t.Helper()
 	if got, err := c.Read(); !errors.Is(err, want) {
 		t.Errorf("%s: read %q, %v, want %v", what, got, err, want)
@@ -106,131 +106,132 @@
 }
 
 func TestMessagesGoBothWays(t *testing.T) {
-	dialed, accepted, w := pair(t, config("a", firstKey), config("a", firstKey))
+	dialed, accepted, w := connectedPair(t, config("a", firstKey), config("a", firstKey))
 	for _, text := range []string{"one", "", "three"} {
-		send(t, dialed, text)
-		w.pass(t, w.take(t))
-		want(t, accepted, text)
-		send(t, accepted, "re: "+text)
-		want(t, dialed, "re: "+text)
+		writeText(t, dialed, text)
+		w.forward(t, w.readFrame(t))
+		wantText(t, accepted, text)
+		writeText(t, accepted, "re: "+text)
+		wantText(t, dialed, "re: "+text)
 	}
 	if dialed.Sent() != accepted.Received() || accepted.Sent() != dialed.Received() || dialed.Sent() == 0 {
 		t.Errorf("sent %d and %d bytes, received %d and %d", dialed.Sent(), accepted.Sent(), dialed.Received(), accepted.Received())
 	}
 }
 
-// While keys are changed each side seals with its own first key, and opens what the other one has sealed.
-func TestKeysAreChanged(t *testing.T) {
-	dialed, accepted, w := pair(t, config("a", firstKey, secondKey), config("a", secondKey, firstKey))
-	send(t, dialed, "sealed with the first")
-	w.pass(t, w.take(t))
-	want(t, accepted, "sealed with the first")
-	send(t, accepted, "sealed with the second")
-	want(t, dialed, "sealed with the second")
+// During key rotation each side seals with its own first key and opens what the other has sealed.
+func TestKeyRotation(t *testing.T) {
+	dialed, accepted, w := connectedPair(t, config("a", firstKey, secondKey), config("a", secondKey, firstKey))
+	writeText(t, dialed, "sealed with the first")
+	w.forward(t, w.readFrame(t))
+	wantText(t, accepted, "sealed with the first")
+	writeText(t, accepted, "sealed with the second")
+	wantText(t, dialed, "sealed with the second")
 }
 
-func TestStrangersAreRefused(t *testing.T) {
+func TestOtherKeyOrClusterIsRejected(t *testing.T) {
 	for name, stranger := range map[string]Config{"another key": config("a", secondKey), "another cluster": config("b", firstKey)} {
-		dialed, accepted, w := pair(t, stranger, config("a", firstKey))
-		send(t, dialed, "hello")
-		w.pass(t, w.take(t))
-		refused(t, accepted, name, ErrNotAuthentic)
+		dialed, accepted, w := connectedPair(t, stranger, config("a", firstKey))
+		writeText(t, dialed, "hello")
+		w.forward(t, w.readFrame(t))
+		wantError(t, accepted, name, ErrNotAuthentic)
 	}
 }
 
-func TestSpoiltFrames(t *testing.T) {
-	for name, turn := range map[string]func(t *testing.T, w *wire){
-		"a bit turned": func(t *testing.T, w *wire) {
-			frame := w.take(t)
+func TestTamperedFramesAreRejected(t *testing.T) {
+	for name, tamper := range map[string]func(t *testing.T, w *interceptor){
+		"a bit turned": func(t *testing.T, w *interceptor) {
+			frame := w.readFrame(t)
 			frame[lengthSize+1] ^= 4
-			w.pass(t, frame)
+			w.forward(t, frame)
 		},
-		"doubled": func(t *testing.T, w *wire) {
-			frame := w.take(t)
-			w.pass(t, frame)
-			w.pass(t, frame)
+		"doubled": func(t *testing.T, w *interceptor) {
+			frame := w.readFrame(t)
+			w.forward(t, frame)
+			w.forward(t, frame)
 		},
-		"in another order": func(t *testing.T, w *wire) {
-			first, second := w.take(t), w.take(t)
-			w.pass(t, second)
-			w.pass(t, first)
+		"in another order": func(t *testing.T, w *interceptor) {
+			first, second := w.readFrame(t), w.readFrame(t)
+			w.forward(t, second)
+			w.forward(t, first)
 		},
-		"one left out": func(t *testing.T, w *wire) {
-			w.take(t)
-			w.pass(t, w.take(t))
+		"one left out": func(t *testing.T, w *interceptor) {
+			w.readFrame(t)
+			w.forward(t, w.readFrame(t))
 		},
-		"too short for its seal": func(t *testing.T, w *wire) { w.pass(t, []byte{0, 0, 0, 3, 1, 2, 3}) },
+		"too short for its seal": func(t *testing.T, w *interceptor) { w.forward(t, []byte{0, 0, 0, 3, 1, 2, 3}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			dialed, accepted, w := pair(t, config("a", firstKey), config("a", firstKey))
-			send(t, dialed, "begun")
-			w.pass(t, w.take(t))
-			want(t, accepted, "begun")
-			send(t, dialed, "x1")
-			send(t, dialed, "x2")
-			turn(t, w)
+			dialed, accepted, w := connectedPair(t, config("a", firstKey), config("a", firstKey))
+			writeText(t, dialed, "begun")
+			w.forward(t, w.readFrame(t))
+			wantText(t, accepted, "begun")
+			writeText(t, dialed, "x1")
+			writeText(t, dialed, "x2")
+			tamper(t, w)
 			if name == "doubled" {
-				want(t, accepted, "x1")
+				wantText(t, accepted, "x1")
 			}
-			refused(t, accepted, name, ErrNotAuthentic)
+			wantError(t, accepted, name, ErrNotAuthentic)
 		})
 	}
 }
 
-// A frame of an earlier session is not taken in a later one, also where it is the first of both.
-func TestFramesOfAnotherSession(t *testing.T) {
-	dialed, _, w := pair(t, config("a", firstKey), config("a", firstKey))
-	send(t, dialed, "recorded")
-	recorded := w.take(t)
-	_, accepted, again := pair(t, config("a", firstKey), config("a", firstKey))
-	again.pass(t, recorded)
-	refused(t, accepted, "a recorded frame", ErrNotAuthentic)
+// A frame recorded in one session is rejected in another, even if it is the first of both.
+func TestReplayFromAnotherSessionIsRejected(t *testing.T) {
+	dialed, _, w := connectedPair(t, config("a", firstKey), config("a", firstKey))
+	writeText(t, dialed, "recorded")
+	recorded := w.readFrame(t)
+	_, accepted, again := connectedPair(t, config("a", firstKey), config("a", firstKey))
+	again.forward(t, recorded)
+	wantError(t, accepted, "a recorded frame", ErrNotAuthentic)
 }
 
-// What one side has sealed is not taken back by it.
-func TestReflectedFrames(t *testing.T) {
-	dialed, accepted, w := pair(t, config("a", firstKey), config("a", firstKey))
-	send(t, accepted, "mine")
+// A side rejects frames that it has sealed itself.
+func TestReflectedFrameIsRejected(t *testing.T) {
+	dialed, accepted, w := connectedPair(t, config("a", firstKey), config("a", firstKey))
+	writeText(t, accepted, "mine")
 	head := make([]byte, lengthSize+tagSize+len("mine"))
 	if _, err := io.ReadFull(dialed.conn, head); err != nil {
 		t.Fatal(err)
 	}
-	w.pass(t, head)
-	refused(t, accepted, "a reflected frame", ErrNotAuthentic)
+	w.forward(t, head)
+	wantError(t, accepted, "a reflected frame", ErrNotAuthentic)
 }
 
-func TestTornFrames(t *testing.T) {
-	dialed, accepted, w := pair(t, config("a", firstKey), config("a", firstKey))
-	send(t, dialed, strings.Repeat("x", 100))
-	frame := w.take(t)
-	w.pass(t, frame[:50])
+func TestTruncatedFrame(t *testing.T) {
+	dialed, accepted, w := connectedPair(t, config("a", firstKey), config("a", firstKey))
+	writeText(t, dialed, strings.Repeat("x", 100))
+	frame := w.readFrame(t)
+	w.forward(t, frame[:50])
 	w.to.Close()
-	refused(t, accepted, "torn", io.ErrUnexpectedEOF)
+	wantError(t, accepted, "torn", io.ErrUnexpectedEOF)
 }
 
-// A stranger can't have this side keep much memory: a first frame is small, and any frame bounded.
-func TestLargeFrames(t *testing.T) {
-	_, accepted, w := pair(t, config("a", firstKey), config("a", firstKey))
-	w.pass(t, []byte{0, 1, 0, 0})
-	refused(t, accepted, "a large first frame", ErrTooLarge)
-	dialed, accepted, w := pair(t, config("a", firstKey), config("a", firstKey))
-	send(t, dialed, "begun")
-	w.pass(t, w.take(t))
-	want(t, accepted, "begun")
-	w.pass(t, []byte{0xff, 0xff, 0xff, 0xff})
-	refused(t, accepted, "a frame of 4 GiB", ErrTooLarge)
+// The memory that an unauthenticated peer can make this side allocate is limited: a first frame is small, and every frame
+// is bounded.
+func TestOversizedFramesAreRejected(t *testing.T) {
+	_, accepted, w := connectedPair(t, config("a", firstKey), config("a", firstKey))
+	w.forward(t, []byte{0, 1, 0, 0})
+	wantError(t, accepted, "a large first frame", ErrTooLarge)
+	dialed, accepted, w := connectedPair(t, config("a", firstKey), config("a", firstKey))
+	writeText(t, dialed, "begun")
+	w.forward(t, w.readFrame(t))
+	wantText(t, accepted, "begun")
+	w.forward(t, []byte{0xff, 0xff, 0xff, 0xff})
+	wantError(t, accepted, "a frame of 4 GiB", ErrTooLarge)
 	if err := dialed.Write(make([]byte, MaxMessage+1)); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("writing over the limit: %v", err)
 	}
 }
 
-func TestOtherProtocols(t *testing.T) {
+func TestOtherProtocolsAreRejected(t *testing.T) {
 	near, far := connect(t)
 	io.WriteString(near, "GET / HTTP/1.1\r\nHost: somewhere.example\r\n\r\n")
 	if _, err := Accept(far, config("a", firstKey)); !errors.Is(err, ErrBadMagic) {
 		t.Errorf("accepted: %v", err)
 	}
-	// Nothing at all, for as long as a handshake may take.
+	// A peer that sends nothing ends the handshake by its timeout.
 	_, far = connect(t)
 	cfg := config("a", firstKey)
 	cfg.Handshake = time.Millisecond
@@ -240,11 +241,11 @@
 	}
 }
 
-// A session whose other side has stopped reading ends by the deadline of a write.
-func TestNobodyReads(t *testing.T) {
+// A session whose other side does not read ends by the write timeout.
+func TestWriteTimeout(t *testing.T) {
 	cfg := config("a", firstKey)
 	cfg.WriteTimeout = time.Millisecond
-	dialed, _, _ := pair(t, cfg, config("a", firstKey))
+	dialed, _, _ := connectedPair(t, cfg, config("a", firstKey))
 	var err error
 	for range 1000 {
 		if err = dialed.Write(make([]byte, MaxMessage)); err != nil {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,6 +1,7 @@
-// Package peers joins this node to the others of its fleet: memberlist (SWIM) finds out who is there and carries what
-// they share, by datagrams and by a full exchange over a stream now and then; shared.Replica decides what it means. What
-// a node sends in a second stays within a budget of bytes. Members of another cluster, or without the key, are not heard.
+// Package peers connects this node to the others of its fleet. The memberlist library (SWIM) detects members and failures,
+// and carries the shared state by gossip datagrams and by full exchanges over streams; shared.Replica decides what the
+// state means. The datagrams that a node sends stay within a byte budget. Messages from nodes of another cluster, or
+// without the key, are dropped.
 package peers
 
 import (
@@ -28,61 +29,61 @@
 )
 
 const (
-	stepEvery   = 250 * time.Millisecond
-	rejoinEvery = 3 * time.Second // a seed that is not among the members is asked again
-	wholeEvery  = 10 * time.Second
-	streamTime  = 2 * time.Second
-	probeEvery  = 500 * time.Millisecond
-	probeTime   = 200 * time.Millisecond
-	gossipEvery = 200 * time.Millisecond
-	gossipTo    = 3
-	auditEvery  = 500 * time.Millisecond
-	reclaim     = 5 * time.Second // a name may come back at another address after this
-	overhead    = 64              // bytes of a datagram that a cluster's name, the key and the library's heads take
+	stepInterval          = 250 * time.Millisecond
+	rejoinInterval        = 3 * time.Second // between attempts to join the seeds that are not members
+	pushPullInterval      = 10 * time.Second
+	streamTimeout         = 2 * time.Second
+	probeInterval         = 500 * time.Millisecond
+	probeTimeout          = 200 * time.Millisecond
+	gossipInterval        = 200 * time.Millisecond
+	gossipFanout          = 3
+	auditInterval         = 500 * time.Millisecond
+	nameReclaimTime       = 5 * time.Second // after which a dead member's name may be used at another address
+	datagramOverheadBytes = 64              // per datagram, for the cluster's label, encryption and memberlist's headers
 )
 
-// Config is what Start needs.
+// Config configures Start.
 type Config struct {
 	Fleet         *settings.Fleet
 	Name          string
-	Policy        *policy.Settings // its numbers, zone and tenants
-	OverflowSites []string         // of the plan for their loss, if there is one
+	Policy        *policy.Settings // number and count of nodes, zone and tenants
+	OverflowSites []string         // sites that the site-loss plan names, if there is one
 	Clock         func() time.Duration
-	ViewChanged   func() // called when there is a new view, from a goroutine of its own; View brings it
+	ViewChanged   func() // called from its own goroutine when View may have changed
 	Log           *slog.Logger
 }
 
-// Peers is this node among the others.
+// Peers is this node's connection to its fleet.
 type Peers struct {
-	cfg   Config
-	start time.Time
-	list  *memberlist.Memberlist
-	wire  *transport
-	stop  context.CancelFunc
-	wg    sync.WaitGroup
-
-	mu        sync.Mutex // never held while memberlist is called
-	replica   *shared.Replica
-	nodes     map[int]*memberlist.Node // that are reached, by number: copies, as memberlist's own change under its lock
-	audit     *os.File
-	audited   map[string]shared.BudgetShare
-	told      map[heardOf]heardAt // counts of others that the audit has
-	auditedAt time.Time
-	closed    bool
+	cfg       Config
+	startedAt time.Time
+	list      *memberlist.Memberlist
+	transport *transport
+	stop      context.CancelFunc
+	wg        sync.WaitGroup
+
+	mu             sync.Mutex // never held while memberlist is called
+	replica        *shared.Replica
+	reachable      map[int]*memberlist.Node // by number; copies, as memberlist changes its own under its lock
+	audit          *os.File
+	auditedBudgets map[string]shared.BudgetShare
+	auditedCounts  map[countKey]countVersion // other nodes' counts that are in the audit
+	auditedAt      time.Time
+	closed         bool
 }
 
-type heardOf struct {
-	key string
-	of  int
+type countKey struct {
+	key  string
+	node int
 }
 
-type heardAt struct{ life, epoch, sum uint64 }
+type countVersion struct{ incarnation, epoch, sum uint64 }
 
-// Start joins the fleet, as far as any member answers: a node that reaches nobody goes on alone and tries again. An error
-// is of this node's own address or files.
+// Start joins the fleet. A node that reaches no other continues alone and tries again. An error comes from this node's own
+// addresses or files.
 func Start(cfg Config) (*Peers, error) {
 	f := cfg.Fleet
-	p := &Peers{cfg: cfg, start: time.Now(), nodes: map[int]*memberlist.Node{}, audited: map[string]shared.BudgetShare{}, told: map[heardOf]heardAt{}}
+	p := &Peers{cfg: cfg, startedAt: time.Now(), reachable: map[int]*memberlist.Node{}, auditedBudgets: map[string]shared.BudgetShare{}, auditedCounts: map[countKey]countVersion{}}
 	quotas := map[string]float64{}
 	for _, t := range cfg.Policy.Tenants {
 		quotas[t.Name] = t.QuotaPerS
@@ -99,71 +100,72 @@
 			return nil, fmt.Errorf("fleet.audit: %w", err)
 		}
 	}
-	if p.wire, err = newTransport(f.Listen, int(f.Bytes)); err != nil {
+	if p.transport, err = newTransport(f.Listen, int(f.Bytes)); err != nil {
 		return nil, errors.Join(fmt.Errorf("fleet.listen: %w", err), p.closeAudit())
 	}
-	host, port, err := split(f.Advertise)
+	host, port, err := splitAddr(f.Advertise)
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("fleet.advertise: %w", err), p.wire.Shutdown(), p.closeAudit())
+		return nil, errors.Join(fmt.Errorf("fleet.advertise: %w", err), p.transport.Shutdown(), p.closeAudit())
 	}
 	c := memberlist.DefaultLANConfig()
-	c.Name, c.Label, c.Keyring, c.Transport = cfg.Name, f.Cluster, keys, p.wire
+	c.Name, c.Label, c.Keyring, c.Transport = cfg.Name, f.Cluster, keys, p.transport
 	c.AdvertiseAddr, c.AdvertisePort = host, port
 	c.UDPBufferSize, c.EnableCompression = f.Datagram, false
-	c.PushPullInterval, c.TCPTimeout = wholeEvery, streamTime
-	c.ProbeInterval, c.ProbeTimeout = probeEvery, probeTime
+	c.PushPullInterval, c.TCPTimeout = pushPullInterval, streamTimeout
+	c.ProbeInterval, c.ProbeTimeout = probeInterval, probeTimeout
 	c.SuspicionMult, c.SuspicionMaxTimeoutMult = 3, 4
-	c.GossipInterval, c.GossipNodes, c.GossipToTheDeadTime = gossipEvery, gossipTo, reclaim
-	c.DeadNodeReclaimTime = reclaim
+	c.GossipInterval, c.GossipNodes, c.GossipToTheDeadTime = gossipInterval, gossipFanout, nameReclaimTime
+	c.DeadNodeReclaimTime = nameReclaimTime
 	c.Delegate, c.Events, c.Conflict = delegate{p}, events{p}, events{p}
-	c.Logger = log.New(&lines{log: cfg.Log}, "", 0)
+	c.Logger = log.New(&debugLog{logger: cfg.Log}, "", 0)
 	list, err := memberlist.Create(c)
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("fleet: %w", err), p.wire.Shutdown(), p.closeAudit())
+		return nil, errors.Join(fmt.Errorf("fleet: %w", err), p.transport.Shutdown(), p.closeAudit())
 	}
 	p.mu.Lock()
 	p.list = list
 	p.mu.Unlock()
 	var ctx context.Context
 	ctx, p.stop = context.WithCancel(context.Background())
-	p.wg.Go(func() { p.steps(ctx) })
-	p.wg.Go(func() { p.join(ctx) })
+	p.wg.Go(func() { p.runSteps(ctx) })
+	p.wg.Go(func() { p.joinSeeds(ctx) })
 	return p, nil
 }
 
-// now is the time by the clock of what is shared, which settings may set wrong.
+// now returns the time of the shared state: that of Config.Clock, with the clock skew that the settings may add.
 func (p *Peers) now() time.Duration {
 	t := p.cfg.Clock()
 	for _, s := range p.cfg.Fleet.Skew {
-		if time.Since(p.start) >= s.At.D() {
+		if time.Since(p.startedAt) >= s.At.D() {
 			t += time.Duration(s.By * float64(time.Second))
 		}
 	}
 	return t
 }
 
-// join asks seeds that are not among the members, until ctx ends: also after a cut that has made both sides forget each other.
-func (p *Peers) join(ctx context.Context) {
+// joinSeeds joins the seeds that are not members, until ctx ends. It repeats this because both sides of a long partition
+// remove each other.
+func (p *Peers) joinSeeds(ctx context.Context) {
 	for {
 		for _, s := range p.cfg.Fleet.Seeds {
-			if s == p.cfg.Fleet.Advertise || p.here(s) || ctx.Err() != nil {
+			if s == p.cfg.Fleet.Advertise || p.isMember(s) || ctx.Err() != nil {
 				continue
 			}
 			if _, err := p.list.Join([]string{s}); err != nil {
-				p.cfg.Log.Debug("a seed does not answer", "seed", s, "err", err)
+				p.cfg.Log.Debug("can't join a seed", "seed", s, "err", err)
 			}
 		}
-		if !timing.Sleep(ctx, rejoinEvery) {
+		if !timing.Sleep(ctx, rejoinInterval) {
 			return
 		}
 	}
 }
 
-// here tells whether a member is reached at an address.
-func (p *Peers) here(addr string) bool {
+// isMember reports whether a reachable member has an address.
+func (p *Peers) isMember(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, n := range p.nodes {
+	for _, n := range p.reachable {
 		if n.Address() == addr {
 			return true
 		}
@@ -171,38 +173,38 @@
 	return false
 }
 
-func (p *Peers) steps(ctx context.Context) {
-	timing.Every(ctx, stepEvery, func() {
+func (p *Peers) runSteps(ctx context.Context) {
+	timing.Every(ctx, stepInterval, func() {
 		p.mu.Lock()
 		now := p.now()
 		out := p.replica.Step(now)
 		notes, renewed := p.replica.Notes(), p.replica.TakeRenewed()
-		p.record(now)
+		p.writeAudit(now)
 		p.mu.Unlock()
 		for _, n := range notes {
 			p.cfg.Log.Info(n.Text, n.Args...)
 		}
 		p.send(out)
 		if renewed {
-			if err := p.list.UpdateNode(streamTime); err != nil {
-				p.cfg.Log.Warn("the fleet was not told of this node's new life", "err", err)
+			if err := p.list.UpdateNode(streamTimeout); err != nil {
+				p.cfg.Log.Warn("can't announce this node's new incarnation", "err", err)
 			}
 		}
 		p.cfg.ViewChanged()
 	})
 }
 
-// send sends messages to the members that they are for. One that is not known gets none: it will be asked again.
-func (p *Peers) send(all []shared.Message) {
-	for _, m := range all {
+// send sends messages to their members. Messages to unknown members are dropped, as the requests behind them are repeated.
+func (p *Peers) send(messages []shared.Message) {
+	for _, m := range messages {
 		p.mu.Lock()
-		to, list := p.nodes[m.To], p.list
+		to, list := p.reachable[m.To], p.list
 		p.mu.Unlock()
 		if to == nil || list == nil {
-			continue // memberlist calls before it is all there
+			continue // memberlist may call the delegate before Create returns
 		}
 		if err := list.SendBestEffort(to, m.Payload); err != nil {
-			p.cfg.Log.Debug("a message was not sent", "to", to.Name, "err", err)
+			p.cfg.Log.Debug("message not sent", "to", to.Name, "err", err)
 		}
 	}
 }
@@ -214,75 +216,76 @@
 	p.replica.CountRequest(p.now(), tenant)
 }
 
-// Crossed counts a request that goes to another site, as its client's own is lost.
+// Crossed counts a request that goes to another site because its client's own is lost.
 func (p *Peers) Crossed(site string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replica.CountCrossSite(p.now(), site)
 }
 
-// Outcome notes how an attempt at a backend ended.
+// Outcome records how an attempt at a backend ended.
 func (p *Peers) Outcome(k judgement.Key, o policy.Outcome) {
-	if tells, failed := shared.Evidence(o); tells {
+	if known, failed := shared.Evidence(o); known {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.replica.RecordOutcome(p.now(), k, failed)
 	}
 }
 
-// Listed sets the backends that there are.
+// Listed sets the list of backends.
 func (p *Peers) Listed(list []judgement.Backend) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replica.SetBackends(list)
 }
 
-// View is what the node may act on, until a moment of Config.Clock.
+// View returns the view that the node may act on, valid until a time of Config.Clock.
 func (p *Peers) View() shared.View {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	v := p.replica.View(now)
-	p.record(now)
+	p.writeAudit(now)
 	v.ValidUntil = p.cfg.Clock() + v.ValidUntil - now
 	return v
 }
 
-// Report is what the node knows of the fleet, and what telling it cost.
+// Report is what the node knows of the fleet, with the network traffic.
 type Report struct {
 	shared.Report
 	Traffic Traffic `json:"traffic"`
 }
 
-// Report tells what the node knows now.
+// Report returns what the node knows now.
 func (p *Peers) Report() Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Report{p.replica.Report(p.now()), p.wire.traffic()}
+	return Report{p.replica.Report(p.now()), p.transport.traffic()}
 }
 
-// Stop gives back what is held, says goodbye and ends. It is called once; what the node knew can still be read after it.
+// Stop returns the node's loans, leaves the fleet and closes the connection. It is called once; View and Report still work
+// after it.
 func (p *Peers) Stop() {
 	p.mu.Lock()
 	out := p.replica.Leave(p.now())
-	p.record(p.now())
+	p.writeAudit(p.now())
 	p.mu.Unlock()
 	p.send(out)
 	p.stop()
 	if t := p.cfg.Fleet.Settle.D(); t > 0 {
 		if err := p.list.Leave(t); err != nil {
-			p.cfg.Log.Debug("the fleet was not told that this node leaves", "err", err)
+			p.cfg.Log.Debug("can't announce that this node leaves", "err", err)
 		}
 	}
 	if err := p.list.Shutdown(); err != nil {
-		p.cfg.Log.Warn("the fleet's sockets did not close", "err", err)
+		p.cfg.Log.Warn("can't close the fleet's sockets", "err", err)
 	}
 	p.wg.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
 	if err := p.closeAudit(); err != nil {
-		p.cfg.Log.Warn("the audit is not whole", "err", err)
+		p.cfg.Log.Warn("audit file is incomplete", "err", err)
 	}
 }
 
@@ -293,131 +296,132 @@
 	return p.audit.Close()
 }
 
-// AuditRecord is one line of the audit. With a budget: what this node may spend of it from a moment on, until a later line or
-// the end of what it holds of others. Without one: what it knows of the fleet.
+// AuditRecord is one line of the audit. A line with a budget has what this node may spend of it from then on, until the
+// next such line or the expiry of a loan. A line without a budget has what this node knows of the fleet.
 type AuditRecord struct {
 	At             int64              `json:"at"` // Unix nanoseconds
 	Node           string             `json:"node"`
 	Budget         string             `json:"budget,omitempty"`
 	Own            int64              `json:"own,omitempty"` // grains of its own that are not lent
 	Borrowed       []AuditLoan        `json:"held,omitempty"`
-	MinNodes       int                `json:"surely,omitempty"`   // nodes that are surely there
-	MaxNodes       int                `json:"at_most,omitempty"`  // and that may be
-	RepeatInterval int64              `json:"again_ns,omitempty"` // how often nodes tell again of what has not changed
-	Counts         []shared.PeerCount `json:"counts,omitempty"`   // of others, that are new since the line before
-	Backends       int                `json:"listed,omitempty"`   // backends that there are,
-	Ejected        int                `json:"out,omitempty"`      // those out by hearsay,
-	MinVotes       int                `json:"votes,omitempty"`    // and the fewest nodes that one of them was found broken by when it came out
+	MinNodes       int                `json:"surely,omitempty"`   // nodes that are confirmed alive
+	MaxNodes       int                `json:"at_most,omitempty"`  // nodes that may be alive
+	RepeatInterval int64              `json:"again_ns,omitempty"` // interval at which nodes repeat unchanged entries, in nanoseconds
+	Counts         []shared.PeerCount `json:"counts,omitempty"`   // of other nodes, changed since the last line
+	Backends       int                `json:"listed,omitempty"`   // on the list
+	Ejected        int                `json:"out,omitempty"`      // of these, by a quorum of nodes
+	MinVotes       int                `json:"votes,omitempty"`    // lowest number of nodes that found one of those unhealthy when it was ejected
 }
 
-// AuditLoan is what is held of another node.
+// AuditLoan is a loan from another node.
 type AuditLoan struct {
 	Owner  int   `json:"of"`
 	Grains int64 `json:"grains"`
 	Until  int64 `json:"until"` // Unix nanoseconds
 }
 
-// record writes what has changed to the audit, before anybody else can act on it, and all of it now and then. p.mu is held.
-func (p *Peers) record(now time.Duration) {
+// writeAudit writes budgets that have changed to the audit, before anybody else can act on the change, and everything each
+// auditInterval. p.mu is held.
+func (p *Peers) writeAudit(now time.Duration) {
 	if p.audit == nil || p.closed {
 		return
 	}
 	at := time.Now()
-	all := at.Sub(p.auditedAt) >= auditEvery
+	full := at.Sub(p.auditedAt) >= auditInterval
 	report := p.replica.Report(now)
-	if all {
+	if full {
 		p.auditedAt = at
 		line := AuditRecord{At: at.UnixNano(), Node: p.cfg.Name, MinNodes: report.Count.Lower, MaxNodes: report.Count.Upper, Backends: report.Backends, Ejected: report.Ejected,
-			MinVotes: report.MinVotes, RepeatInterval: int64(p.replica.RepeatInterval()), Counts: p.heard(now)}
-		p.write(&line)
+			MinVotes: report.MinVotes, RepeatInterval: int64(p.replica.RepeatInterval()), Counts: p.newCounts(now)}
+		p.writeLine(&line)
 	}
 	for _, part := range report.Budgets {
-		old := p.audited[part.Budget]
-		if !all && old.Spendable == part.Spendable && slices.Equal(old.Borrowed, part.Borrowed) {
+		old := p.auditedBudgets[part.Budget]
+		if !full && old.Spendable == part.Spendable && slices.Equal(old.Borrowed, part.Borrowed) {
 			continue
 		}
-		p.audited[part.Budget] = part
+		p.auditedBudgets[part.Budget] = part
 		line := AuditRecord{At: at.UnixNano(), Node: p.cfg.Name, Budget: part.Budget, Own: int64(part.Spendable*float64(escrow.BudgetGrains) + 0.5)}
 		for _, h := range part.Borrowed {
 			line.Own -= h.Grains
 			line.Borrowed = append(line.Borrowed, AuditLoan{h.With, h.Grains, at.Add(h.Until - now).UnixNano()})
 		}
-		p.write(&line)
+		p.writeLine(&line)
 	}
 }
 
-// heard is what the node has heard of others' counts since the last call. p.mu is held.
-func (p *Peers) heard(now time.Duration) (fresh []shared.PeerCount) {
+// newCounts returns the other nodes' counts that have changed since the last call. p.mu is held.
+func (p *Peers) newCounts(now time.Duration) (changed []shared.PeerCount) {
 	for _, h := range p.replica.PeerCounts(now) {
-		k, v := heardOf{h.Key, h.Node}, heardAt{h.Incarnation, h.Epoch, h.Sum}
-		if p.told[k] != v {
-			p.told[k] = v
-			fresh = append(fresh, h)
+		k, v := countKey{h.Key, h.Node}, countVersion{h.Incarnation, h.Epoch, h.Sum}
+		if p.auditedCounts[k] != v {
+			p.auditedCounts[k] = v
+			changed = append(changed, h)
 		}
 	}
-	return fresh
+	return changed
 }
 
-func (p *Peers) write(line *AuditRecord) {
+func (p *Peers) writeLine(line *AuditRecord) {
 	text, err := json.Marshal(line)
 	if err == nil {
 		_, err = p.audit.Write(append(text, '\n'))
 	}
 	if err != nil {
-		p.cfg.Log.Warn("the audit is not whole", "err", err)
+		p.cfg.Log.Warn("audit file is incomplete", "err", err)
 	}
 }
 
-// delegate is what memberlist calls with what members say.
+// delegate receives memberlist's calls about messages and state.
 type delegate struct{ p *Peers }
 
-// NodeMeta is what this node says of itself.
+// NodeMeta returns this node's description of itself.
 func (d delegate) NodeMeta(limit int) []byte {
 	d.p.mu.Lock()
 	defer d.p.mu.Unlock()
 	m := d.p.replica.Meta()
 	if len(m) > limit {
-		return nil // a site's name of half a kilobyte; the others count the node without a number
+		return nil // a site name of half a kilobyte; the others get no description of this node
 	}
 	return m
 }
 
-// NotifyMsg takes in what a member sent to this one.
+// NotifyMsg handles a message from a member.
 func (d delegate) NotifyMsg(b []byte) {
 	p := d.p
 	p.mu.Lock()
 	now := p.now()
 	out, err := p.replica.Receive(now, b)
-	p.record(now) // a part that is lent is off the audit before its borrower can know of it
+	p.writeAudit(now) // grains that are lent leave the audit before their borrower can know of the loan
 	p.mu.Unlock()
 	if err != nil {
-		p.cfg.Log.Debug("a member sent what can't be read", "err", err)
+		p.cfg.Log.Debug("malformed message from a member", "err", err)
 	}
 	p.send(out)
 }
 
-// GetBroadcasts is what there is to tell, within the budget.
-func (d delegate) GetBroadcasts(each, limit int) [][]byte {
-	room := d.p.wire.room() - overhead
+// GetBroadcasts returns the frames to send with the next gossip datagram, within the byte budget.
+func (d delegate) GetBroadcasts(overheadEach, limit int) [][]byte {
+	available := d.p.transport.availableBytes() - datagramOverheadBytes
 	d.p.mu.Lock()
 	defer d.p.mu.Unlock()
-	return d.p.replica.Broadcasts(d.p.now(), each, min(limit, room))
+	return d.p.replica.Broadcasts(d.p.now(), overheadEach, min(limit, available))
 }
 
-// LocalState is all that this node knows.
+// LocalState returns this node's state for a full exchange.
 func (d delegate) LocalState(bool) []byte {
 	d.p.mu.Lock()
 	defer d.p.mu.Unlock()
 	return d.p.replica.State(d.p.now())
 }
 
-// MergeRemoteState takes in all that another one knows.
+// MergeRemoteState merges another node's state after a full exchange.
 func (d delegate) MergeRemoteState(b []byte, _ bool) { d.NotifyMsg(b) }
 
-// events is what memberlist calls with who comes and goes. It holds a lock of its own meanwhile: nothing here may call it.
+// events receives memberlist's calls about members. memberlist holds a lock during them: nothing here may call memberlist.
 type events struct{ p *Peers }
 
-// NotifyJoin takes in a member.
+// NotifyJoin records that a member is alive.
 func (e events) NotifyJoin(n *memberlist.Node) {
 	p := e.p
 	if n.Name == p.cfg.Name {
@@ -428,39 +432,39 @@
 	node := *n
 	node.Meta = bytes.Clone(n.Meta)
 	if err := p.replica.MemberJoined(p.now(), n.Name, node.Meta); err != nil {
-		p.cfg.Log.Warn("a member says of itself what can't be read", "member", n.Name, "err", err)
+		p.cfg.Log.Warn("member ignored: its description is malformed", "member", n.Name, "err", err)
 		return
 	}
 	if number, ok := p.replica.MemberNumber(n.Name); ok {
-		p.nodes[number] = &node
+		p.reachable[number] = &node
 	}
 }
 
-// NotifyUpdate takes in what a member says of itself anew.
+// NotifyUpdate records a changed description of a member.
 func (e events) NotifyUpdate(n *memberlist.Node) { e.NotifyJoin(n) }
 
-// NotifyLeave takes in that a member is not there any more.
+// NotifyLeave records that a member is not alive.
 func (e events) NotifyLeave(n *memberlist.Node) {
 	p := e.p
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for number, known := range p.nodes {
+	for number, known := range p.reachable {
 		if known.Name == n.Name {
-			delete(p.nodes, number)
+			delete(p.reachable, number)
 		}
 	}
-	p.replica.MemberDown(p.now(), n.Meta, roster.Dead) // one that leaves has said so itself
+	p.replica.MemberDown(p.now(), n.Meta, roster.Dead) // one that left has said so itself
 }
 
-// NotifyConflict is told of two members with one name.
+// NotifyConflict logs that two members have the same name.
 func (e events) NotifyConflict(one, other *memberlist.Node) {
-	e.p.cfg.Log.Warn("two members have one name: give each node its own", "member", one.Name, "at", one.Address(), "and", other.Address())
+	e.p.cfg.Log.Warn("two members have the same name: give each node its own", "member", one.Name, "at", one.Address(), "and", other.Address())
 }
 
-// lines passes the library's log on. It is for who looks closely: members' standing is told by the replica's notes.
-type lines struct{ log *slog.Logger }
+// debugLog passes memberlist's log on at debug level. Changes of members' states are logged by the replica's notes.
+type debugLog struct{ logger *slog.Logger }
 
-func (l *lines) Write(b []byte) (int, error) {
-	l.log.Debug(string(bytes.TrimSpace(b)))
+func (l *debugLog) Write(b []byte) (int, error) {
+	l.logger.Debug(string(bytes.TrimSpace(b)))
 	return len(b), nil
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -19,12 +19,12 @@
 	"craneglade/policy"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 var key = []byte("sixteen bytes!!!")
 
-// free is a loopback address that nobody listens on, for UDP and TCP.
-func free(t *testing.T) string {
+// freeAddr returns a loopback address on which nothing listens.
+func freeAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,8 +39,8 @@
 		Bytes: settings.DefaultBytes, Datagram: 1400, Settle: tomlfile.Duration(100 * time.Millisecond)}
 }
 
-// begin starts a node of three; it is stopped when the test ends, unless stop was called.
-func begin(t *testing.T, number int, f *settings.Fleet) (p *Peers, stop func()) {
+// startNode starts one node of three. It stops when the test ends, unless stop was called.
+func startNode(t *testing.T, number int, f *settings.Fleet) (p *Peers, stop func()) {
 	t.Helper()
 	start := time.Now()
 	p, err := Start(Config{Fleet: f, Name: fmt.Sprintf("n%d", number), Policy: &policy.Settings{Number: number, Nodes: 3, Zone: "north",
@@ -60,21 +60,21 @@
 	return p, stop
 }
 
-func wait(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: did not come", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// part is what a node may spend of a tenant's share.
-func part(p *Peers) float64 { return p.Report().Budgets[0].Spendable }
+// spendableFraction returns the fraction of the tenant's quota that a node may spend.
+func spendableFraction(p *Peers) float64 { return p.Report().Budgets[0].Spendable }
 
-func TestMembersFindEachOtherAndShare(t *testing.T) {
+func TestMembersJoinAndShareState(t *testing.T) {
 	t.Parallel()
-	addrs := []string{free(t), free(t), free(t)}
+	addrs := []string{freeAddr(t), freeAddr(t), freeAddr(t)}
 	audit := filepath.Join(t.TempDir(), "audit")
 	var all []*Peers
 	var stops []func()
@@ -83,42 +83,43 @@
 		if i == 1 {
 			f.Audit = audit
 		}
-		p, stop := begin(t, i, f)
+		p, stop := startNode(t, i, f)
 		p.Listed([]judgement.Backend{{Key: 1, Name: "s-1"}, {Key: 2, Name: "s-2"}, {Key: 3}, {Key: 4}})
 		all, stops = append(all, p), append(stops, stop)
 	}
 	for i, p := range all {
-		wait(t, fmt.Sprintf("all three at node %d", i), func() bool { return p.Report().Count.Lower == 3 })
+		waitFor(t, fmt.Sprintf("three members at node %d", i), func() bool { return p.Report().Count.Lower == 3 })
 	}
-	// All ask at one node; its part grows beyond what it owns. Two find a backend broken; the third hears of it.
-	wait(t, "a part that follows the demand", func() bool {
+	// All requests arrive at one node, whose share grows beyond what it owns. Two nodes find a backend unhealthy, and the
+	// third learns of it.
+	waitFor(t, "a share that follows the demand", func() bool {
 		for range 3 {
 			all[1].Request("a")
 		}
 		for _, p := range all[:2] {
 			p.Outcome(2, policy.ConnectFailed)
 		}
-		return part(all[1]) > 0.5
+		return spendableFraction(all[1]) > 0.5
 	})
-	wait(t, "the backend out at the third", func() bool {
+	waitFor(t, "the ejection on the third node", func() bool {
 		for _, p := range all[:2] {
 			p.Outcome(2, policy.ConnectFailed)
 		}
 		v := all[2].View()
 		return len(v.Ejected) == 1 && v.Ejected[0] == 2
 	})
-	if sum := part(all[0]) + part(all[1]) + part(all[2]); sum > 1 {
-		t.Errorf("together they have %v of one", sum)
+	if sum := spendableFraction(all[0]) + spendableFraction(all[1]) + spendableFraction(all[2]); sum > 1 {
+		t.Errorf("the shares add up to %v", sum)
 	}
 	r := all[2].Report()
 	if len(r.Members) != 2 || len(r.Budgets) != 1 || len(r.Votes) != 1 || r.Votes[0].Name != "s-2" || r.Traffic.SentBytes == 0 {
 		t.Errorf("%+v", r)
 	}
-	// One that leaves gives back and is known to have left; a later life of its is known as one.
+	// A node that leaves returns its loans and counts as left; its next incarnation counts as alive again.
 	stops[1]()
-	wait(t, "the parting", func() bool { return all[0].Report().Members[0].State == "left" })
-	begin(t, 1, fleetOf(addrs[1], "one", [][]byte{key}, addrs[0]))
-	wait(t, "the return", func() bool { return all[0].Report().Count.Lower == 3 })
+	waitFor(t, "the member that left", func() bool { return all[0].Report().Members[0].State == "left" })
+	startNode(t, 1, fleetOf(addrs[1], "one", [][]byte{key}, addrs[0]))
+	waitFor(t, "the restarted member", func() bool { return all[0].Report().Count.Lower == 3 })
 
 	text, err := os.ReadFile(audit)
 	if err != nil {
@@ -136,36 +137,36 @@
 		held = held || len(a.Borrowed) > 0 && a.Borrowed[0].Grains > 0 && a.Borrowed[0].Until > a.At
 	}
 	if !held || known != 3 {
-		t.Errorf("the audit tells of no loan, or of %d nodes:\n%s", known, text)
+		t.Errorf("the audit has no loan, or %d nodes, want 3:\n%s", known, text)
 	}
 }
 
-// Fleets of another name, and nodes without the key, do not merge; one whose first key is another's second does.
-func TestFleetsDoNotMerge(t *testing.T) {
+// Nodes of another cluster or without the key can't join; a node whose first key is another's second can.
+func TestForeignNodesAreRejected(t *testing.T) {
 	t.Parallel()
 	other := []byte("another key of16")
-	addr := free(t)
-	home, _ := begin(t, 0, fleetOf(addr, "one", [][]byte{key, other}))
+	addr := freeAddr(t)
+	home, _ := startNode(t, 0, fleetOf(addr, "one", [][]byte{key, other}))
 	strangers := []*Peers{}
-	for i, f := range []*settings.Fleet{fleetOf(free(t), "two", [][]byte{key}, addr), fleetOf(free(t), "one", [][]byte{[]byte("a key of no fleet")[:16]}, addr)} {
-		p, _ := begin(t, 1+i, f)
+	for i, f := range []*settings.Fleet{fleetOf(freeAddr(t), "two", [][]byte{key}, addr), fleetOf(freeAddr(t), "one", [][]byte{[]byte("a key of no fleet")[:16]}, addr)} {
+		p, _ := startNode(t, 1+i, f)
 		strangers = append(strangers, p)
 	}
-	friend, _ := begin(t, 1, fleetOf(free(t), "one", [][]byte{other, key}, addr))
-	wait(t, "the one with the key", func() bool { return home.Report().Count.Lower == 2 && friend.Report().Count.Lower == 2 })
+	friend, _ := startNode(t, 1, fleetOf(freeAddr(t), "one", [][]byte{other, key}, addr))
+	waitFor(t, "the member with the other key first", func() bool { return home.Report().Count.Lower == 2 && friend.Report().Count.Lower == 2 })
 	for i, p := range strangers {
 		if n := len(p.Report().Members); n > 0 {
-			t.Errorf("stranger %d knows %d members", i, n)
+			t.Errorf("foreign node %d knows %d members", i, n)
 		}
 	}
 	if n := len(home.Report().Members); n != 1 {
-		t.Errorf("%d members at home", n)
+		t.Errorf("%d other members, want 1", n)
 	}
 }
 
-func TestHostileDatagrams(t *testing.T) {
+func TestMalformedDatagramsAreCounted(t *testing.T) {
 	t.Parallel()
-	p, _ := begin(t, 0, fleetOf(free(t), "one", [][]byte{key}))
+	p, _ := startNode(t, 0, fleetOf(freeAddr(t), "one", [][]byte{key}))
 	d := delegate{p}
 	for _, b := range [][]byte{nil, {0}, []byte("GET / HTTP/1.1\r\n\r\n"), make([]byte, 60000)} {
 		d.NotifyMsg(b)
@@ -181,23 +182,23 @@
 			t.Fatal(err)
 		}
 	}
-	wait(t, "them all", func() bool { return p.Report().Traffic.Received >= 50 })
+	waitFor(t, "all datagrams", func() bool { return p.Report().Traffic.Received >= 50 })
 	if r := p.Report(); r.Stats.Bad == 0 || len(r.Members) != 0 || r.Budgets[0].Spendable <= 0 {
 		t.Errorf("%+v", r)
 	}
 }
 
-func TestAnAddressThatIsTaken(t *testing.T) {
+func TestStartNamesKeyOfAddressInUse(t *testing.T) {
 	t.Parallel()
-	p, _ := begin(t, 0, fleetOf(free(t), "one", [][]byte{key}))
+	p, _ := startNode(t, 0, fleetOf(freeAddr(t), "one", [][]byte{key}))
 	_, err := Start(Config{Fleet: fleetOf(p.cfg.Fleet.Listen, "one", [][]byte{key}), Name: "x", Policy: &policy.Settings{Nodes: 1}, Clock: func() time.Duration { return 0 },
 		ViewChanged: func() {}, Log: slog.New(slog.DiscardHandler)})
 	if err == nil || !strings.Contains(err.Error(), "fleet.listen") {
-		t.Errorf("error %v does not name the key", err)
+		t.Errorf("error %v does not name fleet.listen", err)
 	}
 }
 
-func TestTheBudgetOfBytes(t *testing.T) {
+func TestTransportDropsBeyondByteBudget(t *testing.T) {
 	w, err := newTransport("127.0.0.1:0", 1000)
 	if err != nil {
 		t.Fatal(err)
@@ -209,8 +210,8 @@
 			t.Fatal(err)
 		}
 	}
-	// Two seconds' worth at once, and as much on credit; what is left over is dropped.
-	if s := w.traffic(); s.SentBytes < 3900 || s.SentBytes > 4500 || s.Dropped < 50 || w.room() != 0 {
-		t.Errorf("%+v, room for %d", s, w.room())
+	// A burst of two seconds is sent at once, and as much again on credit; the rest is dropped.
+	if s := w.traffic(); s.SentBytes < 3900 || s.SentBytes > 4500 || s.Dropped < 50 || w.availableBytes() != 0 {
+		t.Errorf("%+v, %d bytes available", s, w.availableBytes())
 	}
 }
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -13,48 +13,49 @@
 )
 
 const (
-	largest = 65536 // bytes of a UDP datagram with its header
-	waiting = 256   // datagrams that wait to be taken in; the kernel keeps more
-	bursts  = 2.0   // seconds' worth of bytes that may go at once; beyond it datagrams are dropped
+	maxDatagramBytes  = 65536 // of a UDP datagram with its header
+	packetQueueLength = 256   // received datagrams that wait for memberlist; the kernel buffers more
+	burstSeconds      = 2.0   // the token bucket holds the bytes of this many seconds, and may be overdrawn by as many
 )
 
-// transport carries memberlist's datagrams and streams on one address. Streams go out from that address too, so that
-// whoever stands between two nodes can tell which one speaks. What it sends in a second stays within its budget: user data
-// waits for room (see room), and a datagram that comes when the budget is overdrawn is dropped, as a network does.
+// transport carries memberlist's datagrams and streams on one address. Outgoing streams use that address as their source,
+// so that anything between two nodes can identify the sender. Datagrams share a byte budget: user data is limited to what
+// is available (see availableBytes), and a datagram that would overdraw the budget by more than a burst is dropped, as on a
+// congested network.
 type transport struct {
-	ip        net.IP
-	port      int
-	udp       *net.UDPConn
-	tcp       *net.TCPListener
-	packets   chan *memberlist.Packet
-	streams   chan net.Conn
-	done      chan struct{}
-	wg        sync.WaitGroup
-	perSecond float64
-
-	mu     sync.Mutex
-	tokens float64
-	filled time.Time
-	stats  Traffic
+	ip             net.IP
+	port           int
+	udp            *net.UDPConn
+	tcp            *net.TCPListener
+	packets        chan *memberlist.Packet
+	streams        chan net.Conn
+	done           chan struct{}
+	wg             sync.WaitGroup
+	bytesPerSecond float64
+
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
+	stats      Traffic
 }
 
-// Traffic counts what went over the wire.
+// Traffic counts what was sent and received.
 type Traffic struct {
 	SentBytes     int64 `json:"sent_bytes"`
 	Datagrams     int64 `json:"datagrams"`
-	Dropped       int64 `json:"dropped"` // for want of budget
-	Streams       int64 `json:"streams"` // opened from here
+	Dropped       int64 `json:"dropped"` // because the byte budget was overdrawn
+	Streams       int64 `json:"streams"` // opened by this node
 	ReceivedBytes int64 `json:"received_bytes"`
 	Received      int64 `json:"received"`
 }
 
-func newTransport(addr string, perSecond int) (*transport, error) {
+func newTransport(addr string, bytesPerSecond int) (*transport, error) {
 	a, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	t := &transport{ip: a.IP, packets: make(chan *memberlist.Packet, waiting), streams: make(chan net.Conn), done: make(chan struct{}),
-		perSecond: float64(perSecond), tokens: bursts * float64(perSecond), filled: time.Now()}
+	t := &transport{ip: a.IP, packets: make(chan *memberlist.Packet, packetQueueLength), streams: make(chan net.Conn), done: make(chan struct{}),
+		bytesPerSecond: float64(bytesPerSecond), tokens: burstSeconds * float64(bytesPerSecond), refilledAt: time.Now()}
 	if t.tcp, err = net.ListenTCP("tcp", a); err != nil {
 		return nil, err
 	}
@@ -62,20 +63,20 @@
 	if t.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: a.IP, Port: t.port}); err != nil {
 		return nil, errors.Join(err, t.tcp.Close())
 	}
-	t.wg.Go(t.read)
-	t.wg.Go(t.accept)
+	t.wg.Go(t.readDatagrams)
+	t.wg.Go(t.acceptStreams)
 	return t, nil
 }
 
-func (t *transport) read() {
-	buf := make([]byte, largest)
+func (t *transport) readDatagrams() {
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := t.udp.ReadFrom(buf)
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // a peer's refusal comes back as an error of this socket
+			continue // an ICMP error caused by an earlier datagram
 		}
 		if n == 0 {
 			continue
@@ -93,14 +94,14 @@
 	}
 }
 
-func (t *transport) accept() {
+func (t *transport) acceptStreams() {
 	for {
 		c, err := t.tcp.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			select { // out of descriptors, most likely
+			select { // most likely out of file descriptors
 			case <-time.After(50 * time.Millisecond):
 				continue
 			case <-t.done:
@@ -116,12 +117,12 @@
 	}
 }
 
-// spend takes bytes off the budget, and tells whether there was room.
-func (t *transport) spend(n int) bool {
+// takeTokens takes the bytes of a datagram out of the budget; false where that would overdraw it by more than a burst.
+func (t *transport) takeTokens(n int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.fill()
-	if t.tokens < float64(n)-bursts*t.perSecond {
+	t.refill()
+	if t.tokens < float64(n)-burstSeconds*t.bytesPerSecond {
 		t.stats.Dropped++
 		return false
 	}
@@ -131,17 +132,17 @@
 	return true
 }
 
-func (t *transport) fill() {
+func (t *transport) refill() {
 	now := time.Now()
-	t.tokens = min(bursts*t.perSecond, t.tokens+t.perSecond*now.Sub(t.filled).Seconds())
-	t.filled = now
+	t.tokens = min(burstSeconds*t.bytesPerSecond, t.tokens+t.bytesPerSecond*now.Sub(t.refilledAt).Seconds())
+	t.refilledAt = now
 }
 
-// room is how many bytes of user data the budget has room for now.
-func (t *transport) room() int {
+// availableBytes returns how many bytes of user data the budget has left now.
+func (t *transport) availableBytes() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.fill()
+	t.refill()
 	return int(max(0, t.tokens))
 }
 
@@ -151,31 +152,31 @@
 	return t.stats
 }
 
-// FinalAdvertiseAddr is the address that others are told; the configured one goes before the one that is listened on.
+// FinalAdvertiseAddr returns the address that other members are given: the configured one, or else the one listened on.
 func (t *transport) FinalAdvertiseAddr(ip string, port int) (net.IP, int, error) {
 	if ip == "" {
 		return t.ip, t.port, nil
 	}
 	addr := net.ParseIP(ip)
 	if addr == nil {
-		return nil, 0, fmt.Errorf("%q is no IP address", ip)
+		return nil, 0, fmt.Errorf("%q is not an IP address", ip)
 	}
 	return addr, port, nil
 }
 
-// WriteTo sends a datagram. One that is dropped is no error: none may arrive in any case.
+// WriteTo sends a datagram. It returns no error for one that is dropped, as any datagram can be lost.
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	to, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
 		return time.Time{}, err
 	}
-	if t.spend(len(b)) {
+	if t.takeTokens(len(b)) {
 		_, err = t.udp.WriteTo(b, to)
 	}
 	return time.Now(), err
 }
 
-// PacketCh gives the datagrams that came.
+// PacketCh returns the received datagrams.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
 // DialTimeout opens a stream to a member.
@@ -190,10 +191,10 @@
 	return d.DialContext(context.Background(), "tcp", addr)
 }
 
-// StreamCh gives the streams that others opened.
+// StreamCh returns the streams that other members opened.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// Shutdown closes both sockets and waits for what reads them.
+// Shutdown closes both sockets and waits for their readers.
 func (t *transport) Shutdown() error {
 	close(t.done)
 	err := errors.Join(t.tcp.Close(), t.udp.Close())
@@ -201,8 +202,8 @@
 	return err
 }
 
-// split takes an address apart that was checked before.
-func split(addr string) (host string, port int, err error) {
+// splitAddr splits an address that has been validated.
+func splitAddr(addr string) (host string, port int, err error) {
 	host, text, err := net.SplitHostPort(addr)
 	if err == nil {
 		port, err = strconv.Atoi(text)
--- a/internal/peers/whole_test.go
+++ b/internal/peers/whole_test.go
@@ -17,10 +17,10 @@
 	"craneglade/internal/shared/packet"
 )
 
-// pushPull is memberlist's number of the message that begins a whole exchange.
-const pushPull = 6
+// pushPullType is memberlist's type of the message that starts a full exchange (push/pull).
+const pushPullType = 6
 
-// The few forms of MessagePack that memberlist's own messages need.
+// The MessagePack encodings that memberlist's own messages need.
 
 func packMap(b []byte, fields byte) []byte { return append(b, 0x80|fields) }
 
@@ -34,9 +34,9 @@
 	return binary.BigEndian.AppendUint32(append(b, 0xce), n)
 }
 
-// wholeState is the whole state of a member that knows of n others, as memberlist sends it.
-func wholeState(n int) []byte {
-	b := packMap([]byte{pushPull}, 3)
+// pushPullMessage returns the full state of a member that knows n others, as memberlist sends it.
+func pushPullMessage(n int) []byte {
+	b := packMap([]byte{pushPullType}, 3)
 	b = packUint(packBytes(b, "Nodes"), uint32(n))
 	b = packUint(packBytes(b, "UserStateLen"), 0)
 	b = append(packBytes(b, "Join"), 0xc3)
@@ -54,10 +54,10 @@
 	return b
 }
 
-// What a member sends in a whole exchange grows by the same for each member that it knows of, without what the nodes
-// share; and none of it counts against a node's budget of bytes, which is of datagrams.
+// The bytes that a member sends in a full exchange, without the shared state, grow linearly with the members that it knows.
+// They do not count against the node's byte budget, which is for datagrams.
 func TestBytesOfAWholeExchange(t *testing.T) {
-	var each []float64
+	var bytesPerMember []float64
 	for _, n := range []int{300, 1500, 5900} {
 		wire, err := newTransport("127.0.0.1:0", 8<<10)
 		if err != nil {
@@ -65,8 +65,8 @@
 		}
 		c := memberlist.DefaultLANConfig()
 		c.Name, c.Transport = "measured", wire
-		c.ProbeInterval, c.GossipInterval, c.PushPullInterval = 0, 0, 0 // nothing is sent to members that are not there
-		c.TCPTimeout, c.EnableCompression = patience, false             // as Start has it
+		c.ProbeInterval, c.GossipInterval, c.PushPullInterval = 0, 0, 0 // nothing is sent to the members, which do not exist
+		c.TCPTimeout, c.EnableCompression = testTimeout, false          // compression as in Start
 		c.Logger = log.New(io.Discard, "", 0)
 		list, err := memberlist.Create(c)
 		if err != nil {
@@ -76,46 +76,47 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.SetDeadline(time.Now().Add(patience))
-		if _, err := conn.Write(wholeState(n)); err != nil {
+		conn.SetDeadline(time.Now().Add(testTimeout))
+		if _, err := conn.Write(pushPullMessage(n)); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := io.Copy(io.Discard, conn); err != nil {
 			t.Fatal(err)
 		}
 		conn.Close()
-		wait(t, fmt.Sprint(n, " members"), func() bool { return list.NumMembers() == n+1 })
+		waitFor(t, fmt.Sprint(n, " members"), func() bool { return list.NumMembers() == n+1 })
 		if conn, err = net.Dial("tcp", wire.tcp.Addr().String()); err != nil {
 			t.Fatal(err)
 		}
-		conn.SetDeadline(time.Now().Add(patience))
-		if _, err := conn.Write(wholeState(1)); err != nil {
+		conn.SetDeadline(time.Now().Add(testTimeout))
+		if _, err := conn.Write(pushPullMessage(1)); err != nil {
 			t.Fatal(err)
 		}
-		answered, err := io.Copy(io.Discard, conn)
+		replyBytes, err := io.Copy(io.Discard, conn)
 		if err != nil {
 			t.Fatal(err)
 		}
 		conn.Close()
-		each = append(each, float64(answered)/float64(n+1))
-		t.Logf("%d members: %d bytes, %.1f each; with an exchange every %v, twice that both ways: %.0f bytes a second out",
-			n, answered, each[len(each)-1], wholeInterval(n), 2*float64(answered)/wholeInterval(n).Seconds())
+		bytesPerMember = append(bytesPerMember, float64(replyBytes)/float64(n+1))
+		t.Logf("%d members: %d bytes, %.1f per member; with an exchange every %v, and one answered: %.0f bytes/s sent",
+			n, replyBytes, bytesPerMember[len(bytesPerMember)-1], scaledPushPullInterval(n), 2*float64(replyBytes)/scaledPushPullInterval(n).Seconds())
 		if sent := wire.traffic().SentBytes; sent != 0 {
-			t.Errorf("%d bytes of a stream count against the budget", sent)
+			t.Errorf("%d bytes of streams count against the byte budget", sent)
 		}
 		if err := list.Shutdown(); err != nil && !strings.Contains(err.Error(), "closed") {
 			t.Fatal(err)
 		}
 	}
-	if least, most := each[0], each[len(each)-1]; math.Abs(most-least) > least/10 {
-		t.Errorf("bytes by member are not one figure: %v", each)
+	if first, last := bytesPerMember[0], bytesPerMember[len(bytesPerMember)-1]; math.Abs(last-first) > first/10 {
+		t.Errorf("bytes per member vary by more than 10%%: %v", bytesPerMember)
 	}
 }
 
-// wholeInterval is how often a member begins a whole exchange: memberlist does so less often above 32 members.
-func wholeInterval(members int) time.Duration {
+// scaledPushPullInterval returns the interval at which a member starts full exchanges: memberlist increases it above 32
+// members.
+func scaledPushPullInterval(members int) time.Duration {
 	if members <= 32 {
-		return wholeEvery
+		return pushPullInterval
 	}
-	return time.Duration(math.Ceil(math.Log2(float64(members))-5)+1) * wholeEvery
+	return time.Duration(math.Ceil(math.Log2(float64(members))-5)+1) * pushPullInterval
 }
