--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -194,7 +194,7 @@
 	})
 }
 
-// send sends messages to their members. Messages to unknown members are dropped, as the requests behind them are repeated.
+// send sends messages to their members. A message to an unknown member is dropped; requests for loans are repeated anyway.
 func (p *Peers) send(messages []shared.Message) {
 	for _, m := range messages {
 		p.mu.Lock()
@@ -335,14 +335,14 @@
 			MinVotes: report.MinVotes, RepeatInterval: int64(p.replica.RepeatInterval()), Counts: p.newCounts(now)}
 		p.writeLine(&line)
 	}
-	for _, part := range report.Budgets {
-		old := p.auditedBudgets[part.Budget]
-		if !full && old.Spendable == part.Spendable && slices.Equal(old.Borrowed, part.Borrowed) {
+	for _, share := range report.Budgets {
+		old := p.auditedBudgets[share.Budget]
+		if !full && old.Spendable == share.Spendable && slices.Equal(old.Borrowed, share.Borrowed) {
 			continue
 		}
-		p.auditedBudgets[part.Budget] = part
-		line := AuditRecord{At: at.UnixNano(), Node: p.cfg.Name, Budget: part.Budget, Own: int64(part.Spendable*float64(escrow.BudgetGrains) + 0.5)}
-		for _, h := range part.Borrowed {
+		p.auditedBudgets[share.Budget] = share
+		line := AuditRecord{At: at.UnixNano(), Node: p.cfg.Name, Budget: share.Budget, Own: int64(share.Spendable*float64(escrow.BudgetGrains) + 0.5)}
+		for _, h := range share.Borrowed {
 			line.Own -= h.Grains
 			line.Borrowed = append(line.Borrowed, AuditLoan{h.With, h.Grains, at.Add(h.Until - now).UnixNano()})
 		}
@@ -464,6 +464,7 @@
 // debugLog passes memberlist's log on at debug level. Changes of members' states are logged by the replica's notes.
 type debugLog struct{ logger *slog.Logger }
 
+// Write logs a line of memberlist's log.
 func (l *debugLog) Write(b []byte) (int, error) {
 	l.logger.Debug(string(bytes.TrimSpace(b)))
 	return len(b), nil
--- a/internal/shared/bridge.go
+++ b/internal/shared/bridge.go
@@ -10,7 +10,7 @@
 
 // Evidence returns what an attempt's outcome shows of its backend: whether anything, and if so, whether the attempt failed.
 // A backend that rejects a request for lack of capacity is not failing, and a cancelled attempt shows nothing.
-func Evidence(o policy.Outcome) (tells, failed bool) {
+func Evidence(o policy.Outcome) (known, failed bool) {
 	switch o {
 	case policy.OK:
 		return true, false
--- a/internal/shared/escrow/escrow.go
+++ b/internal/shared/escrow/escrow.go
@@ -26,7 +26,7 @@
 type Terms struct {
 	Term       time.Duration // length of a loan, by the borrower's clock, from the sending of its request
 	Drift      float64       // fraction by which a clock may run faster or slower than true time
-	MaxStepGap time.Duration // longest time between two calls of one node; after a longer one the time that has passed counts as unknown
+	MaxStepGap time.Duration // longest time between two calls; after a longer one the time that has passed counts as unknown
 	NeverLent  float64       // fraction of what a node owns that it never lends
 }
 
@@ -150,8 +150,8 @@
 }
 
 // advance moves the ledger to a time. Where the clock went back, or forward by more than MaxStepGap, the time that has
-// passed is unknown. Each case takes the safe bound: loans to others are extended as if no time had passed; loans from
-// others end when the clock went back, and expire by the new time when it went forward.
+// passed is unknown. Each case takes the safe bound: loans to others, and the quarantine after a start, are extended as if
+// no time had passed; loans from others end when the clock went back, and expire by the new time when it went forward.
 func (l *Ledger) advance(now time.Duration) {
 	elapsed := now - l.now
 	l.now = now
@@ -168,7 +168,9 @@
 			}
 			d.loans = slices.DeleteFunc(d.loans, func(x loan) bool { return now >= x.expires })
 			if len(d.loans) == 0 {
-				delete(b.borrowers, who) // forgets its nonce: a late duplicate of a request may be granted again, which counts as lent for a term though nobody uses it
+				// This forgets the latest nonce. A late duplicate of a request can then be granted again: that counts as lent
+				// for a term, but no borrower accepts the grant.
+				delete(b.borrowers, who)
 			}
 		}
 		if wentBack {
@@ -236,8 +238,8 @@
 // RequestPending reports whether a request to an owner is pending.
 func (l *Ledger) RequestPending(now time.Duration, budget string, owner int) bool {
 	l.advance(now)
-	_, out := l.account(budget).pending[owner]
-	return out
+	_, pending := l.account(budget).pending[owner]
+	return pending
 }
 
 // Lend answers a request; false for one that gets no answer: it is older than a later request of the same borrower, or its
@@ -280,8 +282,8 @@
 func (l *Ledger) AcceptGrant(now time.Duration, owner int, g Grant) bool {
 	l.advance(now)
 	b := l.account(g.Budget)
-	a, out := b.pending[owner]
-	if !out || a.nonce != g.Nonce || g.To != l.self {
+	a, pending := b.pending[owner]
+	if !pending || a.nonce != g.Nonce || g.To != l.self {
 		return false
 	}
 	delete(b.pending, owner)
--- a/internal/shared/escrow/plan.go
+++ b/internal/shared/escrow/plan.go
@@ -109,7 +109,7 @@
 	requests := 0
 	for _, o := range owners {
 		if missing <= 0 {
-			if _, holds := b.borrowed[o.owner]; holds {
+			if _, borrowing := b.borrowed[o.owner]; borrowing {
 				if back, notify := l.ReturnLoan(now, budget, o.owner); notify {
 					messages = append(messages, OwnerMessage{Owner: o.owner, Return: &back})
 				}
@@ -118,11 +118,11 @@
 		}
 		want := min(missing, o.grains)
 		missing -= want
-		h, holds := b.borrowed[o.owner]
+		h, borrowing := b.borrowed[o.owner]
 		if l.RequestPending(now, budget, o.owner) && now-b.pending[o.owner].sentAt < l.terms.Term/6 {
 			continue // its answer may be in flight
 		}
-		if holds && h.expires-now > l.terms.Term/2 && h.grains >= want*3/4 || requests == maxRequestsPerPlan {
+		if borrowing && h.expires-now > l.terms.Term/2 && h.grains >= want*3/4 || requests == maxRequestsPerPlan {
 			continue
 		}
 		requests++
--- a/internal/shared/judgement/judgement.go
+++ b/internal/shared/judgement/judgement.go
@@ -48,15 +48,15 @@
 
 // Observation is what one node has recently seen of one backend. A later one has a higher Seq.
 type Observation struct {
-	Seq    uint64
-	Tried  float64 // attempts, decayed
-	Failed float64 // those of them that failed, decayed
+	Seq      uint64
+	Attempts float64 // attempts, decayed
+	Failures float64 // those of them that failed, decayed
 }
 
 // valid reports whether an observation is possible.
 func (s Observation) valid() bool {
 	ok := func(x float64) bool { return x >= 0 && x < math.MaxInt32 }
-	return ok(s.Tried) && ok(s.Failed) && s.Failed <= s.Tried+1e-9
+	return ok(s.Attempts) && ok(s.Failures) && s.Failures <= s.Attempts+1e-9
 }
 
 type verdict int8
@@ -81,9 +81,9 @@
 func (s *timedObservation) verdict(now time.Duration, l *Limits) verdict {
 	f := s.decayFactor(now, l)
 	switch {
-	case s.Failed*f >= l.MinFailures && s.Failed >= l.MinFailedFraction*s.Tried:
+	case s.Failures*f >= l.MinFailures && s.Failures >= l.MinFailedFraction*s.Attempts:
 		return unhealthy
-	case s.Tried*f >= 0.5 && s.Failed < l.MinFailedFraction*s.Tried:
+	case s.Attempts*f >= 0.5 && s.Failures < l.MinFailedFraction*s.Attempts:
 		return healthy
 	}
 	return unknown
@@ -172,7 +172,7 @@
 		p.own[k] = o
 	}
 	f := o.decayFactor(now, &p.limits)
-	o.Tried, o.Failed, o.at = o.Tried*f, o.Failed*f, max(o.at, now)
+	o.Attempts, o.Failures, o.at = o.Attempts*f, o.Failures*f, max(o.at, now)
 	return o
 }
 
@@ -182,9 +182,9 @@
 		return
 	}
 	o := p.decayOwn(now, k)
-	o.Tried++
+	o.Attempts++
 	if failed {
-		o.Failed++
+		o.Failures++
 	} else {
 		o.lastSuccess = now
 	}
@@ -226,7 +226,7 @@
 	for k, o := range p.own {
 		v := o.verdict(now, &p.limits)
 		changed := v != o.reported && v != unknown
-		if changed || now-o.reportedAt >= p.limits.ReportInterval && o.Tried*o.decayFactor(now, &p.limits) > 0.1 {
+		if changed || now-o.reportedAt >= p.limits.ReportInterval && o.Attempts*o.decayFactor(now, &p.limits) > 0.1 {
 			all = append(all, item{k, changed, o.reportedAt})
 		}
 	}
--- a/internal/shared/judgement/judgement_test.go
+++ b/internal/shared/judgement/judgement_test.go
@@ -194,7 +194,7 @@
 		p.RecordAttempt(0, k, false)
 	}
 	keys, sights, urgent := p.TakeUpdates(0, 6)
-	if len(keys) != 6 || urgent != 6 || sights[0].Tried != 1 {
+	if len(keys) != 6 || urgent != 6 || sights[0].Attempts != 1 {
 		t.Errorf("%v %+v %d", keys, sights, urgent)
 	}
 	if keys, _, _ := p.TakeUpdates(0, 6); len(keys) != 2 {
--- a/internal/shared/judgements.go
+++ b/internal/shared/judgements.go
@@ -76,6 +76,6 @@
 		return
 	}
 	if isNew {
-		r.forward(e, sentAt, e.Observation.Failed >= r.cfg.Limits.MinFailures)
+		r.forward(e, sentAt, e.Observation.Failures >= r.cfg.Limits.MinFailures)
 	}
 }
--- a/internal/shared/packet/packet.go
+++ b/internal/shared/packet/packet.go
@@ -68,8 +68,8 @@
 	fCounts        = 7
 	fBackend       = 8
 	fSeq           = 9
-	fTried         = 10
-	fFailed        = 11
+	fAttempts      = 10
+	fFailures      = 11
 	fNonce         = 12
 	fGrains        = 13
 	fToNumber      = 14
@@ -110,8 +110,8 @@
 	case Observation:
 		b = protowire.AppendFixed64(protowire.AppendTag(b, fBackend, protowire.Fixed64Type), uint64(e.Backend))
 		b = varint(b, fSeq, e.Observation.Seq)
-		b = varint(b, fTried, scaled(e.Observation.Tried))
-		b = varint(b, fFailed, min(scaled(e.Observation.Failed), scaled(e.Observation.Tried)))
+		b = varint(b, fAttempts, scaled(e.Observation.Attempts))
+		b = varint(b, fFailures, min(scaled(e.Observation.Failures), scaled(e.Observation.Attempts)))
 	case LoanRequest, Grant, Return:
 		b = varint(b, fNonce, e.Nonce)
 		b = varint(b, fGrains, uint64(max(0, e.Grains)))
@@ -207,10 +207,10 @@
 			e.Backend = judgement.Key(v)
 		case fSeq:
 			e.Observation.Seq = v
-		case fTried:
-			e.Observation.Tried = float64(v) / observationScale
-		case fFailed:
-			e.Observation.Failed = float64(v) / observationScale
+		case fAttempts:
+			e.Observation.Attempts = float64(v) / observationScale
+		case fFailures:
+			e.Observation.Failures = float64(v) / observationScale
 		case fNonce:
 			e.Nonce = v
 		case fGrains:
--- a/internal/shared/packet/packet_test.go
+++ b/internal/shared/packet/packet_test.go
@@ -31,8 +31,8 @@
 	case Observation:
 		e.Backend = judgement.Key(rapid.Uint64().Draw(t, "backend"))
 		tried := rapid.IntRange(0, 1000).Draw(t, "tried")
-		e.Observation = judgement.Observation{Seq: rapid.Uint64().Draw(t, "seq"), Tried: float64(tried) / observationScale,
-			Failed: float64(rapid.IntRange(0, tried).Draw(t, "failed")) / observationScale}
+		e.Observation = judgement.Observation{Seq: rapid.Uint64().Draw(t, "seq"), Attempts: float64(tried) / observationScale,
+			Failures: float64(rapid.IntRange(0, tried).Draw(t, "failed")) / observationScale}
 	case LoanRequest, Grant, Return:
 		e.Key = rapid.StringN(0, 20, 80).Draw(t, "budget")
 		e.Nonce, e.Grains = rapid.Uint64().Draw(t, "nonce"), rapid.Int64Range(0, escrow.BudgetGrains).Draw(t, "grains")
@@ -99,7 +99,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(Frame(Entry{Kind: Window, Key: "tenant"}, Entry{Kind: Observation, Backend: 5, Observation: judgement.Observation{Seq: 1, Tried: 2, Failed: 1}},
+	f.Add(Frame(Entry{Kind: Window, Key: "tenant"}, Entry{Kind: Observation, Backend: 5, Observation: judgement.Observation{Seq: 1, Attempts: 2, Failures: 1}},
 		Entry{Kind: Grant, Key: "quota/a", Nonce: 3, Grains: 5, To: escrow.Node{Number: 1, Incarnation: 2}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		all, _, err := Decode(b)
--- a/internal/shared/replica_test.go
+++ b/internal/shared/replica_test.go
@@ -344,10 +344,10 @@
 		t.Error("a member with a malformed Meta is accepted")
 	}
 	// A request for a loan of an unknown budget, and entries of an earlier incarnation, get no reply.
-	ask := packet.Entry{Kind: packet.LoanRequest, Node: escrow.Node{Number: 1, Incarnation: 2}, Key: "quota/none", Nonce: 1, Grains: 5}
+	request := packet.Entry{Kind: packet.LoanRequest, Node: escrow.Node{Number: 1, Incarnation: 2}, Key: "quota/none", Nonce: 1, Grains: 5}
 	old := packet.Entry{Kind: packet.LoanRequest, Node: escrow.Node{Number: 1, Incarnation: 1}, Key: "quota/a", Nonce: 1, Grains: 5}
 	window := packet.Entry{Kind: packet.Window, Node: escrow.Node{Number: 1, Incarnation: 1}, Key: "quota/a", Window: counts.Window{Incarnation: 1, Epoch: 3}}
-	if out, err := f.nodes[0].Receive(f.now, packet.Frame(ask, old, window)); err != nil || len(out) > 0 {
+	if out, err := f.nodes[0].Receive(f.now, packet.Frame(request, old, window)); err != nil || len(out) > 0 {
 		t.Errorf("%d replies, %v", len(out), err)
 	}
 	if r := f.nodes[0].Report(f.now); r.Stats.Stale != 2 || r.Stats.Bad != 2 || len(r.Members) != 2 {
@@ -429,7 +429,7 @@
 	var frames [][]byte
 	for i := range uint64(1000) {
 		frames = append(frames, packet.Frame(packet.Entry{Kind: packet.Observation, Node: escrow.Node{Number: 1 + int(i%29), Incarnation: 2}, Backend: Key("3", 0),
-			Observation: judgement.Observation{Seq: 1000 + i, Tried: 3, Failed: 1}}))
+			Observation: judgement.Observation{Seq: 1000 + i, Attempts: 3, Failures: 1}}))
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
--- a/internal/shared/report.go
+++ b/internal/shared/report.go
@@ -150,9 +150,9 @@
 
 func (r *Replica) reportBudgets(now time.Duration) []BudgetShare {
 	base := float64(escrow.Base(r.cfg.Self.Number, r.cfg.Nodes)) / float64(escrow.BudgetGrains)
-	var parts []BudgetShare
+	var shares []BudgetShare
 	r.eachBudget(func(budget string) {
-		parts = append(parts, BudgetShare{
+		shares = append(shares, BudgetShare{
 			Budget:    budget,
 			Spendable: r.spendableFraction(now, budget),
 			Base:      base,
@@ -160,5 +160,5 @@
 			Lent:      r.ledger.Lent(now, budget),
 		})
 	})
-	return parts
+	return shares
 }
--- a/internal/shared/roster/roster.go
+++ b/internal/shared/roster/roster.go
@@ -21,6 +21,7 @@
 	Left                   // it has announced that it leaves
 )
 
+// String returns the name of the state as reports and logs have it.
 func (s State) String() string { return [...]string{"alive", "doubted", "dead", "left"}[s] }
 
 // Member is one node of the fleet.
