--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -171,8 +171,8 @@
 	n.followList(ctx, &file.Control)
 	n.followDNS(ctx, &file.DNS)
 	if file.Fleet.Listen != "" {
-		n.peers, err = peers.Start(peers.Config{Fleet: &file.Fleet, Name: cfg.Name, Policy: &cfg.Settings.Policy, Sites: file.Sites.Names(), Clock: clock.Now,
-			Changed: n.engine.Shared, Log: log})
+		n.peers, err = peers.Start(peers.Config{Fleet: &file.Fleet, Name: cfg.Name, Policy: &cfg.Settings.Policy, OverflowSites: file.Sites.Names(), Clock: clock.Now,
+			ViewChanged: n.engine.Shared, Log: log})
 		if err != nil {
 			n.shutdown()
 			return nil, err
--- a/internal/shared/judgements.go
+++ b/internal/shared/judgements.go
@@ -8,21 +8,21 @@
 	"craneglade/internal/shared/packet"
 )
 
-// backend is one on the list.
+// backend is a backend on the list.
 type backend struct {
 	judgement.Backend
-	ejected   bool // at the last step, by the judgement of enough nodes
-	ejectedBy int  // the nodes that found it broken when that last changed
+	ejected   bool // at the last step
+	ejectedBy int  // nodes that found it unhealthy when ejected last changed
 }
 
-// Outcome records how an attempt at a backend ended.
-func (r *Replica) Outcome(now time.Duration, key judgement.Key, failed bool) {
+// RecordOutcome records how an attempt at a backend ended.
+func (r *Replica) RecordOutcome(now time.Duration, key judgement.Key, failed bool) {
 	r.advance(now)
-	r.pool.Tried(r.clock.now, key, failed)
+	r.pool.RecordAttempt(r.clock.now, key, failed)
 }
 
-// Listed sets the list of backends.
-func (r *Replica) Listed(list []judgement.Backend) {
+// SetBackends sets the list of backends.
+func (r *Replica) SetBackends(list []judgement.Backend) {
 	before := map[judgement.Key]backend{}
 	for _, b := range r.backends {
 		before[b.Key] = b
@@ -32,15 +32,15 @@
 		old := before[b.Key]
 		r.backends = append(r.backends, backend{b, old.ejected, old.ejectedBy})
 	}
-	r.pool.List(list)
-	for i := range r.backends { // of fewer backends fewer may be ejected
+	r.pool.SetBackends(list)
+	for i := range r.backends { // on a shorter list the ceilings allow fewer ejections
 		b := &r.backends[i]
-		b.ejected = b.ejected && r.pool.Out(b.Key)
+		b.ejected = b.ejected && r.pool.Ejected(b.Key)
 	}
 }
 
-// judge decides anew which backends are ejected.
-func (r *Replica) judge() {
+// updateEjections decides which backends are ejected.
+func (r *Replica) updateEjections() {
 	ejected, votes := r.pool.Decide(r.clock.now)
 	r.votes = votes
 	for i := range r.backends {
@@ -51,31 +51,31 @@
 	}
 }
 
-// setEjected records and notes that a backend is ejected, or no longer so.
+// setEjected records that a backend's ejection has begun or ended, and adds a note.
 func (r *Replica) setEjected(b *backend, ejected bool) {
 	b.ejected = ejected
-	text := "a backend is no longer out by hearsay"
+	text := "backend no longer ejected by the fleet"
 	if ejected {
-		text = "a backend is out by hearsay"
+		text = "backend ejected by the fleet"
 	}
 	args := []any{"backend", b.Name, "site", b.Site}
 	for _, v := range r.votes {
 		if v.Key == b.Key {
-			args = append(args, "against", v.Bad, "for", v.Good)
-			b.ejectedBy = v.Bad
+			args = append(args, "against", v.Unhealthy, "for", v.Healthy)
+			b.ejectedBy = v.Unhealthy
 		}
 	}
 	r.note(text, args...)
 }
 
-// receiveSight takes in another node's observation of a backend and passes on what is new.
-func (r *Replica) receiveSight(e *packet.Entry, sentAt time.Duration) {
-	isNew, possible := r.pool.Tell(e.Node.Number, e.Node.Incarnation, e.Backend, e.Sight, sentAt)
-	if !possible {
+// receiveObservation merges another node's observation of a backend, and forwards it if it is new.
+func (r *Replica) receiveObservation(e *packet.Entry, sentAt time.Duration) {
+	isNew, valid := r.pool.Merge(e.Node.Number, e.Node.Incarnation, e.Backend, e.Observation, sentAt)
+	if !valid {
 		r.stats.Bad++
 		return
 	}
 	if isNew {
-		r.forward(e, sentAt, e.Sight.Failed >= r.cfg.Limits.Least)
+		r.forward(e, sentAt, e.Observation.Failures >= r.cfg.Limits.MinFailures)
 	}
 }
