--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -28,12 +28,12 @@
 
 // Config is what a source is made from.
 type Config struct {
-	Engine *engine.Engine
-	Addr   string // host:port
-	Push   bool   // the address is an agent of this machine, at which asking costs nothing; else every call is work
-	Whole  bool   // the list that is known is another discovery's: its versions tell nothing here
-	Late   bool   // calls for the list that is known have failed, and none was answered since: see engine.List
-	Log    *slog.Logger
+	Engine      *engine.Engine
+	Addr        string // host:port
+	Push        bool   // the address is an agent of this machine, at which asking costs nothing; else every call is work
+	NeedFull    bool   // the list that is known is another discovery's: its versions tell nothing here
+	AfterOutage bool   // calls for the list that is known have failed, and none was answered since: see engine.List
+	Log         *slog.Logger
 }
 
 // Source is an engine.Source. Another address means another Source.
@@ -55,7 +55,7 @@
 
 // New returns a source that asks for nothing yet.
 func New(cfg Config) *Source {
-	d := &Source{engine: cfg.Engine, addr: cfg.Addr, push: cfg.Push, plan: schedule{push: cfg.Push, whole: cfg.Whole, doubt: cfg.Late}, log: cfg.Log,
+	d := &Source{engine: cfg.Engine, addr: cfg.Addr, push: cfg.Push, plan: schedule{push: cfg.Push, whole: cfg.NeedFull, doubt: cfg.AfterOutage}, log: cfg.Log,
 		http: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
 	d.ctx, d.leave = context.WithCancel(context.Background())
 	return d
@@ -64,8 +64,8 @@
 // Addr is the address that the source asks.
 func (d *Source) Addr() string { return d.addr }
 
-// Late tells whether the last call for the list has failed, so that what is told next may have counted as told for a while.
-func (d *Source) Late() bool {
+// AfterOutage tells whether the last call for the list has failed, so that what is told next may have counted as told for a while.
+func (d *Source) AfterOutage() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.plan.doubt
@@ -112,7 +112,7 @@
 				kind = policy.ListFull
 			}
 			behind := !c.whole && !l.Full && l.Version < since // a discovery that counts anew: no watch from here would tell
-			l.Late = doubt
+			l.AfterOutage = doubt
 			d.told(err)
 			d.mu.Lock()
 			d.plan.answered(behind)
@@ -155,7 +155,7 @@
 	d.mu.Lock()
 	d.watching = false
 	d.mu.Unlock()
-	d.engine.Lost(d)
+	d.engine.SourceFailed(d)
 }
 
 // Fetch asks for the whole list once.
@@ -176,7 +176,7 @@
 			d.news(l, policy.ListFull, false)
 			return
 		}
-		d.engine.Lost(d)
+		d.engine.SourceFailed(d)
 	})
 }
 
@@ -208,7 +208,7 @@
 
 // news hands in an answer, unless what it tells is older than what is known: a whole list asked for and a watch may cross.
 func (d *Source) news(l *engine.List, kind policy.ListKind, watched bool) {
-	d.engine.News(d, l, kind, func(known int64) bool {
+	d.engine.UpdateList(d, l, kind, func(known int64) bool {
 		if kind == policy.ListFull { // a watch's comes also from a discovery that counts anew
 			return l.Version >= known || watched
 		}
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -13,10 +13,10 @@
 )
 
 // entries are a service's backends, in three zones.
-func entries(n int) []Listed {
-	all := make([]Listed, n)
+func entries(n int) []ListedBackend {
+	all := make([]ListedBackend, n)
 	for i := range all {
-		all[i] = Listed{ID: fmt.Sprintf("backend-%06d", i), Addr: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
+		all[i] = ListedBackend{ID: fmt.Sprintf("backend-%06d", i), Addr: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
 			Zone: fmt.Sprint("zone-", i%3), Kind: "k", State: "Ready", StartedMS: 1}
 	}
 	return all
@@ -52,7 +52,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				one.State = []string{"Terminating", "Ready"}[i%2]
-				e.takeList(&List{Version: int64(i + 2), Servers: []Listed{one}}, policy.ListDelta)
+				e.takeList(&List{Version: int64(i + 2), Servers: []ListedBackend{one}}, policy.ListDelta)
 			}
 			e.Stop()
 		})
@@ -65,11 +65,11 @@
 	now     time.Duration
 }
 
-func (s *sharing) Request(string)                        {}
-func (s *sharing) Crossed(string)                        {}
-func (s *sharing) Outcome(judgement.Key, policy.Outcome) {}
-func (s *sharing) Listed(all []judgement.Backend)        { s.replica.Listed(all) }
-func (s *sharing) View() shared.View                     { return s.replica.View(s.now) }
+func (s *sharing) CountRequest(string)                         {}
+func (s *sharing) CountCrossSite(string)                       {}
+func (s *sharing) RecordOutcome(judgement.Key, policy.Outcome) {}
+func (s *sharing) SetBackends(all []judgement.Backend)         { s.replica.Listed(all) }
+func (s *sharing) View() shared.View                           { return s.replica.View(s.now) }
 
 // BenchmarkDeltaTold is BenchmarkReplaced where the node shares state, and where it watches sites: both are told all
 // backends when one comes or goes.
@@ -80,9 +80,9 @@
 				all := entries(n)
 				e, _ := newEngine(b)
 				if to == "sites" {
-					e.Watch(siting.New(&e.set, nil))
+					e.WatchSites(siting.New(&e.set, nil))
 				} else {
-					e.Share(&sharing{shared.New(shared.Config{Name: "n0", Nodes: 1, Terms: escrow.Usual(), Limits: judgement.Usual(), BytesPS: 8192, Datagram: 1400}, time.Hour), time.Hour})
+					e.SetFleetState(&sharing{shared.New(shared.Config{Name: "n0", Nodes: 1, Terms: escrow.Usual(), Limits: judgement.Usual(), BytesPS: 8192, Datagram: 1400}, time.Hour), time.Hour})
 				}
 				e.takeList(&List{Version: 1, Full: true, Servers: all}, policy.ListFull)
 				b.ReportAllocs()
@@ -143,11 +143,11 @@
 }
 
 // replaceOne takes in that one of the backends has gone, and that another stands at its address.
-func replaceOne(e *Engine, all []Listed, i int) {
+func replaceOne(e *Engine, all []ListedBackend, i int) {
 	one := &all[i%len(all)]
 	gone, fresh := *one, *one
 	gone.State = "Gone"
 	fresh.ID = fmt.Sprint("fresh-", i)
 	*one = fresh
-	e.takeList(&List{Version: int64(i + 2), Servers: []Listed{gone, fresh}}, policy.ListDelta)
+	e.takeList(&List{Version: int64(i + 2), Servers: []ListedBackend{gone, fresh}}, policy.ListDelta)
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -34,21 +34,21 @@
 	return time.Duration(c.start.UnixNano()) + time.Since(c.start)
 }
 
-// Since is the time since the clock started.
-func (c Clock) Since() time.Duration { return time.Since(c.start) }
+// Elapsed is the time since the clock started.
+func (c Clock) Elapsed() time.Duration { return time.Since(c.start) }
 
 // Request is one request of a client. Its front fills the exported fields, and must not change them once it is begun.
 type Request struct {
-	ID       string // no other open request has it
-	Class    string
-	Tenant   string
-	Needs    uint8         // protocols that a backend must speak for it, see Listed.Speaks
-	Repeat   bool          // its client says that it asked before
-	Arrived  time.Time     // when its first byte came
-	Patience time.Duration // for how long its client waits from then on
-	Payload  any           // what carriers send; told by Release, if it has that, once nothing more can come of it
-	// Left looks, without waiting, whether the client has left; nil where nobody can tell. It may be called by several at once.
-	Left func() bool
+	ID            string // no other open request has it
+	Class         string
+	Tenant        string
+	Needs         uint8         // protocols that a backend must speak for it, see Listed.Speaks
+	Repeat        bool          // its client says that it asked before
+	Arrived       time.Time     // when its first byte came
+	ClientTimeout time.Duration // for how long its client waits from then on
+	Payload       any           // what carriers send; told by Release, if it has that, once nothing more can come of it
+	// Disconnected looks, without waiting, whether the client has left; nil where nobody can tell. It may be called by several at once.
+	Disconnected func() bool
 
 	until    time.Duration
 	attempts []*Attempt
@@ -81,11 +81,11 @@
 
 // Attempt is one send of a request to a backend.
 type Attempt struct {
-	Request *Request
-	Backend *Backend
-	Wait    time.Duration // it ends after this at the latest
-	Effect  policy.Effect // what repeating the request would do; Unsafe where nobody told of its class
-	By      time.Time     // its last byte must be out by then, or never: backends drop repeats until then; zero for no bound
+	Request       *Request
+	Backend       *Backend
+	Timeout       time.Duration // it ends after this at the latest
+	Effect        policy.Effect // what repeating the request would do; Unsafe where nobody told of its class
+	WriteDeadline time.Time     // its last byte must be out by then, or never: backends drop repeats until then; zero for no bound
 
 	engine *Engine
 	index  int
@@ -93,14 +93,14 @@
 	cancel context.CancelFunc
 }
 
-// MayBegin tells whether the attempt may still go out: its backend's drain grace is not over, neither is the time in which
+// MayStart tells whether the attempt may still go out: its backend's drain grace is not over, neither is the time in which
 // repeats are dropped, and its client waits for an answer. Carriers ask right before the first byte.
-func (a *Attempt) MayBegin() bool {
-	if a.Backend.Shut() || !a.By.IsZero() && !time.Now().Before(a.By) {
+func (a *Attempt) MayStart() bool {
+	if a.Backend.WritesStopped() || !a.WriteDeadline.IsZero() && !time.Now().Before(a.WriteDeadline) {
 		return false
 	}
 	// Behind the clock: a process that is held up as it reads that goes on before its front has seen a client's close.
-	return !a.Request.answered.Load() && (a.Request.Left == nil || !a.Request.Left())
+	return !a.Request.answered.Load() && (a.Request.Disconnected == nil || !a.Request.Disconnected())
 }
 
 // Deliver gives the request an answer that is still coming, unless it has one. The attempt's result, in the end, tells
@@ -124,10 +124,10 @@
 
 // Result is how an attempt ended.
 type Result struct {
-	Outcome policy.Outcome
-	Load    policy.Load
-	Fresh   bool // a connection was opened for it, whether or not that came up
-	Reply   any  // of one that was served, unless it was delivered; told by Release, if it has that, where nobody gets it
+	Outcome       policy.Outcome
+	Load          policy.Load
+	NewConnection bool // a connection was opened for it, whether or not that came up
+	Reply         any  // of one that was served, unless it was delivered; told by Release, if it has that, where nobody gets it
 }
 
 // Carrier carries attempts to backends.
@@ -188,7 +188,7 @@
 
 	sites *siting.Link // nil where they are not watched
 
-	sharer     Sharer        // nil for a node that shares nothing
+	sharer     FleetState    // nil for a node that shares nothing
 	until      time.Duration // what the module was told of it last counts until then
 	sharerTold int           // listed.changes when it was last told which boxes there are; negative for never
 }
@@ -220,8 +220,8 @@
 	e.wg.Wait()
 }
 
-// Begin takes a request and hands it to the module, unless one with its id is open. The answer comes on Done.
-func (e *Engine) Begin(r *Request) bool {
+// Submit takes a request and hands it to the module, unless one with its id is open. The answer comes on Done.
+func (e *Engine) Submit(r *Request) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.requests[r.ID] != nil {
@@ -230,7 +230,7 @@
 	now := e.clock.Now()
 	// The answer must be with the client when its time is up: the way there and back and the time that the request has
 	// spent here are off.
-	left := r.Patience - time.Since(r.Arrived) - Transit
+	left := r.ClientTimeout - time.Since(r.Arrived) - Transit
 	if e.shutdown != nil {
 		left = min(left, time.Until(e.shutdown.answerBy()))
 	}
@@ -241,7 +241,7 @@
 	}
 	e.requests[r.ID] = r
 	if e.sharer != nil {
-		e.sharer.Request(r.Tenant)
+		e.sharer.CountRequest(r.Tenant)
 		e.look(now, false)
 	}
 	e.handle(now, &policy.Event{Kind: policy.EvRequest, ID: r.ID, Class: r.Class, Tenant: r.Tenant, Left: left, Needs: r.Needs, Repeat: r.Repeat})
@@ -277,8 +277,8 @@
 	e.forget(r)
 }
 
-// Open is the number of requests that something can come of.
-func (e *Engine) Open() int {
+// OpenRequests is the number of requests that something can come of.
+func (e *Engine) OpenRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.requests)
@@ -340,10 +340,10 @@
 	if e.tells {
 		e.log.LogAttrs(e.ctx, slog.LevelDebug, "attempt", slog.String("request", r.ID), slog.String("backend", a.Backend.ID), slog.String("zone", a.Backend.Zone),
 			slog.String("class", r.Class), slog.Int("nth", a.index), slog.Any("outcome", res.Outcome), slog.Duration("took", now-a.sent),
-			slog.Bool("fresh", res.Fresh), slog.Float64("held", res.Load.Held), slog.Float64("queue", res.Load.Queue))
+			slog.Bool("fresh", res.NewConnection), slog.Float64("held", res.Load.Held), slog.Float64("queue", res.Load.Queue))
 	}
 	if e.sharer != nil {
-		e.sharer.Outcome(a.Backend.key, res.Outcome)
+		e.sharer.RecordOutcome(a.Backend.key, res.Outcome)
 	}
 	if e.sites != nil {
 		e.sites.Ended(now, a.Backend.Number, res.Outcome, now-a.sent)
@@ -437,11 +437,11 @@
 	*a = Attempt{Request: r, Backend: e.boxes[act.Server], engine: e, index: len(r.attempts), sent: now}
 	a.Effect, _ = e.Effect(r.Class)
 	if act.By > 0 && a.Effect == policy.Keyed {
-		a.By = time.Now().Add(act.By - now)
+		a.WriteDeadline = time.Now().Add(act.By - now)
 	}
-	a.Wait = min(act.Wait, r.until-now)
+	a.Timeout = min(act.Wait, r.until-now)
 	if act.Wait <= 0 {
-		a.Wait = r.until - now
+		a.Timeout = r.until - now
 	}
 	ctx, cancel := context.WithCancel(e.ctx)
 	a.cancel = cancel
@@ -450,7 +450,7 @@
 	if e.sites != nil {
 		e.sites.Sent(now, act.Server)
 		if e.sharer != nil && a.Backend != nil && e.sites.Node.Crosses(a.Backend.Zone) {
-			e.sharer.Crossed(a.Backend.Zone)
+			e.sharer.CountCrossSite(a.Backend.Zone)
 		}
 	}
 	e.wg.Add(1)
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -12,30 +12,30 @@
 	"craneglade/policy"
 )
 
-// Listed is one box in a list.
-type Listed = membership.Box
+// ListedBackend is one box in a list.
+type ListedBackend = membership.Backend
 
 // SpeaksRPC is the bit of policy.Entry's Speaks and of Request's Needs for JSON-RPC.
 const SpeaksRPC = 1
 
 // List is a box list, or a change of one, as PROTOCOL has it.
 type List struct {
-	Version int64    `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []Listed `json:"servers"`
-	// Late says that calls for it failed before: what it tells may have counted as told for a while, so that a drain has no
+	Version int64           `json:"version"`
+	Full    bool            `json:"full"`
+	Servers []ListedBackend `json:"servers"`
+	// AfterOutage says that calls for it failed before: what it tells may have counted as told for a while, so that a drain has no
 	// grace left.
-	Late bool `json:"-"`
+	AfterOutage bool `json:"-"`
 }
 
 // Backend is one process behind the node.
 type Backend struct {
-	Number uint32 // the module's name for it
-	ID     string // the list's
-	Addr   string
-	Zone   string
-	RPC    string
-	Kept   any // the HTTP carrier's own; only it touches this
+	Number       uint32 // the module's name for it
+	ID           string // the list's
+	Addr         string
+	Zone         string
+	RPC          string
+	CarrierState any // the HTTP carrier's own; only it touches this
 
 	addrs   atomic.Pointer[[]string]
 	started int64         // as the list tells, in Unix milliseconds
@@ -48,7 +48,7 @@
 }
 
 // newBackend is a process that a list tells of.
-func newBackend(number uint32, s *Listed) *Backend {
+func newBackend(number uint32, s *ListedBackend) *Backend {
 	return &Backend{Number: number, ID: s.ID, Addr: s.Addr, Zone: s.Zone, RPC: s.RPC, started: s.StartedMS, key: shared.Key(s.ID, s.StartedMS)}
 }
 
@@ -72,23 +72,23 @@
 	b.addrs.Store(&addrs)
 }
 
-// Shut tells whether nothing new may be written to the box any more: its drain's grace is over.
-func (b *Backend) Shut() bool {
+// WritesStopped tells whether nothing new may be written to the box any more: its drain's grace is over.
+func (b *Backend) WritesStopped() bool {
 	stop := b.stop.Load()
 	return stop != nil && !time.Now().Before(*stop)
 }
 
-// ShutFrom has nothing new written to the box from t on, or from an earlier moment that was told before.
-func (b *Backend) ShutFrom(t time.Time) {
+// StopWritesAt has nothing new written to the box from t on, or from an earlier moment that was told before.
+func (b *Backend) StopWritesAt(t time.Time) {
 	for old := b.stop.Load(); (old == nil || t.Before(*old)) && !b.stop.CompareAndSwap(old, &t); old = b.stop.Load() {
 	}
 }
 
-// Reopen takes a ShutFrom back.
-func (b *Backend) Reopen() { b.stop.Store(nil) }
+// ResumeWrites takes a ShutFrom back.
+func (b *Backend) ResumeWrites() { b.stop.Store(nil) }
 
-// Follow sets the source of lists, with the list that is known before it tells one.
-func (e *Engine) Follow(s Source, known *List) {
+// SetSource sets the source of lists, with the list that is known before it tells one.
+func (e *Engine) SetSource(s Source, known *List) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.source = s
@@ -99,8 +99,8 @@
 	}
 }
 
-// Replace sets another source, and has it watch. The boxes stay until it tells its list.
-func (e *Engine) Replace(s Source) {
+// ReplaceSource sets another source, and has it watch. The boxes stay until it tells its list.
+func (e *Engine) ReplaceSource(s Source) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ctx.Err() == nil {
@@ -116,9 +116,9 @@
 	return e.version
 }
 
-// News takes in a list of s, unless s is not followed any more or fresh, told the version that is known, says that the
+// UpdateList takes in a list of s, unless s is not followed any more or fresh, told the version that is known, says that the
 // list is not new.
-func (e *Engine) News(s Source, l *List, kind policy.ListKind, fresh func(known int64) bool) {
+func (e *Engine) UpdateList(s Source, l *List, kind policy.ListKind, fresh func(known int64) bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.source != s || e.ctx.Err() != nil {
@@ -130,8 +130,8 @@
 	}
 }
 
-// Lost tells that s has failed to give what was asked of it; the module says when to ask again.
-func (e *Engine) Lost(s Source) {
+// SourceFailed tells that s has failed to give what was asked of it; the module says when to ask again.
+func (e *Engine) SourceFailed(s Source) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.source == s && e.ctx.Err() == nil {
@@ -201,7 +201,7 @@
 		case b.started != s.StartedMS:
 			old := b
 			b = newBackend(old.Number, s) // the module tells the two apart by the start
-			b.launch = e.starts.At(now, b.startTold(), kind == policy.ListDelta && !l.Late)
+			b.launch = e.starts.At(now, b.startTold(), kind == policy.ListDelta && !l.AfterOutage)
 			e.listed.remove(old)
 			e.carrier.Retire(old)
 		}
@@ -213,18 +213,18 @@
 		switch x.State {
 		case policy.Active:
 			b.left = false
-			b.Reopen()
+			b.ResumeWrites()
 		case policy.Leaving:
 			e.drain(b)
-			if l.Late { // no moment of its grace may be left
+			if l.AfterOutage { // no moment of its grace may be left
 				x.State = policy.Left
 			}
 		case policy.Left:
 			e.drop(b)
 		}
 		e.listed.update(b)
-		if l.Late && x.State == policy.Left {
-			b.ShutFrom(time.Now())
+		if l.AfterOutage && x.State == policy.Left {
+			b.StopWritesAt(time.Now())
 		}
 		entries = append(entries, x)
 	}
@@ -232,8 +232,8 @@
 		for id, b := range e.names {
 			if !seen[id] {
 				e.drop(b)
-				if l.Late { // gone by this as by a drain that is named, and perhaps for as long
-					b.ShutFrom(time.Now())
+				if l.AfterOutage { // gone by this as by a drain that is named, and perhaps for as long
+					b.StopWritesAt(time.Now())
 				}
 			}
 		}
@@ -246,7 +246,7 @@
 
 // drain lets nothing new be written to a box once its grace is over.
 func (e *Engine) drain(b *Backend) {
-	b.ShutFrom(time.Now().Add(writableFor(e.set.DrainGrace)))
+	b.StopWritesAt(time.Now().Add(writableFor(e.set.DrainGrace)))
 }
 
 // writableFor is for how long new requests may be written to a box from the moment at which news of its drain was read: its grace,
--- a/internal/engine/list_test.go
+++ b/internal/engine/list_test.go
@@ -52,12 +52,12 @@
 	times int
 }
 
-func (l *listener) Request(string)                        {}
-func (l *listener) Crossed(string)                        {}
-func (l *listener) Outcome(judgement.Key, policy.Outcome) {}
-func (l *listener) View() shared.View                     { return shared.View{} }
+func (l *listener) CountRequest(string)                         {}
+func (l *listener) CountCrossSite(string)                       {}
+func (l *listener) RecordOutcome(judgement.Key, policy.Outcome) {}
+func (l *listener) View() shared.View                           { return shared.View{} }
 
-func (l *listener) Listed(all []judgement.Backend) {
+func (l *listener) SetBackends(all []judgement.Backend) {
 	l.times++
 	l.last = map[judgement.Key]string{}
 	for _, b := range all {
@@ -79,13 +79,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.Follow(noSource{}, &List{})
+	e.SetSource(noSource{}, &List{})
 	return e, c
 }
 
 // take takes a list in as a source's news.
 func (e *Engine) takeList(l *List, kind policy.ListKind) {
-	e.News(noSource{}, l, kind, func(int64) bool { return true })
+	e.UpdateList(noSource{}, l, kind, func(int64) bool { return true })
 }
 
 // model is what the engine must know after each list, found by walking everything each time.
@@ -225,9 +225,9 @@
 // drawList draws a list of few ids at few addresses, so that addresses are used again and ids move.
 func drawList(rng *rand.Rand) (*List, policy.ListKind) {
 	kind := []policy.ListKind{policy.ListDelta, policy.ListDelta, policy.ListDelta, policy.ListFull, policy.ListCached}[rng.IntN(5)]
-	l := &List{Full: kind != policy.ListDelta, Late: rng.IntN(8) == 0}
+	l := &List{Full: kind != policy.ListDelta, AfterOutage: rng.IntN(8) == 0}
 	for range rng.IntN(7) {
-		s := Listed{ID: fmt.Sprint("b", rng.IntN(8)), Addr: fmt.Sprint("a", rng.IntN(7)), Zone: "north", Kind: "k",
+		s := ListedBackend{ID: fmt.Sprint("b", rng.IntN(8)), Addr: fmt.Sprint("a", rng.IntN(7)), Zone: "north", Kind: "k",
 			StartedMS: int64(rng.IntN(2)), State: []string{"Ready", "Ready", "Ready", "Terminating", "Gone", "Odd"}[rng.IntN(6)]}
 		if s.State != "Ready" && rng.IntN(2) == 0 {
 			s.Addr = ""
@@ -264,7 +264,7 @@
 		e.Stop()
 	}()
 	sharer := &listener{}
-	e.Share(sharer)
+	e.SetFleetState(sharer)
 	m := &model{names: map[string]*modelBackend{}, numbers: map[uint32]*modelBackend{}}
 	for step := range 25 {
 		l, kind := drawList(rng)
@@ -305,14 +305,14 @@
 	e, _ := newEngine(t)
 	defer e.Stop()
 	sharer := &listener{}
-	e.Share(sharer)
-	one := Listed{ID: "b", Addr: "a", Zone: "north", State: "Ready"}
+	e.SetFleetState(sharer)
+	one := ListedBackend{ID: "b", Addr: "a", Zone: "north", State: "Ready"}
 	for i, c := range []struct {
 		state, addr string
 		told        int
 	}{{"Ready", "a", 2}, {"Terminating", "a", 2}, {"Ready", "a", 2}, {"Ready", "elsewhere", 3}, {"Gone", "elsewhere", 4}, {"Gone", "elsewhere", 4}, {"Ready", "elsewhere", 5}} {
 		one.State, one.Addr = c.state, c.addr
-		e.takeList(&List{Version: int64(i + 1), Servers: []Listed{one}}, policy.ListDelta)
+		e.takeList(&List{Version: int64(i + 1), Servers: []ListedBackend{one}}, policy.ListDelta)
 		if sharer.times != c.told {
 			t.Errorf("after %s at %s the sharer was told %d times, want %d", c.state, c.addr, sharer.times, c.told)
 		}
@@ -327,12 +327,12 @@
 		e, _ := newEngine(t)
 		defer e.Stop()
 		truth := func() int64 { return time.Now().Add(-time.Hour).UnixMilli() }
-		box := Listed{ID: "s-1", Addr: "10.0.0.1:80", Zone: "north", Kind: "k", State: "Ready"}
-		e.takeList(&List{Version: 1, Full: true, Servers: []Listed{box}}, policy.ListFull)
+		box := ListedBackend{ID: "s-1", Addr: "10.0.0.1:80", Zone: "north", Kind: "k", State: "Ready"}
+		e.takeList(&List{Version: 1, Full: true, Servers: []ListedBackend{box}}, policy.ListFull)
 		time.Sleep(time.Minute)
 		box.StartedMS = truth()
 		time.Sleep(2 * time.Second)
-		e.takeList(&List{Version: 2, Servers: []Listed{box}}, policy.ListDelta)
+		e.takeList(&List{Version: 2, Servers: []ListedBackend{box}}, policy.ListDelta)
 		if age := e.clock.Now() - e.names["s-1"].launch; age > 3*time.Second {
 			t.Errorf("a backend that started 2 s ago is taken for %v old", age)
 		}
--- a/internal/engine/sharer.go
+++ b/internal/engine/sharer.go
@@ -8,18 +8,18 @@
 	"craneglade/policy"
 )
 
-// Sharer is what the node shares with the others of its fleet. Its methods are called with the engine locked, and must
+// FleetState is what the node shares with the others of its fleet. Its methods are called with the engine locked, and must
 // neither wait for anybody nor call back.
-type Sharer interface {
-	Request(tenant string)                     // a client asks
-	Crossed(site string)                       // a request goes to another site, as its client's own is lost
-	Outcome(k judgement.Key, o policy.Outcome) // an attempt has ended
-	Listed(all []judgement.Backend)            // the backends that there are
-	View() shared.View                         // what may be acted on, until a moment of the engine's clock
+type FleetState interface {
+	CountRequest(tenant string)                      // a client asks
+	CountCrossSite(site string)                      // a request goes to another site, as its client's own is lost
+	RecordOutcome(k judgement.Key, o policy.Outcome) // an attempt has ended
+	SetBackends(all []judgement.Backend)             // the backends that there are
+	View() shared.View                               // what may be acted on, until a moment of the engine's clock
 }
 
-// Share sets what the node shares. Without it the module decides by what this node sees alone.
-func (e *Engine) Share(s Sharer) {
+// SetFleetState sets what the node shares. Without it the module decides by what this node sees alone.
+func (e *Engine) SetFleetState(s FleetState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sharer, e.sharerTold = s, -1
@@ -27,8 +27,8 @@
 	e.look(e.clock.Now(), true)
 }
 
-// Shared tells that there is something new to act on.
-func (e *Engine) Shared() {
+// FleetStateChanged tells that there is something new to act on.
+func (e *Engine) FleetStateChanged() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.sharer != nil && e.ctx.Err() == nil {
@@ -67,5 +67,5 @@
 	for b := range e.listed.all {
 		all = append(all, judgement.Backend{Key: b.key, Name: b.ID, Site: b.Zone})
 	}
-	e.sharer.Listed(all)
+	e.sharer.SetBackends(all)
 }
--- a/internal/engine/shutdown.go
+++ b/internal/engine/shutdown.go
@@ -7,11 +7,11 @@
 	"craneglade/policy"
 )
 
-// PROTOCOL: SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as LongestTold where it is longer,
+// PROTOCOL: SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as MaxCountedDeadline where it is longer,
 // and killSlack.
 const (
-	LongestTold = 3 * time.Second
-	killSlack   = 700 * time.Millisecond
+	MaxCountedDeadline = 3 * time.Second
+	killSlack          = 700 * time.Millisecond
 	// heldUp is for how long a process may be held up between reading its clock and writing.
 	heldUp = 150 * time.Millisecond
 	// answerSlack is for the last answers, which are all due at one moment, to be worded and written by a process that shares its
@@ -23,15 +23,15 @@
 
 // Shutdown is the time table of a node that is to end. All but Begun count from there.
 type Shutdown struct {
-	Begun    time.Time     // when it was told
-	Serves   time.Duration // requests are taken as ever
-	Answered time.Duration // nothing that was taken is without its answer any more
-	Killed   time.Duration // it may be killed from then on
-	Last     time.Duration // whoever has not read its answer by then does not read
+	StartedAt    time.Time     // when it was told
+	AcceptFor    time.Duration // requests are taken as ever
+	AnswerWithin time.Duration // nothing that was taken is without its answer any more
+	EarliestKill time.Duration // it may be killed from then on
+	CloseAfter   time.Duration // whoever has not read its answer by then does not read
 }
 
 // answerBy is the moment by which all that was taken is answered.
-func (s *Shutdown) answerBy() time.Time { return s.Begun.Add(s.Answered) }
+func (s *Shutdown) answerBy() time.Time { return s.StartedAt.Add(s.AnswerWithin) }
 
 // newShutdown is the time table for classes of a node that is told to end at begun. It may be killed once the longest deadline,
 // of LongestTold at the most, and killSlack have passed.
@@ -40,12 +40,12 @@
 	for _, c := range classes {
 		longest, aim = max(longest, c.Deadline), max(aim, c.Aim)
 	}
-	longest = cmp.Or(longest, LongestTold)
-	killed := min(longest, LongestTold) + killSlack
+	longest = cmp.Or(longest, MaxCountedDeadline)
+	killed := min(longest, MaxCountedDeadline) + killSlack
 	// The process may be held up twice: when it is told, and counts from too late, and again when the last answers are due.
 	answered := killed - 2*heldUp - answerSlack
-	return Shutdown{Begun: begun, Serves: answered - aim - 5*Transit, Answered: answered, Killed: killed,
-		Last: max(killed, longest+Transit) + writeSlack}
+	return Shutdown{StartedAt: begun, AcceptFor: answered - aim - 5*Transit, AnswerWithin: answered, EarliestKill: killed,
+		CloseAfter: max(killed, longest+Transit) + writeSlack}
 }
 
 // Shutdown has the node leave that was told to end at begun, and returns its time table; that of the first call, where it is
@@ -78,7 +78,7 @@
 	if len(failed) == 0 {
 		return
 	}
-	e.log.Info("failed what was open: the node may be killed soon", "requests", len(failed), "after", time.Since(e.shutdown.Begun))
+	e.log.Info("failed what was open: the node may be killed soon", "requests", len(failed), "after", time.Since(e.shutdown.StartedAt))
 	if e.tells {
 		e.log.Debug("failed what was open", "ids", failed)
 	}
--- a/internal/engine/shutdown_test.go
+++ b/internal/engine/shutdown_test.go
@@ -28,8 +28,8 @@
 		{"not told", nil, 3250 * time.Millisecond, 3300 * time.Millisecond, 3700 * time.Millisecond},
 	} {
 		got := newShutdown(c.classes, time.Now())
-		if got.Serves != c.serves || got.Answered != c.answered || got.Killed != c.killed {
-			t.Errorf("%s: serves %v, answered %v, killed %v; want %v, %v, %v", c.name, got.Serves, got.Answered, got.Killed, c.serves, c.answered, c.killed)
+		if got.AcceptFor != c.serves || got.AnswerWithin != c.answered || got.EarliestKill != c.killed {
+			t.Errorf("%s: serves %v, answered %v, killed %v; want %v, %v, %v", c.name, got.AcceptFor, got.AnswerWithin, got.EarliestKill, c.serves, c.answered, c.killed)
 		}
 	}
 }
@@ -41,7 +41,7 @@
 	c.sent.Add(1)
 	c.open.Add(1)
 	defer c.open.Add(-1)
-	ctx, cancel := context.WithTimeout(ctx, a.Wait)
+	ctx, cancel := context.WithTimeout(ctx, a.Timeout)
 	defer cancel()
 	<-ctx.Done()
 	return Result{Outcome: policy.TimedOut}
@@ -59,13 +59,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.Follow(noSource{}, &List{})
+	e.SetSource(noSource{}, &List{})
 	e.takeList(&List{Version: 1, Full: true, Servers: entries(4)}, policy.ListFull)
 	return e, c
 }
 
 func patientRequest(id string) *Request {
-	return &Request{ID: id, Class: "order", Arrived: time.Now(), Patience: time.Minute}
+	return &Request{ID: id, Class: "order", Arrived: time.Now(), ClientTimeout: time.Minute}
 }
 
 // answerNow is a request's answer, where it has one at this moment.
@@ -86,7 +86,7 @@
 		e, c := silentEngine(t)
 		defer e.Stop()
 		before, during := patientRequest("before"), patientRequest("during")
-		e.Begin(before)
+		e.Submit(before)
 		time.Sleep(100 * time.Millisecond)
 		begun := time.Now()
 		shutdown := e.Shutdown(begun)
@@ -95,8 +95,8 @@
 			t.Errorf("told to end again, the node has another time table: %+v, was %+v", again, shutdown)
 		}
 		during.Arrived = time.Now()
-		e.Begin(during)
-		time.Sleep(time.Until(begun.Add(shutdown.Answered - time.Millisecond)))
+		e.Submit(during)
+		time.Sleep(time.Until(begun.Add(shutdown.AnswerWithin - time.Millisecond)))
 		synctest.Wait()
 		for _, r := range []*Request{before, during} {
 			if a, ok := answerNow(r); ok {
@@ -115,12 +115,12 @@
 		}
 		sent := c.sent.Load()
 		late := patientRequest("late")
-		e.Begin(late)
+		e.Submit(late)
 		synctest.Wait()
 		if a, ok := answerNow(late); !ok || a.Kind != Refused || c.sent.Load() != sent {
 			t.Errorf("a late request: %+v, %v, sent %d times; want it refused and not sent", a, ok, c.sent.Load()-sent)
 		}
-		if open := e.Open(); open != 0 {
+		if open := e.OpenRequests(); open != 0 {
 			t.Errorf("%d requests are still open", open)
 		}
 	})
@@ -144,12 +144,12 @@
 func TestAttemptDoesNotBeginForAClientThatLeft(t *testing.T) {
 	t.Parallel()
 	left := false
-	a := &Attempt{Request: &Request{Left: func() bool { return left }}, Backend: &Backend{}}
-	if !a.MayBegin() {
+	a := &Attempt{Request: &Request{Disconnected: func() bool { return left }}, Backend: &Backend{}}
+	if !a.MayStart() {
 		t.Error("it does not begin for a client that waits")
 	}
 	left = true
-	if a.MayBegin() {
+	if a.MayStart() {
 		t.Error("it begins for a client that has left")
 	}
 }
--- a/internal/engine/sites.go
+++ b/internal/engine/sites.go
@@ -5,9 +5,9 @@
 	"craneglade/internal/siting"
 )
 
-// Watch has the engine watch how sites stand, and the module follow what that asks for. StepSites is to be called every
+// WatchSites has the engine watch how sites stand, and the module follow what that asks for. StepSites is to be called every
 // siting.Every.
-func (e *Engine) Watch(l *siting.Link) {
+func (e *Engine) WatchSites(l *siting.Link) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sites = l
--- a/internal/httpcarrier/addresses_test.go
+++ b/internal/httpcarrier/addresses_test.go
@@ -92,7 +92,7 @@
 		in, _ := http.NewRequest("POST", "http://x/api", strings.NewReader("a door"))
 		m := &message.Request{In: in, Body: &message.Body{Memory: []byte("a door")}}
 		m.Payload = m
-		res := n.Carry(t.Context(), &engine.Attempt{Request: &m.Request, Backend: box, Wait: time.Second, Effect: policy.Unsafe})
+		res := n.Carry(t.Context(), &engine.Attempt{Request: &m.Request, Backend: box, Timeout: time.Second, Effect: policy.Unsafe})
 		n.Stop()
 		wg.Wait()
 		if res.Outcome != c.want || len(got) != c.sent {
--- a/internal/httpcarrier/carrier.go
+++ b/internal/httpcarrier/carrier.go
@@ -81,7 +81,7 @@
 
 // Reach tells whether a connection to a box comes up while ctx lasts, and keeps it for requests if it does.
 func (n *Carrier) Reach(ctx context.Context, b *engine.Backend) bool {
-	if b.Shut() {
+	if b.WritesStopped() {
 		return false
 	}
 	c, err := n.pool.connect(ctx, n.pool.of(b), b)
@@ -100,13 +100,13 @@
 func (n *Carrier) Carry(ctx context.Context, a *engine.Attempt) engine.Result {
 	fresh := false
 	res := n.carry(ctx, a, &fresh)
-	res.Fresh = fresh
+	res.NewConnection = fresh
 	return res
 }
 
 // carry is Carry. It sets fresh where it opens a connection.
 func (n *Carrier) carry(ctx context.Context, a *engine.Attempt, fresh *bool) engine.Result {
-	ctx, cancel := context.WithTimeoutCause(ctx, a.Wait, errTimeout)
+	ctx, cancel := context.WithTimeoutCause(ctx, a.Timeout, errTimeout)
 	defer cancel()
 	r, ok := a.Request.Payload.(*message.Request)
 	if !ok {
@@ -115,7 +115,7 @@
 	b := n.pool.of(a.Backend)
 	heard := b.heard.Load()
 	// A request whose last byte was not written goes on to the box's next address, within the same time.
-	wait := a.Wait
+	wait := a.Timeout
 	for again := len(a.Backend.Addrs()); ; again-- {
 		res, part := n.send(ctx, a, r, wait, b, heard, fresh)
 		if !part || again <= 1 {
@@ -132,9 +132,9 @@
 func (n *Carrier) send(ctx context.Context, a *engine.Attempt, r *message.Request, wait time.Duration, b *kept, heard int64, fresh *bool) (res engine.Result, part bool) {
 	begun := time.Now()
 	until := ctx
-	if !a.By.IsZero() {
+	if !a.WriteDeadline.IsZero() {
 		var cancel context.CancelFunc
-		until, cancel = context.WithDeadlineCause(ctx, a.By, errLate)
+		until, cancel = context.WithDeadlineCause(ctx, a.WriteDeadline, errLate)
 		defer cancel()
 	}
 	c, err := n.pool.get(until, b, a.Backend, a.Effect == policy.Unsafe)
@@ -155,7 +155,7 @@
 		return engine.Result{Outcome: policy.Moot}, false
 	}
 	// What was decided a while ago may not hold any more: the client has left, the backend's drain grace or the time for repeats is over.
-	if ctx.Err() != nil || !a.MayBegin() {
+	if ctx.Err() != nil || !a.MayStart() {
 		n.pool.put(c)
 		return engine.Result{Outcome: policy.Moot}, false
 	}
@@ -165,8 +165,8 @@
 		return engine.Result{Outcome: policy.Moot}, false // it is not kept, and an earlier attempt has begun to send it
 	}
 	giveUp := context.AfterFunc(ctx, func() { c.Close() })
-	if !a.By.IsZero() {
-		c.SetWriteDeadline(a.By) // an error shows in Write
+	if !a.WriteDeadline.IsZero() {
+		c.SetWriteDeadline(a.WriteDeadline) // an error shows in Write
 	}
 	sent, err := c.Write(text)
 	whole := sent == len(text)
@@ -205,18 +205,18 @@
 	if c.addr != "" {
 		switch {
 		case err == nil, errors.Is(err, errSpoilt):
-			n.pool.reach.Answered(c.addr)
+			n.pool.reach.RecordAnswer(c.addr)
 		case !whole:
-			n.pool.reach.Failed(c.addr)
+			n.pool.reach.RecordFailure(c.addr)
 		case errors.Is(context.Cause(ctx), errTimeout):
-			n.pool.reach.Silent(c.addr)
+			n.pool.reach.RecordSilence(c.addr)
 		}
 	}
 	if err == nil && stream {
 		b.heard.Add(1)
 		return n.flow(ctx, a, c, resp, giveUp), false
 	}
-	if !a.By.IsZero() {
+	if !a.WriteDeadline.IsZero() {
 		c.SetWriteDeadline(time.Time{})
 	}
 	// The answer stands, however its connection ends; but only a sound one is used again.
--- a/internal/httpcarrier/pool.go
+++ b/internal/httpcarrier/pool.go
@@ -56,7 +56,7 @@
 		p.pause = timing.Sleep
 	}
 	begun := time.Now()
-	p.reach = &reach.Dialer{Base: cfg.DialOn, Now: func() time.Duration { return time.Since(begun) }, Take: p.quota.Take, Give: p.quota.Give}
+	p.reach = &reach.Dialer{Base: cfg.DialOn, Now: func() time.Duration { return time.Since(begun) }, AcquireDescriptor: p.quota.Take, ReleaseDescriptor: p.quota.Give}
 	// A request written to a connection that the box has just closed ends as a reset: retire it before.
 	p.idle = cfg.Idle * 9 / 10
 	p.told, p.start = cfg.Idle, p.now()
@@ -83,11 +83,11 @@
 
 // ofLocked is of. p.mu is held.
 func (p *pool) ofLocked(b *engine.Backend) *kept {
-	if k, ok := b.Kept.(*kept); ok {
+	if k, ok := b.CarrierState.(*kept); ok {
 		return k
 	}
 	k := &kept{ages: admission.NewAges(p.told, p.ages)}
-	b.Kept = k
+	b.CarrierState = k
 	return k
 }
 
@@ -191,7 +191,7 @@
 	var err error
 	addr := ""
 	if addrs := box.Addrs(); len(addrs) > 1 {
-		conn, addr, err = p.reach.Dial(ctx, addrs, func() bool { return !box.Shut() })
+		conn, addr, err = p.reach.Dial(ctx, addrs, func() bool { return !box.WritesStopped() })
 	} else {
 		conn, err = p.dial(ctx, box.Addr)
 	}
--- a/internal/httpfront/check.go
+++ b/internal/httpfront/check.go
@@ -54,7 +54,7 @@
 		return no(bad, "X-Request-Id: missing or too long")
 	}
 	var err error
-	if r.Patience, err = parseDeadline(in.Header.Get("X-Deadline")); err != nil {
+	if r.ClientTimeout, err = parseDeadline(in.Header.Get("X-Deadline")); err != nil {
 		return no(bad, "X-Deadline: %v", err)
 	}
 	effect, known := s.engine.Effect(r.Class)
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -141,7 +141,7 @@
 }
 
 // now is the time for the account.
-func (s *Front) now() time.Duration { return s.clock.Since() }
+func (s *Front) now() time.Duration { return s.clock.Elapsed() }
 
 // host is an address without its port.
 func host(a net.Addr) string {
@@ -353,8 +353,8 @@
 			return answer{}, clientLeft
 		}
 	}
-	r.Left = c.seen.ended
-	if !s.engine.Begin(&r.Request) {
+	r.Disconnected = c.seen.ended
+	if !s.engine.Submit(&r.Request) {
 		r.Release()
 		c.reject(&message.Rejection{Status: http.StatusConflict, Text: "X-Request-Id: a request with this id is open"})
 		return answer{}, idIsOpen
--- a/internal/httpfront/front_test.go
+++ b/internal/httpfront/front_test.go
@@ -27,7 +27,7 @@
 func TestTimeOfABody(t *testing.T) {
 	arrived := time.Unix(1000, 0)
 	head := arrived.Add(headTime)
-	r := &message.Request{Request: engine.Request{Arrived: arrived, Patience: 4 * time.Second}}
+	r := &message.Request{Request: engine.Request{Arrived: arrived, ClientTimeout: 4 * time.Second}}
 	for _, c := range []struct {
 		size int64
 		want time.Duration // from the request's first byte
--- a/internal/httpfront/read.go
+++ b/internal/httpfront/read.go
@@ -144,7 +144,7 @@
 	by := head.Add(bodyTime)
 	if size > message.MaxBody {
 		by = by.Add(time.Duration(size) * time.Second / bodyRate)
-		if up := r.Arrived.Add(r.Patience); up.Before(by) {
+		if up := r.Arrived.Add(r.ClientTimeout); up.Before(by) {
 			by = up
 		}
 	}
--- a/internal/httpfront/shutdown.go
+++ b/internal/httpfront/shutdown.go
@@ -37,9 +37,9 @@
 func (s *Front) leave(ln net.Listener, accepted <-chan error) error {
 	shutdown := s.engine.Shutdown(time.Now())
 	s.leaving.Store(true)
-	s.log.Info("leaving: serving the connections that there are, then finishing what was taken", "serves", shutdown.Serves,
-		"answered_after", shutdown.Answered, "may_be_killed_after", shutdown.Killed)
-	time.Sleep(time.Until(shutdown.Begun.Add(acceptFor)))
+	s.log.Info("leaving: serving the connections that there are, then finishing what was taken", "serves", shutdown.AcceptFor,
+		"answered_after", shutdown.AnswerWithin, "may_be_killed_after", shutdown.EarliestKill)
+	time.Sleep(time.Until(shutdown.StartedAt.Add(acceptFor)))
 	err := sock.CloseListener(ln, backlogTime)
 	s.tell("listener closed", &shutdown)
 	ended := make(chan struct{})
@@ -56,19 +56,19 @@
 		select {
 		case <-ended:
 			return false
-		case <-time.After(time.Until(shutdown.Begun.Add(after))):
+		case <-time.After(time.Until(shutdown.StartedAt.Add(after))):
 			return true
 		}
 	}
-	if reached(max(acceptFor, shutdown.Serves)) {
+	if reached(max(acceptFor, shutdown.AcceptFor)) {
 		s.closing.Store(true)    // each answer now tells its client to close
 		s.closeWith(carriesNone) // and the clients of connections that carry no request turn to other nodes
 		s.tell("closed the connections that carry no request", &shutdown)
 	}
-	for after := max(acceptFor, shutdown.Answered); after < shutdown.Last && reached(after); after += closeEvery {
+	for after := max(acceptFor, shutdown.AnswerWithin); after < shutdown.CloseAfter && reached(after); after += closeEvery {
 		s.closeWith(isIncomplete) // what comes whole is answered, and one that goes on coming is not waited for
 	}
-	if reached(shutdown.Last) { // the last deadline has passed
+	if reached(shutdown.CloseAfter) { // the last deadline has passed
 		s.tell("breaking off what nobody has read", &shutdown)
 		s.cut()
 	}
@@ -82,7 +82,7 @@
 	s.mu.Lock()
 	connections := len(s.conns)
 	s.mu.Unlock()
-	s.log.Info(step, "connections", connections, "requests", s.engine.Open(), "after", time.Since(shutdown.Begun))
+	s.log.Info(step, "connections", connections, "requests", s.engine.OpenRequests(), "after", time.Since(shutdown.StartedAt))
 }
 
 // Leaving tells whether the front was told to end.
--- a/internal/kit/scale/endpointlist/endpointlist.go
+++ b/internal/kit/scale/endpointlist/endpointlist.go
@@ -37,7 +37,7 @@
 // Measure measures one size.
 func Measure(ctx context.Context, endpoints int) (*result.Step, error) {
 	out := &result.Step{Part: "list", Size: plan.Step{Endpoints: endpoints}}
-	list := make([]engine.Listed, endpoints)
+	list := make([]engine.ListedBackend, endpoints)
 	for i := range list {
 		list[i] = listed(i, 0)
 	}
@@ -54,8 +54,8 @@
 }
 
 // listed is one endpoint, by number and generation.
-func listed(i, generation int) engine.Listed {
-	return engine.Listed{ID: fmt.Sprintf("be-%08x", uint32(i)*2654435761), Addr: fmt.Sprintf("10.%d.%d.%d:8080", i>>16&255, i>>8&255, i&255),
+func listed(i, generation int) engine.ListedBackend {
+	return engine.ListedBackend{ID: fmt.Sprintf("be-%08x", uint32(i)*2654435761), Addr: fmt.Sprintf("10.%d.%d.%d:8080", i>>16&255, i>>8&255, i&255),
 		Zone: []string{"north", "south", "west"}[i%3], Kind: "standard", Cell: int64(i % 8), State: membership.Ready, StartedMS: 1 + int64(generation)}
 }
 
@@ -82,7 +82,7 @@
 func (carrier) Retire(*engine.Backend) {}
 
 // engineTimes measures lists in a real engine.
-func engineTimes(ctx context.Context, out *result.Step, list []engine.Listed) error {
+func engineTimes(ctx context.Context, out *result.Step, list []engine.ListedBackend) error {
 	var first []time.Duration
 	for range repeats {
 		e, err := newEngine()
@@ -108,7 +108,7 @@
 		again = append(again, news(e, &engine.List{Version: int64(2 + i), Full: true, Servers: list}, policy.ListFull))
 	}
 	for i := range deltas {
-		change := []engine.Listed{listed(i%len(list), 1+i)}
+		change := []engine.ListedBackend{listed(i%len(list), 1+i)}
 		one = append(one, news(e, &engine.List{Version: int64(2 + repeats + i), Servers: change}, policy.ListDelta))
 	}
 	out.AddWall(Mechanism, "node", "full list taken in, the first", "ms", milliseconds(median(first)))
@@ -121,7 +121,7 @@
 func newEngine() (*engine.Engine, error) {
 	e, err := engine.New(engine.Config{Settings: settings, Seed: 1, Clock: engine.NewClock(), Carrier: carrier{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err == nil {
-		e.Follow(source{}, &engine.List{})
+		e.SetSource(source{}, &engine.List{})
 	}
 	return e, err
 }
@@ -129,23 +129,23 @@
 // news hands a list in and returns how long that took.
 func news(e *engine.Engine, l *engine.List, kind policy.ListKind) time.Duration {
 	began := time.Now()
-	e.News(source{}, l, kind, func(int64) bool { return true })
+	e.UpdateList(source{}, l, kind, func(int64) bool { return true })
 	return time.Since(began)
 }
 
 // membershipTimes measures the rule on several sources, which a node with names beside its list goes through too.
-func membershipTimes(ctx context.Context, out *result.Step, list []engine.Listed) error {
-	fleet := membership.New(membership.Config{Hold: time.Minute, Doubt: time.Second, Calm: 2 * time.Second})
+func membershipTimes(ctx context.Context, out *result.Step, list []engine.ListedBackend) error {
+	fleet := membership.New(membership.Config{SourceTimeout: time.Minute, ConfirmDelay: time.Second, FlapPenalty: 2 * time.Second})
 	var full, one []time.Duration
 	for i := range repeats {
 		began := time.Now()
-		fleet.List(time.Duration(i)*time.Second, true, list)
+		fleet.UpdateList(time.Duration(i)*time.Second, true, list)
 		full = append(full, time.Since(began))
 	}
 	for i := range deltas {
-		change := []engine.Listed{listed(i%len(list), 1+i)}
+		change := []engine.ListedBackend{listed(i%len(list), 1+i)}
 		began := time.Now()
-		fleet.List(time.Duration(repeats+i)*time.Second, false, change)
+		fleet.UpdateList(time.Duration(repeats+i)*time.Second, false, change)
 		one = append(one, time.Since(began))
 	}
 	out.AddWall(Mechanism, "node", "full list through membership", "ms", milliseconds(median(full)))
@@ -154,7 +154,7 @@
 }
 
 // decisionTimes measures the decision of a request among so many endpoints.
-func decisionTimes(ctx context.Context, out *result.Step, list []engine.Listed) error {
+func decisionTimes(ctx context.Context, out *result.Step, list []engine.ListedBackend) error {
 	balancer, err := policy.New(settings, 1)
 	if err != nil {
 		return err
--- a/internal/membership/decide.go
+++ b/internal/membership/decide.go
@@ -15,9 +15,9 @@
 
 // decide applies the rule to the backends at some addresses. It returns those whose standing changed, and with all also
 // the others.
-func (f *Fleet) decide(now time.Duration, touched map[string]bool, all bool) []Standing {
+func (f *Fleet) decide(now time.Duration, touched map[string]bool, all bool) []Status {
 	f.forget(now)
-	var out []Standing
+	var out []Status
 	for _, addr := range slices.Sorted(maps.Keys(touched)) { // two runs hand over the same
 		m := f.members[addr]
 		if m == nil {
@@ -29,7 +29,7 @@
 		if current, ok := f.byID[m.backend.ID]; ok && current != addr {
 			continue // its name stands for another process by now
 		}
-		if all && (m.list != Silent || m.use) || m.use != was {
+		if all && (m.list != NoClaim || m.use) || m.use != was {
 			out = append(out, m.standing())
 		}
 	}
@@ -39,12 +39,12 @@
 // applyRule sets whether a member may be used, why, and which source decides that.
 func (f *Fleet) applyRule(m *member) {
 	others, who, at := m.others()
-	row := Rule[m.list][others]
+	row := Decisions[m.list][others]
 	m.use, m.why, m.source, m.told = row.Use, row.Why, "list", m.listAt
 	switch {
-	case m.list == Silent && others == Named && !f.listSays:
+	case m.list == NoClaim && others == Named && !f.listSays:
 		m.use, m.why, m.source, m.told = true, "only names know it, and the list has lost its say", who, at
-	case m.list == Silent, others == Withdrawn && (m.list != Withdrawn || at < m.listAt):
+	case m.list == NoClaim, others == Withdrawn && (m.list != Withdrawn || at < m.listAt):
 		m.source, m.told = who, at // the first that told
 	}
 }
@@ -62,7 +62,7 @@
 }
 
 // others is what the sources other than the list say of a backend together, which of them decides, and since when.
-func (m *member) others() (is Word, who string, at time.Duration) {
+func (m *member) others() (is Claim, who string, at time.Duration) {
 	for name, w := range m.names {
 		if w.is > is || w.is == is && (w.at < at || w.at == at && name < who) {
 			is, who, at = w.is, name, w.at
@@ -76,9 +76,9 @@
 func (f *Fleet) returned(now time.Duration, m *member) {
 	m.returns = slices.DeleteFunc(m.returns, func(t time.Duration) bool { return t <= now-memory })
 	m.returns = append(m.returns, now)
-	if over := len(m.returns) - 1 - freeReturns; over > 0 && f.cfg.Calm > 0 && now >= m.calm {
+	if over := len(m.returns) - 1 - freeReturns; over > 0 && f.cfg.FlapPenalty > 0 && now >= m.calm {
 		m.calmed = true
-		m.calm = now + f.cfg.Calm*time.Duration(min(maxCalmFactor, 1<<min(over-1, 8)))
+		m.calm = now + f.cfg.FlapPenalty*time.Duration(min(maxCalmFactor, 1<<min(over-1, 8)))
 	}
 }
 
@@ -94,7 +94,7 @@
 		for _, w := range m.names {
 			named = named || w.is == Named || now-w.at < memory
 		}
-		if !named && !m.use && m.calm == 0 && (m.list == Silent || m.backend.State == Gone && now-m.listAt >= memory) {
+		if !named && !m.use && m.calm == 0 && (m.list == NoClaim || m.backend.State == Gone && now-m.listAt >= memory) {
 			for _, a := range m.backend.Addrs {
 				delete(f.alias, a)
 			}
@@ -104,13 +104,13 @@
 }
 
 // standing is where a member stands, with the state that follows from it.
-func (m *member) standing() Standing {
-	s := Standing{Box: m.backend, Use: m.use, Why: m.why, Source: m.source, Told: m.told}
+func (m *member) standing() Status {
+	s := Status{Backend: m.backend, Use: m.use, Reason: m.why, Source: m.source, Since: m.told}
 	switch {
 	case m.use:
-		s.Box.State = Ready
-	case s.Box.State == Ready:
-		s.Box.State = Draining
+		s.Backend.State = Ready
+	case s.Backend.State == Ready:
+		s.Backend.State = Draining
 	}
 	return s
 }
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// List takes in the backend list, or a change of it, and returns the backends whose standing follows anew: all that it
+// UpdateList takes in the backend list, or a change of it, and returns the backends whose standing follows anew: all that it
 // names, and others that changed by it. A full list is the whole of it. The state of a backend there is that of its
 // standing.
-func (f *Fleet) List(now time.Duration, full bool, backends []Box) []Standing {
+func (f *Fleet) UpdateList(now time.Duration, full bool, backends []Backend) []Status {
 	wasSilent := !f.listSays
 	f.listAt, f.listSays = now, true
 	touched := map[string]bool{}
@@ -27,7 +27,7 @@
 }
 
 // withdrawUnlisted takes off what a full list does not name.
-func (f *Fleet) withdrawUnlisted(now time.Duration, backends []Box, touched map[string]bool) {
+func (f *Fleet) withdrawUnlisted(now time.Duration, backends []Backend, touched map[string]bool) {
 	named := map[string]bool{}
 	for i := range backends {
 		named[backends[i].ID] = true
@@ -49,7 +49,7 @@
 }
 
 // listOne takes in what the list says of one backend.
-func (f *Fleet) listOne(now time.Duration, b Box, touched map[string]bool) {
+func (f *Fleet) listOne(now time.Duration, b Backend, touched map[string]bool) {
 	known, isKnown := f.byID[b.ID]
 	switch {
 	case isKnown && known != b.Addr && b.Addr != "":
@@ -64,7 +64,7 @@
 	if m.backend.ID != b.ID && f.byID[m.backend.ID] == b.Addr {
 		delete(f.byID, m.backend.ID) // one address has one process: the list's latest word is of another one
 	}
-	if m.list != Silent && b.State == Ready && (b.ID != m.backend.ID || b.StartedMS > m.backend.StartedMS) {
+	if m.list != NoClaim && b.State == Ready && (b.ID != m.backend.ID || b.StartedMS > m.backend.StartedMS) {
 		// A new process, under the old name or another: what was withdrawn was its predecessor.
 		f.renew(now, b.Addr)
 		m = f.member(b.Addr)
@@ -84,7 +84,7 @@
 }
 
 // setAliases has the further addresses of a backend stand for it, in place of those that it had before.
-func (f *Fleet) setAliases(before []string, b Box) {
+func (f *Fleet) setAliases(before []string, b Backend) {
 	for _, addr := range before {
 		delete(f.alias, addr)
 	}
@@ -95,9 +95,9 @@
 	}
 }
 
-// Heard records that the list's source has answered, also where nothing is new. It returns the backends whose standing
+// RefreshList records that the list's source has answered, also where nothing is new. It returns the backends whose standing
 // changed.
-func (f *Fleet) Heard(now time.Duration) []Standing {
+func (f *Fleet) RefreshList(now time.Duration) []Status {
 	f.listAt = now
 	if f.listSays {
 		return nil
@@ -105,7 +105,7 @@
 	f.listSays = true
 	touched := map[string]bool{}
 	for addr, m := range f.members {
-		if m.list == Silent { // what names alone had put in goes out again
+		if m.list == NoClaim { // what names alone had put in goes out again
 			touched[addr] = true
 		}
 	}
@@ -125,7 +125,7 @@
 }
 
 // listSaid records what the list says of a member, and since when.
-func (f *Fleet) listSaid(now time.Duration, m *member, is Word) {
+func (f *Fleet) listSaid(now time.Duration, m *member, is Claim) {
 	if m.list != is {
 		m.list, m.listAt = is, now
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Box is one backend process in a list. The JSON names are PROTOCOL's.
-type Box struct {
+// Backend is one backend process in a list. The JSON names are PROTOCOL's.
+type Backend struct {
 	ID        string `json:"id"`
 	Addr      string `json:"addr"`
 	Zone      string `json:"zone"`
@@ -38,24 +38,24 @@
 
 // Config are the figures of a fleet, in the caller's unit of time.
 type Config struct {
-	Hold  time.Duration // a source that said nothing for so long loses its say
-	Doubt time.Duration // for so long a withdrawal of most of a source waits to be taken back; part of the grace
-	Calm  time.Duration // how long a backend that flaps stays out at first, doubled each time
+	SourceTimeout time.Duration // a source that said nothing for so long loses its say
+	ConfirmDelay  time.Duration // for so long a withdrawal of most of a source waits to be taken back; part of the grace
+	FlapPenalty   time.Duration // how long a backend that flaps stays out at first, doubled each time
 }
 
-// Standing is where a backend stands, and why.
-type Standing struct {
-	Box    Box
-	Use    bool
-	Why    string
-	Source string        // that decided
-	Told   time.Duration // when it first told
+// Status is where a backend stands, and why.
+type Status struct {
+	Backend Backend
+	Use     bool
+	Reason  string
+	Source  string        // that decided
+	Since   time.Duration // when it first told
 }
 
 // member is what is known of the backend at one address.
 type member struct {
-	backend Box // as the list has it, or as names make it up
-	list    Word
+	backend Backend // as the list has it, or as names make it up
+	list    Claim
 	listAt  time.Duration // since when the list says so
 	names   map[string]statement
 	use     bool
@@ -69,7 +69,7 @@
 
 // statement is what a source says, and since when.
 type statement struct {
-	is Word
+	is Claim
 	at time.Duration
 }
 
@@ -99,7 +99,7 @@
 
 // Tick lets time pass: doubts end, sources lose their say, backends that flapped come back. It returns the backends
 // whose standing changed.
-func (f *Fleet) Tick(now time.Duration) []Standing {
+func (f *Fleet) Tick(now time.Duration) []Status {
 	touched := map[string]bool{}
 	for name, s := range f.sources {
 		f.confirm(now, name, s, touched)
@@ -121,7 +121,7 @@
 
 // isSilent reports whether a source that was last heard at a moment loses its say.
 func (f *Fleet) isSilent(now, heardAt time.Duration) bool {
-	return f.cfg.Hold > 0 && now-heardAt >= f.cfg.Hold
+	return f.cfg.SourceTimeout > 0 && now-heardAt >= f.cfg.SourceTimeout
 }
 
 // silenceSource takes a source's say: what it names counts no more. What it withdrew before was told and stays so until
@@ -140,7 +140,7 @@
 func (f *Fleet) silenceList(touched map[string]bool) {
 	f.listSays = false
 	for addr, m := range f.members {
-		if m.list == Silent {
+		if m.list == NoClaim {
 			touched[addr] = true
 		}
 	}
@@ -158,12 +158,12 @@
 		if s.doubtUntil != 0 {
 			due(s.doubtUntil)
 		}
-		if f.cfg.Hold > 0 && len(s.named) > 0 {
-			due(s.heardAt + f.cfg.Hold)
+		if f.cfg.SourceTimeout > 0 && len(s.named) > 0 {
+			due(s.heardAt + f.cfg.SourceTimeout)
 		}
 	}
-	if f.cfg.Hold > 0 && f.listSays {
-		due(f.listAt + f.cfg.Hold)
+	if f.cfg.SourceTimeout > 0 && f.listSays {
+		due(f.listAt + f.cfg.SourceTimeout)
 	}
 	for _, m := range f.members {
 		if m.calm != 0 {
@@ -174,12 +174,12 @@
 }
 
 // All is every backend that some source speaks of, by address.
-func (f *Fleet) All() []Standing {
-	out := make([]Standing, 0, len(f.members))
+func (f *Fleet) All() []Status {
+	out := make([]Status, 0, len(f.members))
 	for _, m := range f.members {
 		out = append(out, m.standing())
 	}
-	slices.SortFunc(out, func(a, b Standing) int { return cmp.Compare(a.Box.Addr, b.Box.Addr) })
+	slices.SortFunc(out, func(a, b Status) int { return cmp.Compare(a.Backend.Addr, b.Backend.Addr) })
 	return out
 }
 
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -15,61 +15,63 @@
 	doubt = 500 * ms
 )
 
-func box(n int, state string) Box {
-	return Box{ID: fmt.Sprint("b", n), Addr: fmt.Sprint("127.0.0.1:", 9000+n), Zone: "z", Kind: "k", State: state, StartedMS: 1}
+func box(n int, state string) Backend {
+	return Backend{ID: fmt.Sprint("b", n), Addr: fmt.Sprint("127.0.0.1:", 9000+n), Zone: "z", Kind: "k", State: state, StartedMS: 1}
 }
 
-func named(ns ...int) []Box {
-	var out []Box
+func named(ns ...int) []Backend {
+	var out []Backend
 	for _, n := range ns {
 		b := box(n, Ready)
-		out = append(out, Box{ID: "dns:" + b.Addr, Addr: b.Addr, Zone: "z", State: Ready})
+		out = append(out, Backend{ID: "dns:" + b.Addr, Addr: b.Addr, Zone: "z", State: Ready})
 	}
 	return out
 }
 
-func listed(ns ...int) []Box {
-	var out []Box
+func listed(ns ...int) []Backend {
+	var out []Backend
 	for _, n := range ns {
 		out = append(out, box(n, Ready))
 	}
 	return out
 }
 
-func fleet() *Fleet { return New(Config{Hold: 60 * sec, Doubt: doubt, Calm: 2 * sec}) }
+func fleet() *Fleet {
+	return New(Config{SourceTimeout: 60 * sec, ConfirmDelay: doubt, FlapPenalty: 2 * sec})
+}
 
-func stand(t *testing.T, f *Fleet, n int) Standing {
+func stand(t *testing.T, f *Fleet, n int) Status {
 	t.Helper()
 	for _, s := range f.All() {
-		if s.Box.Addr == box(n, Ready).Addr {
+		if s.Backend.Addr == box(n, Ready).Addr {
 			return s
 		}
 	}
 	t.Fatalf("box %d is not known", n)
-	return Standing{}
+	return Status{}
 }
 
 // Every cell of the rule, reached by what sources say.
 func TestRule(t *testing.T) {
-	for list := Silent; list <= Withdrawn; list++ {
-		for others := Silent; others <= Withdrawn; others++ {
-			if list == Silent && others == Silent {
+	for list := NoClaim; list <= Withdrawn; list++ {
+		for others := NoClaim; others <= Withdrawn; others++ {
+			if list == NoClaim && others == NoClaim {
 				continue
 			}
 			f := fleet()
-			if others != Silent {
-				f.Names(sec, "dns", named(1, 2, 3, 4))
+			if others != NoClaim {
+				f.UpdateNames(sec, "dns", named(1, 2, 3, 4))
 			}
 			switch list {
 			case Named:
-				f.List(2*sec, true, listed(1))
+				f.UpdateList(2*sec, true, listed(1))
 			case Withdrawn:
-				f.List(2*sec, true, []Box{box(1, Draining)})
+				f.UpdateList(2*sec, true, []Backend{box(1, Draining)})
 			}
 			if others == Withdrawn {
-				f.Names(3*sec, "dns", named(2, 3, 4))
+				f.UpdateNames(3*sec, "dns", named(2, 3, 4))
 			}
-			if s, want := stand(t, f, 1), Rule[list][others]; s.Use != want.Use || s.Why != want.Why {
+			if s, want := stand(t, f, 1), Decisions[list][others]; s.Use != want.Use || s.Reason != want.Why {
 				t.Errorf("list %d, others %d: %+v, want %+v", list, others, s, want)
 			}
 		}
@@ -79,16 +81,16 @@
 // The grace runs from the first source that told.
 func TestTheFirstThatToldCounts(t *testing.T) {
 	f := fleet()
-	f.List(sec, true, listed(1, 2, 3))
-	f.Names(sec, "dns", named(1, 2, 3))
-	f.Names(2*sec, "dns", named(2, 3))
-	out := f.List(10*sec, false, []Box{box(1, Draining)})
-	if len(out) != 1 || out[0].Told != 2*sec || out[0].Source != "dns" || out[0].Box.State != Draining {
+	f.UpdateList(sec, true, listed(1, 2, 3))
+	f.UpdateNames(sec, "dns", named(1, 2, 3))
+	f.UpdateNames(2*sec, "dns", named(2, 3))
+	out := f.UpdateList(10*sec, false, []Backend{box(1, Draining)})
+	if len(out) != 1 || out[0].Since != 2*sec || out[0].Source != "dns" || out[0].Backend.State != Draining {
 		t.Errorf("%+v", out)
 	}
-	f.List(11*sec, false, []Box{box(2, Draining)})
-	f.Names(12*sec, "dns", named(3))
-	if s := stand(t, f, 2); s.Told != 11*sec || s.Source != "list" {
+	f.UpdateList(11*sec, false, []Backend{box(2, Draining)})
+	f.UpdateNames(12*sec, "dns", named(3))
+	if s := stand(t, f, 2); s.Since != 11*sec || s.Source != "list" {
 		t.Errorf("%+v", s)
 	}
 }
@@ -98,23 +100,23 @@
 func TestALateListBringsNothingBack(t *testing.T) {
 	for what, want := range map[string]bool{"again": false, "whole": false, "restart": true, "successor": true, "names": true} {
 		f := fleet()
-		f.List(sec, true, listed(1, 2, 3))
-		f.Names(sec, "dns", named(1, 2, 3))
-		f.Names(2*sec, "dns", named(2, 3))
+		f.UpdateList(sec, true, listed(1, 2, 3))
+		f.UpdateNames(sec, "dns", named(1, 2, 3))
+		f.UpdateNames(2*sec, "dns", named(2, 3))
 		later := box(1, Ready)
 		switch what {
 		case "again":
-			f.List(8*sec, false, listed(1))
+			f.UpdateList(8*sec, false, listed(1))
 		case "whole":
-			f.List(8*sec, true, listed(1, 2, 3))
+			f.UpdateList(8*sec, true, listed(1, 2, 3))
 		case "restart":
 			later.StartedMS = 5
-			f.List(8*sec, false, []Box{later})
+			f.UpdateList(8*sec, false, []Backend{later})
 		case "successor":
 			later.ID = "b1-next"
-			f.List(8*sec, false, []Box{later})
+			f.UpdateList(8*sec, false, []Backend{later})
 		case "names":
-			f.Names(8*sec, "dns", named(1, 2, 3))
+			f.UpdateNames(8*sec, "dns", named(1, 2, 3))
 		}
 		if s := stand(t, f, 1); s.Use != want {
 			t.Errorf("%s: %+v, want use %v", what, s, want)
@@ -127,15 +129,15 @@
 	f := fleet()
 	b := box(1, Ready)
 	b.Addrs = []string{"[::1]:9001", b.Addr}
-	f.List(sec, true, append(listed(2, 3, 4), b))
-	other := Box{ID: "dns:x", Addr: "[::1]:9001", State: Ready}
-	f.Names(sec, "dns", append(named(1, 2, 3, 4), other))
-	f.Names(2*sec, "dns", append(named(2, 3, 4), other))
+	f.UpdateList(sec, true, append(listed(2, 3, 4), b))
+	other := Backend{ID: "dns:x", Addr: "[::1]:9001", State: Ready}
+	f.UpdateNames(sec, "dns", append(named(1, 2, 3, 4), other))
+	f.UpdateNames(2*sec, "dns", append(named(2, 3, 4), other))
 	if s := stand(t, f, 1); !s.Use || len(f.All()) != 4 {
 		t.Errorf("one of its addresses is named: %+v of %d", s, len(f.All()))
 	}
-	f.Names(3*sec, "dns", named(2, 3, 4))
-	if s := stand(t, f, 1); s.Use || s.Told != 3*sec {
+	f.UpdateNames(3*sec, "dns", named(2, 3, 4))
+	if s := stand(t, f, 1); s.Use || s.Since != 3*sec {
 		t.Errorf("none of its addresses is named: %+v", s)
 	}
 }
@@ -143,32 +145,32 @@
 // A source that withdraws most of what it named is asked again, and stands by it from the first telling on.
 func TestDoubt(t *testing.T) {
 	f := fleet()
-	f.List(sec, true, listed(1, 2, 3, 4))
-	f.Names(sec, "dns", named(1, 2, 3, 4))
-	changed, ask := f.Names(2*sec, "dns", named(4))
+	f.UpdateList(sec, true, listed(1, 2, 3, 4))
+	f.UpdateNames(sec, "dns", named(1, 2, 3, 4))
+	changed, ask := f.UpdateNames(2*sec, "dns", named(4))
 	if len(changed) != 0 || !ask || !stand(t, f, 1).Use || f.Next() != 2*sec+doubt {
 		t.Fatalf("%v, %v, next %v", changed, ask, f.Next())
 	}
-	if changed, ask = f.Names(2*sec+100*ms, "dns", named(2, 4)); len(changed) != 0 || ask {
+	if changed, ask = f.UpdateNames(2*sec+100*ms, "dns", named(2, 4)); len(changed) != 0 || ask {
 		t.Errorf("half of it taken back: %v, %v", changed, ask)
 	}
 	changed = f.Tick(2*sec + doubt)
-	if len(changed) != 2 || changed[0].Told != 2*sec || changed[0].Use || !stand(t, f, 2).Use {
+	if len(changed) != 2 || changed[0].Since != 2*sec || changed[0].Use || !stand(t, f, 2).Use {
 		t.Errorf("not taken back: %+v", changed)
 	}
 	// The next answer comes before Tick does: the first telling counts all the same.
 	f = fleet()
-	f.List(sec, true, listed(1, 2, 3, 4))
-	f.Names(sec, "dns", named(1, 2, 3, 4))
-	f.Names(2*sec, "dns", named(4))
-	if changed, ask = f.Names(2*sec+doubt, "dns", named(4)); len(changed) != 3 || ask || changed[0].Told != 2*sec {
+	f.UpdateList(sec, true, listed(1, 2, 3, 4))
+	f.UpdateNames(sec, "dns", named(1, 2, 3, 4))
+	f.UpdateNames(2*sec, "dns", named(4))
+	if changed, ask = f.UpdateNames(2*sec+doubt, "dns", named(4)); len(changed) != 3 || ask || changed[0].Since != 2*sec {
 		t.Errorf("not taken back by the answer after the doubt: %+v, %v", changed, ask)
 	}
 	f = fleet()
-	f.List(sec, true, listed(1, 2, 3, 4))
-	f.Names(sec, "dns", named(1, 2, 3, 4))
-	f.Names(2*sec, "dns", nil)
-	f.Names(2*sec+100*ms, "dns", named(1, 2, 3, 4))
+	f.UpdateList(sec, true, listed(1, 2, 3, 4))
+	f.UpdateNames(sec, "dns", named(1, 2, 3, 4))
+	f.UpdateNames(2*sec, "dns", nil)
+	f.UpdateNames(2*sec+100*ms, "dns", named(1, 2, 3, 4))
 	if changed := f.Tick(3 * sec); len(changed) != 0 || !stand(t, f, 1).Use {
 		t.Errorf("taken back: %+v", changed)
 	}
@@ -178,24 +180,24 @@
 // silent, boxes that only names know are used, and no longer once it is back.
 func TestSilence(t *testing.T) {
 	f := fleet()
-	f.List(sec, true, listed(1, 2, 3))
-	f.Names(sec, "dns", named(1, 2, 3, 9))
-	f.Names(2*sec, "dns", named(1, 2, 9)) // 3 drains
+	f.UpdateList(sec, true, listed(1, 2, 3))
+	f.UpdateNames(sec, "dns", named(1, 2, 3, 9))
+	f.UpdateNames(2*sec, "dns", named(1, 2, 9)) // 3 drains
 	if changed := f.Tick(30 * sec); len(changed) != 0 || stand(t, f, 9).Use {
 		t.Errorf("%+v", changed)
 	}
-	f.Names(50*sec, "dns", named(1, 2, 9))
+	f.UpdateNames(50*sec, "dns", named(1, 2, 9))
 	if changed := f.Tick(61 * sec); len(changed) != 1 || !stand(t, f, 9).Use || !stand(t, f, 1).Use || stand(t, f, 3).Use {
 		t.Errorf("the list is silent: %+v", changed)
 	}
-	if changed := f.Heard(62 * sec); len(changed) != 1 || stand(t, f, 9).Use {
+	if changed := f.RefreshList(62 * sec); len(changed) != 1 || stand(t, f, 9).Use {
 		t.Errorf("the list is back: %+v", changed)
 	}
-	f.Heard(110 * sec)
+	f.RefreshList(110 * sec)
 	if f.Tick(111 * sec); !stand(t, f, 1).Use || !stand(t, f, 2).Use || stand(t, f, 3).Use {
 		t.Errorf("names are silent: %+v", f.All())
 	}
-	if _, ask := f.Names(120*sec, "dns", named(1)); ask || !stand(t, f, 2).Use {
+	if _, ask := f.UpdateNames(120*sec, "dns", named(1)); ask || !stand(t, f, 2).Use {
 		t.Error("what it names after its silence is taken for a withdrawal of the rest")
 	}
 }
@@ -203,16 +205,16 @@
 // Coming back is damped, going is not.
 func TestFlapping(t *testing.T) {
 	f := fleet()
-	f.List(sec, true, listed(1, 2, 3))
+	f.UpdateList(sec, true, listed(1, 2, 3))
 	now, returns := sec, 0
 	for range 12 {
 		now += sec
-		f.List(now, false, []Box{box(1, Draining)})
+		f.UpdateList(now, false, []Backend{box(1, Draining)})
 		if stand(t, f, 1).Use {
 			t.Fatal("a drain was damped")
 		}
 		now += sec
-		f.List(now, false, listed(1))
+		f.UpdateList(now, false, listed(1))
 		if stand(t, f, 1).Use {
 			returns++
 		}
@@ -225,7 +227,7 @@
 			break
 		} else {
 			now = max(now, next)
-			f.Heard(now)
+			f.RefreshList(now)
 			f.Tick(now)
 		}
 	}
@@ -266,13 +268,13 @@
 		check := func() {
 			for _, s := range f.All() {
 				var n int
-				fmt.Sscanf(s.Box.Addr, "127.0.0.1:%d", &n)
+				fmt.Sscanf(s.Backend.Addr, "127.0.0.1:%d", &n)
 				n -= 9000
 				at := first(n)
 				if at != 0 && s.Use && now >= at+doubt {
 					t.Fatalf("box %d is used at %v, called out at %v: %+v", n, now, at, s)
-				} else if at != 0 && !s.Use && now >= at+doubt && s.Told > at {
-					t.Fatalf("box %d is out as told at %v, it was at %v: %+v", n, s.Told, at, s)
+				} else if at != 0 && !s.Use && now >= at+doubt && s.Since > at {
+					t.Fatalf("box %d is out as told at %v, it was at %v: %+v", n, s.Since, at, s)
 				}
 				if used[n] && !s.Use && at == 0 {
 					t.Fatalf("box %d went at %v though nobody called it out: %+v", n, now, s)
@@ -287,7 +289,7 @@
 			ns := rapid.SliceOfNDistinct(rapid.IntRange(1, 6), 0, 6, rapid.ID[int]).Draw(t, "boxes")
 			switch src := rapid.SampledFrom([]string{"list", "a", "b", "restart"}).Draw(t, "source"); src {
 			case "list":
-				var l []Box
+				var l []Backend
 				for _, n := range ns {
 					b := box(n, Ready)
 					b.StartedMS = started[n]
@@ -295,7 +297,7 @@
 					ever[n] = true
 				}
 				told("list", ns)
-				f.List(now, true, l)
+				f.UpdateList(now, true, l)
 			case "restart":
 				if len(ns) == 0 {
 					continue
@@ -313,10 +315,10 @@
 				if !slices.Contains(says["list"], n) {
 					says["list"] = append(slices.Clone(says["list"]), n)
 				}
-				f.List(now, false, []Box{b})
+				f.UpdateList(now, false, []Backend{b})
 			default:
 				told(src, ns)
-				f.Names(now, src, named(ns...))
+				f.UpdateNames(now, src, named(ns...))
 			}
 			check()
 		}
@@ -328,8 +330,8 @@
 	f := fleet()
 	for i := range 2000 {
 		now := time.Duration(i+1) * sec
-		f.List(now, true, listed(i, i+1))
-		f.Names(now, "dns", named(i, i+1))
+		f.UpdateList(now, true, listed(i, i+1))
+		f.UpdateNames(now, "dns", named(i, i+1))
 	}
 	if n := len(f.members); n > 200 || len(f.byID) != 2 {
 		t.Errorf("%d boxes are kept and %d names, of 2 that are there", n, len(f.byID))
@@ -339,7 +341,7 @@
 // The work for a change grows with it, not with the fleet.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{500, 5000} {
-		var all []Box
+		var all []Backend
 		for i := range n {
 			all = append(all, box(i, Ready))
 		}
@@ -347,15 +349,15 @@
 			b.ReportAllocs()
 			f := fleet()
 			for b.Loop() {
-				f.List(sec, true, all)
+				f.UpdateList(sec, true, all)
 			}
 		})
 		b.Run(fmt.Sprintf("ten/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			f := fleet()
-			f.List(sec, true, all)
+			f.UpdateList(sec, true, all)
 			for b.Loop() {
-				f.List(sec, false, all[:10])
+				f.UpdateList(sec, false, all[:10])
 			}
 		})
 	}
@@ -365,20 +367,20 @@
 // list that names neither finds nothing to withdraw. (It was a nil pointer.)
 func TestAddressToldUnderAnotherNameThenForgotten(t *testing.T) {
 	f := fleet()
-	f.List(sec, true, listed(0))
+	f.UpdateList(sec, true, listed(0))
 	other := box(1, Draining)
 	other.Addr = box(0, Ready).Addr
-	f.List(2*sec, false, []Box{other})
+	f.UpdateList(2*sec, false, []Backend{other})
 	other.State = Gone
-	f.List(3*sec, false, []Box{other})
+	f.UpdateList(3*sec, false, []Backend{other})
 	for now := 4 * sec; now < 10*60*sec; now += sec {
-		f.Heard(now)
+		f.RefreshList(now)
 		f.Tick(now)
 	}
 	if len(f.members) != 0 {
 		t.Fatalf("%d members are kept, want none: the case that this test is for does not come up", len(f.members))
 	}
-	f.List(601*sec, true, nil)
+	f.UpdateList(601*sec, true, nil)
 	if len(f.byID) != 0 {
 		t.Errorf("names without a member are kept: %v", f.byID)
 	}
--- a/internal/membership/names.go
+++ b/internal/membership/names.go
@@ -27,10 +27,10 @@
 	return s
 }
 
-// Names takes in the whole answer of a source that names backends by address and nothing else, and returns the backends
+// UpdateNames takes in the whole answer of a source that names backends by address and nothing else, and returns the backends
 // whose standing changed. Where the source has withdrawn more than half of what it named, ask is set: it is doubted, and
 // to be asked again at once. Unless it takes that back, it stands from Config.Doubt on, counted as told now.
-func (f *Fleet) Names(now time.Duration, name string, backends []Box) (changed []Standing, ask bool) {
+func (f *Fleet) UpdateNames(now time.Duration, name string, backends []Backend) (changed []Status, ask bool) {
 	s := f.source(name)
 	s.heardAt = now
 	touched := map[string]bool{}
@@ -43,7 +43,7 @@
 	case s.doubtUntil != 0:
 		s.doubted = withdrawn // it has not taken all back yet
 	case len(s.named) >= minForDoubt && 2*len(withdrawn) > len(s.named):
-		s.doubted, s.doubtSince, s.doubtUntil = withdrawn, now, now+f.cfg.Doubt
+		s.doubted, s.doubtSince, s.doubtUntil = withdrawn, now, now+f.cfg.ConfirmDelay
 		ask = true
 	default:
 		for _, addr := range withdrawn {
@@ -55,7 +55,7 @@
 }
 
 // nameAll records that a source names backends, and returns their addresses.
-func (f *Fleet) nameAll(now time.Duration, name string, backends []Box, touched map[string]bool) map[string]bool {
+func (f *Fleet) nameAll(now time.Duration, name string, backends []Backend, touched map[string]bool) map[string]bool {
 	named := make(map[string]bool, len(backends))
 	for _, b := range backends {
 		if addr, ok := f.alias[b.Addr]; ok {
@@ -63,7 +63,7 @@
 		}
 		named[b.Addr] = true
 		m := f.member(b.Addr)
-		if m.list == Silent && m.backend.ID == "" {
+		if m.list == NoClaim && m.backend.ID == "" {
 			m.backend = b
 		}
 		if m.names[name].is != Named {
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -231,9 +231,9 @@
 func BenchmarkAtRest(b *testing.B) {
 	heap := func(backends, tenants int) float64 {
 		t := &testing.T{}
-		var known []engine.Listed
+		var known []engine.ListedBackend
 		for i := range backends {
-			known = append(known, engine.Listed{ID: fmt.Sprintf("backend-%06d", i), Addr: fmt.Sprintf("127.0.%d.%d:9", i>>8&255, i&255), Zone: "north", Kind: "k", State: "Ready"})
+			known = append(known, engine.ListedBackend{ID: fmt.Sprintf("backend-%06d", i), Addr: fmt.Sprintf("127.0.%d.%d:9", i>>8&255, i&255), Zone: "north", Kind: "k", State: "Ready"})
 		}
 		var projects strings.Builder
 		for i := range tenants {
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -202,8 +202,8 @@
 	})
 	other := newBox(t, echo)
 	r := tieredRig(t, d, b, patience)
-	both := &engine.List{Version: 2, Full: true, Servers: []engine.Listed{b.entry("s-1"), other.entry("s-2")}}
-	r.engine.News(r.list, both, policy.ListFull, func(int64) bool { return true })
+	both := &engine.List{Version: 2, Full: true, Servers: []engine.ListedBackend{b.entry("s-1"), other.entry("s-2")}}
+	r.engine.UpdateList(r.list, both, policy.ListFull, func(int64) bool { return true })
 	attempts := func() int { return len(b.requests()) + len(other.requests()) }
 	for _, x := range []struct {
 		name     string
@@ -428,7 +428,7 @@
 		c.send(view(fmt.Sprint("deaf", i)).text())
 	}
 	wait(t, "the end of its request", func() bool {
-		return r.engine.Open() == 0
+		return r.engine.OpenRequests() == 0
 	})
 }
 
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -34,7 +34,7 @@
 			wait(t, "the first at the backend", func() bool { return len(b.requests()) == 1 })
 			cl.send(c.more) // the node reads it all, or this would not return
 			cl.leave()
-			wait(t, "an empty table of requests", func() bool { return r.engine.Open() == 0 })
+			wait(t, "an empty table of requests", func() bool { return r.engine.OpenRequests() == 0 })
 			let()
 			if n := len(b.requests()); n != 1 {
 				t.Errorf("the backend got %d requests, want the first alone", n)
@@ -74,7 +74,7 @@
 			cl.Conn.(*net.TCPConn).CloseWrite()
 			let()
 			cl.leave()
-			wait(t, "an empty table of requests", func() bool { return r.engine.Open() == 0 })
+			wait(t, "an empty table of requests", func() bool { return r.engine.OpenRequests() == 0 })
 			if n := len(b.requests()); n != 0 || dials.Load() != 0 {
 				t.Errorf("%d connections to the backend, %d requests, want none", dials.Load(), n)
 			}
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -41,9 +41,9 @@
 		endpoints: newEndpoints(n.engine, own.Services[0], n.cfg.Known.Servers)}
 	s := subscriber.New(subscriber.Config{Name: n.cfg.Name, Zone: n.cfg.Settings.Policy.Zone, Regions: []string{own.Region},
 		Filter: changelog.Filter{Services: slices.Clone(own.Services)}, Candidates: controlnet.Candidates(own.Parents),
-		Seed: n.controlSeed(), Limits: controlnet.LimitsFor(own.Silence.D()), Leaf: true}, n.clock.Since())
+		Seed: n.controlSeed(), Limits: controlnet.LimitsFor(own.Silence.D()), Leaf: true}, n.clock.Elapsed())
 	c.process = controlnet.NewProcess(controlnet.Config{Name: n.cfg.Name, Keys: own.Keys, Cluster: own.Cluster, BytesPerSecond: int(own.Bytes), StaleAfter: own.Silence.D(),
-		Subscribers: []*subscriber.Subscriber{s}, Applied: c.apply, Clock: n.clock.Since, Log: n.log})
+		Subscribers: []*subscriber.Subscriber{s}, Applied: c.apply, Clock: n.clock.Elapsed, Log: n.log})
 	return c
 }
 
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -19,13 +19,13 @@
 type endpoints struct {
 	engine  *engine.Engine
 	service string
-	told    map[string]engine.Listed // what the engine has, by name
-	begun   bool                     // the control plane has told its first list
+	told    map[string]engine.ListedBackend // what the engine has, by name
+	begun   bool                            // the control plane has told its first list
 }
 
 // newEndpoints returns the source of a service's endpoints, for an engine that was told of known at its start.
-func newEndpoints(e *engine.Engine, service string, known []engine.Listed) *endpoints {
-	s := &endpoints{engine: e, service: service, told: make(map[string]engine.Listed, len(known))}
+func newEndpoints(e *engine.Engine, service string, known []engine.ListedBackend) *endpoints {
+	s := &endpoints{engine: e, service: service, told: make(map[string]engine.ListedBackend, len(known))}
 	for _, b := range known {
 		s.told[b.ID] = b
 	}
@@ -40,7 +40,7 @@
 
 // heard tells the engine that the control plane is there, also where nothing is new.
 func (s *endpoints) heard() {
-	s.engine.News(s, &engine.List{}, policy.ListDelta, func(int64) bool { return false })
+	s.engine.UpdateList(s, &engine.List{}, policy.ListDelta, func(int64) bool { return false })
 }
 
 // apply brings changes into force, in pieces. late says that they may have been told a while ago: a drain among them has no
@@ -53,7 +53,7 @@
 
 // pieces are the changes as the engine is told of them. The first ones that name an endpoint are all that there is: what was
 // known before and is not among them goes.
-func (s *endpoints) pieces(changes []resource.Change) (pieces [][]engine.Listed) {
+func (s *endpoints) pieces(changes []resource.Change) (pieces [][]engine.ListedBackend) {
 	ready, withdrawn := s.split(changes)
 	if !s.begun && len(ready)+len(withdrawn) > 0 {
 		withdrawn = append(withdrawn, s.unlisted(ready, withdrawn)...)
@@ -62,14 +62,14 @@
 	// A few successors go first, so that no moment has no endpoint; then what may not be used any more, which can't wait for
 	// all the others.
 	first := min(pieceSize, len(ready))
-	for _, list := range [][]engine.Listed{ready[:first], withdrawn, ready[first:]} {
+	for _, list := range [][]engine.ListedBackend{ready[:first], withdrawn, ready[first:]} {
 		pieces = slices.AppendSeq(pieces, slices.Chunk(list, pieceSize))
 	}
 	return pieces
 }
 
 // split sorts the changes of this service's endpoints into those that may be used, and those that may not.
-func (s *endpoints) split(changes []resource.Change) (ready, withdrawn []engine.Listed) {
+func (s *endpoints) split(changes []resource.Change) (ready, withdrawn []engine.ListedBackend) {
 	for i := range changes {
 		c := &changes[i]
 		key := c.Resource.Key
@@ -92,7 +92,7 @@
 }
 
 // unlisted are the endpoints that the engine has and the lists don't, as gone.
-func (s *endpoints) unlisted(lists ...[]engine.Listed) (gone []engine.Listed) {
+func (s *endpoints) unlisted(lists ...[]engine.ListedBackend) (gone []engine.ListedBackend) {
 	there := map[string]bool{}
 	for _, list := range lists {
 		for i := range list {
@@ -109,7 +109,7 @@
 }
 
 // tell hands one piece to the engine.
-func (s *endpoints) tell(piece []engine.Listed, late bool) {
+func (s *endpoints) tell(piece []engine.ListedBackend, late bool) {
 	for _, b := range piece {
 		if b.State == membership.Gone {
 			delete(s.told, b.ID)
@@ -117,16 +117,16 @@
 			s.told[b.ID] = b
 		}
 	}
-	list := &engine.List{Servers: piece, Late: late}
-	s.engine.News(s, list, policy.ListDelta, func(known int64) bool {
+	list := &engine.List{Servers: piece, AfterOutage: late}
+	s.engine.UpdateList(s, list, policy.ListDelta, func(known int64) bool {
 		list.Version = known + 1
 		return true
 	})
 }
 
 // listed is an endpoint as the engine's lists have it.
-func listed(name string, e *resource.Endpoint) engine.Listed {
-	b := engine.Listed{ID: name, Addr: e.Address, Zone: e.Zone, Kind: e.Class, Cell: int64(e.Cell), State: membership.Draining,
+func listed(name string, e *resource.Endpoint) engine.ListedBackend {
+	b := engine.ListedBackend{ID: name, Addr: e.Address, Zone: e.Zone, Kind: e.Class, Cell: int64(e.Cell), State: membership.Draining,
 		StartedMS: int64(e.StartedMS)}
 	if e.State == resource.EndpointReady {
 		b.State = membership.Ready
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -32,11 +32,11 @@
 }
 
 // controlled is a node whose endpoints are those that a test tells it.
-func controlled(t *testing.T, known ...engine.Listed) (*rig, *endpoints) {
+func controlled(t *testing.T, known ...engine.ListedBackend) (*rig, *endpoints) {
 	t.Helper()
 	r := newRig(t, newRegistry(t), settingsJSON, nil, known...)
 	s := newEndpoints(r.engine, serviceName, known)
-	r.engine.Replace(s)
+	r.engine.ReplaceSource(s)
 	return r, s
 }
 
@@ -159,7 +159,7 @@
 					b.Fatal(err)
 				}
 				s := newEndpoints(e, serviceName, nil)
-				e.Follow(s, &engine.List{})
+				e.SetSource(s, &engine.List{})
 				var all []resource.Change
 				for i := range size {
 					all = append(all, endpointChange(fmt.Sprint("be-", i), fmt.Sprintf("10.%d.%d.%d:80", i>>16, i>>8&255, i&255), resource.EndpointReady))
--- a/internal/node/lists_test.go
+++ b/internal/node/lists_test.go
@@ -14,12 +14,12 @@
 var longGrace = strings.Replace(settingsJSON, `"drain_grace_s":2`, `"drain_grace_s":3600`, 1)
 
 // listAnswer answers a discovery call with a list of backends.
-func listAnswer(version int64, full bool, backends ...engine.Listed) registryAnswer {
+func listAnswer(version int64, full bool, backends ...engine.ListedBackend) registryAnswer {
 	return registryAnswer{200, engine.List{Version: version, Full: full, Servers: backends}}
 }
 
 // in is a list's entry in another state.
-func in(state string, entry engine.Listed) engine.Listed {
+func in(state string, entry engine.ListedBackend) engine.ListedBackend {
 	entry.State = state
 	return entry
 }
@@ -90,7 +90,7 @@
 	}{
 		{"named as gone", func(b *box) registryAnswer { return listAnswer(2, false, in("Gone", b.entry("s-1"))) }},
 		{"left out of a whole list", func(b *box) registryAnswer {
-			return listAnswer(2, true, engine.Listed{ID: "s-2", Addr: "127.0.0.1:1", State: "Ready"})
+			return listAnswer(2, true, engine.ListedBackend{ID: "s-2", Addr: "127.0.0.1:1", State: "Ready"})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -164,7 +164,7 @@
 			if c.kept {
 				steps = append(steps, tells(engine.List{Version: 1}, nil))
 			}
-			d := newScripted(t, append(steps, c.end, tells(engine.List{Version: 2, Full: true, Servers: []engine.Listed{stays.entry("s-2")}}, nil))...)
+			d := newScripted(t, append(steps, c.end, tells(engine.List{Version: 2, Full: true, Servers: []engine.ListedBackend{stays.entry("s-2")}}, nil))...)
 			r := newRig(t, newRegistry(t), longGrace, func(cfg *Config) { cfg.Discovery = d.addr }, left.entry("s-1"))
 			wait(t, "the whole list", func() bool { return r.numbered("s-2") != 0 && r.numbered("s-1") == 0 })
 			before := len(left.requests())
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -145,9 +145,9 @@
 	now := n.clock.Now()
 	var out []Member
 	for _, s := range n.engine.Members() {
-		m := Member{ID: s.Box.ID, Addr: s.Box.Addr, Zone: s.Box.Zone, Used: s.Use, Why: s.Why, Source: s.Source,
-			ToldMS: (now - s.Told).Milliseconds()}
-		if i, ok := beliefs[s.Box.ID]; ok && s.Box.State != membership.Gone {
+		m := Member{ID: s.Backend.ID, Addr: s.Backend.Addr, Zone: s.Backend.Zone, Used: s.Use, Why: s.Reason, Source: s.Source,
+			ToldMS: (now - s.Since).Milliseconds()}
+		if i, ok := beliefs[s.Backend.ID]; ok && s.Backend.State != membership.Gone {
 			m.Mode, m.Ejected, m.InFlight = all[i].Mode, all[i].Ejected, int(all[i].Own)
 		}
 		out = append(out, m)
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -16,7 +16,7 @@
 		return nil
 	}
 	// What is doubted for a quarter of the grace can be served for the module's part of it, 0.6, and still end in time.
-	return membership.New(membership.Config{Hold: d.Hold.D(), Doubt: grace / 4, Calm: d.Calm.D()})
+	return membership.New(membership.Config{SourceTimeout: d.Hold.D(), ConfirmDelay: grace / 4, FlapPenalty: d.Calm.D()})
 }
 
 // names follows the sites that are set in DNS, until ctx ends.
@@ -25,7 +25,9 @@
 		return
 	}
 	s := &resolve.Source{Client: &resolve.Client{Servers: d.Servers, Timeout: d.Timeout.D()}, Log: n.log,
-		Tell: func(site resolve.Site, boxes []membership.Box) bool { return n.engine.Names("dns:"+site.Name, boxes) }}
+		Update: func(site resolve.Site, boxes []membership.Backend) bool {
+			return n.engine.UpdateNames("dns:"+site.Name, boxes)
+		}}
 	for _, site := range d.Sites {
 		s.Sites = append(s.Sites, resolve.Site{Name: site.Name, Zone: site.Zone})
 	}
--- a/internal/node/names_test.go
+++ b/internal/node/names_test.go
@@ -44,7 +44,7 @@
 	if err := dns.Set(records(ttl, boxes...)...); err != nil {
 		t.Fatal(err)
 	}
-	var list []engine.Listed
+	var list []engine.ListedBackend
 	for i, b := range boxes {
 		list = append(list, b.entry(fmt.Sprint("s-", i)))
 	}
@@ -62,8 +62,8 @@
 
 func (r *rig) standing(addr string) (used bool, told time.Duration, source string) {
 	for _, s := range r.engine.Members() {
-		if s.Box.Addr == addr {
-			return s.Use, s.Told, s.Source
+		if s.Backend.Addr == addr {
+			return s.Use, s.Since, s.Source
 		}
 	}
 	return false, 0, ""
@@ -101,7 +101,7 @@
 	if source != "dns:"+siteName {
 		t.Errorf("decided by %s", source)
 	}
-	g.next <- registryAnswer{200, engine.List{Version: 2, Servers: []engine.Listed{a.entry("s-0")}}}
+	g.next <- registryAnswer{200, engine.List{Version: 2, Servers: []engine.ListedBackend{a.entry("s-0")}}}
 	grace := told + r.cfg.Settings.Policy.DrainGrace
 	lastSend(t, r, a, func() bool { return r.clock.Now() >= grace })
 	before := len(a.requests())
@@ -204,7 +204,7 @@
 					late := time.AfterFunc(8*time.Second, func() {
 						drained := a.entry("s-0")
 						drained.State = "Terminating"
-						g.next <- registryAnswer{200, engine.List{Version: 2, Servers: []engine.Listed{drained}}}
+						g.next <- registryAnswer{200, engine.List{Version: 2, Servers: []engine.ListedBackend{drained}}}
 					})
 					defer late.Stop()
 					last := lastSend(t, r, a, func() bool { return time.Since(published) > 11*time.Second })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -173,12 +173,12 @@
 	n.names(ctx, &own.DNS)
 	if own.Fleet.Listen != "" {
 		n.peers, err = peers.Start(peers.Config{Fleet: &own.Fleet, Name: cfg.Name, Policy: &cfg.Settings.Policy, Sites: own.Sites.Names(), Clock: clock.Now,
-			Changed: n.engine.Shared, Log: log})
+			Changed: n.engine.FleetStateChanged, Log: log})
 		if err != nil {
 			n.end()
 			return nil, err
 		}
-		n.engine.Share(n.peers)
+		n.engine.SetFleetState(n.peers)
 	}
 	n.sites(ctx, &own.Sites)
 	if err := n.local(ctx, own.Fleet.Socket); err != nil {
@@ -196,11 +196,11 @@
 func (n *node) follow(ctx context.Context, own *settings.Control) {
 	if !own.On() {
 		n.list = n.source(discovery.Config{Addr: n.cfg.Discovery})
-		n.engine.Follow(n.list, &n.cfg.Known)
+		n.engine.SetSource(n.list, &n.cfg.Known)
 		return
 	}
 	n.control = n.newControl(own)
-	n.engine.Follow(n.control.endpoints, &n.cfg.Known)
+	n.engine.SetSource(n.control.endpoints, &n.cfg.Known)
 	n.wg.Go(func() { n.control.run(ctx) })
 }
 
@@ -313,7 +313,7 @@
 		return
 	}
 	n.log.Info("following another discovery", "from", old.Addr(), "to", cfg.Discovery)
-	n.list = n.source(discovery.Config{Addr: cfg.Discovery, Whole: true, Late: old.Late()})
-	n.engine.Replace(n.list)
+	n.list = n.source(discovery.Config{Addr: cfg.Discovery, NeedFull: true, AfterOutage: old.AfterOutage()})
+	n.engine.ReplaceSource(n.list)
 	old.Stop()
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -83,7 +83,7 @@
 		t.Errorf("the backend got %d requests, want 1", n)
 	}
 	wait(t, "an empty table", func() bool {
-		return r.engine.Open() == 0
+		return r.engine.OpenRequests() == 0
 	})
 	if resp, _ := r.dial(t).ask(save("twin")); resp.StatusCode != 200 {
 		t.Errorf("the id once more: %d", resp.StatusCode)
@@ -427,7 +427,7 @@
 	r := newRig(t, g, settingsJSON, nil, b.entry("s-1"))
 	c := r.dial(t)
 	c.ask(view("x"))
-	g.next <- registryAnswer{200, engine.List{Version: 2, Servers: []engine.Listed{b.entry("s-2")}}}
+	g.next <- registryAnswer{200, engine.List{Version: 2, Servers: []engine.ListedBackend{b.entry("s-2")}}}
 	wait(t, "the news", func() bool {
 		return r.engine.Version() == 2
 	})
@@ -447,7 +447,7 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	r := newRig(t, newRegistry(t), settingsJSON, nil, engine.Listed{ID: "s-1", Addr: ln.Addr().String(), State: "Ready"})
+	r := newRig(t, newRegistry(t), settingsJSON, nil, engine.ListedBackend{ID: "s-1", Addr: ln.Addr().String(), State: "Ready"})
 	if resp, _ := r.dial(t).ask(quote("q")); resp.StatusCode != 503 {
 		t.Errorf("answered %d, want a refusal", resp.StatusCode)
 	}
@@ -529,7 +529,7 @@
 		t.Fatal("the attempt goes on")
 	}
 	wait(t, "an empty table of requests", func() bool {
-		return r.engine.Open() == 0
+		return r.engine.OpenRequests() == 0
 	})
 }
 
@@ -540,11 +540,11 @@
 	r := newRig(t, newRegistry(t), settingsJSON, nil, b.entry("s-1"))
 	be := &engine.Backend{ID: "s-1", Addr: b.entry("s-1").Addr}
 	for _, q := range []call{view("v"), save("s")} {
-		be.ShutFrom(time.Now().Add(-time.Millisecond))
+		be.StopWritesAt(time.Now().Add(-time.Millisecond))
 		if o := r.attempt(context.Background(), be, q, patience); o != policy.Moot {
 			t.Errorf("%s: outcome %d, want it never sent", q.method, o)
 		}
-		be.Reopen()
+		be.ResumeWrites()
 		if o := r.attempt(context.Background(), be, q, patience); o != policy.OK {
 			t.Errorf("%s: outcome %d while no grace runs, want OK", q.method, o)
 		}
@@ -572,7 +572,7 @@
 	draining := old.entry("s-1")
 	draining.State = "Terminating"
 	told := time.Now()
-	g.next <- registryAnswer{200, engine.List{Version: 2, Servers: []engine.Listed{draining, fresh.entry("s-2")}}}
+	g.next <- registryAnswer{200, engine.List{Version: 2, Servers: []engine.ListedBackend{draining, fresh.entry("s-2")}}}
 	wait(t, "the new backend", at(fresh))
 	time.Sleep(time.Until(told.Add(2 * time.Second))) // the grace in the settings: what it is for is over
 	sent := len(old.requests())
@@ -584,18 +584,18 @@
 	if n := len(old.requests()); n != sent {
 		t.Errorf("a draining backend got %d new requests", n-sent)
 	}
-	g.next <- registryAnswer{200, engine.List{Version: 3, Full: true, Servers: []engine.Listed{fresh.entry("s-2")}}}
+	g.next <- registryAnswer{200, engine.List{Version: 3, Full: true, Servers: []engine.ListedBackend{fresh.entry("s-2")}}}
 	select {
 	case <-old.ended:
 	case <-time.After(patience):
 		t.Fatal("connections of a backend that a whole list leaves out stay open")
 	}
 	moved := old.entry("s-2") // the same id and start under another address is another process
-	g.next <- registryAnswer{200, engine.List{Version: 4, Servers: []engine.Listed{moved}}}
+	g.next <- registryAnswer{200, engine.List{Version: 4, Servers: []engine.ListedBackend{moved}}}
 	wait(t, "the new address", at(old))
 	gone := moved
 	gone.State = "Gone"
-	g.next <- registryAnswer{200, engine.List{Version: 5, Servers: []engine.Listed{gone}}}
+	g.next <- registryAnswer{200, engine.List{Version: 5, Servers: []engine.ListedBackend{gone}}}
 	wait(t, "a refusal with nothing left", func() bool {
 		resp, _ := c.ask(view("x"))
 		return resp.StatusCode == 503
@@ -620,7 +620,7 @@
 			t.Parallel()
 			before, after := newBox(t, served), newBox(t, served)
 			g, h := newRegistry(t), newRegistry(t)
-			g.next <- registryAnswer{200, engine.List{Version: 700, Full: true, Servers: []engine.Listed{before.entry("s-1")}}}
+			g.next <- registryAnswer{200, engine.List{Version: 700, Full: true, Servers: []engine.ListedBackend{before.entry("s-1")}}}
 			r := newRig(t, g, strings.Replace(settingsJSON, `"push"`, `"`+mode+`"`, 1), nil)
 			c := r.dial(t)
 			wait(t, "the old discovery's backend", func() bool {
@@ -631,7 +631,7 @@
 			cfg := r.cfg
 			cfg.Discovery = h.addr
 			h.next <- registryAnswer{status: 503} // the new one may fail at first
-			h.next <- registryAnswer{200, engine.List{Version: 3, Full: true, Servers: []engine.Listed{after.entry("s-2")}}}
+			h.next <- registryAnswer{200, engine.List{Version: 3, Full: true, Servers: []engine.ListedBackend{after.entry("s-2")}}}
 			r.reload(cfg)
 			select {
 			case <-g.left:
@@ -664,7 +664,7 @@
 	b := newBox(t, served)
 	g := newRegistry(t)
 	g.next <- registryAnswer{status: 503}
-	g.next <- registryAnswer{200, engine.List{Version: 2, Full: true, Servers: []engine.Listed{b.entry("s-1")}}}
+	g.next <- registryAnswer{200, engine.List{Version: 2, Full: true, Servers: []engine.ListedBackend{b.entry("s-1")}}}
 	r := newRig(t, g, strings.Replace(settingsJSON, `"push"`, `"ask"`, 1), nil)
 	c := r.dial(t)
 	wait(t, "the list after a loss", func() bool {
@@ -689,7 +689,7 @@
 	if s := ready(t, r); s != 503 {
 		t.Errorf("ready with no backend: %d", s)
 	}
-	g.next <- registryAnswer{200, engine.List{Version: 2, Full: true, Servers: []engine.Listed{b.entry("s-1")}}}
+	g.next <- registryAnswer{200, engine.List{Version: 2, Full: true, Servers: []engine.ListedBackend{b.entry("s-1")}}}
 	wait(t, "readiness", func() bool { return ready(t, r) == 200 })
 }
 
@@ -1068,8 +1068,8 @@
 	c := r.dial(t)
 	c.ask(view("x"))
 	g.next <- registryAnswer{200, engine.List{Version: 2, Full: true}}
-	g.next <- registryAnswer{200, engine.List{Version: 3, Full: true, Servers: []engine.Listed{b.entry("s-1")}}}
-	g.next <- registryAnswer{200, engine.List{Version: 3, Full: true, Servers: []engine.Listed{b.entry("s-1")}}}
+	g.next <- registryAnswer{200, engine.List{Version: 3, Full: true, Servers: []engine.ListedBackend{b.entry("s-1")}}}
+	g.next <- registryAnswer{200, engine.List{Version: 3, Full: true, Servers: []engine.ListedBackend{b.entry("s-1")}}}
 	wait(t, "both lists", func() bool {
 		return r.engine.Version() == 3
 	})
@@ -1106,7 +1106,7 @@
 		defer c.Close()
 	}
 	r := newRig(t, newRegistry(t), strings.Replace(settingsJSON, `"connect_timeout_s":5`, `"connect_timeout_s":0.2`, 1), nil,
-		engine.Listed{ID: "s-1", Addr: addr, State: "Ready"})
+		engine.ListedBackend{ID: "s-1", Addr: addr, State: "Ready"})
 	if resp, _ := r.dial(t).ask(quote("q")); resp.StatusCode != 503 {
 		t.Errorf("answered %d, want a refusal", resp.StatusCode)
 	}
--- a/internal/node/races_test.go
+++ b/internal/node/races_test.go
@@ -89,7 +89,7 @@
 			<-dialing
 			c.leave()
 			let()
-			wait(t, "the end of the attempt", func() bool { return r.engine.Open() == 0 })
+			wait(t, "the end of the attempt", func() bool { return r.engine.OpenRequests() == 0 })
 			if n := len(b.requests()); n != 0 {
 				t.Errorf("the backend got %d requests, want none", n)
 			}
@@ -308,7 +308,7 @@
 	})
 	lives := newBox(t, served)
 	r := newRig(t, newRegistry(t), settingsJSON, nil,
-		engine.Listed{ID: "s-1", Addr: killed.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}, lives.entry("s-2"))
+		engine.ListedBackend{ID: "s-1", Addr: killed.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}, lives.entry("s-2"))
 	served := map[string]bool{}
 	for i := range 40 {
 		id := fmt.Sprint("q", i)
--- a/internal/node/reach_test.go
+++ b/internal/node/reach_test.go
@@ -11,7 +11,7 @@
 )
 
 // several is a box in the list with more addresses than its first.
-func several(b *box, more ...string) engine.Listed {
+func several(b *box, more ...string) engine.ListedBackend {
 	e := b.entry("s-0")
 	e.Addrs = append(append([]string{}, more...), e.Addr)
 	return e
--- a/internal/node/rpc_test.go
+++ b/internal/node/rpc_test.go
@@ -83,7 +83,7 @@
 	return len(b.conns)
 }
 
-func (b *rpcBox) entry(id string) engine.Listed {
+func (b *rpcBox) entry(id string) engine.ListedBackend {
 	e := b.http.entry(id)
 	e.RPC = b.ln.Addr().String()
 	return e
@@ -138,12 +138,12 @@
 }
 
 // rpcRig is a node with both fronts.
-func rpcRig(t *testing.T, change func(*settings.JSONRPC), known ...engine.Listed) (*rig, string) {
+func rpcRig(t *testing.T, change func(*settings.JSONRPC), known ...engine.ListedBackend) (*rig, string) {
 	t.Helper()
 	return rpcRigWith(t, func(*Config) {}, change, known...)
 }
 
-func rpcRigWith(t *testing.T, more func(*Config), change func(*settings.JSONRPC), known ...engine.Listed) (*rig, string) {
+func rpcRigWith(t *testing.T, more func(*Config), change func(*settings.JSONRPC), known ...engine.ListedBackend) (*rig, string) {
 	t.Helper()
 	own := &settings.File{JSONRPC: settings.JSONRPC{Listen: "127.0.0.1:0", Inflight: 64, Batch: 100, Conns: 2, Beside: true}}
 	own.JSONRPC.Idle.UnmarshalText([]byte("1m"))
@@ -370,7 +370,7 @@
 	c.send(`[{"jsonrpc":"2.0","id":1,"method":"saveConfig","params":{"key":"k-1","dealer":"d"}},` +
 		`{"jsonrpc":"2.0","id":2,"method":"sendQuote","params":{"design":7}}]` + "\n")
 	wait(t, "both at the box", func() bool { return one.calls("saveConfig") == 1 && one.calls("sendQuote") == 1 })
-	r.engine.News(r.list, &engine.List{Version: 9, Full: true, Servers: []engine.Listed{one.entry("s-1"), two.entry("s-2")}},
+	r.engine.UpdateList(r.list, &engine.List{Version: 9, Full: true, Servers: []engine.ListedBackend{one.entry("s-1"), two.entry("s-2")}},
 		policy.ListFull, func(int64) bool { return true })
 	one.mu.Lock()
 	for _, c := range one.conns {
@@ -392,7 +392,7 @@
 			t.Errorf("%s went out beside %s", m.Method, m.Extra)
 		}
 	}
-	wait(t, "an empty table", func() bool { return r.engine.Open() == 0 })
+	wait(t, "an empty table", func() bool { return r.engine.OpenRequests() == 0 })
 }
 
 // A box answers twice, late, or with another's id: each call gets the one answer that was made for it.
@@ -524,7 +524,7 @@
 	before := 0
 	wait(t, "calls at the box that no longer come", func() bool {
 		n := held.calls("saveConfig")
-		open := r.engine.Open()
+		open := r.engine.OpenRequests()
 		still := n > 20 && n == before && open == n
 		before = n
 		return still
@@ -533,7 +533,7 @@
 	fresh := newRPCBox(t, works)
 	gone := held.entry("s-1")
 	gone.State = "Terminating"
-	r.engine.News(r.list, &engine.List{Version: 9, Full: true, Servers: []engine.Listed{gone, fresh.entry("s-2")}},
+	r.engine.UpdateList(r.list, &engine.List{Version: 9, Full: true, Servers: []engine.ListedBackend{gone, fresh.entry("s-2")}},
 		policy.ListFull, func(int64) bool { return true })
 	for i := range 20 {
 		d := dialRPC(t, addr)
@@ -570,14 +570,14 @@
 	c.send(`[{"jsonrpc":"2.0","id":1,"method":"sendQuote","params":{}},{"jsonrpc":"2.0","id":2,"method":"sum","params":[1]}]`)
 	wait(t, "the quote at the box", func() bool { return hold.calls("sendQuote") == 1 })
 	c.Close()
-	wait(t, "an empty table", func() bool { return r.engine.Open() == 0 })
+	wait(t, "an empty table", func() bool { return r.engine.OpenRequests() == 0 })
 	d := dialRPC(t, addr)
 	d.send(`{"jsonrpc":"2.0","method":"update","params":[1]}{"jsonrpc":"2.0","id":3,"method":"sum","params":[1]}`)
 	if got := d.line(); !same(got, `{"jsonrpc":"2.0","id":3,"result":1}`) {
 		t.Errorf("behind a notification: %s", got)
 	}
 	wait(t, "the notification at the box", func() bool { return hold.calls("update") == 1 })
-	wait(t, "an empty table", func() bool { return r.engine.Open() == 0 })
+	wait(t, "an empty table", func() bool { return r.engine.OpenRequests() == 0 })
 }
 
 // A box that speaks HTTP alone gets no call, and without another the client hears so at once, harmlessly.
--- a/internal/node/sites.go
+++ b/internal/node/sites.go
@@ -19,7 +19,7 @@
 	if !own.On() {
 		return
 	}
-	n.engine.Watch(siting.New(&n.cfg.Settings.Policy, own.Plan))
+	n.engine.WatchSites(siting.New(&n.cfg.Settings.Policy, own.Plan))
 	n.wg.Go(func() {
 		var probes sync.WaitGroup
 		defer probes.Wait()
--- a/internal/node/stub_test.go
+++ b/internal/node/stub_test.go
@@ -124,8 +124,8 @@
 	return len(b.conns)
 }
 
-func (b *box) entry(id string) engine.Listed {
-	return engine.Listed{ID: id, Addr: b.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
+func (b *box) entry(id string) engine.ListedBackend {
+	return engine.ListedBackend{ID: id, Addr: b.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
 }
 
 // reply writes an answer; headers are lines that end in \r\n.
@@ -208,7 +208,7 @@
 	in, _ := http.NewRequest(q.method, "http://x/api", nil)
 	m := &message.Request{In: in, Body: &message.Body{Memory: []byte(q.body)}}
 	m.Payload = m
-	return r.carrier.Carry(ctx, &engine.Attempt{Request: &m.Request, Backend: b, Wait: wait, Effect: policy.Unsafe}).Outcome
+	return r.carrier.Carry(ctx, &engine.Attempt{Request: &m.Request, Backend: b, Timeout: wait, Effect: policy.Unsafe}).Outcome
 }
 
 // numbered is the module's number of the box with an id; 0 where none is listed.
@@ -230,12 +230,12 @@
 	exited chan error
 }
 
-func newRig(t *testing.T, g *registry, settings string, change func(*Config), known ...engine.Listed) *rig {
+func newRig(t *testing.T, g *registry, settings string, change func(*Config), known ...engine.ListedBackend) *rig {
 	t.Helper()
 	return newRigLogging(t, g, slog.New(slog.DiscardHandler), settings, change, known...)
 }
 
-func newRigLogging(t *testing.T, g *registry, log *slog.Logger, settings string, change func(*Config), known ...engine.Listed) *rig {
+func newRigLogging(t *testing.T, g *registry, log *slog.Logger, settings string, change func(*Config), known ...engine.ListedBackend) *rig {
 	t.Helper()
 	set, err := wire.DecodeSettings([]byte(settings))
 	if err != nil {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -207,22 +207,22 @@
 	}
 }
 
-// Request counts a request of this node's clients.
-func (p *Peers) Request(tenant string) {
+// CountRequest counts a request of this node's clients.
+func (p *Peers) CountRequest(tenant string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replica.Request(p.now(), tenant)
 }
 
-// Crossed counts a request that goes to another site, as its client's own is lost.
-func (p *Peers) Crossed(site string) {
+// CountCrossSite counts a request that goes to another site, as its client's own is lost.
+func (p *Peers) CountCrossSite(site string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replica.Crossed(p.now(), site)
 }
 
-// Outcome notes how an attempt at a backend ended.
-func (p *Peers) Outcome(k judgement.Key, o policy.Outcome) {
+// RecordOutcome notes how an attempt at a backend ended.
+func (p *Peers) RecordOutcome(k judgement.Key, o policy.Outcome) {
 	if tells, failed := shared.Tells(o); tells {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -230,8 +230,8 @@
 	}
 }
 
-// Listed sets the backends that there are.
-func (p *Peers) Listed(list []judgement.Backend) {
+// SetBackends sets the backends that there are.
+func (p *Peers) SetBackends(list []judgement.Backend) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replica.Listed(list)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -84,7 +84,7 @@
 			f.Audit = audit
 		}
 		p, stop := begin(t, i, f)
-		p.Listed([]judgement.Backend{{Key: 1, Name: "s-1"}, {Key: 2, Name: "s-2"}, {Key: 3}, {Key: 4}})
+		p.SetBackends([]judgement.Backend{{Key: 1, Name: "s-1"}, {Key: 2, Name: "s-2"}, {Key: 3}, {Key: 4}})
 		all, stops = append(all, p), append(stops, stop)
 	}
 	for i, p := range all {
@@ -93,16 +93,16 @@
 	// All ask at one node; its part grows beyond what it owns. Two find a backend broken; the third hears of it.
 	wait(t, "a part that follows the demand", func() bool {
 		for range 3 {
-			all[1].Request("a")
+			all[1].CountRequest("a")
 		}
 		for _, p := range all[:2] {
-			p.Outcome(2, policy.ConnectFailed)
+			p.RecordOutcome(2, policy.ConnectFailed)
 		}
 		return part(all[1]) > 0.5
 	})
 	wait(t, "the backend out at the third", func() bool {
 		for _, p := range all[:2] {
-			p.Outcome(2, policy.ConnectFailed)
+			p.RecordOutcome(2, policy.ConnectFailed)
 		}
 		v := all[2].View()
 		return len(v.Out) == 1 && v.Out[0] == 2
--- a/internal/reach/dialer.go
+++ b/internal/reach/dialer.go
@@ -15,12 +15,12 @@
 type Dialer struct {
 	Base func(ctx context.Context, network, address string) (net.Conn, error)
 	Now  func() time.Duration // of any start
-	// Take takes a descriptor for a connection beside the first of a race, and Give gives it back; nil for no bound.
-	Take func() bool
-	Give func()
+	// AcquireDescriptor takes a descriptor for a connection beside the first of a race, and Give gives it back; nil for no bound.
+	AcquireDescriptor func() bool
+	ReleaseDescriptor func()
 
 	mu     sync.Mutex
-	memory Memory
+	memory History
 }
 
 // Dial connects to one of a box's addresses within ctx, which has a deadline, and returns which. Losers are closed before it returns.
@@ -43,7 +43,7 @@
 	if t, ok := ctx.Deadline(); ok {
 		end = now + time.Until(t)
 	}
-	race := NewRace(now, end, len(order))
+	race := NewDialSchedule(now, end, len(order))
 	ended := make(chan result, len(order)) // nobody who ends late waits
 	open := 0
 	begun := make([]bool, len(order)) // and not ended
@@ -55,7 +55,7 @@
 				r.conn.Close()
 			}
 			if r.extra {
-				d.Give()
+				d.ReleaseDescriptor()
 			}
 		}
 	}
@@ -67,14 +67,14 @@
 			finish()
 			return nil, "", ErrStopped
 		}
-		i, begin, wait, over := race.Begin(d.Now())
+		i, begin, wait, over := race.Next(d.Now())
 		if over {
 			return nil, "", failed
 		}
 		if begin {
-			extra := open > 0 && d.Take != nil
-			if extra && !d.Take() {
-				race.Failed(d.Now() + Stagger) // no room to try it beside the others
+			extra := open > 0 && d.AcquireDescriptor != nil
+			if extra && !d.AcquireDescriptor() {
+				race.AttemptFailed(d.Now() + AttemptDelay) // no room to try it beside the others
 				failed = errors.Join(failed, errors.New("no descriptor for a second address"))
 				continue
 			}
@@ -100,24 +100,24 @@
 			open--
 			begun[r.place] = false
 			if r.extra && r.err != nil {
-				d.Give()
+				d.ReleaseDescriptor()
 			}
 			if r.err != nil {
 				if ctx.Err() == nil {
-					d.note((*Memory).Failed, r.addr)
+					d.note((*History).RecordFailure, r.addr)
 				}
 				failed = errors.Join(failed, r.err)
-				race.Failed(d.Now())
+				race.AttemptFailed(d.Now())
 				break
 			}
 			for i, under := range begun[:r.place] {
 				if under { // it began earlier, and is not up yet
-					d.note((*Memory).Failed, order[i])
+					d.note((*History).RecordFailure, order[i])
 				}
 			}
 			finish()
 			if r.extra { // the race's first descriptor is the winner's now
-				d.Give()
+				d.ReleaseDescriptor()
 			}
 			if !allowed() {
 				r.conn.Close()
@@ -133,17 +133,17 @@
 }
 
 // note tells the memory of what became of an address.
-func (d *Dialer) note(of func(*Memory, time.Duration, string), addr string) {
+func (d *Dialer) note(of func(*History, time.Duration, string), addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	of(&d.memory, d.Now(), addr)
 }
 
-// Failed notes that a connection broke before a request was written to it whole.
-func (d *Dialer) Failed(addr string) { d.note((*Memory).Failed, addr) }
+// RecordFailure notes that a connection broke before a request was written to it whole.
+func (d *Dialer) RecordFailure(addr string) { d.note((*History).RecordFailure, addr) }
 
-// Silent notes that an attempt ended by its time with nothing from an address.
-func (d *Dialer) Silent(addr string) { d.note((*Memory).Silent, addr) }
+// RecordSilence notes that an attempt ended by its time with nothing from an address.
+func (d *Dialer) RecordSilence(addr string) { d.note((*History).RecordSilence, addr) }
 
-// Answered notes that something came back from an address.
-func (d *Dialer) Answered(addr string) { d.note((*Memory).Answered, addr) }
+// RecordAnswer notes that something came back from an address.
+func (d *Dialer) RecordAnswer(addr string) { d.note((*History).RecordAnswer, addr) }
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// Stagger is how long an address has before the next one is begun beside it (RFC 8305, section 5: 250 ms is recommended). A
+	// AttemptDelay is how long an address has before the next one is begun beside it (RFC 8305, section 5: 250 ms is recommended). A
 	// connection that loses has cost its box a handshake, a quarter of a request's work or more, so it is not less.
-	Stagger = 250 * time.Millisecond
+	AttemptDelay = 250 * time.Millisecond
 	// share of an attempt's time that all waits for addresses together may take: whichever works still has the rest.
 	share = 0.5
 
@@ -59,12 +59,12 @@
 	seen   time.Duration
 }
 
-// Memory is what is known of addresses. The zero value knows none.
-type Memory struct {
+// History is what is known of addresses. The zero value knows none.
+type History struct {
 	of map[string]*record
 }
 
-func (m *Memory) at(now time.Duration, addr string) *record {
+func (m *History) at(now time.Duration, addr string) *record {
 	r := m.of[addr]
 	if r == nil {
 		if m.of == nil {
@@ -81,7 +81,7 @@
 }
 
 // prune drops what is too old to count, or all where nothing is.
-func (m *Memory) prune(now time.Duration) {
+func (m *History) prune(now time.Duration) {
 	for addr, r := range m.of {
 		if now-r.seen > remember {
 			delete(m.of, addr)
@@ -92,30 +92,30 @@
 	}
 }
 
-// Failed notes that a connection to an address did not come up, or broke before a request was written to it whole.
-func (m *Memory) Failed(now time.Duration, addr string) {
+// RecordFailure notes that a connection to an address did not come up, or broke before a request was written to it whole.
+func (m *History) RecordFailure(now time.Duration, addr string) {
 	r := m.at(now, addr)
 	r.back = now + min(setMost, setBack<<min(r.fails, 10))
 	r.fails++
 	r.worked = 0
 }
 
-// Silent notes that an attempt ended by its time with nothing from an address.
-func (m *Memory) Silent(now time.Duration, addr string) {
+// RecordSilence notes that an attempt ended by its time with nothing from an address.
+func (m *History) RecordSilence(now time.Duration, addr string) {
 	r := m.at(now, addr)
 	if r.silent++; r.silent >= hangs {
-		m.Failed(now, addr) // it accepts, and then hangs; the box itself may be well
+		m.RecordFailure(now, addr) // it accepts, and then hangs; the box itself may be well
 	}
 }
 
-// Answered notes that something came back from an address.
-func (m *Memory) Answered(now time.Duration, addr string) {
+// RecordAnswer notes that something came back from an address.
+func (m *History) RecordAnswer(now time.Duration, addr string) {
 	*m.at(now, addr) = record{worked: max(now, 1), seen: now}
 }
 
 // Order is the order in which a box's addresses are tried: the one that worked last, then one of each family in turn, and those that
 // are set back at the end, the one whose time is up first in front. None is left out.
-func (m *Memory) Order(now time.Duration, addrs []string) []string {
+func (m *History) Order(now time.Duration, addrs []string) []string {
 	type place struct {
 		addr       string
 		back       time.Duration
@@ -148,25 +148,25 @@
 	return out
 }
 
-// Race is one connecting to a box: which address is begun when.
-type Race struct {
+// DialSchedule is one connecting to a box: which address is begun when.
+type DialSchedule struct {
 	n, next, open int
 	due           time.Duration // when the next one may begin
 	stagger       time.Duration
 }
 
-// NewRace is a race over n addresses, in their order, that must be over at a time.
-func NewRace(now, end time.Duration, n int) *Race {
-	stagger := Stagger
+// NewDialSchedule is a race over n addresses, in their order, that must be over at a time.
+func NewDialSchedule(now, end time.Duration, n int) *DialSchedule {
+	stagger := AttemptDelay
 	if n > 1 {
 		stagger = min(stagger, time.Duration(float64(end-now)*share)/time.Duration(n-1))
 	}
-	return &Race{n: n, due: now, stagger: max(stagger, time.Millisecond)}
+	return &DialSchedule{n: n, due: now, stagger: max(stagger, time.Millisecond)}
 }
 
-// Begin tells whether the next address is to begin now, and which. Where it is not, wait is when to ask again if nothing fails
+// Next tells whether the next address is to begin now, and which. Where it is not, wait is when to ask again if nothing fails
 // before; 0 where no address is left. over tells that all have failed.
-func (r *Race) Begin(now time.Duration) (i int, begin bool, wait time.Duration, over bool) {
+func (r *DialSchedule) Next(now time.Duration) (i int, begin bool, wait time.Duration, over bool) {
 	switch {
 	case r.next == r.n:
 		return 0, false, 0, r.open == 0
@@ -180,8 +180,8 @@
 	return i, true, 0, false
 }
 
-// Failed notes that an address that was begun has failed: the next one need not wait.
-func (r *Race) Failed(now time.Duration) {
+// AttemptFailed notes that an address that was begun has failed: the next one need not wait.
+func (r *DialSchedule) AttemptFailed(now time.Duration) {
 	r.open--
 	r.due = now
 }
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -28,7 +28,7 @@
 
 // The order after each thing that is learnt of addresses.
 func TestOrder(t *testing.T) {
-	var m Memory
+	var m History
 	now := time.Minute
 	all := []string{v4, "127.0.0.2:9000", v6, local}
 	for i, step := range []struct {
@@ -37,13 +37,13 @@
 		want  []string
 	}{
 		{func() {}, 0, []string{local, v6, v4, "127.0.0.2:9000"}},
-		{func() { m.Answered(now, v4) }, 0, []string{v4, local, v6, "127.0.0.2:9000"}},
-		{func() { m.Failed(now, v4) }, 500 * ms, []string{local, v6, "127.0.0.2:9000", v4}},
-		{func() { m.Failed(now, local) }, 0, []string{v6, "127.0.0.2:9000", v4, local}},
+		{func() { m.RecordAnswer(now, v4) }, 0, []string{v4, local, v6, "127.0.0.2:9000"}},
+		{func() { m.RecordFailure(now, v4) }, 500 * ms, []string{local, v6, "127.0.0.2:9000", v4}},
+		{func() { m.RecordFailure(now, local) }, 0, []string{v6, "127.0.0.2:9000", v4, local}},
 		{func() {}, 600 * ms, []string{v6, v4, "127.0.0.2:9000", local}}, // v4's time is up, local's is not
-		{func() { m.Silent(now, v6) }, 0, []string{v6, v4, "127.0.0.2:9000", local}},
-		{func() { m.Silent(now, v6) }, 0, []string{v4, "127.0.0.2:9000", local, v6}}, // twice in a row: it hangs
-		{func() { m.Answered(now, v6) }, 0, []string{v6, v4, "127.0.0.2:9000", local}},
+		{func() { m.RecordSilence(now, v6) }, 0, []string{v6, v4, "127.0.0.2:9000", local}},
+		{func() { m.RecordSilence(now, v6) }, 0, []string{v4, "127.0.0.2:9000", local, v6}}, // twice in a row: it hangs
+		{func() { m.RecordAnswer(now, v6) }, 0, []string{v6, v4, "127.0.0.2:9000", local}},
 		{func() {}, remember + time.Second, []string{local, v6, v4, "127.0.0.2:9000"}},
 	} {
 		step.learn()
@@ -53,7 +53,7 @@
 		}
 	}
 	for i := range 2 * most {
-		m.Failed(now, string(rune(i)))
+		m.RecordFailure(now, string(rune(i)))
 	}
 	if len(m.of) > most {
 		t.Errorf("%d addresses are remembered", len(m.of))
@@ -61,30 +61,30 @@
 }
 
 func TestRace(t *testing.T) {
-	r := NewRace(0, time.Minute, 3)
-	if i, begin, _, _ := r.Begin(0); i != 0 || !begin {
+	r := NewDialSchedule(0, time.Minute, 3)
+	if i, begin, _, _ := r.Next(0); i != 0 || !begin {
 		t.Error("the first does not begin at once")
 	}
-	if _, begin, wait, _ := r.Begin(100 * ms); begin || wait != 150*ms {
+	if _, begin, wait, _ := r.Next(100 * ms); begin || wait != 150*ms {
 		t.Errorf("the second at 100 ms: %v, wait %v", begin, wait)
 	}
-	if i, begin, _, _ := r.Begin(250 * ms); i != 1 || !begin {
+	if i, begin, _, _ := r.Next(250 * ms); i != 1 || !begin {
 		t.Error("the second does not begin after the stagger")
 	}
-	r.Failed(260 * ms)
-	if i, begin, _, _ := r.Begin(260 * ms); i != 2 || !begin {
+	r.AttemptFailed(260 * ms)
+	if i, begin, _, _ := r.Next(260 * ms); i != 2 || !begin {
 		t.Error("the third waits though one failed")
 	}
-	r.Failed(270 * ms)
-	if _, _, _, over := r.Begin(270 * ms); over {
+	r.AttemptFailed(270 * ms)
+	if _, _, _, over := r.Next(270 * ms); over {
 		t.Error("it is over with one under way")
 	}
-	r.Failed(280 * ms)
-	if _, _, _, over := r.Begin(280 * ms); !over {
+	r.AttemptFailed(280 * ms)
+	if _, _, _, over := r.Next(280 * ms); !over {
 		t.Error("it is not over with all failed")
 	}
 	// Waits for addresses take half of a short attempt's time at most.
-	if r = NewRace(0, 100*ms, 3); r.stagger != 25*ms {
+	if r = NewDialSchedule(0, 100*ms, 3); r.stagger != 25*ms {
 		t.Errorf("stagger of %v in 100 ms", r.stagger)
 	}
 }
@@ -122,7 +122,7 @@
 func (s *stub) dialer() *Dialer {
 	begun := time.Now()
 	return &Dialer{Base: s.dial, Now: func() time.Duration { return time.Since(begun) },
-		Take: func() bool { return s.room.Add(-1) >= 0 || s.room.Add(1) < 0 }, Give: func() { s.room.Add(1) }}
+		AcquireDescriptor: func() bool { return s.room.Add(-1) >= 0 || s.room.Add(1) < 0 }, ReleaseDescriptor: func() { s.room.Add(1) }}
 }
 
 func yes() bool { return true }
@@ -195,7 +195,7 @@
 			dial(d)
 			for b.Loop() {
 				dial(d)
-				d.Answered(v4)
+				d.RecordAnswer(v4)
 			}
 		})
 	}
--- a/internal/resolve/answer.go
+++ b/internal/resolve/answer.go
@@ -17,44 +17,44 @@
 
 // Bounds on what is believed.
 const (
-	MaxChain = 8                // CNAMEs from the name that was asked
-	MaxBoxes = 20000            // targets of one name
-	MinLife  = time.Second      // a record of 0 or less lives this long: so often is one name asked at most
-	MaxLife  = 5 * time.Minute  // and none lives longer, however long it says
-	emptyFor = 30 * time.Second // a negative answer without a SOA, RFC 2308
+	MaxCNAMEs  = 8                // CNAMEs from the name that was asked
+	MaxTargets = 20000            // targets of one name
+	MinTTL     = time.Second      // a record of 0 or less lives this long: so often is one name asked at most
+	MaxTTL     = 5 * time.Minute  // and none lives longer, however long it says
+	emptyFor   = 30 * time.Second // a negative answer without a SOA, RFC 2308
 )
 
-// Kinds of answers that name nothing. Each but ErrOther also wraps what the server said.
+// Kinds of answers that name nothing. Each but ErrInvalid also wraps what the server said.
 var (
-	ErrNoName  = errors.New("the name does not exist (NXDOMAIN)")
-	ErrNoData  = errors.New("the name has no such record")
-	ErrRefused = errors.New("the server refuses to answer (REFUSED)")
-	ErrServer  = errors.New("the server failed (SERVFAIL)")
-	ErrLame    = errors.New("the server does not know the zone (a referral, and no recursion)")
-	ErrCut     = errors.New("the answer is truncated")
-	ErrOther   = errors.New("not an answer to what was asked")
+	ErrNoName    = errors.New("the name does not exist (NXDOMAIN)")
+	ErrNoData    = errors.New("the name has no such record")
+	ErrRefused   = errors.New("the server refuses to answer (REFUSED)")
+	ErrServer    = errors.New("the server failed (SERVFAIL)")
+	ErrLame      = errors.New("the server does not know the zone (a referral, and no recursion)")
+	ErrTruncated = errors.New("the answer is truncated")
+	ErrInvalid   = errors.New("not an answer to what was asked")
 )
 
 // Negative is an answer that says that there is nothing, and for how long that may be kept.
 type Negative struct {
-	Err  error // ErrNoName or ErrNoData
-	Life time.Duration
+	Err error // ErrNoName or ErrNoData
+	TTL time.Duration
 }
 
 func (n *Negative) Error() string { return n.Err.Error() }
 func (n *Negative) Unwrap() error { return n.Err }
 
-// Clamp brings a lifetime in seconds within the bounds.
-func Clamp(ttl uint32) time.Duration {
+// ClampTTL brings a lifetime in seconds within the bounds.
+func ClampTTL(ttl uint32) time.Duration {
 	if ttl > 1<<31-1 { // RFC 2181, section 8: as if it were 0
 		ttl = 0
 	}
-	return min(MaxLife, max(MinLife, time.Duration(ttl)*time.Second))
+	return min(MaxTTL, max(MinTTL, time.Duration(ttl)*time.Second))
 }
 
-// Answers tells whether m answers q: its id, that it is an answer, and its question. One that does not is as good as none,
+// Matches tells whether m answers q: its id, that it is an answer, and its question. One that does not is as good as none,
 // and may be forged.
-func Answers(q, m *dns.Msg) bool {
+func Matches(q, m *dns.Msg) bool {
 	return m.Id == q.Id && m.Response && m.Opcode == dns.OpcodeQuery && len(m.Question) == 1 &&
 		m.Question[0].Qtype == q.Question[0].Qtype && m.Question[0].Qclass == q.Question[0].Qclass &&
 		strings.EqualFold(m.Question[0].Name, q.Question[0].Name)
@@ -65,16 +65,16 @@
 func Records(m *dns.Msg) ([]dns.RR, time.Duration, error) {
 	switch {
 	case m.Truncated:
-		return nil, 0, ErrCut
+		return nil, 0, ErrTruncated
 	case m.Rcode == dns.RcodeServerFailure:
 		return nil, 0, ErrServer
 	case m.Rcode == dns.RcodeRefused:
 		return nil, 0, ErrRefused
 	case m.Rcode != dns.RcodeSuccess && m.Rcode != dns.RcodeNameError:
-		return nil, 0, fmt.Errorf("%w: %s", ErrOther, dns.RcodeToString[m.Rcode])
+		return nil, 0, fmt.Errorf("%w: %s", ErrInvalid, dns.RcodeToString[m.Rcode])
 	}
-	name, life := m.Question[0].Name, MaxLife
-	for range MaxChain + 1 {
+	name, life := m.Question[0].Name, MaxTTL
+	for range MaxCNAMEs + 1 {
 		var found []dns.RR
 		next := ""
 		for _, rr := range m.Answer {
@@ -83,9 +83,9 @@
 				continue
 			}
 			if h.Rrtype == m.Question[0].Qtype {
-				found, life = append(found, rr), min(life, Clamp(h.Ttl))
+				found, life = append(found, rr), min(life, ClampTTL(h.Ttl))
 			} else if c, ok := rr.(*dns.CNAME); ok {
-				next, life = c.Target, min(life, Clamp(h.Ttl))
+				next, life = c.Target, min(life, ClampTTL(h.Ttl))
 			}
 		}
 		switch {
@@ -96,7 +96,7 @@
 		}
 		name = next
 	}
-	return nil, 0, fmt.Errorf("%w: more than %d CNAMEs", ErrOther, MaxChain)
+	return nil, 0, fmt.Errorf("%w: more than %d CNAMEs", ErrInvalid, MaxCNAMEs)
 }
 
 // nothing is what a message without a record says: that there is none, for as long as its SOA has it (RFC 2308, section 5),
@@ -105,7 +105,7 @@
 	life, soa := emptyFor, false
 	for _, rr := range m.Ns {
 		if s, ok := rr.(*dns.SOA); ok {
-			life, soa = Clamp(min(s.Hdr.Ttl, s.Minttl)), true
+			life, soa = ClampTTL(min(s.Hdr.Ttl, s.Minttl)), true
 		}
 	}
 	switch {
@@ -127,8 +127,8 @@
 // Targets are those of SRV records, by priority and name. A target of "." says that the service is not there at all: then
 // there is none, and no error.
 func Targets(rrs []dns.RR) ([]Target, error) {
-	if len(rrs) > MaxBoxes {
-		return nil, fmt.Errorf("%w: %d targets, %d at most", ErrOther, len(rrs), MaxBoxes)
+	if len(rrs) > MaxTargets {
+		return nil, fmt.Errorf("%w: %d targets, %d at most", ErrInvalid, len(rrs), MaxTargets)
 	}
 	var out []Target
 	for _, rr := range rrs {
@@ -169,14 +169,14 @@
 	return slices.Compact(out)
 }
 
-// Beside are the addresses that a message's additional records have for a target, and how long they live. They come from the
+// AdditionalAddresses are the addresses that a message's additional records have for a target, and how long they live. They come from the
 // server that is trusted with the targets themselves.
-func Beside(extra []dns.RR, target string) ([]netip.Addr, time.Duration) {
+func AdditionalAddresses(extra []dns.RR, target string) ([]netip.Addr, time.Duration) {
 	var rrs []dns.RR
-	life := MaxLife
+	life := MaxTTL
 	for _, rr := range extra {
 		if t := rr.Header().Rrtype; (t == dns.TypeA || t == dns.TypeAAAA) && strings.EqualFold(rr.Header().Name, target) {
-			rrs, life = append(rrs, rr), min(life, Clamp(rr.Header().Ttl))
+			rrs, life = append(rrs, rr), min(life, ClampTTL(rr.Header().Ttl))
 		}
 	}
 	return Addresses(rrs), life
--- a/internal/resolve/client.go
+++ b/internal/resolve/client.go
@@ -27,13 +27,13 @@
 // Answer is the records that were asked for, for how long they live, and the message that had them.
 type Answer struct {
 	Records []dns.RR
-	Life    time.Duration
+	TTL     time.Duration
 	Message *dns.Msg
 }
 
-// Ask returns the records of a name, or a Negative where there are none. Each try has an id and a port of its own. Another error
+// Query returns the records of a name, or a Negative where there are none. Each try has an id and a port of its own. Another error
 // wraps what the last server said.
-func (c *Client) Ask(ctx context.Context, name string, kind uint16) (Answer, error) {
+func (c *Client) Query(ctx context.Context, name string, kind uint16) (Answer, error) {
 	if len(c.Servers) == 0 {
 		return Answer{}, errors.New("no DNS server is set")
 	}
@@ -60,7 +60,7 @@
 	q.SetQuestion(dns.Fqdn(name), kind) // with a random id
 	q.SetEdns0(udpSize, false)
 	a, err := c.records(ctx, "udp", server, q)
-	if errors.Is(err, ErrCut) {
+	if errors.Is(err, ErrTruncated) {
 		q.Id = dns.Id()
 		return c.records(ctx, "tcp", server, q)
 	}
@@ -97,10 +97,10 @@
 		switch {
 		case ctx.Err() != nil:
 			return nil, ctx.Err()
-		case err == nil && Answers(q, m):
+		case err == nil && Matches(q, m):
 			return m, nil
 		case network == "tcp" && err == nil:
-			return nil, ErrOther
+			return nil, ErrInvalid
 		case network == "tcp" || isNet(err):
 			return nil, err
 		}
@@ -116,18 +116,18 @@
 // addresses looks a target up.
 func (c *Client) addresses(ctx context.Context, target string) ([]netip.Addr, time.Duration, error) {
 	var out []netip.Addr
-	life := MaxLife
+	life := MaxTTL
 	var failed error
 	for _, kind := range []uint16{dns.TypeA, dns.TypeAAAA} {
-		a, err := c.Ask(ctx, target, kind)
+		a, err := c.Query(ctx, target, kind)
 		var no *Negative
 		switch {
 		case errors.As(err, &no):
-			life = min(life, no.Life)
+			life = min(life, no.TTL)
 		case err != nil:
 			failed = err
 		default:
-			out, life = append(out, Addresses(a.Records)...), min(life, a.Life)
+			out, life = append(out, Addresses(a.Records)...), min(life, a.TTL)
 		}
 	}
 	if failed != nil {
--- a/internal/resolve/resolve_test.go
+++ b/internal/resolve/resolve_test.go
@@ -60,12 +60,12 @@
 	} {
 		bad, good := server(t, boxes(3, 7)...), server(t, boxes(3, 7)...)
 		bad.Script(func(dns.Question, bool) nameserver.Fault { return c.fault }, 0)
-		got, life, err := client(bad).Boxes(t.Context(), site)
+		got, life, err := client(bad).Backends(t.Context(), site)
 		if c.want != nil {
 			if !errors.Is(err, c.want) {
 				t.Errorf("fault %d: %v, %v; want %v", c.fault, got, err, c.want)
 			}
-			got, life, err = client(bad, good).Boxes(t.Context(), site) // another server answers
+			got, life, err = client(bad, good).Backends(t.Context(), site) // another server answers
 		}
 		if err != nil || len(got) != 3 || life != 7*time.Second || got[0].Addr != "127.0.0.1:9000" || got[0].Zone != "tacoma" {
 			t.Errorf("fault %d: %v, %v, %v", c.fault, got, life, err)
@@ -78,20 +78,20 @@
 		"loop.example.org. 5 IN CNAME loop2.example.org.", "loop2.example.org. 5 IN CNAME loop.example.org.",
 		"alias.example.org. 3 IN CNAME real.example.org.", "real.example.org. 9 IN SRV 0 0 9000 there.example.org.")
 	c := client(s)
-	for q, want := range map[string]error{"nowhere.example.org.": ErrNoName, "there.example.org.": ErrNoData, "loop.example.org.": ErrOther} {
-		_, _, err := c.Boxes(t.Context(), Site{Name: q})
+	for q, want := range map[string]error{"nowhere.example.org.": ErrNoName, "there.example.org.": ErrNoData, "loop.example.org.": ErrInvalid} {
+		_, _, err := c.Backends(t.Context(), Site{Name: q})
 		if !errors.Is(err, want) {
 			t.Errorf("%s: %v, want %v", q, err, want)
 		}
 		var no *Negative
-		if errors.As(err, &no) && no.Life != 2*time.Second {
-			t.Errorf("%s: kept for %v, want the SOA's least, 2 s", q, no.Life)
+		if errors.As(err, &no) && no.TTL != 2*time.Second {
+			t.Errorf("%s: kept for %v, want the SOA's least, 2 s", q, no.TTL)
 		}
 	}
-	if got, life, err := c.Boxes(t.Context(), Site{Name: "alias.example.org"}); err != nil || len(got) != 1 || life != 3*time.Second {
+	if got, life, err := c.Backends(t.Context(), Site{Name: "alias.example.org"}); err != nil || len(got) != 1 || life != 3*time.Second {
 		t.Errorf("behind an alias: %v, %v, %v", got, life, err)
 	}
-	if got, _, err := c.Boxes(t.Context(), site); err != nil || len(got) != 0 {
+	if got, _, err := c.Backends(t.Context(), site); err != nil || len(got) != 0 {
 		t.Errorf(`a service that is said not to be there ("."): %v, %v; want none and no error`, got, err)
 	}
 }
@@ -102,14 +102,14 @@
 	s := server(t, boxes(1200, 60)...)
 	c := client(s)
 	c.Timeout = 10 * time.Second
-	got, _, err := c.Boxes(t.Context(), site)
+	got, _, err := c.Backends(t.Context(), site)
 	if err != nil || len(got) != 1200 || s.Asked(dns.TypeA) < 500 {
 		t.Errorf("%d boxes, %v; %d addresses were asked for", len(got), err, s.Asked(dns.TypeA))
 	}
 	if err := s.Set(boxes(5000, 60)...); err != nil {
 		t.Fatal(err)
 	}
-	if got, _, err := c.Boxes(t.Context(), site); !errors.Is(err, ErrCut) {
+	if got, _, err := c.Backends(t.Context(), site); !errors.Is(err, ErrTruncated) {
 		t.Errorf("5,000 boxes under one name: %d, %v; want that it is cut over TCP too", len(got), err)
 	}
 }
@@ -117,7 +117,7 @@
 // A target that can't be looked up must not look like one that was withdrawn.
 func TestHalfAnAnswerIsNone(t *testing.T) {
 	s := server(t, name+" 5 IN SRV 0 0 9000 one.example.org.", "one.example.org. 5 IN A 127.0.0.1", "one.example.org. 5 IN AAAA ::1")
-	if got, _, err := client(s).Boxes(t.Context(), site); err != nil || len(got) != 2 {
+	if got, _, err := client(s).Backends(t.Context(), site); err != nil || len(got) != 2 {
 		t.Fatalf("%v, %v", got, err)
 	}
 	far := server(t, name+" 5 IN SRV 0 0 9000 one.elsewhere.org.")
@@ -127,26 +127,26 @@
 		}
 		return nameserver.Sound
 	}, 0)
-	if got, _, err := client(far).Boxes(t.Context(), site); !errors.Is(err, ErrServer) {
+	if got, _, err := client(far).Backends(t.Context(), site); !errors.Is(err, ErrServer) {
 		t.Errorf("%v, %v", got, err)
 	}
 }
 
 func TestLifetimesAreClamped(t *testing.T) {
-	for ttl, want := range map[uint32]time.Duration{0: MinLife, 1: time.Second, 30: 30 * time.Second, 1 << 30: MaxLife, 1<<32 - 1: MinLife} {
-		if got := Clamp(ttl); got != want {
+	for ttl, want := range map[uint32]time.Duration{0: MinTTL, 1: time.Second, 30: 30 * time.Second, 1 << 30: MaxTTL, 1<<32 - 1: MinTTL} {
+		if got := ClampTTL(ttl); got != want {
 			t.Errorf("%d: %v, want %v", ttl, got, want)
 		}
 	}
 	var s Schedule
 	for _, chance := range []float64{0, 0.5, 0.999} {
-		if got := s.Good(MinLife, chance); got < 500*time.Millisecond || got > 800*time.Millisecond {
+		if got := s.Succeeded(MinTTL, chance); got < 500*time.Millisecond || got > 800*time.Millisecond {
 			t.Errorf("a record of no life is asked again after %v", got)
 		}
 	}
 	last := time.Duration(0)
 	for range 40 {
-		wait := s.Bad(0.999)
+		wait := s.Failed(0.999)
 		if wait < last || wait > retryMost {
 			t.Errorf("again after %v, before %v", wait, last)
 		}
@@ -167,7 +167,7 @@
 	if want := []Target{{"a.", 1, 1, 5}, {"a.", 2, 1, 0}, {"b.", 1, 2, 0}}; err != nil || !slices.Equal(got, want) {
 		t.Errorf("%v, %v; want %v", got, err, want)
 	}
-	if _, err := Targets(make([]dns.RR, MaxBoxes+1)); err == nil || !strings.Contains(err.Error(), "20000 at most") {
+	if _, err := Targets(make([]dns.RR, MaxTargets+1)); err == nil || !strings.Contains(err.Error(), "20000 at most") {
 		t.Errorf("too many: %v", err)
 	}
 }
@@ -193,12 +193,12 @@
 			return
 		}
 		rrs, life, err := Records(m)
-		if err == nil && (len(rrs) == 0 || life < MinLife || life > MaxLife) {
+		if err == nil && (len(rrs) == 0 || life < MinTTL || life > MaxTTL) {
 			t.Errorf("%d records for %v", len(rrs), life)
 		}
 		targets, _ := Targets(rrs)
 		for _, x := range targets {
-			addrs, _ := Beside(m.Extra, x.Name)
+			addrs, _ := AdditionalAddresses(m.Extra, x.Name)
 			for _, a := range addrs {
 				if _, err := netip.ParseAddrPort(HostPort(a, x.Port)); err != nil {
 					t.Error(err)
--- a/internal/resolve/schedule.go
+++ b/internal/resolve/schedule.go
@@ -14,14 +14,14 @@
 	retryMost = 30 * time.Second
 )
 
-// Good notes an answer that lives for a time, and returns when to ask again; chance is within [0, 1).
-func (s *Schedule) Good(life time.Duration, chance float64) time.Duration {
+// Succeeded notes an answer that lives for a time, and returns when to ask again; chance is within [0, 1).
+func (s *Schedule) Succeeded(life time.Duration, chance float64) time.Duration {
 	s.fails = 0
-	return max(MinLife/2, time.Duration(float64(life)*(aheadOf-spread*chance)))
+	return max(MinTTL/2, time.Duration(float64(life)*(aheadOf-spread*chance)))
 }
 
-// Bad notes that no server gave an answer, and returns when to ask again: after twice as long each time, with jitter.
-func (s *Schedule) Bad(chance float64) time.Duration {
+// Failed notes that no server gave an answer, and returns when to ask again: after twice as long each time, with jitter.
+func (s *Schedule) Failed(chance float64) time.Duration {
 	wait := min(retryMost, retryAt<<min(s.fails, 10))
 	s.fails++
 	return time.Duration(float64(wait) * (0.5 + chance/2))
--- a/internal/resolve/source.go
+++ b/internal/resolve/source.go
@@ -25,7 +25,7 @@
 type Source struct {
 	Client *Client
 	Sites  []Site
-	Tell   func(site Site, boxes []membership.Box) (again bool)
+	Update func(site Site, boxes []membership.Backend) (again bool)
 	Log    *slog.Logger
 }
 
@@ -47,7 +47,7 @@
 func (s *Source) follow(ctx context.Context, site Site) {
 	var plan Schedule
 	for ctx.Err() == nil {
-		boxes, life, err := s.Client.Boxes(ctx, site)
+		boxes, life, err := s.Client.Backends(ctx, site)
 		var wait time.Duration
 		switch {
 		case ctx.Err() != nil:
@@ -55,29 +55,29 @@
 		case err != nil:
 			// Also where the name has no record: a service that is gone says so by the target "." (RFC 2782), an empty
 			// answer is more likely a broken zone.
-			wait = plan.Bad(rand.Float64())
+			wait = plan.Failed(rand.Float64())
 			var no *Negative
 			if errors.As(err, &no) {
-				wait = max(wait, min(no.Life, retryMost))
+				wait = max(wait, min(no.TTL, retryMost))
 			}
 			s.Log.Warn("asking DNS for a site failed; its last answer stands", "site", site.Name, "err", err, "again_in", wait)
-		case s.Tell(site, boxes):
+		case s.Update(site, boxes):
 			wait = again
 		default:
-			wait = plan.Good(life, rand.Float64())
+			wait = plan.Succeeded(life, rand.Float64())
 		}
 		timing.Sleep(ctx, wait)
 	}
 }
 
-// Boxes asks for the boxes of a site, and for how long the answer lives. Each address of a target is a box. A target that
+// Backends asks for the boxes of a site, and for how long the answer lives. Each address of a target is a box. A target that
 // can't be looked up fails the whole: a part of an answer would withdraw boxes that nobody withdrew.
-func (c *Client) Boxes(ctx context.Context, site Site) ([]membership.Box, time.Duration, error) {
-	a, err := c.Ask(ctx, site.Name, dns.TypeSRV)
+func (c *Client) Backends(ctx context.Context, site Site) ([]membership.Backend, time.Duration, error) {
+	a, err := c.Query(ctx, site.Name, dns.TypeSRV)
 	if err != nil {
 		return nil, 0, err
 	}
-	life := a.Life
+	life := a.TTL
 	targets, err := Targets(a.Records)
 	if err != nil {
 		return nil, 0, err
@@ -87,7 +87,7 @@
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var failed error
-	out := make([][]membership.Box, len(targets))
+	out := make([][]membership.Backend, len(targets))
 	room := make(chan struct{}, lookups)
 	beside := map[string][]dns.RR{}
 	for _, rr := range a.Message.Extra {
@@ -95,12 +95,12 @@
 		beside[name] = append(beside[name], rr)
 	}
 	for i, t := range targets {
-		addrs, l := Beside(beside[t.Name], t.Name)
+		addrs, l := AdditionalAddresses(beside[t.Name], t.Name)
 		put := func() { // mu is held
 			life = min(life, l)
 			for _, a := range addrs {
 				addr := HostPort(a, t.Port)
-				out[i] = append(out[i], membership.Box{ID: "dns:" + addr, Addr: addr, Zone: site.Zone, State: membership.Ready})
+				out[i] = append(out[i], membership.Backend{ID: "dns:" + addr, Addr: addr, Zone: site.Zone, State: membership.Ready})
 			}
 		}
 		if len(addrs) > 0 {
@@ -128,7 +128,7 @@
 	if failed != nil {
 		return nil, 0, failed
 	}
-	var boxes []membership.Box
+	var boxes []membership.Backend
 	for _, o := range out {
 		boxes = append(boxes, o...)
 	}
--- a/internal/rpccarrier/carrier.go
+++ b/internal/rpccarrier/carrier.go
@@ -111,7 +111,7 @@
 // ends before, the answer that may still come is dropped. One that was not written whole never ran, and none of it is
 // written after Carry has returned.
 func (n *Carrier) Carry(ctx context.Context, a *engine.Attempt) engine.Result {
-	ctx, cancel := context.WithTimeoutCause(ctx, a.Wait, errTimeout)
+	ctx, cancel := context.WithTimeoutCause(ctx, a.Timeout, errTimeout)
 	defer cancel()
 	c, ok := a.Request.Payload.(*Call)
 	if !ok || a.Backend.RPC == "" {
@@ -124,7 +124,7 @@
 		return engine.Result{Outcome: policy.ConnectFailed}
 	}
 	l, err := n.link(ctx, a.Backend)
-	if errors.Is(err, errNoRoom) || err != nil && !a.MayBegin() {
+	if errors.Is(err, errNoRoom) || err != nil && !a.MayStart() {
 		return engine.Result{Outcome: policy.Moot}
 	} else if err != nil {
 		return early()
@@ -135,7 +135,7 @@
 		return early()
 	}
 	// The moment before its first byte goes out: a drain whose grace ended meanwhile, a client that left or a repeat that comes too late stops it.
-	if !a.MayBegin() {
+	if !a.MayStart() {
 		<-l.writing
 		return engine.Result{Outcome: policy.Moot}
 	}
@@ -162,8 +162,8 @@
 	}
 	text := jsonrpc.Append(nil, jsonrpc.Lines, jsonrpc.AppendCall(nil, id, c.Method, c.Params, member, beside))
 	last := time.Now().Add(min(writeTime, time.Until(until)))
-	if !a.By.IsZero() && a.By.Before(last) {
-		last = a.By
+	if !a.WriteDeadline.IsZero() && a.WriteDeadline.Before(last) {
+		last = a.WriteDeadline
 	}
 	l.SetWriteDeadline(last) // an error shows in Write
 	sent, err := l.Write(text)
--- a/internal/rpcfront/front.go
+++ b/internal/rpcfront/front.go
@@ -113,7 +113,7 @@
 	}
 	shutdown := f.cfg.Engine.Shutdown(time.Now())
 	f.leaving.Store(true)
-	time.Sleep(time.Until(shutdown.Begun.Add(acceptFor)))
+	time.Sleep(time.Until(shutdown.StartedAt.Add(acceptFor)))
 	err := sock.CloseListener(ln, backlogTime)
 	if e := <-failed; !errors.Is(e, net.ErrClosed) {
 		err = errors.Join(err, e)
@@ -127,7 +127,7 @@
 	select {
 	case <-done:
 		return err
-	case <-time.After(time.Until(shutdown.Begun.Add(shutdown.Last))):
+	case <-time.After(time.Until(shutdown.StartedAt.Add(shutdown.CloseAfter))):
 	}
 	f.each(func(c *conn) { c.Close() })
 	<-done
@@ -358,13 +358,13 @@
 			b.parts[i] = no
 			continue
 		}
-		if shortest == 0 || call.Patience < shortest {
-			shortest = call.Patience
+		if shortest == 0 || call.ClientTimeout < shortest {
+			shortest = call.ClientTimeout
 		}
 		calls = append(calls, begun{call, id, i})
 	}
 	for _, x := range calls {
-		x.call.Patience = shortest
+		x.call.ClientTimeout = shortest
 		b.more()
 		c.start(x.call, x.id, func(answer []byte) { b.set(x.at, answer) })
 	}
@@ -435,7 +435,7 @@
 		return nil, nil, refuse(jsonrpc.MethodNotFound, "Method not found", m.Method)
 	}
 	call = &rpccarrier.Call{Method: m.Method, Params: m.Params, Request: engine.Request{Class: how.Class,
-		Arrived: arrived, Patience: how.Patience, Needs: engine.SpeaksRPC}}
+		Arrived: arrived, ClientTimeout: how.Patience, Needs: engine.SpeaksRPC}}
 	call.Payload = call
 	// The engine's ids are those of HTTP clients too: a byte that no header can hold keeps the two apart.
 	call.ID = "\x00" + strconv.FormatUint(c.front.serial.Add(1), 36)
@@ -459,7 +459,7 @@
 			if err != nil || !(ms > 0 && ms <= 1e9) {
 				return nil, nil, refuse(jsonrpc.InvalidParams, "Invalid params", "the deadline is milliseconds above 0")
 			}
-			call.Patience = min(call.Patience, time.Duration(ms*float64(time.Millisecond)))
+			call.ClientTimeout = min(call.ClientTimeout, time.Duration(ms*float64(time.Millisecond)))
 		}
 	}
 	if m.Notification() {
@@ -482,7 +482,7 @@
 // slowed at its socket. answer is called once, with nil for a notification or a client that has left.
 func (c *conn) start(call *rpccarrier.Call, id jsontext.Value, answer func([]byte)) {
 	f := c.front
-	if !c.slot(call.Arrived.Add(call.Patience)) {
+	if !c.slot(call.Arrived.Add(call.ClientTimeout)) {
 		c.finish(id, answer, jsonrpc.AppendError(nil, idOf(id), Refused, "too many calls are open", refusal(refuseWait)))
 		return
 	}
@@ -493,7 +493,7 @@
 	}
 	c.begin()
 	c.calls.Add(1)
-	f.cfg.Engine.Begin(&call.Request) // its id is new
+	f.cfg.Engine.Submit(&call.Request) // its id is new
 	go func() {
 		defer c.calls.Done()
 		defer c.done()
