--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,6 +1,5 @@
-// Package discovery follows the backend list that PROTOCOL describes, from one address, over HTTP/1.1, by calls
-// that wait for a change. After a failure an agent of this machine, which pushes the list, is asked again at once; another
-// discovery when the decision module says so.
+// Package discovery follows the backend list of PROTOCOL from one address over HTTP/1.1, by long polling. After a failure it
+// retries at once if the address is an agent on this machine, which pushes the list; otherwise the policy decides when.
 package discovery
 
 import (
@@ -22,63 +21,63 @@
 )
 
 const (
-	minWatchInterval = 50 * time.Millisecond // between watches that are answered at once; within 200 ms a watch goes on
-	maxListBytes     = 16 << 20              // of an answer
+	minWatchInterval = 50 * time.Millisecond // limits the rate of watches that are answered at once; below the 200 ms within which a watch has to be renewed
+	maxListBytes     = 16 << 20              // of a response
 )
 
-// Config is what a source is made from.
+// Config configures a Source.
 type Config struct {
 	Engine      *engine.Engine
 	Addr        string // host:port
-	Push        bool   // the address is an agent of this machine, at which asking costs nothing; else every call is work
-	NeedFull    bool   // the list that is known is another discovery's: its versions tell nothing here
-	AfterOutage bool   // calls for the list that is known have failed, and none was answered since: see engine.List
+	Push        bool   // the address is an agent on this machine, where calls are cheap; otherwise each call is a load on discovery
+	NeedFull    bool   // the current list is from another discovery, whose versions mean nothing here
+	AfterOutage bool   // the last call for the current list has failed, see engine.List
 	Log         *slog.Logger
 }
 
-// Source is an engine.Source. Another address means another Source.
+// Source is an engine.Source that follows the list of one address.
 type Source struct {
 	engine *engine.Engine
 	http   *http.Client
 	addr   string
 	push   bool
 	log    *slog.Logger
-	ctx    context.Context // ends when this source is left
-	leave  context.CancelFunc
-	wg     sync.WaitGroup // calls
-
-	mu       sync.Mutex
-	watching bool
-	plan     schedule
-	failing  bool // the log has that no list comes
+	ctx    context.Context // canceled by Stop
+	cancel context.CancelFunc
+	wg     sync.WaitGroup // running calls
+
+	mu            sync.Mutex
+	watching      bool
+	schedule      schedule
+	failureLogged bool // the current outage has been logged
 }
 
-// New returns a source that asks for nothing yet.
+// New returns a source that makes no calls until Watch or Fetch.
 func New(cfg Config) *Source {
-	d := &Source{engine: cfg.Engine, addr: cfg.Addr, push: cfg.Push, plan: schedule{push: cfg.Push, whole: cfg.NeedFull, doubt: cfg.AfterOutage}, log: cfg.Log,
+	d := &Source{engine: cfg.Engine, addr: cfg.Addr, push: cfg.Push, schedule: schedule{push: cfg.Push, needFull: cfg.NeedFull, afterFailure: cfg.AfterOutage}, log: cfg.Log,
 		http: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
-	d.ctx, d.leave = context.WithCancel(context.Background())
+	d.ctx, d.cancel = context.WithCancel(context.Background())
 	return d
 }
 
-// Addr is the address that the source asks.
+// Addr returns the address of the discovery.
 func (d *Source) Addr() string { return d.addr }
 
-// AfterOutage tells whether the last call for the list has failed, so that what is told next may have counted as told for a while.
+// AfterOutage reports whether the last call for the list has failed, so that the next update may have been in force for a while.
 func (d *Source) AfterOutage() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.plan.doubt
+	return d.schedule.afterFailure
 }
 
-// Stop ends what the source has under way, and returns once it has ended.
+// Stop cancels running calls and waits for them to end.
 func (d *Source) Stop() {
-	d.leave()
+	d.cancel()
 	d.wg.Wait()
 	d.http.CloseIdleConnections()
 }
 
-// Watch starts the watch loop unless it runs.
+// Watch starts the watch loop unless it is running.
 func (d *Source) Watch() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -89,17 +88,17 @@
 	d.wg.Go(d.loop)
 }
 
-// loop watches until the discovery is left. Where lists are pushed it goes on after a failure; elsewhere a failure
-// is told to the policy, which says when to ask again.
+// loop watches until the source is stopped. If lists are pushed it continues after a failure; otherwise it reports the failure
+// to the policy, which decides when to retry.
 func (d *Source) loop() {
 	for d.ctx.Err() == nil {
-		begun := time.Now()
+		start := time.Now()
 		d.mu.Lock()
-		c, doubt := d.plan.next(rand.Float64()), d.plan.doubt
+		c, afterOutage := d.schedule.next(rand.Float64()), d.schedule.afterFailure
 		d.mu.Unlock()
 		since := d.engine.Version()
 		query := ""
-		if !c.whole {
+		if !c.full {
 			query = fmt.Sprintf("?since=%d&timeout_ms=%d", since, c.wait.Milliseconds())
 		}
 		l, err := d.call(query, c.limit)
@@ -108,78 +107,79 @@
 		}
 		if err == nil {
 			kind := policy.ListDelta
-			if c.whole || l.Full {
+			if c.full || l.Full {
 				kind = policy.ListFull
 			}
-			behind := !c.whole && !l.Full && l.Version < since // a discovery that counts anew: no watch from here would tell
-			l.AfterOutage = doubt
-			d.told(err)
+			reset := !c.full && !l.Full && l.Version < since // discovery restarted its versions: a watch from since would miss changes
+			l.AfterOutage = afterOutage
+			d.logResult(err)
 			d.mu.Lock()
-			d.plan.answered(behind)
+			d.schedule.answered(reset)
 			d.mu.Unlock()
-			if !behind {
-				d.news(l, kind, true)
+			if !reset {
+				d.deliver(l, kind, true)
 			}
-			if rest := minWatchInterval - time.Since(begun); rest > 0 {
-				timing.Sleep(d.ctx, rest)
+			if pause := minWatchInterval - time.Since(start); pause > 0 {
+				timing.Sleep(d.ctx, pause)
 			}
 			continue
 		}
-		d.told(err)
+		d.logResult(err)
 		d.mu.Lock()
-		rest, again := d.plan.failed(errors.Is(err, context.DeadlineExceeded), rand.Float64())
+		pause, retry := d.schedule.failed(errors.Is(err, context.DeadlineExceeded), rand.Float64())
 		d.mu.Unlock()
-		if !again {
-			d.lost()
+		if !retry {
+			d.watchFailed()
 			return
 		}
-		timing.Sleep(d.ctx, rest)
+		timing.Sleep(d.ctx, pause)
 	}
 }
 
-// told logs the first failure of several, and that they are over.
-func (d *Source) told(err error) {
+// logResult logs the start and the end of an outage.
+func (d *Source) logResult(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case err != nil && !d.failing:
-		d.log.Warn("discovery tells no list; the one that is known stays in force", "err", err)
-	case err == nil && d.failing:
-		d.log.Info("discovery tells its list again")
+	case err != nil && !d.failureLogged:
+		d.log.Warn("discovery request failed; the last known list stays in force", "err", err)
+	case err == nil && d.failureLogged:
+		d.log.Info("discovery answers again")
 	}
-	d.failing = err != nil
+	d.failureLogged = err != nil
 }
 
-// lost tells that the watch is over.
-func (d *Source) lost() {
+// watchFailed reports that the watch has ended with a failure.
+func (d *Source) watchFailed() {
 	d.mu.Lock()
 	d.watching = false
 	d.mu.Unlock()
 	d.engine.SourceFailed(d)
 }
 
-// Fetch asks for the whole list once.
+// Fetch requests the full list once.
 func (d *Source) Fetch() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.ctx.Err() != nil {
 		return
 	}
-	limit := (&schedule{push: d.push, whole: true}).next(0).limit
+	limit := (&schedule{push: d.push, needFull: true}).next(0).limit
 	d.wg.Go(func() {
 		l, err := d.call("", limit)
 		if d.ctx.Err() != nil {
 			return
 		}
-		d.told(err)
+		d.logResult(err)
 		if err == nil {
-			d.news(l, policy.ListFull, false)
+			d.deliver(l, policy.ListFull, false)
 			return
 		}
 		d.engine.SourceFailed(d)
 	})
 }
 
+// call makes one request for the list.
 func (d *Source) call(query string, limit time.Duration) (*engine.List, error) {
 	ctx, cancel := context.WithTimeout(d.ctx, limit)
 	defer cancel()
@@ -206,10 +206,10 @@
 	return l, nil
 }
 
-// news hands in an answer, unless what it tells is older than what is known: a whole list asked for and a watch may cross.
-func (d *Source) news(l *engine.List, kind policy.ListKind, watched bool) {
+// deliver passes a list to the engine unless it is older than the current one, as a fetch and a watch may overtake each other.
+func (d *Source) deliver(l *engine.List, kind policy.ListKind, watched bool) {
 	d.engine.UpdateList(d, l, kind, func(known int64) bool {
-		if kind == policy.ListFull { // a watch's comes also from a discovery that counts anew
+		if kind == policy.ListFull { // one from a watch may be from a discovery that restarted its versions
 			return l.Version >= known || watched
 		}
 		return l.Version > known
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -2,83 +2,83 @@
 
 import "time"
 
-// What discovery has to tell counts as told some seconds later whether or not it arrives (PROTOCOL): 6 s after it could be
-// reached, for a watch that has fallen silent 2 s after its wait, where that is later, and 4 s after a reload. The times
-// below are such that a source has asked again, and been answered, before: a call that hangs, the rest behind it and the
-// next call together stay under that. schedule_test.go plays every order of failures against those clocks.
+// PROTOCOL: an update of discovery counts as received after a time, whether it arrives or not: 6 s after discovery can be
+// reached again; for a watch that stops responding 2 s after its wait, if that is later; 4 s after a reload. The times below
+// ensure that a source has called again and got its response by then: a call that hangs, the pause after it and the next call
+// together take less. schedule_test.go checks this for random sequences of failures.
 
-// For an agent of this machine, which pushes the list: asking costs nothing.
+// Times for an agent on this machine, which pushes the list and where calls are cheap.
 const (
-	pushWatchWait     = 2 * time.Second         // how long a watch waits for a change: a silent agent is noticed soon
-	pushWatchOverrun  = time.Second             // an answer that is later than the wait by this has failed
-	pushProbeLimit    = 800 * time.Millisecond  // of a short call after a failure
-	pushFullListLimit = 1500 * time.Millisecond // of a call for the whole list
-	pushRetryDelay    = 100 * time.Millisecond  // after a failure, half as much more or less
+	pushWatchWait     = 2 * time.Second         // how long a watch waits for a change; short, to detect an agent that does not respond
+	pushWatchOverrun  = time.Second             // a watch fails if its response takes longer than its wait by this
+	pushProbeLimit    = 800 * time.Millisecond  // time limit of a short call after a failure
+	pushFullListLimit = 1500 * time.Millisecond // time limit of a call for the full list
+	pushRetryDelay    = 100 * time.Millisecond  // after a failure, with a jitter of half of it
 )
 
-// For a discovery at which each call is work for all nodes.
+// Times for a discovery where each call competes with those of all nodes.
 const (
 	pollWatchWait     = 20 * time.Second
-	pollWatchJitter   = 5 * time.Second // by up to this a watch waits less, so that no two nodes ask in step
+	pollWatchJitter   = 5 * time.Second // shortens a watch at random by up to this, so that nodes don't poll in step
 	pollWatchOverrun  = 700 * time.Millisecond
-	pollProbeLimit    = 3 * time.Second // it may stand in line behind other nodes' calls
+	pollProbeLimit    = 3 * time.Second // it may be queued behind other nodes' calls
 	pollFullListLimit = 3 * time.Second
 )
 
-// probeWait is how long a call waits that is to tell only what is known by now.
+// probeWait is the wait of a call that only asks for the changes so far.
 const probeWait = 100 * time.Millisecond
 
-// call is one call for the list.
+// call describes one call for the list.
 type call struct {
-	whole bool          // for all of it; else for what changed
-	wait  time.Duration // how long it waits for a change
-	limit time.Duration // it has failed once it took this
+	full  bool          // for the full list; otherwise for changes
+	wait  time.Duration // how long the discovery waits for a change
+	limit time.Duration // time limit of the call
 }
 
-// schedule decides what a source asks next. It is pure; its zero value has failed at nothing.
+// schedule decides the next call of a source. It has no clock and does no I/O. The zero value polls and has had no failure.
 type schedule struct {
-	push  bool
-	whole bool // the whole list is still to be asked for
-	doubt bool // a call has failed, and none was answered since: what is known may be old
-	again bool // a call that was silent was followed by another at once
+	push           bool
+	needFull       bool // the full list has to be requested
+	afterFailure   bool // the last call has failed: the current list may be stale
+	retriedTimeout bool // the last call was an immediate retry after a timeout
 }
 
-// next is the call to make; luck is a random number from 0 to 1.
-func (s *schedule) next(luck float64) call {
-	watchWait := pollWatchWait - time.Duration(luck*float64(pollWatchJitter))
+// next returns the next call; random is a random number from 0 to 1.
+func (s *schedule) next(random float64) call {
+	watchWait := pollWatchWait - time.Duration(random*float64(pollWatchJitter))
 	overrun, probeLimit, fullListLimit := pollWatchOverrun, pollProbeLimit, pollFullListLimit
 	if s.push {
 		watchWait = pushWatchWait
 		overrun, probeLimit, fullListLimit = pushWatchOverrun, pushProbeLimit, pushFullListLimit
 	}
 	switch {
-	case s.whole:
-		return call{whole: true, limit: fullListLimit}
-	case s.doubt: // whether anything was missed is to be known soon: a watch that is silent once more would not tell
+	case s.needFull:
+		return call{full: true, limit: fullListLimit}
+	case s.afterFailure: // a short call finds missed changes soon; another watch might get no response again
 		return call{wait: probeWait, limit: probeLimit}
 	default:
 		return call{wait: watchWait, limit: watchWait + overrun}
 	}
 }
 
-// answered records that a call was answered, with a list that discovery had at a version not below the one that was asked
-// from; one below counts anew, and what it has is to be asked for as a whole.
-func (s *schedule) answered(behind bool) {
-	s.whole, s.doubt, s.again = behind, false, false
+// answered records that a call was answered. reset is set if the version of the response is below the one asked from: discovery
+// has restarted its versions, and the full list has to be requested.
+func (s *schedule) answered(reset bool) {
+	s.needFull, s.afterFailure, s.retriedTimeout = reset, false, false
 }
 
-// failed records that a call has failed, by silence or otherwise, and returns how long to rest before the next one. Where
-// lists are not pushed the decision module says when, and ok is false; but a silence is not discovery's word that it can't
-// answer, and has cost time already, so that one call follows at once.
-func (s *schedule) failed(silent bool, luck float64) (rest time.Duration, ok bool) {
-	s.doubt = true
+// failed records that a call has failed, and returns how long to pause before the next one. If lists are not pushed the policy
+// decides when, and retry is false. The exception is the first timeout in a row: as it does not show that discovery is down, and
+// has already taken time, one call follows at once.
+func (s *schedule) failed(timedOut bool, random float64) (pause time.Duration, retry bool) {
+	s.afterFailure = true
 	switch {
 	case s.push:
-		return time.Duration(float64(pushRetryDelay) * (0.5 + luck)), true
-	case silent && !s.again:
-		s.again = true
+		return time.Duration(float64(pushRetryDelay) * (0.5 + random)), true
+	case timedOut && !s.retriedTimeout:
+		s.retriedTimeout = true
 		return 0, true
 	}
-	s.again = false
+	s.retriedTimeout = false
 	return 0, false
 }
--- a/internal/discovery/size_test.go
+++ b/internal/discovery/size_test.go
@@ -8,11 +8,11 @@
 	"craneglade/internal/engine"
 )
 
-// largestService is the target's largest service, in backends, as docs/CAPACITY.md assumes it.
+// largestService is the number of backends of the largest service that docs/CAPACITY.md assumes.
 const largestService = 20000
 
-// A whole list of the largest service fits the bound that a node reads, and one of all 170,000 backends does not: those
-// need parts, or a subscription to some.
+// A full list of the largest service fits the size that a node reads, and one of all 170,000 backends does not: these have to be
+// split, or subscribed to in part.
 func TestWhatAListOfAllBackendsTakes(t *testing.T) {
 	for _, n := range []int{200, largestService, 170000} {
 		l := engine.List{Version: 1, Full: true}
@@ -25,7 +25,7 @@
 			t.Fatal(err)
 		}
 		each := float64(len(text)) / float64(n)
-		t.Logf("%d backends: %d bytes, %.1f each; the bound is reached at %.0f", n, len(text), each, maxListBytes/each)
+		t.Logf("%d backends: %d bytes, %.1f each; the limit is reached at %.0f", n, len(text), each, maxListBytes/each)
 		if fits := len(text) <= maxListBytes; fits != (n <= largestService) {
 			t.Errorf("a list of %d backends takes %d bytes of %d", n, len(text), maxListBytes)
 		}
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -12,7 +12,7 @@
 	"craneglade/policy"
 )
 
-// entries are a service's backends, in three zones.
+// entries returns the backends of a service, in three zones.
 func entries(n int) []ListedBackend {
 	all := make([]ListedBackend, n)
 	for i := range all {
@@ -22,7 +22,7 @@
 	return all
 }
 
-// BenchmarkFullList is what the first whole list costs under the engine's lock, which each request waits for.
+// BenchmarkFullList measures the first full list, applied with the engine locked while requests wait.
 func BenchmarkFullList(b *testing.B) {
 	for _, n := range []int{100, 1000, 5000, 20000, 170000} {
 		b.Run(fmt.Sprint("backends=", n), func(b *testing.B) {
@@ -41,7 +41,7 @@
 	}
 }
 
-// BenchmarkDelta is what news of one backend costs under the engine's lock: one that drains and is ready again, by turns.
+// BenchmarkDelta measures an update of one backend under the engine's lock. The backend alternates between draining and ready.
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range []int{100, 1000, 5000, 20000} {
 		b.Run(fmt.Sprint("backends=", n), func(b *testing.B) {
@@ -59,20 +59,20 @@
 	}
 }
 
-// sharing is a Sharer that a replica is behind, as in internal/peers, without the network.
-type sharing struct {
+// replicaState is a FleetState backed by a replica, as in internal/peers, without the network.
+type replicaState struct {
 	replica *shared.Replica
 	now     time.Duration
 }
 
-func (s *sharing) CountRequest(string)                         {}
-func (s *sharing) CountCrossSite(string)                       {}
-func (s *sharing) RecordOutcome(judgement.Key, policy.Outcome) {}
-func (s *sharing) SetBackends(all []judgement.Backend)         { s.replica.Listed(all) }
-func (s *sharing) View() shared.View                           { return s.replica.View(s.now) }
+func (s *replicaState) CountRequest(string)                         {}
+func (s *replicaState) CountCrossSite(string)                       {}
+func (s *replicaState) RecordOutcome(judgement.Key, policy.Outcome) {}
+func (s *replicaState) SetBackends(all []judgement.Backend)         { s.replica.Listed(all) }
+func (s *replicaState) View() shared.View                           { return s.replica.View(s.now) }
 
-// BenchmarkDeltaTold is BenchmarkReplaced where the node shares state, and where it watches sites: both are told all
-// backends when one comes or goes.
+// BenchmarkDeltaTold is BenchmarkReplaced for a node that shares state and one that watches sites: both are passed all
+// backends when one is added or removed.
 func BenchmarkDeltaTold(b *testing.B) {
 	for _, to := range []string{"sharer", "sites"} {
 		for _, n := range []int{100, 1000, 5000, 20000} {
@@ -80,9 +80,9 @@
 				all := entries(n)
 				e, _ := newEngine(b)
 				if to == "sites" {
-					e.WatchSites(siting.New(&e.set, nil))
+					e.WatchSites(siting.New(&e.settings, nil))
 				} else {
-					e.SetFleetState(&sharing{shared.New(shared.Config{Name: "n0", Nodes: 1, Terms: escrow.Usual(), Limits: judgement.Usual(), BytesPS: 8192, Datagram: 1400}, time.Hour), time.Hour})
+					e.SetFleetState(&replicaState{shared.New(shared.Config{Name: "n0", Nodes: 1, Terms: escrow.Usual(), Limits: judgement.Usual(), BytesPS: 8192, Datagram: 1400}, time.Hour), time.Hour})
 				}
 				e.takeList(&List{Version: 1, Full: true, Servers: all}, policy.ListFull)
 				b.ReportAllocs()
@@ -95,7 +95,7 @@
 	}
 }
 
-// BenchmarkReplaced is what news of one new backend at a new address costs, and the end of another.
+// BenchmarkReplaced measures an update that removes a backend and adds another at its address.
 func BenchmarkReplaced(b *testing.B) {
 	for _, n := range []int{100, 1000, 5000, 20000} {
 		b.Run(fmt.Sprint("backends=", n), func(b *testing.B) {
@@ -111,43 +111,43 @@
 	}
 }
 
-// BenchmarkAllGone is 10,000 backends of 10,001 that leave at once: the list that says so, and for how long a request
-// finds the engine's lock taken while their grace ends.
+// BenchmarkAllGone measures a list that removes 10,000 of 10,001 backends, and how long a request waits for the engine's lock
+// when their grace ends.
 func BenchmarkAllGone(b *testing.B) {
 	const n = 10000
 	all := entries(n + 1)
-	var longest, took time.Duration
+	var longest, forgetTime time.Duration
 	for b.Loop() {
 		b.StopTimer()
 		e, _ := newEngine(b)
-		e.set.DrainGrace = 20 * time.Millisecond
+		e.settings.DrainGrace = 20 * time.Millisecond
 		e.takeList(&List{Version: 1, Full: true, Servers: all}, policy.ListFull)
 		b.StartTimer()
 		e.takeList(&List{Version: 2, Full: true, Servers: all[:1]}, policy.ListFull)
 		b.StopTimer()
-		begun := time.Now()
+		graceStart := time.Now()
 		for known := n; known > 1; {
-			asked := time.Now()
+			start := time.Now()
 			e.mu.Lock()
-			waited := time.Since(asked)
-			known = len(e.boxes)
+			waited := time.Since(start)
+			known = len(e.byNumber)
 			e.mu.Unlock()
 			longest = max(longest, waited)
 		}
-		took = max(took, time.Since(begun))
+		forgetTime = max(forgetTime, time.Since(graceStart))
 		e.Stop()
 		b.StartTimer()
 	}
 	b.ReportMetric(float64(longest.Microseconds()), "longest-wait-us")
-	b.ReportMetric(float64(took.Microseconds()), "forgotten-us")
+	b.ReportMetric(float64(forgetTime.Microseconds()), "forgotten-us")
 }
 
-// replaceOne takes in that one of the backends has gone, and that another stands at its address.
+// replaceOne replaces one of the backends by another at its address.
 func replaceOne(e *Engine, all []ListedBackend, i int) {
 	one := &all[i%len(all)]
-	gone, fresh := *one, *one
-	gone.State = "Gone"
+	leaving, fresh := *one, *one
+	leaving.State = "Gone"
 	fresh.ID = fmt.Sprint("fresh-", i)
 	*one = fresh
-	e.takeList(&List{Version: int64(i + 2), Servers: []ListedBackend{gone, fresh}}, policy.ListDelta)
+	e.takeList(&List{Version: int64(i + 2), Servers: []ListedBackend{leaving, fresh}}, policy.ListDelta)
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,10 +1,11 @@
-// Package engine is the node without its protocols: it owns the decision module and the table of requests, and with them
-// the order of events. Front ends hand requests in, carriers carry attempts out, sources hand lists in. It knows no HTTP
-// and no socket, and decides nothing itself: the content of a request, which a front end and a carrier understand, is to
-// it an opaque payload.
+// Package engine implements a load balancer node without its protocols. It owns the policy and the table of requests, and
+// serializes all events. Fronts submit requests, carriers send attempts, and sources deliver backend lists. It has no
+// knowledge of HTTP or sockets and makes no decisions itself: the content of a request is an opaque payload that only its
+// front and a carrier interpret.
 //
-// A request that was begun gets exactly one answer: a carrier's, a refusal or failure that the decision module asked for,
-// or one of its front end (Abort). A request whose client has left gets none.
+// Each submitted request gets exactly one answer: from a carrier, a refusal or failure decided by the policy, or one from its
+// front (Attempt.Abort). The engine itself refuses or fails what is open late in a shutdown. A request whose client has
+// disconnected gets none.
 package engine
 
 import (
@@ -20,72 +21,73 @@
 	"craneglade/policy"
 )
 
-// Transit is left for the way of an answer to its client, and taken off what the client waits.
+// Transit is the time reserved for an answer to reach its client. It is deducted from the client's timeout.
 const Transit = 10 * time.Millisecond
 
-// Clock tells Unix time that runs on evenly when the system's clock is set.
+// Clock reads Unix time that stays monotonic when the system clock is set.
 type Clock struct{ start time.Time }
 
-// NewClock returns a clock that starts at the system's time.
+// NewClock returns a clock that starts at the current system time.
 func NewClock() Clock { return Clock{time.Now()} }
 
-// Now is the time since the Unix epoch.
+// Now returns the time since the Unix epoch.
 func (c Clock) Now() time.Duration {
 	return time.Duration(c.start.UnixNano()) + time.Since(c.start)
 }
 
-// Elapsed is the time since the clock started.
+// Elapsed returns the time since the clock was created.
 func (c Clock) Elapsed() time.Duration { return time.Since(c.start) }
 
-// Request is one request of a client. Its front fills the exported fields, and must not change them once it is begun.
+// Request is a request of a client. Its front sets the exported fields and must not change them after Submit.
 type Request struct {
-	ID            string // no other open request has it
+	ID            string // unique among open requests
 	Class         string
 	Tenant        string
-	Needs         uint8         // protocols that a backend must speak for it, see Listed.Speaks
-	Repeat        bool          // its client says that it asked before
-	Arrived       time.Time     // when its first byte came
-	ClientTimeout time.Duration // for how long its client waits from then on
-	Payload       any           // what carriers send; told by Release, if it has that, once nothing more can come of it
-	// Disconnected looks, without waiting, whether the client has left; nil where nobody can tell. It may be called by several at once.
+	Needs         uint8         // bit set of protocols that its backend has to speak, see SpeaksRPC
+	Repeat        bool          // the client has marked it as a retry
+	Arrived       time.Time     // when its first byte was received
+	ClientTimeout time.Duration // how long the client waits, counted from Arrived
+	Payload       any           // what carriers send; its Release method, if any, is called when the request is closed
+	// Disconnected reports, without blocking, whether the client has disconnected; nil if that can't be detected. It must be
+	// safe for concurrent use.
 	Disconnected func() bool
 
-	until    time.Duration
-	attempts []*Attempt
-	first    Attempt     // most requests have one, which needs no memory of its own
-	list     [1]*Attempt // and neither does the list of it
-	open     int
-	answered atomic.Bool // set under the engine's lock alone
-	done     chan Answer // holds the one answer; never blocks
+	deadline     time.Duration
+	attempts     []*Attempt
+	first        Attempt     // embedded, as most requests need only one attempt: saves an allocation
+	firstList    [1]*Attempt // backing array of attempts, for the same reason
+	openAttempts int
+	answered     atomic.Bool // written only with Engine.mu held
+	done         chan Answer // capacity 1, so that sending the only answer never blocks
 }
 
-// Done gives the request's answer, once.
+// Done returns a channel that delivers the request's only answer.
 func (r *Request) Done() <-chan Answer { return r.done }
 
-// Kind says what an answer is.
+// Kind is the kind of an Answer.
 type Kind uint8
 
 const (
-	Served  Kind = iota // a backend's answer is the payload
-	Refused             // nothing has run, or may run without harm again: the client may come back after RetryAfter
-	Failed              // no promise is made
-	Aborted             // its front's own, given to Attempt.Abort
+	Served  Kind = iota // the payload is a backend's answer
+	Refused             // the request did not run, or is safe to run again: the client may retry after RetryAfter
+	Failed              // the request may or may not have run
+	Aborted             // the payload is the front's, passed to Attempt.Abort
 )
 
-// Answer is what a client is told.
+// Answer is the final answer to a request.
 type Answer struct {
 	Kind       Kind
 	RetryAfter time.Duration
-	Payload    any // Served: the carrier's reply; Aborted: what the front gave
+	Payload    any // Served: the carrier's reply; Aborted: the argument of Abort
 }
 
-// Attempt is one send of a request to a backend.
+// Attempt is one attempt to send a request to a backend.
 type Attempt struct {
 	Request       *Request
 	Backend       *Backend
-	Timeout       time.Duration // it ends after this at the latest
-	Effect        policy.Effect // what repeating the request would do; Unsafe where nobody told of its class
-	WriteDeadline time.Time     // its last byte must be out by then, or never: backends drop repeats until then; zero for no bound
+	Timeout       time.Duration // upper bound on its duration
+	Effect        policy.Effect // effect of repeating the request; Unsafe if its class is unknown
+	WriteDeadline time.Time     // its last byte must be written before it, as backends drop repeats only until then; zero for none
 
 	engine *Engine
 	index  int
@@ -93,18 +95,19 @@
 	cancel context.CancelFunc
 }
 
-// MayStart tells whether the attempt may still go out: its backend's drain grace is not over, neither is the time in which
-// repeats are dropped, and its client waits for an answer. Carriers ask right before the first byte.
+// MayStart reports whether the attempt may still be written: neither the drain grace of its backend nor WriteDeadline has
+// passed, and its client still waits for an answer. Carriers call it right before they write the first byte.
 func (a *Attempt) MayStart() bool {
 	if a.Backend.WritesStopped() || !a.WriteDeadline.IsZero() && !time.Now().Before(a.WriteDeadline) {
 		return false
 	}
-	// Behind the clock: a process that is held up as it reads that goes on before its front has seen a client's close.
+	// Checked after the clock: a process that stalls while reading the clock resumes before its front has noticed that the
+	// client closed its connection.
 	return !a.Request.answered.Load() && (a.Request.Disconnected == nil || !a.Request.Disconnected())
 }
 
-// Deliver gives the request an answer that is still coming, unless it has one. The attempt's result, in the end, tells
-// how that went.
+// Deliver answers the request with a reply that is still being received, and reports false if it already has an answer. The
+// attempt's Result later says whether the reply was completed.
 func (a *Attempt) Deliver(reply any) bool {
 	e, r := a.engine, a.Request
 	e.mu.Lock()
@@ -118,97 +121,98 @@
 	return true
 }
 
-// Abort gives the request an answer of its front's own, unless it has one: what its client sent proved to be no request,
-// and no attempt has sent it whole.
+// Abort answers the request, if it has no answer yet, with one from its front: the rest of what the client sent proved to be
+// malformed, and no attempt has sent the request completely.
 func (a *Attempt) Abort(payload any) { a.engine.abort(a.Request, payload) }
 
-// Result is how an attempt ended.
+// Result is the result of an attempt.
 type Result struct {
 	Outcome       policy.Outcome
 	Load          policy.Load
-	NewConnection bool // a connection was opened for it, whether or not that came up
-	Reply         any  // of one that was served, unless it was delivered; told by Release, if it has that, where nobody gets it
+	NewConnection bool // a connection was dialled for it, successfully or not
+	Reply         any  // for OK, unless delivered; its Release method, if any, is called if it is not used
 }
 
-// Carrier carries attempts to backends.
+// Carrier sends attempts to backends.
 type Carrier interface {
-	// Carry sends a request once and waits for what comes back, for Wait at the most. When ctx ends the attempt is given
-	// up. It returns only once nothing of the attempt can reach the backend any more.
+	// Carry sends a request once and waits for the reply, for Attempt.Timeout at most. It abandons the attempt when ctx is done.
+	// It returns only when nothing of the attempt can reach the backend any more.
 	Carry(ctx context.Context, a *Attempt) Result
-	// Retire is told that a backend has left, or is another process now: what is kept for it goes. It must not block.
+	// Retire releases all resources kept for a backend that was removed or whose process was replaced. It must not block.
 	Retire(b *Backend)
 }
 
-// Source is where lists come from. Its methods are called with the engine locked, and must neither block nor call back;
-// what they ask for comes through News or Lost.
+// Source is a source of backend lists. Its methods are called with the engine locked and must neither block nor call back.
+// It reports the results through Engine.UpdateList and Engine.SourceFailed.
 type Source interface {
-	Watch() // follow the list's changes; again while it does so changes nothing
-	Fetch() // ask for the whole list, once
+	Watch() // follow changes of the list; no effect if already watching
+	Fetch() // request the full list once
 }
 
-// Config is what an engine is made from.
+// Config configures an Engine.
 type Config struct {
 	Settings policy.Settings
 	Seed     uint64
 	Clock    Clock
 	Carrier  Carrier
-	Members  *membership.Fleet // what other sources than the list say counts too; nil for the list alone
+	Members  *membership.Fleet // merges the list with other sources; nil for the list alone
 	Log      *slog.Logger
 }
 
-// Engine is safe for concurrent use. Whoever holds its lock hands in the next event; nothing under it waits.
+// Engine runs a node: it feeds events to the policy and carries out its actions. It is safe for concurrent use. Events are
+// handled with its lock held, in the order in which they get it, and nothing blocks under the lock.
 type Engine struct {
-	set     policy.Settings
-	clock   Clock
-	log     *slog.Logger
-	tells   bool // the log takes a line for each attempt
-	carrier Carrier
+	settings policy.Settings
+	clock    Clock
+	log      *slog.Logger
+	debug    bool // log each attempt
+	carrier  Carrier
 
-	ctx  context.Context // ends when the engine does; attempts hang on it
+	ctx  context.Context // canceled by Stop; parent of all attempts' contexts
 	stop context.CancelFunc
 	wg   sync.WaitGroup // attempts
 
 	mu        sync.Mutex
-	shutdown  *Shutdown   // nil until the node is told to end
-	failTimer *time.Timer // for failOpen, from then on
+	shutdown  *Shutdown   // nil until the node is to shut down
+	failTimer *time.Timer // calls failOpen; set with shutdown
 	source    Source
 	bal       *policy.Balancer
 	actions   []policy.Action
-	requests  map[string]*Request // by the clients' ids
-	names     map[string]*Backend // listed boxes by the list's id
-	boxes     map[uint32]*Backend // the same by the module's number, and those that left until their grace is over
+	requests  map[string]*Request // by ID
+	byID      map[string]*Backend // by ID; includes removed backends until their grace ends
+	byNumber  map[uint32]*Backend // by Number; includes removed backends until their grace ends
 	nextNum   uint32
 	version   int64     // of the list
-	listed    index     // those of names that have not left
-	dropped   []dropped // that forgetDropped has not seen
+	listed    index     // the backends of byID that are not removed
+	removed   []removal // not yet seen by scheduleForget
 	starts    cold.Starts
 
 	members     *membership.Fleet // nil for the list alone
 	memberTimer *time.Timer
 
-	sites *siting.Link // nil where they are not watched
+	sites *siting.Link // nil if sites are not watched
 
-	sharer     FleetState    // nil for a node that shares nothing
-	until      time.Duration // what the module was told of it last counts until then
-	sharerTold int           // listed.changes when it was last told which boxes there are; negative for never
+	fleetState      FleetState    // nil if the node shares no state
+	viewUntil       time.Duration // end of validity of the last View passed to the policy
+	notifiedChanges int           // listed.changes at the last SetBackends; negative for none
 }
 
-// New returns an engine that knows no backend. An error names the setting that makes no sense.
+// New returns an engine without backends. An error names the invalid setting.
 func New(cfg Config) (*Engine, error) {
 	bal, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	e := &Engine{set: cfg.Settings, clock: cfg.Clock, log: cfg.Log, carrier: cfg.Carrier, bal: bal, members: cfg.Members,
-		requests: map[string]*Request{}, names: map[string]*Backend{}, boxes: map[uint32]*Backend{}}
+	e := &Engine{settings: cfg.Settings, clock: cfg.Clock, log: cfg.Log, carrier: cfg.Carrier, bal: bal, members: cfg.Members,
+		requests: map[string]*Request{}, byID: map[string]*Backend{}, byNumber: map[uint32]*Backend{}}
 	e.ctx, e.stop = context.WithCancel(context.Background())
-	e.tells = cfg.Log.Enabled(e.ctx, slog.LevelDebug)
+	e.debug = cfg.Log.Enabled(e.ctx, slog.LevelDebug)
 	return e, nil
 }
 
-// Stop gives up all attempts and returns when they have ended.
+// Stop cancels all attempts and waits for them to end.
 func (e *Engine) Stop() {
-	e.mu.Lock() // each attempt is added under it, and none after this
+	e.mu.Lock() // attempts are added with it held, and none after stop
 	e.stop()
 	if e.memberTimer != nil {
 		e.memberTimer.Stop()
@@ -220,7 +224,8 @@
 	e.wg.Wait()
 }
 
-// Submit takes a request and hands it to the module, unless one with its id is open. The answer comes on Done.
+// Submit passes a request to the policy. It reports false if a request with the same ID is open. The answer is delivered on
+// Request.Done.
 func (e *Engine) Submit(r *Request) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -228,27 +233,27 @@
 		return false
 	}
 	now := e.clock.Now()
-	// The answer must be with the client when its time is up: the way there and back and the time that the request has
-	// spent here are off.
-	left := r.ClientTimeout - time.Since(r.Arrived) - Transit
+	// The answer has to reach the client within its timeout: deduct the time that the request has spent here and the
+	// answer's transit.
+	remaining := r.ClientTimeout - time.Since(r.Arrived) - Transit
 	if e.shutdown != nil {
-		left = min(left, time.Until(e.shutdown.answerBy()))
+		remaining = min(remaining, time.Until(e.shutdown.answerBy()))
 	}
-	left = max(0, left)
-	r.until, r.done = now+left, make(chan Answer, 1)
+	remaining = max(0, remaining)
+	r.deadline, r.done = now+remaining, make(chan Answer, 1)
 	if e.refuseLate(r) {
 		return true
 	}
 	e.requests[r.ID] = r
-	if e.sharer != nil {
-		e.sharer.CountRequest(r.Tenant)
-		e.look(now, false)
+	if e.fleetState != nil {
+		e.fleetState.CountRequest(r.Tenant)
+		e.refreshView(now, false)
 	}
-	e.handle(now, &policy.Event{Kind: policy.EvRequest, ID: r.ID, Class: r.Class, Tenant: r.Tenant, Left: left, Needs: r.Needs, Repeat: r.Repeat})
+	e.handle(now, &policy.Event{Kind: policy.EvRequest, ID: r.ID, Class: r.Class, Tenant: r.Tenant, Left: remaining, Needs: r.Needs, Repeat: r.Repeat})
 	return true
 }
 
-// Cancel tells that a request's client has left or canceled it, unless it has its answer by now.
+// Cancel closes a request whose client has disconnected or canceled it. It has no effect on an answered request.
 func (e *Engine) Cancel(r *Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -260,76 +265,76 @@
 	e.forget(r)
 }
 
+// abort answers a request that has no answer yet with one from its front.
 func (e *Engine) abort(r *Request, payload any) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !r.answered.Load() {
-		e.settle(r, Answer{Kind: Aborted, Payload: payload})
+		e.answerDirectly(r, Answer{Kind: Aborted, Payload: payload})
 	}
 }
 
-// settle gives a request that has no answer one that the module did not ask for, and has the module do no more for it. e.mu is
-// held.
-func (e *Engine) settle(r *Request, a Answer) {
+// answerDirectly answers an unanswered request without the policy, and tells the policy to drop it. e.mu must be held.
+func (e *Engine) answerDirectly(r *Request, a Answer) {
 	r.answered.Store(true)
 	r.done <- a
 	e.handle(e.clock.Now(), &policy.Event{Kind: policy.EvGone, ID: r.ID})
 	e.forget(r)
 }
 
-// OpenRequests is the number of requests that something can come of.
+// OpenRequests returns the number of requests that have no answer yet or an attempt in flight.
 func (e *Engine) OpenRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.requests)
 }
 
-// Effect is what repeating a request of a class would do, and whether there is such a class.
+// Effect returns the effect of repeating a request of a class, and whether there is such a class.
 func (e *Engine) Effect(class string) (policy.Effect, bool) {
-	for i := range e.set.Classes {
-		if c := &e.set.Classes[i]; c.Name == class {
+	for i := range e.settings.Classes {
+		if c := &e.settings.Classes[i]; c.Name == class {
 			return c.Effect, true
 		}
 	}
 	return policy.Unsafe, false
 }
 
-// Rank is a class's place among all by worth, the cheapest being 0, and the number of classes.
+// Rank returns the rank of a class by utility, with 0 for the lowest, and the number of classes.
 func (e *Engine) Rank(class string) (rank, classes int) {
-	worth := 0.0
-	for _, c := range e.set.Classes {
+	utility := 0.0
+	for _, c := range e.settings.Classes {
 		if c.Name == class {
-			worth = c.Worth
+			utility = c.Worth
 		}
 	}
-	for _, c := range e.set.Classes {
-		if c.Worth < worth {
+	for _, c := range e.settings.Classes {
+		if c.Worth < utility {
 			rank++
 		}
 	}
-	return rank, len(e.set.Classes)
+	return rank, len(e.settings.Classes)
 }
 
-// Beliefs are what the module believes of every listed backend, with their ids on the list.
+// Beliefs returns the policy's estimates for all listed backends, and their IDs in the same order.
 func (e *Engine) Beliefs() (ids []string, all []policy.Belief) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	all = e.bal.Snapshot(e.clock.Now())
 	ids = make([]string, len(all))
 	for i := range all {
-		if b := e.boxes[all[i].ID]; b != nil {
+		if b := e.byNumber[all[i].ID]; b != nil {
 			ids[i] = b.ID
 		}
 	}
 	return ids, all
 }
 
-// ended hands in an attempt's outcome, and passes on the answer of one that was served.
-func (e *Engine) ended(a *Attempt, res Result) {
+// handleResult passes the result of an attempt to the policy and, if it was served, answers the request.
+func (e *Engine) handleResult(a *Attempt, res Result) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r := a.Request
-	r.open--
+	r.openAttempts--
 	if res.Outcome == policy.OK && !r.answered.Load() {
 		r.answered.Store(true)
 		r.done <- Answer{Payload: res.Reply}
@@ -337,13 +342,13 @@
 		release(res.Reply)
 	}
 	now := e.clock.Now()
-	if e.tells {
+	if e.debug {
 		e.log.LogAttrs(e.ctx, slog.LevelDebug, "attempt", slog.String("request", r.ID), slog.String("backend", a.Backend.ID), slog.String("zone", a.Backend.Zone),
 			slog.String("class", r.Class), slog.Int("nth", a.index), slog.Any("outcome", res.Outcome), slog.Duration("took", now-a.sent),
 			slog.Bool("fresh", res.NewConnection), slog.Float64("held", res.Load.Held), slog.Float64("queue", res.Load.Queue))
 	}
-	if e.sharer != nil {
-		e.sharer.RecordOutcome(a.Backend.key, res.Outcome)
+	if e.fleetState != nil {
+		e.fleetState.RecordOutcome(a.Backend.key, res.Outcome)
 	}
 	if e.sites != nil {
 		e.sites.Ended(now, a.Backend.Number, res.Outcome, now-a.sent)
@@ -353,7 +358,7 @@
 	e.forget(r)
 }
 
-// finish gives a request its final answer, unless it has one.
+// finish answers a request unless it already has an answer. e.mu must be held.
 func (e *Engine) finish(id string, a Answer) {
 	if r := e.requests[id]; r != nil && !r.answered.Load() {
 		r.answered.Store(true)
@@ -362,23 +367,23 @@
 	}
 }
 
-// forget drops a request that nothing more can come of.
+// forget removes a request that is answered and has no attempt in flight. e.mu must be held.
 func (e *Engine) forget(r *Request) {
-	if !r.answered.Load() || r.open > 0 || e.requests[r.ID] != r {
+	if !r.answered.Load() || r.openAttempts > 0 || e.requests[r.ID] != r {
 		return
 	}
 	delete(e.requests, r.ID)
 	release(r.Payload)
 }
 
-// release tells a payload that nobody uses it any more, if it wants to know.
+// release calls the payload's Release method, if it has one.
 func release(payload any) {
 	if p, ok := payload.(interface{ Release() }); ok {
 		p.Release()
 	}
 }
 
-// handle hands one event to the module and carries out what it wants, in its order. e.mu is held.
+// handle passes an event to the policy and carries out the resulting actions in order. e.mu must be held.
 func (e *Engine) handle(now time.Duration, ev *policy.Event) {
 	e.actions = e.bal.Handle(now, ev, e.actions[:0])
 	for i := range e.actions {
@@ -391,18 +396,18 @@
 				r.attempts[a.Attempt].cancel()
 			}
 		case policy.ActRefuse:
-			if e.tells {
+			if e.debug {
 				e.log.LogAttrs(e.ctx, slog.LevelDebug, "refused", slog.String("request", a.ID), slog.Duration("retry_after", a.Wait))
 			}
 			e.finish(a.ID, Answer{Kind: Refused, RetryAfter: a.Wait})
 		case policy.ActFail:
-			if e.tells {
+			if e.debug {
 				e.log.LogAttrs(e.ctx, slog.LevelDebug, "failed", slog.String("request", a.ID))
 			}
 			e.finish(a.ID, Answer{Kind: Failed})
 		case policy.ActTimer:
 			token := a.Token
-			time.AfterFunc(a.At-now, func() { e.due(token) })
+			time.AfterFunc(a.At-now, func() { e.handleTimer(token) })
 		case policy.ActWatch:
 			e.source.Watch()
 		case policy.ActFetch:
@@ -413,8 +418,8 @@
 	}
 }
 
-// due hands in a timer.
-func (e *Engine) due(token string) {
+// handleTimer passes an expired timer to the policy.
+func (e *Engine) handleTimer(token string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ctx.Err() == nil {
@@ -422,7 +427,7 @@
 	}
 }
 
-// send starts an attempt. Its outcome is handed in later, whatever comes of it.
+// send starts an attempt, which always ends in handleResult. e.mu must be held.
 func (e *Engine) send(now time.Duration, act *policy.Action) {
 	r := e.requests[act.ID]
 	if r == nil {
@@ -432,25 +437,25 @@
 	if len(r.attempts) > 0 {
 		a = &Attempt{}
 	} else {
-		r.attempts = r.list[:0]
+		r.attempts = r.firstList[:0]
 	}
-	*a = Attempt{Request: r, Backend: e.boxes[act.Server], engine: e, index: len(r.attempts), sent: now}
+	*a = Attempt{Request: r, Backend: e.byNumber[act.Server], engine: e, index: len(r.attempts), sent: now}
 	a.Effect, _ = e.Effect(r.Class)
 	if act.By > 0 && a.Effect == policy.Keyed {
 		a.WriteDeadline = time.Now().Add(act.By - now)
 	}
-	a.Timeout = min(act.Wait, r.until-now)
+	a.Timeout = min(act.Wait, r.deadline-now)
 	if act.Wait <= 0 {
-		a.Timeout = r.until - now
+		a.Timeout = r.deadline - now
 	}
 	ctx, cancel := context.WithCancel(e.ctx)
 	a.cancel = cancel
 	r.attempts = append(r.attempts, a)
-	r.open++
+	r.openAttempts++
 	if e.sites != nil {
 		e.sites.Sent(now, act.Server)
-		if e.sharer != nil && a.Backend != nil && e.sites.Node.Crosses(a.Backend.Zone) {
-			e.sharer.CountCrossSite(a.Backend.Zone)
+		if e.fleetState != nil && a.Backend != nil && e.sites.Node.Crosses(a.Backend.Zone) {
+			e.fleetState.CountCrossSite(a.Backend.Zone)
 		}
 	}
 	e.wg.Add(1)
@@ -459,10 +464,10 @@
 		defer cancel()
 		res := Result{Outcome: policy.Moot}
 		if a.Backend == nil {
-			a.Backend = &Backend{Number: act.Server} // in none of the lists: never sent
+			a.Backend = &Backend{Number: act.Server} // unknown backend: never sent
 		} else {
 			res = e.carrier.Carry(ctx, a)
 		}
-		e.ended(a, res)
+		e.handleResult(a, res)
 	}()
 }
--- a/internal/engine/index.go
+++ b/internal/engine/index.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// index finds the backends on the list by their address, and counts those that take new requests, so that news of one
-// backend does not walk all of them. Its zero value is empty.
+// index holds the listed backends by address and counts those that take new requests, so that an update of one backend
+// does not iterate over all of them. The zero value is empty.
 type index struct {
 	byAddr  map[string][]*Backend
 	size    int
-	open    int // of these, those that take new requests
-	changes int // of who is listed: a backend that only drains, or is ready again, is none
+	open    int // number of backends that take new requests
+	changes int // number of additions and removals; a change between ready and draining doesn't count
 }
 
-// at are the backends at an address. What they are is not changed by what happens to the index later.
+// at returns a copy of the backends at an address.
 func (x *index) at(addr string) []*Backend { return slices.Clone(x.byAddr[addr]) }
 
-// all are the backends on the list, in no order.
+// all iterates over the backends in no particular order.
 func (x *index) all(yield func(*Backend) bool) {
 	for _, some := range x.byAddr {
 		for _, b := range some {
@@ -25,9 +25,9 @@
 	}
 }
 
-// update takes in that a backend is listed, or that it drains or is ready again. One that has left is taken out.
+// update adds a backend or updates whether it takes new requests. It takes a removed backend out.
 func (x *index) update(b *Backend) {
-	if b.left {
+	if b.removed {
 		x.remove(b)
 		return
 	}
@@ -39,10 +39,10 @@
 		x.size++
 		x.changes++
 	}
-	x.count(b, b.stop.Load() == nil)
+	x.count(b, b.writesStopAt.Load() == nil)
 }
 
-// remove takes a backend out. One that is not there changes nothing.
+// remove takes a backend out, if it is there.
 func (x *index) remove(b *Backend) {
 	x.count(b, false)
 	all := x.byAddr[b.Addr]
@@ -59,12 +59,12 @@
 	x.byAddr[b.Addr] = slices.Delete(all, i, i+1)
 }
 
-// count notes whether a backend takes new requests.
+// count updates the number of backends that take new requests.
 func (x *index) count(b *Backend, open bool) {
-	if open == b.opened {
+	if open == b.countedOpen {
 		return
 	}
-	b.opened = open
+	b.countedOpen = open
 	if open {
 		x.open++
 	} else {
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -12,50 +12,50 @@
 	"craneglade/policy"
 )
 
-// ListedBackend is one box in a list.
+// ListedBackend is a backend as a list describes it. Backend is the runtime object.
 type ListedBackend = membership.Backend
 
-// SpeaksRPC is the bit of policy.Entry's Speaks and of Request's Needs for JSON-RPC.
+// SpeaksRPC is the bit for JSON-RPC in policy.Entry.Speaks and Request.Needs.
 const SpeaksRPC = 1
 
-// List is a box list, or a change of one, as PROTOCOL has it.
+// List is a full backend list or a delta, in the format of PROTOCOL.
 type List struct {
 	Version int64           `json:"version"`
 	Full    bool            `json:"full"`
 	Servers []ListedBackend `json:"servers"`
-	// AfterOutage says that calls for it failed before: what it tells may have counted as told for a while, so that a drain has no
-	// grace left.
+	// AfterOutage is set if requests for the list failed before it arrived: its updates may have been in force for a while, so
+	// that a drain in it may have no grace left.
 	AfterOutage bool `json:"-"`
 }
 
-// Backend is one process behind the node.
+// Backend is the runtime object of one backend process. A restart or a change of address gives a new one.
 type Backend struct {
-	Number       uint32 // the module's name for it
-	ID           string // the list's
+	Number       uint32 // its number in the policy
+	ID           string // its ID in the list
 	Addr         string
 	Zone         string
 	RPC          string
-	CarrierState any // the HTTP carrier's own; only it touches this
+	CarrierState any // private to the HTTP carrier
 
-	addrs   atomic.Pointer[[]string]
-	started int64         // as the list tells, in Unix milliseconds
-	launch  time.Duration // the same by the engine's clock; 0 for long ago
-	key     judgement.Key
-	left    bool                      // off the list; guarded by the engine's lock
-	opened  bool                      // counted in Engine.listed as one that takes new requests; guarded by the engine's lock
-	drops   int                       // times it was dropped from the list; guarded by the engine's lock
-	stop    atomic.Pointer[time.Time] // from when nothing new may be written to it; nil for none
+	addrs        atomic.Pointer[[]string]
+	startedMS    int64         // start time by the list, in Unix milliseconds
+	launched     time.Duration // start time by the engine's clock; 0 for long ago
+	key          judgement.Key
+	removed      bool                      // not on the list any more; guarded by Engine.mu
+	countedOpen  bool                      // counted in Engine.listed as taking new requests; guarded by Engine.mu
+	removals     int                       // times it was removed from the list; guarded by Engine.mu
+	writesStopAt atomic.Pointer[time.Time] // nothing new may be written to it from then on; nil for none
 }
 
-// newBackend is a process that a list tells of.
+// newBackend returns the Backend for a list entry.
 func newBackend(number uint32, s *ListedBackend) *Backend {
-	return &Backend{Number: number, ID: s.ID, Addr: s.Addr, Zone: s.Zone, RPC: s.RPC, started: s.StartedMS, key: shared.Key(s.ID, s.StartedMS)}
+	return &Backend{Number: number, ID: s.ID, Addr: s.Addr, Zone: s.Zone, RPC: s.RPC, startedMS: s.StartedMS, key: shared.Key(s.ID, s.StartedMS)}
 }
 
-// startTold is when the list says that it started, since the Unix epoch.
-func (b *Backend) startTold() time.Duration { return time.Duration(b.started) * time.Millisecond }
+// listedStart returns its start time by the list, since the Unix epoch.
+func (b *Backend) listedStart() time.Duration { return time.Duration(b.startedMS) * time.Millisecond }
 
-// Addrs are all addresses of the box where it has several; nil for Addr alone.
+// Addrs returns all addresses of a backend that has several, else nil.
 func (b *Backend) Addrs() []string {
 	if p := b.addrs.Load(); p != nil {
 		return *p
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// SetAddrs sets all addresses of the box; with less than two it answers at Addr alone.
+// SetAddrs sets all addresses of the backend. With fewer than two it is reached at Addr alone.
 func (b *Backend) SetAddrs(addrs []string) {
 	if len(addrs) < 2 {
 		b.addrs.Store(nil)
@@ -72,34 +72,34 @@
 	b.addrs.Store(&addrs)
 }
 
-// WritesStopped tells whether nothing new may be written to the box any more: its drain's grace is over.
+// WritesStopped reports whether nothing new may be written to the backend, as its drain grace is over.
 func (b *Backend) WritesStopped() bool {
-	stop := b.stop.Load()
+	stop := b.writesStopAt.Load()
 	return stop != nil && !time.Now().Before(*stop)
 }
 
-// StopWritesAt has nothing new written to the box from t on, or from an earlier moment that was told before.
+// StopWritesAt forbids new writes to the backend from t on. An earlier time that was set before stays.
 func (b *Backend) StopWritesAt(t time.Time) {
-	for old := b.stop.Load(); (old == nil || t.Before(*old)) && !b.stop.CompareAndSwap(old, &t); old = b.stop.Load() {
+	for old := b.writesStopAt.Load(); (old == nil || t.Before(*old)) && !b.writesStopAt.CompareAndSwap(old, &t); old = b.writesStopAt.Load() {
 	}
 }
 
-// ResumeWrites takes a ShutFrom back.
-func (b *Backend) ResumeWrites() { b.stop.Store(nil) }
+// ResumeWrites reverts StopWritesAt.
+func (b *Backend) ResumeWrites() { b.writesStopAt.Store(nil) }
 
-// SetSource sets the source of lists, with the list that is known before it tells one.
+// SetSource sets the source of lists. The list known is in force until the source delivers one.
 func (e *Engine) SetSource(s Source, known *List) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.source = s
-	// The list can start a watch at once, whose answer must not be taken in before the list is.
-	e.take(known, policy.ListCached)
-	if !e.set.MustAsk {
-		s.Watch() // the module asks only where lists are not pushed
+	// The event for the list can start a watch, whose answer must not be applied before the list.
+	e.applyList(known, policy.ListCached)
+	if !e.settings.MustAsk {
+		s.Watch() // with MustAsk the policy decides when to poll
 	}
 }
 
-// ReplaceSource sets another source, and has it watch. The boxes stay until it tells its list.
+// ReplaceSource switches to another source and starts its watch. The backends stay until it delivers a list.
 func (e *Engine) ReplaceSource(s Source) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -109,28 +109,28 @@
 	}
 }
 
-// Version is that of the list.
+// Version returns the version of the current list.
 func (e *Engine) Version() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.version
 }
 
-// UpdateList takes in a list of s, unless s is not followed any more or fresh, told the version that is known, says that the
-// list is not new.
+// UpdateList applies a list from s, unless s is not the current source. It calls fresh with the version of the current list
+// and applies l only if fresh returns true.
 func (e *Engine) UpdateList(s Source, l *List, kind policy.ListKind, fresh func(known int64) bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.source != s || e.ctx.Err() != nil {
 		return
 	}
-	e.listHeard()
+	e.refreshList()
 	if fresh(e.version) {
-		e.take(l, kind)
+		e.applyList(l, kind)
 	}
 }
 
-// SourceFailed tells that s has failed to give what was asked of it; the module says when to ask again.
+// SourceFailed reports that a watch or fetch of s has failed. The policy decides when to retry.
 func (e *Engine) SourceFailed(s Source) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -139,25 +139,25 @@
 	}
 }
 
-// Ready tells whether some box is listed as ready.
+// Ready reports whether any listed backend takes new requests.
 func (e *Engine) Ready() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.listed.open > 0
 }
 
-// take takes in a list, with what other sources say. e.mu is held.
-func (e *Engine) take(l *List, kind policy.ListKind) {
+// applyList applies a list, merged with the other sources if there are any. e.mu must be held.
+func (e *Engine) applyList(l *List, kind policy.ListKind) {
 	e.version = l.Version
 	if e.members == nil {
-		e.apply(l, kind)
+		e.applyBackends(l, kind)
 	} else {
-		e.merge(l, kind)
+		e.mergeList(l, kind)
 	}
 }
 
-// apply brings the boxes up to date and hands the list to the module. e.mu is held.
-func (e *Engine) apply(l *List, kind policy.ListKind) {
+// applyBackends updates the backends from a list and passes it to the policy. e.mu must be held.
+func (e *Engine) applyBackends(l *List, kind policy.ListKind) {
 	now := e.clock.Now()
 	entries := make([]policy.Entry, 0, len(l.Servers))
 	seen := map[string]bool{}
@@ -174,14 +174,14 @@
 		case "Ready":
 		case "Gone":
 			x.State = policy.Left
-		default: // Terminating, or a state that is not known here: nothing new for either
+		default: // Terminating or an unknown state: no new requests for either
 			x.State = policy.Leaving
 		}
-		b := e.names[s.ID]
+		b := e.byID[s.ID]
 		if b != nil && (b.Addr != s.Addr && s.Addr != "" || b.RPC != s.RPC && s.RPC != "") {
-			// Another address is another process, even where the start time does not tell.
+			// Another address means another process, even with the same start time.
 			entries = append(entries, policy.Entry{ID: b.Number, State: policy.Left})
-			e.drop(b)
+			e.remove(b)
 			b = nil
 		}
 		switch {
@@ -190,37 +190,37 @@
 		case b == nil:
 			for _, o := range e.listed.at(s.Addr) {
 				if !seen[o.ID] {
-					// Its process can't be there any more: what goes to its address reaches the new one.
+					// Its process must have ended: its address now belongs to the new one.
 					entries = append(entries, policy.Entry{ID: o.Number, State: policy.Left})
-					e.drop(o)
+					e.remove(o)
 				}
 			}
 			e.nextNum++
 			b = newBackend(e.nextNum, s)
-			b.launch = e.starts.At(now, b.startTold(), false)
-		case b.started != s.StartedMS:
+			b.launched = e.starts.At(now, b.listedStart(), false)
+		case b.startedMS != s.StartedMS:
 			old := b
-			b = newBackend(old.Number, s) // the module tells the two apart by the start
-			b.launch = e.starts.At(now, b.startTold(), kind == policy.ListDelta && !l.AfterOutage)
+			b = newBackend(old.Number, s) // the policy distinguishes the two by their start time
+			b.launched = e.starts.At(now, b.listedStart(), kind == policy.ListDelta && !l.AfterOutage)
 			e.listed.remove(old)
 			e.carrier.Retire(old)
 		}
-		if len(s.Addrs) > 1 || x.State == policy.Active { // news of a drain need not tell them
+		if len(s.Addrs) > 1 || x.State == policy.Active { // an update of a drain may omit them
 			b.SetAddrs(s.Addrs)
 		}
-		e.names[s.ID], e.boxes[b.Number] = b, b
-		x.ID, x.Launched = b.Number, b.launch
+		e.byID[s.ID], e.byNumber[b.Number] = b, b
+		x.ID, x.Launched = b.Number, b.launched
 		switch x.State {
 		case policy.Active:
-			b.left = false
+			b.removed = false
 			b.ResumeWrites()
 		case policy.Leaving:
 			e.drain(b)
-			if l.AfterOutage { // no moment of its grace may be left
+			if l.AfterOutage { // its grace may be over
 				x.State = policy.Left
 			}
 		case policy.Left:
-			e.drop(b)
+			e.remove(b)
 		}
 		e.listed.update(b)
 		if l.AfterOutage && x.State == policy.Left {
@@ -229,82 +229,85 @@
 		entries = append(entries, x)
 	}
 	if kind != policy.ListDelta {
-		for id, b := range e.names {
+		for id, b := range e.byID {
 			if !seen[id] {
-				e.drop(b)
-				if l.AfterOutage { // gone by this as by a drain that is named, and perhaps for as long
+				e.remove(b)
+				if l.AfterOutage { // as for an entry that drains: its grace may be over
 					b.StopWritesAt(time.Now())
 				}
 			}
 		}
 	}
 	e.handle(now, &policy.Event{Kind: policy.EvList, List: kind, Entries: entries})
-	e.tellSharer()
-	e.tellSites()
-	e.forgetDropped()
+	e.notifyFleetState()
+	e.notifySites()
+	e.scheduleForget()
 }
 
-// drain lets nothing new be written to a box once its grace is over.
+// drain stops writes to a backend when the grace, counted from now, is over.
 func (e *Engine) drain(b *Backend) {
-	b.StopWritesAt(time.Now().Add(writableFor(e.set.DrainGrace)))
+	b.StopWritesAt(time.Now().Add(writableFor(e.settings.DrainGrace)))
 }
 
-// writableFor is for how long new requests may be written to a box from the moment at which news of its drain was read: its grace,
-// less the times for which the process may be held up before it reads the news, and between its last look at the clock and the write.
+// writableFor returns how long new requests may be written to a backend after the update of its drain was read: the grace less
+// two stalls, one before the process reads the update and one between the last check of the clock and the write. At least a
+// tenth of the grace is reserved.
 func writableFor(grace time.Duration) time.Duration {
-	return max(0, min(grace*9/10, grace-2*heldUp))
+	return max(0, min(grace*9/10, grace-2*maxStall))
 }
 
-// drop takes a box off the list. It stays known until its grace is over: the module may go on with the last of a list
-// that came empty, and a box that is listed again keeps its number and its connections. forgetDropped is to be called.
-func (e *Engine) drop(b *Backend) {
-	if b.left {
+// remove takes a backend off the list. It stays known until its grace is over, because the policy may keep the last backends
+// when a list comes empty, and a backend that is listed again keeps its number and connections. The caller has to call
+// scheduleForget.
+func (e *Engine) remove(b *Backend) {
+	if b.removed {
 		return
 	}
-	b.left = true
-	b.drops++
+	b.removed = true
+	b.removals++
 	e.listed.remove(b)
 	e.drain(b)
-	e.dropped = append(e.dropped, dropped{b, b.drops})
+	e.removed = append(e.removed, removal{b, b.removals})
 }
 
-// dropped is a backend that left the list, and which of its drops that was.
-type dropped struct {
+// removal records that a backend was removed from the list; nth is its value of removals then.
+type removal struct {
 	backend *Backend
 	nth     int
 }
 
-// forgottenAtOnce is how many backends are forgotten without a request getting the engine's lock between them.
-const forgottenAtOnce = 64
+// forgetBatchSize is the number of backends that are forgotten per acquisition of the engine's lock, so that requests don't
+// wait for all of them.
+const forgetBatchSize = 64
 
-// forgetDropped has what was dropped since the last call forgotten once its grace is over. e.mu is held.
-func (e *Engine) forgetDropped() {
-	if len(e.dropped) == 0 {
+// scheduleForget has the backends removed since its last call forgotten when their grace is over. e.mu must be held.
+func (e *Engine) scheduleForget() {
+	if len(e.removed) == 0 {
 		return
 	}
-	all := e.dropped
-	e.dropped = nil
-	time.AfterFunc(e.set.DrainGrace, func() {
-		for some := range slices.Chunk(all, forgottenAtOnce) {
+	all := e.removed
+	e.removed = nil
+	time.AfterFunc(e.settings.DrainGrace, func() {
+		for some := range slices.Chunk(all, forgetBatchSize) {
 			e.forgetBackends(some)
 		}
 	})
 }
 
-// forgetBackends forgets backends that are not listed again.
-func (e *Engine) forgetBackends(all []dropped) {
+// forgetBackends forgets those removed backends that were not listed again.
+func (e *Engine) forgetBackends(all []removal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, d := range all {
 		b := d.backend
-		if !b.left || b.drops != d.nth {
+		if !b.removed || b.removals != d.nth {
 			continue // listed again meanwhile
 		}
-		if e.names[b.ID] == b {
-			delete(e.names, b.ID)
+		if e.byID[b.ID] == b {
+			delete(e.byID, b.ID)
 		}
-		if e.boxes[b.Number] == b {
-			delete(e.boxes, b.Number)
+		if e.byNumber[b.Number] == b {
+			delete(e.byNumber, b.Number)
 		}
 		e.carrier.Retire(b)
 	}
--- a/internal/engine/list_test.go
+++ b/internal/engine/list_test.go
@@ -20,7 +20,7 @@
 
 const grace = 10 * time.Second
 
-// carrier notes what is retired, and carries nothing.
+// carrier records retired backends and sends nothing.
 type carrier struct {
 	mu      sync.Mutex
 	retired []*Backend
@@ -34,7 +34,7 @@
 	c.retired = append(c.retired, b)
 }
 
-// retiredIDs are the ids of the backends that were retired, sorted.
+// retiredIDs returns the IDs of the retired backends, sorted.
 func (c *carrier) retiredIDs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,19 +46,19 @@
 	return ids
 }
 
-// listener is a Sharer that notes which backends it was last told of, and how often it was told.
-type listener struct {
-	last  map[judgement.Key]string // name and site
-	times int
+// recorder is a FleetState that records the backends last passed to it and the number of calls.
+type recorder struct {
+	last    map[judgement.Key]string // name and site
+	updates int
 }
 
-func (l *listener) CountRequest(string)                         {}
-func (l *listener) CountCrossSite(string)                       {}
-func (l *listener) RecordOutcome(judgement.Key, policy.Outcome) {}
-func (l *listener) View() shared.View                           { return shared.View{} }
+func (l *recorder) CountRequest(string)                         {}
+func (l *recorder) CountCrossSite(string)                       {}
+func (l *recorder) RecordOutcome(judgement.Key, policy.Outcome) {}
+func (l *recorder) View() shared.View                           { return shared.View{} }
 
-func (l *listener) SetBackends(all []judgement.Backend) {
-	l.times++
+func (l *recorder) SetBackends(all []judgement.Backend) {
+	l.updates++
 	l.last = map[judgement.Key]string{}
 	for _, b := range all {
 		l.last[b.Key] = b.Name + " " + b.Site
@@ -83,45 +83,45 @@
 	return e, c
 }
 
-// take takes a list in as a source's news.
+// takeList applies a list as an update of its source.
 func (e *Engine) takeList(l *List, kind policy.ListKind) {
 	e.UpdateList(noSource{}, l, kind, func(int64) bool { return true })
 }
 
-// model is what the engine must know after each list, found by walking everything each time.
+// model is the expected state of the engine after each list, computed by iterating over everything.
 type model struct {
 	next    uint32
 	names   map[string]*modelBackend
 	numbers map[uint32]*modelBackend
 	retired []string
-	dropped []*modelBackend
+	removed []*modelBackend
 }
 
 type modelBackend struct {
-	number       uint32
-	id, addr     string
-	rpc          string
-	started      int64
-	left, closed bool
-	forget       time.Time // when it is dropped for good, if it has left
+	number          uint32
+	id, addr        string
+	rpc             string
+	started         int64
+	removed, closed bool
+	forgetAt        time.Time // when it is forgotten, if removed
 }
 
-func (m *model) drop(b *modelBackend) {
-	if !b.left {
-		b.left, b.closed, b.forget = true, true, time.Now().Add(grace)
-		m.dropped = append(m.dropped, b)
+func (m *model) remove(b *modelBackend) {
+	if !b.removed {
+		b.removed, b.closed, b.forgetAt = true, true, time.Now().Add(grace)
+		m.removed = append(m.removed, b)
 	}
 }
 
 func (m *model) retire(b *modelBackend) { m.retired = append(m.retired, b.id+"@"+b.addr) }
 
-// elapse drops for good what left so long ago.
+// elapse forgets the backends whose grace has ended.
 func (m *model) elapse() {
-	for _, b := range m.dropped {
-		if !b.left || b.forget.IsZero() || time.Now().Before(b.forget) {
+	for _, b := range m.removed {
+		if !b.removed || b.forgetAt.IsZero() || time.Now().Before(b.forgetAt) {
 			continue
 		}
-		b.forget = time.Time{}
+		b.forgetAt = time.Time{}
 		if m.names[b.id] == b {
 			delete(m.names, b.id)
 		}
@@ -140,7 +140,7 @@
 	for _, s := range l.Servers {
 		b := m.names[s.ID]
 		if b != nil && (b.addr != s.Addr && s.Addr != "" || b.rpc != s.RPC && s.RPC != "") {
-			m.drop(b)
+			m.remove(b)
 			b = nil
 		}
 		if b == nil && s.State == "Gone" {
@@ -148,8 +148,8 @@
 		}
 		if b == nil {
 			for _, other := range m.names {
-				if other.addr == s.Addr && !other.left && !seen[other.id] {
-					m.drop(other)
+				if other.addr == s.Addr && !other.removed && !seen[other.id] {
+					m.remove(other)
 				}
 			}
 			m.next++
@@ -161,9 +161,9 @@
 		m.names[s.ID], m.numbers[b.number] = b, b
 		switch s.State {
 		case "Ready":
-			b.left, b.closed = false, false
+			b.removed, b.closed = false, false
 		case "Gone":
-			m.drop(b)
+			m.remove(b)
 		default:
 			b.closed = true
 		}
@@ -171,17 +171,17 @@
 	if kind != policy.ListDelta {
 		for _, id := range slices.Sorted(maps.Keys(m.names)) {
 			if !seen[id] {
-				m.drop(m.names[id])
+				m.remove(m.names[id])
 			}
 		}
 	}
 }
 
-// listed are the backends that a sharer has to know of.
+// listed returns the backends that the fleet state has to know.
 func (m *model) listed() map[judgement.Key]string {
 	all := map[judgement.Key]string{}
 	for _, b := range m.names {
-		if !b.left {
+		if !b.removed {
 			all[shared.Key(b.id, b.started)] = b.id + " north"
 		}
 	}
@@ -197,10 +197,10 @@
 	return false
 }
 
-// state is what both are compared by.
+// state formats the model for comparison with the engine.
 func (m *model) state() (all []string) {
 	for id, b := range m.names {
-		all = append(all, fmt.Sprintf("name %s: %d %s left %v closed %v", id, b.number, b.addr, b.left, b.closed))
+		all = append(all, fmt.Sprintf("name %s: %d %s left %v closed %v", id, b.number, b.addr, b.removed, b.closed))
 	}
 	for n, b := range m.numbers {
 		all = append(all, fmt.Sprintf("number %d: %s %s %d", n, b.id, b.addr, b.started))
@@ -212,18 +212,18 @@
 func (e *Engine) state() (all []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for id, b := range e.names {
-		all = append(all, fmt.Sprintf("name %s: %d %s left %v closed %v", id, b.Number, b.Addr, b.left, b.stop.Load() != nil))
+	for id, b := range e.byID {
+		all = append(all, fmt.Sprintf("name %s: %d %s left %v closed %v", id, b.Number, b.Addr, b.removed, b.writesStopAt.Load() != nil))
 	}
-	for n, b := range e.boxes {
-		all = append(all, fmt.Sprintf("number %d: %s %s %d", n, b.ID, b.Addr, b.started))
+	for n, b := range e.byNumber {
+		all = append(all, fmt.Sprintf("number %d: %s %s %d", n, b.ID, b.Addr, b.startedMS))
 	}
 	slices.Sort(all)
 	return all
 }
 
-// drawList draws a list of few ids at few addresses, so that addresses are used again and ids move.
-func drawList(rng *rand.Rand) (*List, policy.ListKind) {
+// randomList returns a random list of few IDs and addresses, so that addresses are reused and IDs move.
+func randomList(rng *rand.Rand) (*List, policy.ListKind) {
 	kind := []policy.ListKind{policy.ListDelta, policy.ListDelta, policy.ListDelta, policy.ListFull, policy.ListCached}[rng.IntN(5)]
 	l := &List{Full: kind != policy.ListDelta, AfterOutage: rng.IntN(8) == 0}
 	for range rng.IntN(7) {
@@ -240,45 +240,45 @@
 	return l, kind
 }
 
-// Whatever comes in lists (ids that move, addresses that are used again, restarts, drains, whole lists that omit) the
-// engine knows the same backends as a model that walks all names for each.
-func TestListsAgainstAModel(t *testing.T) {
+// After any sequence of lists (IDs that move, reused addresses, restarts, drains, full lists with omissions) the engine knows
+// the same backends as a model that iterates over all of them for each entry.
+func TestListUpdatesMatchModel(t *testing.T) {
 	scripts := 1000
 	if testing.Short() {
 		scripts = 100
 	}
 	for seed := range uint64(scripts) {
-		synctest.Test(t, func(t *testing.T) { playLists(t, seed) })
+		synctest.Test(t, func(t *testing.T) { runListScript(t, seed) })
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
 	}
 }
 
-func playLists(t *testing.T, seed uint64) {
+func runListScript(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	e, c := newEngine(t)
 	defer func() {
-		time.Sleep(2 * grace) // timers that are out
+		time.Sleep(2 * grace) // let the timers expire
 		synctest.Wait()
 		e.Stop()
 	}()
-	sharer := &listener{}
-	e.SetFleetState(sharer)
+	fleetState := &recorder{}
+	e.SetFleetState(fleetState)
 	m := &model{names: map[string]*modelBackend{}, numbers: map[uint32]*modelBackend{}}
 	for step := range 25 {
-		l, kind := drawList(rng)
+		l, kind := randomList(rng)
 		e.takeList(l, kind)
 		m.apply(l, kind)
-		compare(t, e, c, m, fmt.Sprintf("step %d: %+v kind %d", step, l, kind))
-		if got, want := sharer.last, m.listed(); !maps.Equal(got, want) {
-			t.Errorf("step %d: %+v kind %d: the sharer was told of %v, there are %v", step, l, kind, got, want)
+		compareWithModel(t, e, c, m, fmt.Sprintf("step %d: %+v kind %d", step, l, kind))
+		if got, want := fleetState.last, m.listed(); !maps.Equal(got, want) {
+			t.Errorf("step %d: %+v kind %d: the fleet state has %v, want %v", step, l, kind, got, want)
 		}
 		if rng.IntN(4) == 0 {
 			time.Sleep(time.Duration(rng.IntN(12)) * time.Second)
 			synctest.Wait()
 			m.elapse()
-			compare(t, e, c, m, fmt.Sprintf("after step %d and a while", step))
+			compareWithModel(t, e, c, m, fmt.Sprintf("after step %d and a pause", step))
 		}
 		if t.Failed() {
 			return
@@ -286,7 +286,7 @@
 	}
 }
 
-func compare(t *testing.T, e *Engine, c *carrier, m *model, when string) {
+func compareWithModel(t *testing.T, e *Engine, c *carrier, m *model, when string) {
 	t.Helper()
 	if got, want := e.state(), m.state(); !slices.Equal(got, want) {
 		t.Errorf("%s:\n got %q\nwant %q", when, got, want)
@@ -300,41 +300,41 @@
 	}
 }
 
-// News that changes nobody's place on the list does not cost the sharer a whole list.
-func TestADrainIsNoNewListForTheSharer(t *testing.T) {
+// A list update that adds and removes no backend must not be passed to the fleet state, which costs a full list.
+func TestFleetStateNotNotifiedOfDrains(t *testing.T) {
 	e, _ := newEngine(t)
 	defer e.Stop()
-	sharer := &listener{}
-	e.SetFleetState(sharer)
+	fleetState := &recorder{}
+	e.SetFleetState(fleetState)
 	one := ListedBackend{ID: "b", Addr: "a", Zone: "north", State: "Ready"}
 	for i, c := range []struct {
 		state, addr string
-		told        int
+		updates     int
 	}{{"Ready", "a", 2}, {"Terminating", "a", 2}, {"Ready", "a", 2}, {"Ready", "elsewhere", 3}, {"Gone", "elsewhere", 4}, {"Gone", "elsewhere", 4}, {"Ready", "elsewhere", 5}} {
 		one.State, one.Addr = c.state, c.addr
 		e.takeList(&List{Version: int64(i + 1), Servers: []ListedBackend{one}}, policy.ListDelta)
-		if sharer.times != c.told {
-			t.Errorf("after %s at %s the sharer was told %d times, want %d", c.state, c.addr, sharer.times, c.told)
+		if fleetState.updates != c.updates {
+			t.Errorf("after %s at %s the fleet state was updated %d times, want %d", c.state, c.addr, fleetState.updates, c.updates)
 		}
 	}
 }
 
-// On a machine whose clock is an hour ahead a backend that starts again is as cold as it is; by the clock it would have been up for
-// an hour.
-func TestRestartOnAMachineWhoseClockIsAhead(t *testing.T) {
+// The node's clock is an hour ahead of the backends', so that by its listed start time a restarted backend has been up for an
+// hour. It must be treated as just started.
+func TestRestartWithNodeClockAhead(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		e, _ := newEngine(t)
 		defer e.Stop()
-		truth := func() int64 { return time.Now().Add(-time.Hour).UnixMilli() }
-		box := ListedBackend{ID: "s-1", Addr: "10.0.0.1:80", Zone: "north", Kind: "k", State: "Ready"}
-		e.takeList(&List{Version: 1, Full: true, Servers: []ListedBackend{box}}, policy.ListFull)
+		backendClock := func() int64 { return time.Now().Add(-time.Hour).UnixMilli() }
+		backend := ListedBackend{ID: "s-1", Addr: "10.0.0.1:80", Zone: "north", Kind: "k", State: "Ready"}
+		e.takeList(&List{Version: 1, Full: true, Servers: []ListedBackend{backend}}, policy.ListFull)
 		time.Sleep(time.Minute)
-		box.StartedMS = truth()
+		backend.StartedMS = backendClock()
 		time.Sleep(2 * time.Second)
-		e.takeList(&List{Version: 2, Servers: []ListedBackend{box}}, policy.ListDelta)
-		if age := e.clock.Now() - e.names["s-1"].launch; age > 3*time.Second {
-			t.Errorf("a backend that started 2 s ago is taken for %v old", age)
+		e.takeList(&List{Version: 2, Servers: []ListedBackend{backend}}, policy.ListDelta)
+		if age := e.clock.Now() - e.byID["s-1"].launched; age > 3*time.Second {
+			t.Errorf("a backend that started 2 s ago is considered %v old", age)
 		}
 	})
 }
--- a/internal/engine/members.go
+++ b/internal/engine/members.go
@@ -7,20 +7,20 @@
 	"craneglade/policy"
 )
 
-// UpdateNames takes in the whole answer of a source that names backends beside the list. It returns whether the source is to be asked
-// again at once. Without Config.Members nothing changes.
-func (e *Engine) UpdateNames(source string, boxes []ListedBackend) (again bool) {
+// UpdateNames applies the full answer of a source that names backends beside the list. It reports whether the source should be
+// queried again at once. It has no effect without Config.Members.
+func (e *Engine) UpdateNames(source string, backends []ListedBackend) (requery bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.members == nil || e.ctx.Err() != nil {
 		return false
 	}
-	changed, again := e.members.UpdateNames(e.clock.Now(), source, boxes)
-	e.change(changed)
-	return again
+	changed, requery := e.members.UpdateNames(e.clock.Now(), source, backends)
+	e.applyStatuses(changed)
+	return requery
 }
 
-// Members is where each backend stands and why, by its address; nil without Config.Members.
+// Members returns the status of each backend, sorted by address; nil without Config.Members.
 func (e *Engine) Members() []membership.Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -30,58 +30,58 @@
 	return e.members.All()
 }
 
-// merge takes in a list with what other sources say of its backends. e.mu is held.
-func (e *Engine) merge(l *List, kind policy.ListKind) {
-	stands := e.members.UpdateList(e.clock.Now(), kind != policy.ListDelta, l.Servers)
-	out := List{Version: l.Version, Servers: make([]ListedBackend, 0, len(stands)), AfterOutage: l.AfterOutage}
-	for i := range stands {
-		// What a whole list leaves out is gone by that, and one that is empty must look so.
-		if kind == policy.ListDelta || stands[i].Backend.State != membership.Gone {
-			out.Servers = append(out.Servers, stands[i].Backend)
+// mergeList applies a list merged with the other sources. e.mu must be held.
+func (e *Engine) mergeList(l *List, kind policy.ListKind) {
+	statuses := e.members.UpdateList(e.clock.Now(), kind != policy.ListDelta, l.Servers)
+	out := List{Version: l.Version, Servers: make([]ListedBackend, 0, len(statuses)), AfterOutage: l.AfterOutage}
+	for i := range statuses {
+		// A full list removes what it omits, and an empty one must stay empty.
+		if kind == policy.ListDelta || statuses[i].Backend.State != membership.Gone {
+			out.Servers = append(out.Servers, statuses[i].Backend)
 		}
 	}
-	e.apply(&out, kind)
-	e.shut(stands)
-	e.remind()
+	e.applyBackends(&out, kind)
+	e.backdateDrains(statuses)
+	e.scheduleTick()
 }
 
-// change applies what has changed beside the list. e.mu is held.
-func (e *Engine) change(stands []membership.Status) {
-	if len(stands) > 0 {
+// applyStatuses applies changes that come from other sources than the list, or by time. e.mu must be held.
+func (e *Engine) applyStatuses(statuses []membership.Status) {
+	if len(statuses) > 0 {
 		l := List{Version: e.version}
-		for i := range stands {
-			l.Servers = append(l.Servers, stands[i].Backend)
-			e.log.Info("a box stands anew", "box", stands[i].Backend.ID, "addr", stands[i].Backend.Addr, "used", stands[i].Use,
-				"why", stands[i].Reason, "source", stands[i].Source)
+		for i := range statuses {
+			l.Servers = append(l.Servers, statuses[i].Backend)
+			e.log.Info("backend status changed", "box", statuses[i].Backend.ID, "addr", statuses[i].Backend.Addr, "used", statuses[i].Use,
+				"why", statuses[i].Reason, "source", statuses[i].Source)
 		}
-		e.apply(&l, policy.ListDelta)
-		e.shut(stands)
+		e.applyBackends(&l, policy.ListDelta)
+		e.backdateDrains(statuses)
 	}
-	e.remind()
+	e.scheduleTick()
 }
 
-// shut has the grace of backends that are out run from the moment at which the first source told. e.mu is held.
-func (e *Engine) shut(stands []membership.Status) {
-	for i := range stands {
-		s := &stands[i]
-		if b := e.names[s.Backend.ID]; b != nil && !s.Use && b.Addr == s.Backend.Addr {
-			b.StopWritesAt(time.Now().Add(s.Since - e.clock.Now() + writableFor(e.set.DrainGrace)))
-			if !b.left {
+// backdateDrains has the grace of unused backends count from the first source that withdrew them. e.mu must be held.
+func (e *Engine) backdateDrains(statuses []membership.Status) {
+	for i := range statuses {
+		s := &statuses[i]
+		if b := e.byID[s.Backend.ID]; b != nil && !s.Use && b.Addr == s.Backend.Addr {
+			b.StopWritesAt(time.Now().Add(s.Since - e.clock.Now() + writableFor(e.settings.DrainGrace)))
+			if !b.removed {
 				e.listed.update(b)
 			}
 		}
 	}
 }
 
-// listHeard notes that the list's source has answered, also where it had nothing new. e.mu is held.
-func (e *Engine) listHeard() {
+// refreshList records that the list's source has answered, with or without changes. e.mu must be held.
+func (e *Engine) refreshList() {
 	if e.members != nil {
-		e.change(e.members.RefreshList(e.clock.Now()))
+		e.applyStatuses(e.members.RefreshList(e.clock.Now()))
 	}
 }
 
-// remind sets the timer for what changes by time alone. e.mu is held.
-func (e *Engine) remind() {
+// scheduleTick sets the timer for the next change by time alone. e.mu must be held.
+func (e *Engine) scheduleTick() {
 	next := e.members.Next()
 	if e.memberTimer != nil {
 		e.memberTimer.Stop()
@@ -93,7 +93,7 @@
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if e.ctx.Err() == nil {
-			e.change(e.members.Tick(e.clock.Now()))
+			e.applyStatuses(e.members.Tick(e.clock.Now()))
 		}
 	})
 }
--- a/internal/engine/sharer.go
+++ b/internal/engine/sharer.go
@@ -8,64 +8,64 @@
 	"craneglade/policy"
 )
 
-// FleetState is what the node shares with the others of its fleet. Its methods are called with the engine locked, and must
-// neither wait for anybody nor call back.
+// FleetState is the state that the node shares with the other nodes of its fleet. Its methods are called with the engine
+// locked and must neither block nor call back.
 type FleetState interface {
-	CountRequest(tenant string)                      // a client asks
-	CountCrossSite(site string)                      // a request goes to another site, as its client's own is lost
+	CountRequest(tenant string)                      // a client's request was accepted
+	CountCrossSite(site string)                      // an attempt goes to another site while the node's own is not fully in service
 	RecordOutcome(k judgement.Key, o policy.Outcome) // an attempt has ended
-	SetBackends(all []judgement.Backend)             // the backends that there are
-	View() shared.View                               // what may be acted on, until a moment of the engine's clock
+	SetBackends(all []judgement.Backend)             // all listed backends
+	View() shared.View                               // shared state to act on, valid until a time of the engine's clock
 }
 
-// SetFleetState sets what the node shares. Without it the module decides by what this node sees alone.
+// SetFleetState sets the shared state. Without it the policy uses only what this node observes.
 func (e *Engine) SetFleetState(s FleetState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.sharer, e.sharerTold = s, -1
-	e.tellSharer()
-	e.look(e.clock.Now(), true)
+	e.fleetState, e.notifiedChanges = s, -1
+	e.notifyFleetState()
+	e.refreshView(e.clock.Now(), true)
 }
 
-// FleetStateChanged tells that there is something new to act on.
+// FleetStateChanged reports that the shared state has changed.
 func (e *Engine) FleetStateChanged() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.sharer != nil && e.ctx.Err() == nil {
-		e.look(e.clock.Now(), true)
+	if e.fleetState != nil && e.ctx.Err() == nil {
+		e.refreshView(e.clock.Now(), true)
 	}
 }
 
-// look hands the module what may be acted on now, where it is new or what it was told counts no more: a process that was
-// stalled must not act on what it held before. e.mu is held.
-func (e *Engine) look(now time.Duration, fresh bool) {
-	if !fresh && now < e.until {
+// refreshView passes the shared state to the policy if it is fresh or the last view has expired: a process that was stalled
+// must not act on an old view. e.mu must be held.
+func (e *Engine) refreshView(now time.Duration, fresh bool) {
+	if !fresh && now < e.viewUntil {
 		return
 	}
-	v := e.sharer.View()
-	e.until = v.Until
+	v := e.fleetState.View()
+	e.viewUntil = v.Until
 	if e.sites != nil {
 		e.sites.Node.Shares(v.Cross)
 		e.sites.Node.Heard(v.Nodes)
 	}
 	numbers := make(map[judgement.Key]uint32, len(v.Out))
 	if len(v.Out) > 0 {
-		for _, b := range e.names {
+		for _, b := range e.byID {
 			numbers[b.key] = b.Number
 		}
 	}
 	e.handle(now, v.Event(func(k judgement.Key) (uint32, bool) { n, ok := numbers[k]; return n, ok }))
 }
 
-// tellSharer tells which backends there are, unless they are those that it was told of before. e.mu is held.
-func (e *Engine) tellSharer() {
-	if e.sharer == nil || e.sharerTold == e.listed.changes {
+// notifyFleetState passes on the listed backends if they have changed since the last call. e.mu must be held.
+func (e *Engine) notifyFleetState() {
+	if e.fleetState == nil || e.notifiedChanges == e.listed.changes {
 		return
 	}
-	e.sharerTold = e.listed.changes
+	e.notifiedChanges = e.listed.changes
 	all := make([]judgement.Backend, 0, e.listed.size)
 	for b := range e.listed.all {
 		all = append(all, judgement.Backend{Key: b.key, Name: b.ID, Site: b.Zone})
 	}
-	e.sharer.SetBackends(all)
+	e.fleetState.SetBackends(all)
 }
--- a/internal/engine/shutdown_test.go
+++ b/internal/engine/shutdown_test.go
@@ -12,9 +12,9 @@
 	"craneglade/policy"
 )
 
-// The last answers of a shutdown are due so long before the earliest kill that the process may be held up twice: when it is told
-// to end, and when they are due.
-func TestShutdownLeavesTimeForBeingHeldUp(t *testing.T) {
+// The last answers of a shutdown are due early enough for two stalls before the earliest SIGKILL: one when the process receives
+// SIGTERM, and one when the answers are due.
+func TestShutdownAllowsForTwoStalls(t *testing.T) {
 	t.Parallel()
 	class := func(aim, deadline time.Duration) policy.Class { return policy.Class{Aim: aim, Deadline: deadline} }
 	for _, c := range []struct {
@@ -25,7 +25,7 @@
 		{"short", []policy.Class{class(200*time.Millisecond, 420*time.Millisecond)}, 470 * time.Millisecond, 720 * time.Millisecond, 1120 * time.Millisecond},
 		{"of two", []policy.Class{class(time.Second, 2*time.Second), class(100*time.Millisecond, 500*time.Millisecond)}, 1250 * time.Millisecond, 2300 * time.Millisecond, 2700 * time.Millisecond},
 		{"long", []policy.Class{class(700*time.Millisecond, 60*time.Second)}, 2550 * time.Millisecond, 3300 * time.Millisecond, 3700 * time.Millisecond},
-		{"not told", nil, 3250 * time.Millisecond, 3300 * time.Millisecond, 3700 * time.Millisecond},
+		{"no deadline", nil, 3250 * time.Millisecond, 3300 * time.Millisecond, 3700 * time.Millisecond},
 	} {
 		got := newShutdown(c.classes, time.Now())
 		if got.AcceptFor != c.serves || got.AnswerWithin != c.answered || got.EarliestKill != c.killed {
@@ -49,7 +49,7 @@
 
 func (c *silentCarrier) Retire(*Backend) {}
 
-// silentEngine is an engine with some backends that answer nothing, and a class with a deadline of a minute.
+// silentEngine returns an engine with backends that never answer, and a class with a deadline of a minute.
 func silentEngine(t *testing.T) (*Engine, *silentCarrier) {
 	t.Helper()
 	c := &silentCarrier{}
@@ -64,11 +64,11 @@
 	return e, c
 }
 
-func patientRequest(id string) *Request {
+func longRequest(id string) *Request {
 	return &Request{ID: id, Class: "order", Arrived: time.Now(), ClientTimeout: time.Minute}
 }
 
-// answerNow is a request's answer, where it has one at this moment.
+// answerNow returns a request's answer if it already has one.
 func answerNow(r *Request) (a Answer, ok bool) {
 	select {
 	case a = <-r.Done():
@@ -78,29 +78,29 @@
 	}
 }
 
-// What is open when a node may soon be killed fails, whether it came before the node was told to end or after; what comes
-// later is refused and sent to nobody.
-func TestOpenRequestsFailBeforeTheEarliestKill(t *testing.T) {
+// Requests that are open shortly before the earliest SIGKILL fail, whether they arrived before or after the shutdown began.
+// Later requests are refused and not sent to any backend.
+func TestOpenRequestsFailBeforeEarliestKill(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		e, c := silentEngine(t)
 		defer e.Stop()
-		before, during := patientRequest("before"), patientRequest("during")
+		before, during := longRequest("before"), longRequest("during")
 		e.Submit(before)
 		time.Sleep(100 * time.Millisecond)
-		begun := time.Now()
-		shutdown := e.Shutdown(begun)
+		startedAt := time.Now()
+		shutdown := e.Shutdown(startedAt)
 		time.Sleep(time.Second)
 		if again := e.Shutdown(time.Now()); again != shutdown {
-			t.Errorf("told to end again, the node has another time table: %+v, was %+v", again, shutdown)
+			t.Errorf("a second Shutdown returned another schedule: %+v, was %+v", again, shutdown)
 		}
 		during.Arrived = time.Now()
 		e.Submit(during)
-		time.Sleep(time.Until(begun.Add(shutdown.AnswerWithin - time.Millisecond)))
+		time.Sleep(time.Until(startedAt.Add(shutdown.AnswerWithin - time.Millisecond)))
 		synctest.Wait()
 		for _, r := range []*Request{before, during} {
 			if a, ok := answerNow(r); ok {
-				t.Errorf("%s has an answer early: %+v", r.ID, a)
+				t.Errorf("%s was answered early: %+v", r.ID, a)
 			}
 		}
 		time.Sleep(2 * time.Millisecond)
@@ -111,14 +111,14 @@
 			}
 		}
 		if open := c.open.Load(); open != 0 {
-			t.Errorf("%d attempts are still out for requests that have their answers", open)
+			t.Errorf("%d attempts of answered requests are still in flight", open)
 		}
 		sent := c.sent.Load()
-		late := patientRequest("late")
+		late := longRequest("late")
 		e.Submit(late)
 		synctest.Wait()
 		if a, ok := answerNow(late); !ok || a.Kind != Refused || c.sent.Load() != sent {
-			t.Errorf("a late request: %+v, %v, sent %d times; want it refused and not sent", a, ok, c.sent.Load()-sent)
+			t.Errorf("late request: %+v, %v, sent %d times; want it refused and not sent", a, ok, c.sent.Load()-sent)
 		}
 		if open := e.OpenRequests(); open != 0 {
 			t.Errorf("%d requests are still open", open)
@@ -126,8 +126,8 @@
 	})
 }
 
-// A process that is held up before it reads news of a drain, and again between its last look at the clock and the write, has
-// still written within the grace; of a long grace a tenth is left for the news' way.
+// A process that stalls before it reads the update of a drain, and again between its last check of the clock and the write, still
+// writes within the grace. Of a long grace a tenth is reserved for the delay of the update.
 func TestGraceLeavesTimeForBeingHeldUp(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ grace, want time.Duration }{
@@ -135,21 +135,21 @@
 		{200 * time.Millisecond, 0}, {0, 0},
 	} {
 		if got := writableFor(c.grace); got != c.want {
-			t.Errorf("a grace of %v: %v, want %v", c.grace, got, c.want)
+			t.Errorf("grace %v: writable for %v, want %v", c.grace, got, c.want)
 		}
 	}
 }
 
-// An attempt does not begin for a client that has left, also where its front has not said so yet.
+// No attempt starts for a client that has disconnected, even if its front has not called Cancel yet.
 func TestAttemptDoesNotBeginForAClientThatLeft(t *testing.T) {
 	t.Parallel()
-	left := false
-	a := &Attempt{Request: &Request{Disconnected: func() bool { return left }}, Backend: &Backend{}}
+	disconnected := false
+	a := &Attempt{Request: &Request{Disconnected: func() bool { return disconnected }}, Backend: &Backend{}}
 	if !a.MayStart() {
-		t.Error("it does not begin for a client that waits")
+		t.Error("attempt not started for a waiting client")
 	}
-	left = true
+	disconnected = true
 	if a.MayStart() {
-		t.Error("it begins for a client that has left")
+		t.Error("attempt started for a disconnected client")
 	}
 }
--- a/internal/engine/sites.go
+++ b/internal/engine/sites.go
@@ -5,30 +5,30 @@
 	"craneglade/internal/siting"
 )
 
-// WatchSites has the engine watch how sites stand, and the module follow what that asks for. StepSites is to be called every
-// siting.Every.
+// WatchSites has the engine track the health state of sites, and the policy apply the resulting orders. StepSites has to be
+// called at intervals of siting.Every.
 func (e *Engine) WatchSites(l *siting.Link) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sites = l
-	e.tellSites()
+	e.notifySites()
 }
 
-// tellSites tells which backends there are. e.mu is held.
-func (e *Engine) tellSites() {
+// notifySites passes on the listed backends. e.mu must be held.
+func (e *Engine) notifySites() {
 	if e.sites == nil {
 		return
 	}
 	all := make([]sites.Box, 0, e.listed.size)
 	for b := range e.listed.all {
-		all = append(all, sites.Box{ID: b.Number, Site: b.Zone, Ready: b.stop.Load() == nil,
-			Launched: b.launch.Seconds()})
+		all = append(all, sites.Box{ID: b.Number, Site: b.Zone, Ready: b.writesStopAt.Load() == nil,
+			Launched: b.launched.Seconds()})
 	}
 	e.sites.Listed(e.clock.Now(), all)
 }
 
-// StepSites brings the sites' standing up to the time. It returns the backends to which a connection is to be tried, for
-// Probed, and what an operator should know.
+// StepSites updates the state of the sites to the current time. It returns the backends to probe with a connection, whose
+// results go to Probed, and notes for the operator.
 func (e *Engine) StepSites() (probe []*Backend, notes []sites.Note) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -36,27 +36,27 @@
 		return nil, nil
 	}
 	now := e.clock.Now()
-	ev, ids := e.sites.Step(now, e.bal)
-	if ev != nil {
-		e.handle(now, ev)
+	event, ids := e.sites.Step(now, e.bal)
+	if event != nil {
+		e.handle(now, event)
 	}
 	for _, id := range ids {
-		if b := e.boxes[id]; b != nil {
+		if b := e.byNumber[id]; b != nil {
 			probe = append(probe, b)
 		}
 	}
 	return probe, e.sites.Node.Notes()
 }
 
-// Probed tells whether a connection that StepSites asked for came up.
+// Probed records whether a connection that StepSites asked for was established.
 func (e *Engine) Probed(b *Backend, up bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sites.Probed(e.clock.Now(), b.Number, up)
 }
 
-// Sites tells how each site stands, and whether the node holds itself cut off; nothing where they are not watched.
-func (e *Engine) Sites() (all []sites.Report, alone bool) {
+// Sites returns the state of each site, and whether the node considers itself cut off; nil and false if sites are not watched.
+func (e *Engine) Sites() (all []sites.Report, cutOff bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.sites == nil {
@@ -65,7 +65,7 @@
 	return e.sites.Node.Reports(e.clock.Now().Seconds()), e.sites.Node.Alone()
 }
 
-// Demand is what clients lately ask for, by class.
+// Demand returns the recent demand of clients by class.
 func (e *Engine) Demand() []sites.Demand {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/membership/decide.go
+++ b/internal/membership/decide.go
@@ -6,106 +6,106 @@
 	"time"
 )
 
-// How often a backend may come back before it is kept out for a while, and how long that is remembered.
+// Damping of backends that flap.
 const (
-	freeReturns   = 3                // returns within memory that are not damped
-	memory        = 60 * time.Second // for returns, and for what nobody names any more
-	maxCalmFactor = 8                // times Config.Calm at most
+	maxUndampedReturns = 3                // returns within retention that are not damped
+	retention          = 60 * time.Second // for returns, and for backends that no source names
+	maxPenaltyFactor   = 8                // max exclusion, as a multiple of Config.FlapPenalty
 )
 
-// decide applies the rule to the backends at some addresses. It returns those whose standing changed, and with all also
-// the others.
+// decide applies the table to the backends at the touched addresses. It returns those whose use changed. If all is set it also
+// returns the others that are used or known to the list.
 func (f *Fleet) decide(now time.Duration, touched map[string]bool, all bool) []Status {
-	f.forget(now)
+	f.sweep(now)
 	var out []Status
-	for _, addr := range slices.Sorted(maps.Keys(touched)) { // two runs hand over the same
+	for _, addr := range slices.Sorted(maps.Keys(touched)) { // sorted for reproducible results
 		m := f.members[addr]
 		if m == nil {
-			continue // just forgotten
+			continue // removed by sweep
 		}
-		was := m.use
-		f.applyRule(m)
-		f.damp(now, m, was)
+		wasUsed := m.use
+		f.applyDecision(m)
+		f.damp(now, m, wasUsed)
 		if current, ok := f.byID[m.backend.ID]; ok && current != addr {
-			continue // its name stands for another process by now
+			continue // its ID now belongs to a process at another address
 		}
-		if all && (m.list != NoClaim || m.use) || m.use != was {
-			out = append(out, m.standing())
+		if all && (m.list != NoClaim || m.use) || m.use != wasUsed {
+			out = append(out, m.status())
 		}
 	}
 	return out
 }
 
-// applyRule sets whether a member may be used, why, and which source decides that.
-func (f *Fleet) applyRule(m *member) {
-	others, who, at := m.others()
+// applyDecision sets whether a member is used, why, and which source decided it.
+func (f *Fleet) applyDecision(m *member) {
+	others, source, at := m.others()
 	row := Decisions[m.list][others]
-	m.use, m.why, m.source, m.told = row.Use, row.Why, "list", m.listAt
+	m.use, m.reason, m.source, m.since = row.Use, row.Reason, "list", m.listSince
 	switch {
-	case m.list == NoClaim && others == Named && !f.listSays:
-		m.use, m.why, m.source, m.told = true, "only names know it, and the list has lost its say", who, at
-	case m.list == NoClaim, others == Withdrawn && (m.list != Withdrawn || at < m.listAt):
-		m.source, m.told = who, at // the first that told
+	case m.list == NoClaim && others == Named && !f.listActive:
+		m.use, m.reason, m.source, m.since = true, "only names know it, and the list has lost its say", source, at
+	case m.list == NoClaim, others == Withdrawn && (m.list != Withdrawn || at < m.listSince):
+		m.source, m.since = source, at // the first source that reported it
 	}
 }
 
-// damp keeps out a member that came and went too often lately. was tells whether it was used before.
-func (f *Fleet) damp(now time.Duration, m *member, was bool) {
-	if m.use && !was && !m.calmed {
-		f.returned(now, m)
+// damp excludes a member that flaps. wasUsed is whether it was used before.
+func (f *Fleet) damp(now time.Duration, m *member, wasUsed bool) {
+	if m.use && !wasUsed && !m.penalized {
+		f.recordReturn(now, m)
 	}
-	if m.use && now < m.calm {
-		m.use, m.why = false, "it came and went too often lately"
+	if m.use && now < m.excludedUntil {
+		m.use, m.reason = false, "it came and went too often lately"
 	} else {
-		m.calmed = false // it is back, or has gone once more
+		m.penalized = false // it is back in use, or removed again
 	}
 }
 
-// others is what the sources other than the list say of a backend together, which of them decides, and since when.
-func (m *member) others() (is Claim, who string, at time.Duration) {
-	for name, w := range m.names {
-		if w.is > is || w.is == is && (w.at < at || w.at == at && name < who) {
-			is, who, at = w.is, name, w.at
+// others returns the combined claim of all sources but the list, which of them decided it, and since when.
+func (m *member) others() (claim Claim, source string, at time.Duration) {
+	for name, w := range m.claims {
+		if w.claim > claim || w.claim == claim && (w.since < at || w.since == at && name < source) {
+			claim, source, at = w.claim, name, w.since
 		}
 	}
-	return is, who, at
+	return claim, source, at
 }
 
-// returned records that a backend came back, and keeps it out for a while where it did so too often. Only coming back is
-// damped; going never is.
-func (f *Fleet) returned(now time.Duration, m *member) {
-	m.returns = slices.DeleteFunc(m.returns, func(t time.Duration) bool { return t <= now-memory })
+// recordReturn records that a backend came back, and excludes it for a while if it did so too often. Only returns are damped,
+// never removals.
+func (f *Fleet) recordReturn(now time.Duration, m *member) {
+	m.returns = slices.DeleteFunc(m.returns, func(t time.Duration) bool { return t <= now-retention })
 	m.returns = append(m.returns, now)
-	if over := len(m.returns) - 1 - freeReturns; over > 0 && f.cfg.FlapPenalty > 0 && now >= m.calm {
-		m.calmed = true
-		m.calm = now + f.cfg.FlapPenalty*time.Duration(min(maxCalmFactor, 1<<min(over-1, 8)))
+	if over := len(m.returns) - 1 - maxUndampedReturns; over > 0 && f.cfg.FlapPenalty > 0 && now >= m.excludedUntil {
+		m.penalized = true
+		m.excludedUntil = now + f.cfg.FlapPenalty*time.Duration(min(maxPenaltyFactor, 1<<min(over-1, 8)))
 	}
 }
 
-// forget drops backends that nobody speaks of any more, once their flapping is forgotten too. It looks at all of them,
-// and so seldom.
-func (f *Fleet) forget(now time.Duration) {
-	if now-f.swept < memory {
+// sweep forgets backends that no source names any more and whose exclusion is over. As it iterates over all of them it runs only
+// once per retention.
+func (f *Fleet) sweep(now time.Duration) {
+	if now-f.lastSweep < retention {
 		return
 	}
-	f.swept = now
+	f.lastSweep = now
 	for addr, m := range f.members {
 		named := false
-		for _, w := range m.names {
-			named = named || w.is == Named || now-w.at < memory
+		for _, w := range m.claims {
+			named = named || w.claim == Named || now-w.since < retention
 		}
-		if !named && !m.use && m.calm == 0 && (m.list == NoClaim || m.backend.State == Gone && now-m.listAt >= memory) {
+		if !named && !m.use && m.excludedUntil == 0 && (m.list == NoClaim || m.backend.State == Gone && now-m.listSince >= retention) {
 			for _, a := range m.backend.Addrs {
-				delete(f.alias, a)
+				delete(f.canonical, a)
 			}
 			delete(f.members, addr)
 		}
 	}
 }
 
-// standing is where a member stands, with the state that follows from it.
-func (m *member) standing() Status {
-	s := Status{Backend: m.backend, Use: m.use, Reason: m.why, Source: m.source, Since: m.told}
+// status returns the status of a member, with the backend's state adjusted to it.
+func (m *member) status() Status {
+	s := Status{Backend: m.backend, Use: m.use, Reason: m.reason, Source: m.source, Since: m.since}
 	switch {
 	case m.use:
 		s.Backend.State = Ready
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,10 +1,10 @@
 // Package membership decides which backends a node may use, from the backend list and from any number of further sources
-// that name backends, such as the SRV records of a site. It has no clock, no I/O and no goroutine, and is not safe for
-// concurrent use: its caller tells it the time, in any unit that never steps back, and what a source said.
+// that name backends, such as the SRV records of a site. It has no clock, I/O or goroutines and is not safe for concurrent
+// use: its caller passes in the time, in any unit that never steps back, and the updates of the sources.
 //
-// Where sources disagree, the table Rule decides: a backend that any source calls draining or gone gets nothing new once
-// the grace is over, counted from the first source that told this node; and no source that is silent or broken empties
-// the fleet by its silence.
+// If sources disagree, the table Decisions applies. A backend that any source calls draining or gone gets no new requests
+// after the grace, which counts from the first source that reported it to this node. A source that times out withdraws
+// nothing, so that the failure of a source can't empty the fleet.
 package membership
 
 import (
@@ -13,19 +13,19 @@
 	"time"
 )
 
-// Backend is one backend process in a list. The JSON names are PROTOCOL's.
+// Backend is a backend process in a list. The JSON names are those of PROTOCOL.
 type Backend struct {
 	ID        string `json:"id"`
 	Addr      string `json:"addr"`
 	Zone      string `json:"zone"`
 	Kind      string `json:"kind"`
 	Cell      int64  `json:"cell"`
-	State     string `json:"state"` // Ready, Gone, and anything else for one that gets nothing new
+	State     string `json:"state"` // Ready, Gone, or any other for a backend that gets no new requests
 	StartedMS int64  `json:"started_ms"`
-	RPC       string `json:"rpc"` // where it speaks JSON-RPC; "" for a backend that does not. Beyond PROTOCOL
+	RPC       string `json:"rpc"` // address for JSON-RPC; "" if it doesn't speak it. Not part of PROTOCOL
 
-	// Addrs are all addresses at which the backend answers, Addr among them: IP addresses with ports, or "unix:" and a
-	// path. Empty for Addr alone. Beyond PROTOCOL.
+	// Addrs lists all addresses of the backend, including Addr: IP addresses with ports, or "unix:" and a path. It is empty
+	// if there is only Addr. Not part of PROTOCOL.
 	Addrs []string `json:"addrs"`
 }
 
@@ -36,109 +36,109 @@
 	Gone     = "Gone"
 )
 
-// Config are the figures of a fleet, in the caller's unit of time.
+// Config configures a Fleet. Durations are in the caller's unit of time.
 type Config struct {
-	SourceTimeout time.Duration // a source that said nothing for so long loses its say
-	ConfirmDelay  time.Duration // for so long a withdrawal of most of a source waits to be taken back; part of the grace
-	FlapPenalty   time.Duration // how long a backend that flaps stays out at first, doubled each time
+	SourceTimeout time.Duration // a source that has not answered for so long loses its authority; 0 for never
+	ConfirmDelay  time.Duration // a withdrawal of most of a source's backends takes effect after it unless revoked; deducted from the grace
+	FlapPenalty   time.Duration // initial exclusion of a backend that flaps, doubled each time; 0 for none
 }
 
-// Status is where a backend stands, and why.
+// Status says whether a backend is used, and why.
 type Status struct {
 	Backend Backend
 	Use     bool
 	Reason  string
-	Source  string        // that decided
-	Since   time.Duration // when it first told
+	Source  string        // the source that decided
+	Since   time.Duration // when it first reported this
 }
 
-// member is what is known of the backend at one address.
+// member is the state of the backend at one address.
 type member struct {
-	backend Backend // as the list has it, or as names make it up
-	list    Claim
-	listAt  time.Duration // since when the list says so
-	names   map[string]statement
-	use     bool
-	why     string
-	source  string
-	told    time.Duration
-	returns []time.Duration // moments lately at which it came back
-	calm    time.Duration   // until then it stays out
-	calmed  bool            // and this return has been counted
+	backend       Backend // from the list, or else from the first source that names it
+	list          Claim
+	listSince     time.Duration // since when the list makes this claim
+	claims        map[string]statement
+	use           bool
+	reason        string
+	source        string
+	since         time.Duration
+	returns       []time.Duration // times of recent returns
+	excludedUntil time.Duration   // end of the exclusion for flapping; 0 for none
+	penalized     bool            // the current return is already counted
 }
 
-// statement is what a source says, and since when.
+// statement is the claim of a source, and since when it makes it.
 type statement struct {
-	is Claim
-	at time.Duration
+	claim Claim
+	since time.Duration
 }
 
-// Fleet is what is known of all backends.
+// Fleet holds the claims of all sources about all backends.
 type Fleet struct {
-	cfg      Config
-	members  map[string]*member // by address
-	byID     map[string]string  // addresses of what the list has
-	alias    map[string]string  // further addresses of backends, to the one that they are known by
-	sources  map[string]*source
-	listAt   time.Duration
-	swept    time.Duration // when backends were last forgotten
-	listSays bool          // the list has its say
+	cfg         Config
+	members     map[string]*member // by address
+	byID        map[string]string  // addresses of the listed backends, by ID
+	canonical   map[string]string  // maps each further address of a backend to its Addr
+	sources     map[string]*source
+	listHeardAt time.Duration
+	lastSweep   time.Duration // when sweep last ran
+	listActive  bool          // the list has not timed out
 }
 
-// New returns a fleet of no backend.
+// New returns a fleet without backends.
 func New(cfg Config) *Fleet {
 	return &Fleet{
-		cfg:      cfg,
-		members:  map[string]*member{},
-		byID:     map[string]string{},
-		alias:    map[string]string{},
-		sources:  map[string]*source{},
-		listSays: true,
+		cfg:        cfg,
+		members:    map[string]*member{},
+		byID:       map[string]string{},
+		canonical:  map[string]string{},
+		sources:    map[string]*source{},
+		listActive: true,
 	}
 }
 
-// Tick lets time pass: doubts end, sources lose their say, backends that flapped come back. It returns the backends
-// whose standing changed.
+// Tick applies changes by time: pending withdrawals take effect, sources time out, exclusions for flapping end. It returns the
+// backends whose status changed.
 func (f *Fleet) Tick(now time.Duration) []Status {
 	touched := map[string]bool{}
 	for name, s := range f.sources {
-		f.confirm(now, name, s, touched)
-		if len(s.named) > 0 && f.isSilent(now, s.heardAt) {
-			f.silenceSource(name, s, touched)
+		f.applyPending(now, name, s, touched)
+		if len(s.named) > 0 && f.isExpired(now, s.heardAt) {
+			f.expireSource(name, s, touched)
 		}
 	}
-	if f.listSays && f.isSilent(now, f.listAt) {
-		f.silenceList(touched)
+	if f.listActive && f.isExpired(now, f.listHeardAt) {
+		f.expireList(touched)
 	}
 	for addr, m := range f.members {
-		if m.calm != 0 && now >= m.calm {
-			m.calm = 0
+		if m.excludedUntil != 0 && now >= m.excludedUntil {
+			m.excludedUntil = 0
 			touched[addr] = true
 		}
 	}
 	return f.decide(now, touched, false)
 }
 
-// isSilent reports whether a source that was last heard at a moment loses its say.
-func (f *Fleet) isSilent(now, heardAt time.Duration) bool {
+// isExpired reports whether a source that last answered at heardAt has timed out.
+func (f *Fleet) isExpired(now, heardAt time.Duration) bool {
 	return f.cfg.SourceTimeout > 0 && now-heardAt >= f.cfg.SourceTimeout
 }
 
-// silenceSource takes a source's say: what it names counts no more. What it withdrew before was told and stays so until
-// the list tells a new process, or the source is back.
-func (f *Fleet) silenceSource(name string, s *source, touched map[string]bool) {
+// expireSource ends the authority of a source: backends that it names no longer count as named by it. What it withdrew before
+// stays withdrawn until the list reports a new process or the source names it again.
+func (f *Fleet) expireSource(name string, s *source, touched map[string]bool) {
 	for addr := range s.named {
-		if m := f.members[addr]; m.names[name].is == Named {
-			delete(m.names, name)
+		if m := f.members[addr]; m.claims[name].claim == Named {
+			delete(m.claims, name)
 			touched[addr] = true
 		}
 	}
 	s.named = map[string]bool{}
 }
 
-// silenceList takes the list's say: its backends stay as they were, and those that only names know come in.
-func (f *Fleet) silenceList(touched map[string]bool) {
-	f.listSays = false
+// expireList ends the authority of the list: its backends keep their status, and those that only other sources name are used.
+func (f *Fleet) expireList(touched map[string]bool) {
+	f.listActive = false
 	for addr, m := range f.members {
 		if m.list == NoClaim {
 			touched[addr] = true
@@ -146,7 +146,7 @@
 	}
 }
 
-// Next is when Tick is due at the latest; 0 for never.
+// Next returns the time at which Tick is due; 0 for never.
 func (f *Fleet) Next() time.Duration {
 	next := time.Duration(0)
 	due := func(t time.Duration) {
@@ -155,39 +155,39 @@
 		}
 	}
 	for _, s := range f.sources {
-		if s.doubtUntil != 0 {
-			due(s.doubtUntil)
+		if s.confirmAt != 0 {
+			due(s.confirmAt)
 		}
 		if f.cfg.SourceTimeout > 0 && len(s.named) > 0 {
 			due(s.heardAt + f.cfg.SourceTimeout)
 		}
 	}
-	if f.cfg.SourceTimeout > 0 && f.listSays {
-		due(f.listAt + f.cfg.SourceTimeout)
+	if f.cfg.SourceTimeout > 0 && f.listActive {
+		due(f.listHeardAt + f.cfg.SourceTimeout)
 	}
 	for _, m := range f.members {
-		if m.calm != 0 {
-			due(m.calm)
+		if m.excludedUntil != 0 {
+			due(m.excludedUntil)
 		}
 	}
 	return next
 }
 
-// All is every backend that some source speaks of, by address.
+// All returns the status of all known backends, sorted by address.
 func (f *Fleet) All() []Status {
 	out := make([]Status, 0, len(f.members))
 	for _, m := range f.members {
-		out = append(out, m.standing())
+		out = append(out, m.status())
 	}
 	slices.SortFunc(out, func(a, b Status) int { return cmp.Compare(a.Backend.Addr, b.Backend.Addr) })
 	return out
 }
 
-// member returns the member at an address, from nothing if need be.
+// member returns the member at an address, creating it if there is none.
 func (f *Fleet) member(addr string) *member {
 	m := f.members[addr]
 	if m == nil {
-		m = &member{names: map[string]statement{}}
+		m = &member{claims: map[string]statement{}}
 		f.members[addr] = m
 	}
 	return m
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -10,49 +10,52 @@
 )
 
 const (
-	sec   = time.Second
-	ms    = time.Millisecond
-	doubt = 500 * ms
+	sec          = time.Second
+	ms           = time.Millisecond
+	confirmDelay = 500 * ms
 )
 
-func box(n int, state string) Backend {
+// backend returns the list entry of backend n.
+func backend(n int, state string) Backend {
 	return Backend{ID: fmt.Sprint("b", n), Addr: fmt.Sprint("127.0.0.1:", 9000+n), Zone: "z", Kind: "k", State: state, StartedMS: 1}
 }
 
+// named returns the answer of a source that names some backends.
 func named(ns ...int) []Backend {
 	var out []Backend
 	for _, n := range ns {
-		b := box(n, Ready)
+		b := backend(n, Ready)
 		out = append(out, Backend{ID: "dns:" + b.Addr, Addr: b.Addr, Zone: "z", State: Ready})
 	}
 	return out
 }
 
+// listed returns a list of some backends that are ready.
 func listed(ns ...int) []Backend {
 	var out []Backend
 	for _, n := range ns {
-		out = append(out, box(n, Ready))
+		out = append(out, backend(n, Ready))
 	}
 	return out
 }
 
 func fleet() *Fleet {
-	return New(Config{SourceTimeout: 60 * sec, ConfirmDelay: doubt, FlapPenalty: 2 * sec})
+	return New(Config{SourceTimeout: 60 * sec, ConfirmDelay: confirmDelay, FlapPenalty: 2 * sec})
 }
 
-func stand(t *testing.T, f *Fleet, n int) Status {
+func statusOf(t *testing.T, f *Fleet, n int) Status {
 	t.Helper()
 	for _, s := range f.All() {
-		if s.Backend.Addr == box(n, Ready).Addr {
+		if s.Backend.Addr == backend(n, Ready).Addr {
 			return s
 		}
 	}
-	t.Fatalf("box %d is not known", n)
+	t.Fatalf("backend %d is not known", n)
 	return Status{}
 }
 
-// Every cell of the rule, reached by what sources say.
-func TestRule(t *testing.T) {
+// Each cell of the decision table, reached by updates of the sources.
+func TestDecisionTable(t *testing.T) {
 	for list := NoClaim; list <= Withdrawn; list++ {
 		for others := NoClaim; others <= Withdrawn; others++ {
 			if list == NoClaim && others == NoClaim {
@@ -66,44 +69,44 @@
 			case Named:
 				f.UpdateList(2*sec, true, listed(1))
 			case Withdrawn:
-				f.UpdateList(2*sec, true, []Backend{box(1, Draining)})
+				f.UpdateList(2*sec, true, []Backend{backend(1, Draining)})
 			}
 			if others == Withdrawn {
 				f.UpdateNames(3*sec, "dns", named(2, 3, 4))
 			}
-			if s, want := stand(t, f, 1), Decisions[list][others]; s.Use != want.Use || s.Reason != want.Why {
+			if s, want := statusOf(t, f, 1), Decisions[list][others]; s.Use != want.Use || s.Reason != want.Reason {
 				t.Errorf("list %d, others %d: %+v, want %+v", list, others, s, want)
 			}
 		}
 	}
 }
 
-// The grace runs from the first source that told.
-func TestTheFirstThatToldCounts(t *testing.T) {
+// The grace counts from the first source that reports a drain, whichever it is.
+func TestGraceCountsFromFirstSource(t *testing.T) {
 	f := fleet()
 	f.UpdateList(sec, true, listed(1, 2, 3))
 	f.UpdateNames(sec, "dns", named(1, 2, 3))
 	f.UpdateNames(2*sec, "dns", named(2, 3))
-	out := f.UpdateList(10*sec, false, []Backend{box(1, Draining)})
+	out := f.UpdateList(10*sec, false, []Backend{backend(1, Draining)})
 	if len(out) != 1 || out[0].Since != 2*sec || out[0].Source != "dns" || out[0].Backend.State != Draining {
 		t.Errorf("%+v", out)
 	}
-	f.UpdateList(11*sec, false, []Backend{box(2, Draining)})
+	f.UpdateList(11*sec, false, []Backend{backend(2, Draining)})
 	f.UpdateNames(12*sec, "dns", named(3))
-	if s := stand(t, f, 2); s.Since != 11*sec || s.Source != "list" {
+	if s := statusOf(t, f, 2); s.Since != 11*sec || s.Source != "list" {
 		t.Errorf("%+v", s)
 	}
 }
 
-// The list is late: that it goes on calling a box ready, whole or in part, does not bring back what names withdrew. A later
-// start, another name at the address, or the source itself does.
-func TestALateListBringsNothingBack(t *testing.T) {
+// A stale list, full or delta, that still has a backend as ready must not restore one that another source has withdrawn. A later
+// start time, another ID at the address, or the source itself does.
+func TestStaleListDoesNotRestoreWithdrawnBackend(t *testing.T) {
 	for what, want := range map[string]bool{"again": false, "whole": false, "restart": true, "successor": true, "names": true} {
 		f := fleet()
 		f.UpdateList(sec, true, listed(1, 2, 3))
 		f.UpdateNames(sec, "dns", named(1, 2, 3))
 		f.UpdateNames(2*sec, "dns", named(2, 3))
-		later := box(1, Ready)
+		later := backend(1, Ready)
 		switch what {
 		case "again":
 			f.UpdateList(8*sec, false, listed(1))
@@ -118,112 +121,113 @@
 		case "names":
 			f.UpdateNames(8*sec, "dns", named(1, 2, 3))
 		}
-		if s := stand(t, f, 1); s.Use != want {
+		if s := statusOf(t, f, 1); s.Use != want {
 			t.Errorf("%s: %+v, want use %v", what, s, want)
 		}
 	}
 }
 
-// Names know a box by any of its addresses, and withdraw it when they name none of them.
+// A source may name a backend by any of its addresses, and withdraws it when it names none of them.
 func TestSeveralAddresses(t *testing.T) {
 	f := fleet()
-	b := box(1, Ready)
+	b := backend(1, Ready)
 	b.Addrs = []string{"[::1]:9001", b.Addr}
 	f.UpdateList(sec, true, append(listed(2, 3, 4), b))
 	other := Backend{ID: "dns:x", Addr: "[::1]:9001", State: Ready}
 	f.UpdateNames(sec, "dns", append(named(1, 2, 3, 4), other))
 	f.UpdateNames(2*sec, "dns", append(named(2, 3, 4), other))
-	if s := stand(t, f, 1); !s.Use || len(f.All()) != 4 {
-		t.Errorf("one of its addresses is named: %+v of %d", s, len(f.All()))
+	if s := statusOf(t, f, 1); !s.Use || len(f.All()) != 4 {
+		t.Errorf("with one of its addresses named: %+v of %d", s, len(f.All()))
 	}
 	f.UpdateNames(3*sec, "dns", named(2, 3, 4))
-	if s := stand(t, f, 1); s.Use || s.Since != 3*sec {
-		t.Errorf("none of its addresses is named: %+v", s)
+	if s := statusOf(t, f, 1); s.Use || s.Since != 3*sec {
+		t.Errorf("with none of its addresses named: %+v", s)
 	}
 }
 
-// A source that withdraws most of what it named is asked again, and stands by it from the first telling on.
-func TestDoubt(t *testing.T) {
+// A source that withdraws most of its backends is queried again. Unless revoked the withdrawal takes effect after the delay, and
+// counts from the first answer.
+func TestMassWithdrawalIsConfirmed(t *testing.T) {
 	f := fleet()
 	f.UpdateList(sec, true, listed(1, 2, 3, 4))
 	f.UpdateNames(sec, "dns", named(1, 2, 3, 4))
-	changed, ask := f.UpdateNames(2*sec, "dns", named(4))
-	if len(changed) != 0 || !ask || !stand(t, f, 1).Use || f.Next() != 2*sec+doubt {
-		t.Fatalf("%v, %v, next %v", changed, ask, f.Next())
+	changed, requery := f.UpdateNames(2*sec, "dns", named(4))
+	if len(changed) != 0 || !requery || !statusOf(t, f, 1).Use || f.Next() != 2*sec+confirmDelay {
+		t.Fatalf("%v, %v, next %v", changed, requery, f.Next())
 	}
-	if changed, ask = f.UpdateNames(2*sec+100*ms, "dns", named(2, 4)); len(changed) != 0 || ask {
-		t.Errorf("half of it taken back: %v, %v", changed, ask)
+	if changed, requery = f.UpdateNames(2*sec+100*ms, "dns", named(2, 4)); len(changed) != 0 || requery {
+		t.Errorf("withdrawal revoked in part: %v, %v", changed, requery)
 	}
-	changed = f.Tick(2*sec + doubt)
-	if len(changed) != 2 || changed[0].Since != 2*sec || changed[0].Use || !stand(t, f, 2).Use {
-		t.Errorf("not taken back: %+v", changed)
+	changed = f.Tick(2*sec + confirmDelay)
+	if len(changed) != 2 || changed[0].Since != 2*sec || changed[0].Use || !statusOf(t, f, 2).Use {
+		t.Errorf("withdrawal not revoked: %+v", changed)
 	}
-	// The next answer comes before Tick does: the first telling counts all the same.
+	// The next answer arrives before Tick: the withdrawal still counts from the first one.
 	f = fleet()
 	f.UpdateList(sec, true, listed(1, 2, 3, 4))
 	f.UpdateNames(sec, "dns", named(1, 2, 3, 4))
 	f.UpdateNames(2*sec, "dns", named(4))
-	if changed, ask = f.UpdateNames(2*sec+doubt, "dns", named(4)); len(changed) != 3 || ask || changed[0].Since != 2*sec {
-		t.Errorf("not taken back by the answer after the doubt: %+v, %v", changed, ask)
+	if changed, requery = f.UpdateNames(2*sec+confirmDelay, "dns", named(4)); len(changed) != 3 || requery || changed[0].Since != 2*sec {
+		t.Errorf("withdrawal not revoked by the answer after the delay: %+v, %v", changed, requery)
 	}
 	f = fleet()
 	f.UpdateList(sec, true, listed(1, 2, 3, 4))
 	f.UpdateNames(sec, "dns", named(1, 2, 3, 4))
 	f.UpdateNames(2*sec, "dns", nil)
 	f.UpdateNames(2*sec+100*ms, "dns", named(1, 2, 3, 4))
-	if changed := f.Tick(3 * sec); len(changed) != 0 || !stand(t, f, 1).Use {
-		t.Errorf("taken back: %+v", changed)
+	if changed := f.Tick(3 * sec); len(changed) != 0 || !statusOf(t, f, 1).Use {
+		t.Errorf("withdrawal revoked: %+v", changed)
 	}
 }
 
-// A source that is silent loses its say and takes nothing along; what it withdrew before stays withdrawn. While the list is
-// silent, boxes that only names know are used, and no longer once it is back.
-func TestSilence(t *testing.T) {
+// A source that times out loses its authority but removes no backend; what it withdrew before stays withdrawn. While the list has
+// timed out, backends that only other sources name are used, and no longer once it is back.
+func TestSourceTimeout(t *testing.T) {
 	f := fleet()
 	f.UpdateList(sec, true, listed(1, 2, 3))
 	f.UpdateNames(sec, "dns", named(1, 2, 3, 9))
 	f.UpdateNames(2*sec, "dns", named(1, 2, 9)) // 3 drains
-	if changed := f.Tick(30 * sec); len(changed) != 0 || stand(t, f, 9).Use {
+	if changed := f.Tick(30 * sec); len(changed) != 0 || statusOf(t, f, 9).Use {
 		t.Errorf("%+v", changed)
 	}
 	f.UpdateNames(50*sec, "dns", named(1, 2, 9))
-	if changed := f.Tick(61 * sec); len(changed) != 1 || !stand(t, f, 9).Use || !stand(t, f, 1).Use || stand(t, f, 3).Use {
-		t.Errorf("the list is silent: %+v", changed)
+	if changed := f.Tick(61 * sec); len(changed) != 1 || !statusOf(t, f, 9).Use || !statusOf(t, f, 1).Use || statusOf(t, f, 3).Use {
+		t.Errorf("after the list's timeout: %+v", changed)
 	}
-	if changed := f.RefreshList(62 * sec); len(changed) != 1 || stand(t, f, 9).Use {
-		t.Errorf("the list is back: %+v", changed)
+	if changed := f.RefreshList(62 * sec); len(changed) != 1 || statusOf(t, f, 9).Use {
+		t.Errorf("after the list's return: %+v", changed)
 	}
 	f.RefreshList(110 * sec)
-	if f.Tick(111 * sec); !stand(t, f, 1).Use || !stand(t, f, 2).Use || stand(t, f, 3).Use {
-		t.Errorf("names are silent: %+v", f.All())
+	if f.Tick(111 * sec); !statusOf(t, f, 1).Use || !statusOf(t, f, 2).Use || statusOf(t, f, 3).Use {
+		t.Errorf("after the timeout of dns: %+v", f.All())
 	}
-	if _, ask := f.UpdateNames(120*sec, "dns", named(1)); ask || !stand(t, f, 2).Use {
-		t.Error("what it names after its silence is taken for a withdrawal of the rest")
+	if _, requery := f.UpdateNames(120*sec, "dns", named(1)); requery || !statusOf(t, f, 2).Use {
+		t.Error("the first answer after a timeout is treated as a withdrawal of the backends that it omits")
 	}
 }
 
-// Coming back is damped, going is not.
+// A backend that flaps is excluded for a while when it returns; its removal is never delayed.
 func TestFlapping(t *testing.T) {
 	f := fleet()
 	f.UpdateList(sec, true, listed(1, 2, 3))
 	now, returns := sec, 0
 	for range 12 {
 		now += sec
-		f.UpdateList(now, false, []Backend{box(1, Draining)})
-		if stand(t, f, 1).Use {
-			t.Fatal("a drain was damped")
+		f.UpdateList(now, false, []Backend{backend(1, Draining)})
+		if statusOf(t, f, 1).Use {
+			t.Fatal("a drain was delayed")
 		}
 		now += sec
 		f.UpdateList(now, false, listed(1))
-		if stand(t, f, 1).Use {
+		if statusOf(t, f, 1).Use {
 			returns++
 		}
 	}
-	if returns != freeReturns {
-		t.Errorf("it came back %d times in 24 s, want %d", returns, freeReturns)
+	if returns != maxUndampedReturns {
+		t.Errorf("it returned %d times in 24 s, want %d", returns, maxUndampedReturns)
 	}
-	for range 40 { // and it does, once it is calm
-		if next := f.Next(); stand(t, f, 1).Use || next == 0 {
+	for range 40 { // it returns once it no longer flaps
+		if next := f.Next(); statusOf(t, f, 1).Use || next == 0 {
 			break
 		} else {
 			now = max(now, next)
@@ -231,35 +235,36 @@
 			f.Tick(now)
 		}
 	}
-	if !stand(t, f, 1).Use {
-		t.Error("it never comes back")
+	if !statusOf(t, f, 1).Use {
+		t.Error("it never returns")
 	}
 }
 
-// 200 scripts and more of news in any order: a box that some source called out is out once the doubt is over, counted from no
-// later than that telling, until that source, or a new process in the list, brings it back; and without news of a box none goes.
+// Random updates of all sources in any order. A backend that some source withdraws is out of use after the confirmation delay, with
+// the grace counted from no later than that withdrawal, until that source or a new process in the list restores it. A backend that
+// no source withdraws stays in use.
 func TestAnyNews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := fleet()
 		now := sec
-		out := map[string]map[int]time.Duration{"list": {}, "a": {}, "b": {}} // since when a source calls a box out
-		says := map[string][]int{}
+		withdrawnAt := map[string]map[int]time.Duration{"list": {}, "a": {}, "b": {}} // by source and backend; absent if not withdrawn
+		namedBy := map[string][]int{}
 		started := map[int]int64{}
-		used, ever := map[int]bool{}, map[int]bool{}
-		told := func(src string, ns []int) {
-			for _, n := range says[src] {
-				if _, ok := out[src][n]; !ok {
-					out[src][n] = now
+		used, known := map[int]bool{}, map[int]bool{}
+		setNamed := func(src string, ns []int) {
+			for _, n := range namedBy[src] {
+				if _, ok := withdrawnAt[src][n]; !ok {
+					withdrawnAt[src][n] = now
 				}
 			}
 			for _, n := range ns {
-				delete(out[src], n)
+				delete(withdrawnAt[src], n)
 			}
-			says[src] = ns
+			namedBy[src] = ns
 		}
-		first := func(n int) (at time.Duration) { // 0 for nobody
-			for _, of := range out {
-				if t := of[n]; t != 0 && (at == 0 || t < at) {
+		firstWithdrawal := func(n int) (at time.Duration) { // 0 for none
+			for _, byBackend := range withdrawnAt {
+				if t := byBackend[n]; t != 0 && (at == 0 || t < at) {
 					at = t
 				}
 			}
@@ -270,14 +275,14 @@
 				var n int
 				fmt.Sscanf(s.Backend.Addr, "127.0.0.1:%d", &n)
 				n -= 9000
-				at := first(n)
-				if at != 0 && s.Use && now >= at+doubt {
-					t.Fatalf("box %d is used at %v, called out at %v: %+v", n, now, at, s)
-				} else if at != 0 && !s.Use && now >= at+doubt && s.Since > at {
-					t.Fatalf("box %d is out as told at %v, it was at %v: %+v", n, s.Since, at, s)
+				at := firstWithdrawal(n)
+				if at != 0 && s.Use && now >= at+confirmDelay {
+					t.Fatalf("backend %d is used at %v, though withdrawn at %v: %+v", n, now, at, s)
+				} else if at != 0 && !s.Use && now >= at+confirmDelay && s.Since > at {
+					t.Fatalf("backend %d is out since %v, want %v: %+v", n, s.Since, at, s)
 				}
 				if used[n] && !s.Use && at == 0 {
-					t.Fatalf("box %d went at %v though nobody called it out: %+v", n, now, s)
+					t.Fatalf("backend %d was removed at %v though no source withdrew it: %+v", n, now, s)
 				}
 				used[n] = s.Use
 			}
@@ -291,12 +296,12 @@
 			case "list":
 				var l []Backend
 				for _, n := range ns {
-					b := box(n, Ready)
+					b := backend(n, Ready)
 					b.StartedMS = started[n]
 					l = append(l, b)
-					ever[n] = true
+					known[n] = true
 				}
-				told("list", ns)
+				setNamed("list", ns)
 				f.UpdateList(now, true, l)
 			case "restart":
 				if len(ns) == 0 {
@@ -304,20 +309,20 @@
 				}
 				n := ns[0]
 				started[n]++
-				b := box(n, Ready)
+				b := backend(n, Ready)
 				b.StartedMS = started[n]
-				delete(out["list"], n)
-				if ever[n] { // else it is the list's first word on it, and no new process
-					delete(out["a"], n)
-					delete(out["b"], n)
+				delete(withdrawnAt["list"], n)
+				if known[n] { // else it is listed for the first time, not a new process
+					delete(withdrawnAt["a"], n)
+					delete(withdrawnAt["b"], n)
 				}
-				ever[n] = true
-				if !slices.Contains(says["list"], n) {
-					says["list"] = append(slices.Clone(says["list"]), n)
+				known[n] = true
+				if !slices.Contains(namedBy["list"], n) {
+					namedBy["list"] = append(slices.Clone(namedBy["list"]), n)
 				}
 				f.UpdateList(now, false, []Backend{b})
 			default:
-				told(src, ns)
+				setNamed(src, ns)
 				f.UpdateNames(now, src, named(ns...))
 			}
 			check()
@@ -325,25 +330,25 @@
 	})
 }
 
-// Boxes that come and go do not stay for good, also where nothing but the list is ever heard.
-func TestTheGoneAreForgotten(t *testing.T) {
+// Backends that come and go must not accumulate, even if Tick is never called.
+func TestRemovedBackendsAreForgotten(t *testing.T) {
 	f := fleet()
 	for i := range 2000 {
 		now := time.Duration(i+1) * sec
 		f.UpdateList(now, true, listed(i, i+1))
 		f.UpdateNames(now, "dns", named(i, i+1))
 	}
-	if n := len(f.members); n > 200 || len(f.byID) != 2 {
-		t.Errorf("%d boxes are kept and %d names, of 2 that are there", n, len(f.byID))
+	if members := len(f.members); members > 200 || len(f.byID) != 2 {
+		t.Errorf("%d backends and %d IDs are kept, with 2 listed", members, len(f.byID))
 	}
 }
 
-// The work for a change grows with it, not with the fleet.
+// BenchmarkList measures full lists and deltas. The cost of a delta must grow with its size, not with the fleet.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{500, 5000} {
 		var all []Backend
 		for i := range n {
-			all = append(all, box(i, Ready))
+			all = append(all, backend(i, Ready))
 		}
 		b.Run(fmt.Sprintf("whole/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
@@ -363,13 +368,13 @@
 	}
 }
 
-// A name whose address was told under another name is not the list's any more: once that other one is forgotten, a whole
-// list that names neither finds nothing to withdraw. (It was a nil pointer.)
-func TestAddressToldUnderAnotherNameThenForgotten(t *testing.T) {
+// An ID whose address is listed under another ID is off the list. Once the other one is forgotten too, a full list without either
+// has nothing to remove. It was a nil pointer dereference when the first ID was kept.
+func TestAddressReusedByAnotherIDThenForgotten(t *testing.T) {
 	f := fleet()
 	f.UpdateList(sec, true, listed(0))
-	other := box(1, Draining)
-	other.Addr = box(0, Ready).Addr
+	other := backend(1, Draining)
+	other.Addr = backend(0, Ready).Addr
 	f.UpdateList(2*sec, false, []Backend{other})
 	other.State = Gone
 	f.UpdateList(3*sec, false, []Backend{other})
@@ -378,10 +383,10 @@
 		f.Tick(now)
 	}
 	if len(f.members) != 0 {
-		t.Fatalf("%d members are kept, want none: the case that this test is for does not come up", len(f.members))
+		t.Fatalf("%d members are kept, want none: the test does not reach its case", len(f.members))
 	}
 	f.UpdateList(601*sec, true, nil)
 	if len(f.byID) != 0 {
-		t.Errorf("names without a member are kept: %v", f.byID)
+		t.Errorf("IDs without a member are kept: %v", f.byID)
 	}
 }
--- a/internal/membership/names.go
+++ b/internal/membership/names.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// minForDoubt is how many a source has to have named for a withdrawal of most of them to be doubted.
-const minForDoubt = 3
+// minNamedToConfirm is the number of backends that a source has to name for a withdrawal of most of them to need confirmation.
+const minNamedToConfirm = 3
 
-// source is one that names backends.
+// source is the state of a source that names backends.
 type source struct {
-	heardAt    time.Duration
-	named      map[string]bool // addresses that it named last
-	doubted    []string        // addresses whose withdrawal is doubted
-	doubtUntil time.Duration   // and until when; 0 where none is
-	doubtSince time.Duration   // when it told of their withdrawal
+	heardAt      time.Duration
+	named        map[string]bool // addresses in its last answer
+	pending      []string        // addresses whose withdrawal is not confirmed yet
+	confirmAt    time.Duration   // when the pending withdrawals take effect; 0 for none
+	pendingSince time.Duration   // when the source withdrew them
 }
 
-// source returns what is known of a source, from nothing if need be.
+// source returns the state of a source, creating it if there is none.
 func (f *Fleet) source(name string) *source {
 	s := f.sources[name]
 	if s == nil {
@@ -27,38 +27,39 @@
 	return s
 }
 
-// UpdateNames takes in the whole answer of a source that names backends by address and nothing else, and returns the backends
-// whose standing changed. Where the source has withdrawn more than half of what it named, ask is set: it is doubted, and
-// to be asked again at once. Unless it takes that back, it stands from Config.Doubt on, counted as told now.
-func (f *Fleet) UpdateNames(now time.Duration, name string, backends []Backend) (changed []Status, ask bool) {
+// UpdateNames applies the full answer of a source that names backends by address only, and returns the backends whose status
+// changed. If it withdraws more than half of the backends that the source named, and those were minNamedToConfirm or more, the
+// withdrawal is pending: requery is set, and the source should be queried again at once. Unless revoked, the withdrawal takes
+// effect after Config.ConfirmDelay, and counts from now.
+func (f *Fleet) UpdateNames(now time.Duration, name string, backends []Backend) (changed []Status, requery bool) {
 	s := f.source(name)
 	s.heardAt = now
 	touched := map[string]bool{}
-	f.confirm(now, name, s, touched)
-	named := f.nameAll(now, name, backends, touched)
+	f.applyPending(now, name, s, touched)
+	named := f.recordNamed(now, name, backends, touched)
 	withdrawn := s.withdrawn(named)
 	switch {
 	case len(withdrawn) == 0:
-		s.endDoubt()
-	case s.doubtUntil != 0:
-		s.doubted = withdrawn // it has not taken all back yet
-	case len(s.named) >= minForDoubt && 2*len(withdrawn) > len(s.named):
-		s.doubted, s.doubtSince, s.doubtUntil = withdrawn, now, now+f.cfg.ConfirmDelay
-		ask = true
+		s.clearPending()
+	case s.confirmAt != 0:
+		s.pending = withdrawn // not all revoked yet
+	case len(s.named) >= minNamedToConfirm && 2*len(withdrawn) > len(s.named):
+		s.pending, s.pendingSince, s.confirmAt = withdrawn, now, now+f.cfg.ConfirmDelay
+		requery = true
 	default:
 		for _, addr := range withdrawn {
 			f.withdraw(name, addr, now, touched)
 		}
 	}
 	s.named = named
-	return f.decide(now, touched, false), ask
+	return f.decide(now, touched, false), requery
 }
 
-// nameAll records that a source names backends, and returns their addresses.
-func (f *Fleet) nameAll(now time.Duration, name string, backends []Backend, touched map[string]bool) map[string]bool {
+// recordNamed records the backends that a source names, and returns their addresses.
+func (f *Fleet) recordNamed(now time.Duration, name string, backends []Backend, touched map[string]bool) map[string]bool {
 	named := make(map[string]bool, len(backends))
 	for _, b := range backends {
-		if addr, ok := f.alias[b.Addr]; ok {
+		if addr, ok := f.canonical[b.Addr]; ok {
 			b.Addr = addr // another address of a backend that the list knows
 		}
 		named[b.Addr] = true
@@ -66,15 +67,15 @@
 		if m.list == NoClaim && m.backend.ID == "" {
 			m.backend = b
 		}
-		if m.names[name].is != Named {
-			m.names[name] = statement{Named, now}
+		if m.claims[name].claim != Named {
+			m.claims[name] = statement{Named, now}
 			touched[b.Addr] = true
 		}
 	}
 	return named
 }
 
-// withdrawn returns what the source named last, or is doubted about, and does not name now.
+// withdrawn returns the addresses that the source named last, or whose withdrawal is pending, and that it does not name now.
 func (s *source) withdrawn(named map[string]bool) []string {
 	var addrs []string
 	for addr := range s.named {
@@ -83,27 +84,27 @@
 		}
 	}
 	slices.Sort(addrs)
-	return append(addrs, slices.DeleteFunc(s.doubted, func(addr string) bool { return named[addr] })...)
+	return append(addrs, slices.DeleteFunc(s.pending, func(addr string) bool { return named[addr] })...)
 }
 
-// endDoubt leaves nothing doubted.
-func (s *source) endDoubt() { s.doubted, s.doubtUntil = nil, 0 }
+// clearPending drops all pending withdrawals.
+func (s *source) clearPending() { s.pending, s.confirmAt = nil, 0 }
 
-// confirm has a doubted withdrawal stand once the doubt is over, counted from the first telling.
-func (f *Fleet) confirm(now time.Duration, name string, s *source, touched map[string]bool) {
-	if s.doubtUntil == 0 || now < s.doubtUntil {
+// applyPending applies the pending withdrawals if they are due. They count from when the source withdrew them.
+func (f *Fleet) applyPending(now time.Duration, name string, s *source, touched map[string]bool) {
+	if s.confirmAt == 0 || now < s.confirmAt {
 		return
 	}
-	for _, addr := range s.doubted {
-		f.withdraw(name, addr, s.doubtSince, touched)
+	for _, addr := range s.pending {
+		f.withdraw(name, addr, s.pendingSince, touched)
 	}
-	s.endDoubt()
+	s.clearPending()
 }
 
 // withdraw records that a source no longer names an address.
 func (f *Fleet) withdraw(name, addr string, at time.Duration, touched map[string]bool) {
 	if m := f.members[addr]; m != nil {
-		m.names[name] = statement{Withdrawn, at}
+		m.claims[name] = statement{Withdrawn, at}
 		touched[addr] = true
 	}
 }
--- a/internal/membership/rule.go
+++ b/internal/membership/rule.go
@@ -1,24 +1,24 @@
 package membership
 
-// Claim is what one source says of a backend now.
+// Claim is what a source currently says about a backend.
 type Claim uint8
 
 const (
-	NoClaim   Claim = iota // nothing, or it has lost its say
-	Named                  // it is there
-	Withdrawn              // it drains, or was named and is not any more
+	NoClaim   Claim = iota // nothing, or the source has timed out
+	Named                  // the backend exists
+	Withdrawn              // the backend drains, or the source no longer names it
 )
 
-// Decisions is the whole rule on disagreement: what the backend list says, by what the other sources say together. Other
-// sources together say Withdrawn as soon as one of them does. Silent of the list means that it does not know the
-// backend.
+// Decisions is the table for sources that disagree, indexed by the claim of the backend list and by the combined claim of the
+// other sources. The combined claim is Withdrawn as soon as one of them says so. NoClaim of the list means that it does not
+// know the backend.
 var Decisions = [3][3]struct {
-	Use bool   // new requests may go there
-	Why string // one line for operators
+	Use    bool   // new requests may be sent to it
+	Reason string // shown to operators
 }{
 	NoClaim: {
 		NoClaim:   {false, "no source knows it"},
-		Named:     {false, "only names know it: nothing tells its kind and start"}, // used while the list has lost its say
+		Named:     {false, "only names know it: nothing tells its kind and start"}, // used while the list has timed out
 		Withdrawn: {false, "the names took it back"},
 	},
 	Named: {
--- a/internal/reach/dialer.go
+++ b/internal/reach/dialer.go
@@ -8,28 +8,29 @@
 	"time"
 )
 
-// ErrStopped is a connecting that Dial's allowed has ended.
-var ErrStopped = errors.New("no connection to the box is wanted any more")
+// ErrStopped is returned by Dial if its allowed function reports false.
+var ErrStopped = errors.New("connection to the backend is no longer wanted")
 
-// Dialer connects to boxes that have several addresses. Its methods may be called at once.
+// Dialer connects to backends that have several addresses. It is safe for concurrent use.
 type Dialer struct {
 	Base func(ctx context.Context, network, address string) (net.Conn, error)
-	Now  func() time.Duration // of any start
-	// AcquireDescriptor takes a descriptor for a connection beside the first of a race, and Give gives it back; nil for no bound.
+	Now  func() time.Duration // monotonic, from any origin
+	// AcquireDescriptor reserves a file descriptor for each connection that Dial opens beside its first one, and reports whether
+	// one was free. ReleaseDescriptor returns it. Both are nil for no limit.
 	AcquireDescriptor func() bool
 	ReleaseDescriptor func()
 
-	mu     sync.Mutex
-	memory History
+	mu      sync.Mutex
+	history History
 }
 
-// Dial connects to one of a box's addresses within ctx, which has a deadline, and returns which. Losers are closed before it returns.
-// Where allowed says no, no further address is begun and nothing is returned.
+// Dial connects to one of a backend's addresses and returns the connection and its address. The deadline of ctx bounds it. All
+// other connections are closed before it returns. When allowed reports false it dials no further address and returns ErrStopped.
 func (d *Dialer) Dial(ctx context.Context, addrs []string, allowed func() bool) (net.Conn, string, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type result struct {
-		place int // in the order
+		place int // index in order
 		addr  string
 		conn  net.Conn
 		err   error
@@ -37,20 +38,20 @@
 	}
 	now := d.Now()
 	d.mu.Lock()
-	order := d.memory.Order(now, addrs)
+	order := d.history.Order(now, addrs)
 	d.mu.Unlock()
 	end := now + time.Hour
 	if t, ok := ctx.Deadline(); ok {
 		end = now + time.Until(t)
 	}
-	race := NewDialSchedule(now, end, len(order))
-	ended := make(chan result, len(order)) // nobody who ends late waits
+	schedule := NewDialSchedule(now, end, len(order))
+	results := make(chan result, len(order)) // buffered, so that no dial blocks when it ends
 	open := 0
-	begun := make([]bool, len(order)) // and not ended
-	finish := func() {                // what is under way loses
+	running := make([]bool, len(order)) // by index in order
+	cancelRunning := func() {           // cancels and closes all dials that are still running
 		cancel()
 		for ; open > 0; open-- {
-			r := <-ended
+			r := <-results
 			if r.conn != nil {
 				r.conn.Close()
 			}
@@ -64,29 +65,29 @@
 	var failed error
 	for {
 		if !allowed() {
-			finish()
+			cancelRunning()
 			return nil, "", ErrStopped
 		}
-		i, begin, wait, over := race.Next(d.Now())
-		if over {
+		i, start, wait, done := schedule.Next(d.Now())
+		if done {
 			return nil, "", failed
 		}
-		if begin {
+		if start {
 			extra := open > 0 && d.AcquireDescriptor != nil
 			if extra && !d.AcquireDescriptor() {
-				race.AttemptFailed(d.Now() + AttemptDelay) // no room to try it beside the others
+				schedule.AttemptFailed(d.Now() + AttemptDelay) // can't dial it beside the others
 				failed = errors.Join(failed, errors.New("no descriptor for a second address"))
 				continue
 			}
 			open++
-			begun[i] = true
+			running[i] = true
 			go func() {
 				network, address, err := Network(order[i])
 				var c net.Conn
 				if err == nil {
 					c, err = d.Base(ctx, network, address)
 				}
-				ended <- result{i, order[i], c, err, extra}
+				results <- result{i, order[i], c, err, extra}
 			}()
 			continue
 		}
@@ -96,9 +97,9 @@
 			due = timer.C
 		}
 		select {
-		case r := <-ended:
+		case r := <-results:
 			open--
-			begun[r.place] = false
+			running[r.place] = false
 			if r.extra && r.err != nil {
 				d.ReleaseDescriptor()
 			}
@@ -107,16 +108,16 @@
 					d.note((*History).RecordFailure, r.addr)
 				}
 				failed = errors.Join(failed, r.err)
-				race.AttemptFailed(d.Now())
+				schedule.AttemptFailed(d.Now())
 				break
 			}
-			for i, under := range begun[:r.place] {
-				if under { // it began earlier, and is not up yet
+			for i, stillRunning := range running[:r.place] {
+				if stillRunning { // it started earlier and is not connected yet
 					d.note((*History).RecordFailure, order[i])
 				}
 			}
-			finish()
-			if r.extra { // the race's first descriptor is the winner's now
+			cancelRunning()
+			if r.extra { // the first dial's descriptor, now free, counts for this connection
 				d.ReleaseDescriptor()
 			}
 			if !allowed() {
@@ -126,24 +127,24 @@
 			return r.conn, r.addr, nil
 		case <-due:
 		case <-ctx.Done():
-			finish()
+			cancelRunning()
 			return nil, "", ctx.Err()
 		}
 	}
 }
 
-// note tells the memory of what became of an address.
-func (d *Dialer) note(of func(*History, time.Duration, string), addr string) {
+// note records an event of an address in the history.
+func (d *Dialer) note(record func(*History, time.Duration, string), addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	of(&d.memory, d.Now(), addr)
+	record(&d.history, d.Now(), addr)
 }
 
-// RecordFailure notes that a connection broke before a request was written to it whole.
+// RecordFailure records that a connection broke before a request was completely written to it.
 func (d *Dialer) RecordFailure(addr string) { d.note((*History).RecordFailure, addr) }
 
-// RecordSilence notes that an attempt ended by its time with nothing from an address.
+// RecordSilence records that an attempt timed out without any response from an address.
 func (d *Dialer) RecordSilence(addr string) { d.note((*History).RecordSilence, addr) }
 
-// RecordAnswer notes that something came back from an address.
+// RecordAnswer records a response from an address.
 func (d *Dialer) RecordAnswer(addr string) { d.note((*History).RecordAnswer, addr) }
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -1,6 +1,8 @@
-// Package reach decides in which order the addresses of one box are tried, when the next one starts, and which are set back. It
-// has no clock, no I/O and no goroutine, and is not safe for concurrent use: its caller tells it the time. It follows RFC 8305
-// in spirit: one address after the other, the next one early when the one before is slow, one winner.
+// Package reach connects to backends that have several addresses, in the manner of RFC 8305 (Happy Eyeballs): it dials one address
+// after the other, starts the next one early if the one before is slow, and keeps the first connection.
+//
+// History and DialSchedule decide the order of the addresses, when the next one is dialled and which are in backoff. They have no
+// clock, I/O or goroutines and are not safe for concurrent use: their caller passes in the time. Dialer does the I/O.
 package reach
 
 import (
@@ -13,20 +15,22 @@
 )
 
 const (
-	// AttemptDelay is how long an address has before the next one is begun beside it (RFC 8305, section 5: 250 ms is recommended). A
-	// connection that loses has cost its box a handshake, a quarter of a request's work or more, so it is not less.
+	// AttemptDelay is the time before the next address is dialled beside one that is still connecting (RFC 8305, section 5:
+	// 250 ms is recommended). It is not shorter because each surplus connection costs the backend a handshake, a quarter of a
+	// request's work or more.
 	AttemptDelay = 250 * time.Millisecond
-	// share of an attempt's time that all waits for addresses together may take: whichever works still has the rest.
-	share = 0.5
-
-	setBack  = time.Second // for an address that failed, doubled with each failure in a row
-	setMost  = 30 * time.Second
-	hangs    = 2                // attempts in a row that nothing came back for, after which an address counts as hanging
-	remember = 10 * time.Minute // what worked is preferred for so long
-	most     = 8192             // addresses that are remembered
+	// maxDelayShare is the fraction of an attempt's time that all delays together may take, so that an address that works still
+	// has the remainder.
+	maxDelayShare = 0.5
+
+	initialBackoff    = time.Second // for an address that failed, doubled with each consecutive failure
+	maxBackoff        = 30 * time.Second
+	maxSilentAttempts = 2                // consecutive attempts without a response, after which an address counts as failed
+	historyRetention  = 10 * time.Minute // how long an address that has worked is preferred
+	maxHistory        = 8192             // number of addresses
 )
 
-// Network splits an address as lists have it: an IP address with a port, or "unix:" and a path. An error says what is wrong.
+// Network splits an address of a backend list, an IP address with a port or "unix:" and a path, into the arguments of net.Dial.
 func Network(addr string) (network, address string, err error) {
 	if path, ok := strings.CutPrefix(addr, "unix:"); ok {
 		if !strings.HasPrefix(path, "/") || len(path) > 107 { // sockaddr_un, unix(7)
@@ -40,7 +44,7 @@
 	return "tcp", addr, nil
 }
 
-// family ranks kinds of addresses: a socket of this machine costs no network, then IPv6 before IPv4 (RFC 6724).
+// family ranks address families: first a Unix socket, which needs no network, then IPv6 before IPv4 (RFC 6724).
 func family(addr string) int {
 	switch {
 	case strings.HasPrefix(addr, "unix:"):
@@ -51,70 +55,72 @@
 	return 2
 }
 
+// record is what is known of an address.
 type record struct {
-	fails  int           // in a row
-	silent int           // attempts in a row that nothing came back for
-	back   time.Duration // set back until then
-	worked time.Duration // when an answer last came; 0 for never
-	seen   time.Duration
+	fails        int           // consecutive failures
+	silent       int           // consecutive attempts without a response
+	backoffUntil time.Duration // end of its backoff
+	answeredAt   time.Duration // when it last responded; 0 for never
+	lastUsed     time.Duration
 }
 
-// History is what is known of addresses. The zero value knows none.
+// History holds the recent results of addresses. The zero value is empty.
 type History struct {
-	of map[string]*record
+	records map[string]*record
 }
 
-func (m *History) at(now time.Duration, addr string) *record {
-	r := m.of[addr]
+// record returns the record of an address, creating it if there is none.
+func (m *History) record(now time.Duration, addr string) *record {
+	r := m.records[addr]
 	if r == nil {
-		if m.of == nil {
-			m.of = map[string]*record{}
+		if m.records == nil {
+			m.records = map[string]*record{}
 		}
-		if len(m.of) >= most {
+		if len(m.records) >= maxHistory {
 			m.prune(now)
 		}
 		r = &record{}
-		m.of[addr] = r
+		m.records[addr] = r
 	}
-	r.seen = now
+	r.lastUsed = now
 	return r
 }
 
-// prune drops what is too old to count, or all where nothing is.
+// prune drops expired records, or all of them if too many remain.
 func (m *History) prune(now time.Duration) {
-	for addr, r := range m.of {
-		if now-r.seen > remember {
-			delete(m.of, addr)
+	for addr, r := range m.records {
+		if now-r.lastUsed > historyRetention {
+			delete(m.records, addr)
 		}
 	}
-	if len(m.of) >= most {
-		clear(m.of)
+	if len(m.records) >= maxHistory {
+		clear(m.records)
 	}
 }
 
-// RecordFailure notes that a connection to an address did not come up, or broke before a request was written to it whole.
+// RecordFailure records that a connection to an address failed, or broke before a request was completely written to it.
 func (m *History) RecordFailure(now time.Duration, addr string) {
-	r := m.at(now, addr)
-	r.back = now + min(setMost, setBack<<min(r.fails, 10))
+	r := m.record(now, addr)
+	r.backoffUntil = now + min(maxBackoff, initialBackoff<<min(r.fails, 10))
 	r.fails++
-	r.worked = 0
+	r.answeredAt = 0
 }
 
-// RecordSilence notes that an attempt ended by its time with nothing from an address.
+// RecordSilence records that an attempt timed out without any response from an address.
 func (m *History) RecordSilence(now time.Duration, addr string) {
-	r := m.at(now, addr)
-	if r.silent++; r.silent >= hangs {
-		m.RecordFailure(now, addr) // it accepts, and then hangs; the box itself may be well
+	r := m.record(now, addr)
+	if r.silent++; r.silent >= maxSilentAttempts {
+		m.RecordFailure(now, addr) // it accepts connections and then hangs; the backend may be healthy at other addresses
 	}
 }
 
-// RecordAnswer notes that something came back from an address.
+// RecordAnswer records a response from an address.
 func (m *History) RecordAnswer(now time.Duration, addr string) {
-	*m.at(now, addr) = record{worked: max(now, 1), seen: now}
+	*m.record(now, addr) = record{answeredAt: max(now, 1), lastUsed: now}
 }
 
-// Order is the order in which a box's addresses are tried: the one that worked last, then one of each family in turn, and those that
-// are set back at the end, the one whose time is up first in front. None is left out.
+// Order returns a backend's addresses in the order in which to dial them: the one that responded last, then one of each family in
+// turn, and at the end those in backoff, by the end of their backoff. It omits none.
 func (m *History) Order(now time.Duration, addrs []string) []string {
 	type place struct {
 		addr       string
@@ -128,12 +134,12 @@
 		p := place{addr: a, kind: family(a)}
 		p.turn = turns[p.kind]
 		turns[p.kind]++
-		if r := m.of[a]; r != nil {
-			if r.back > now {
-				p.back = r.back
+		if r := m.records[a]; r != nil {
+			if r.backoffUntil > now {
+				p.back = r.backoffUntil
 			}
-			if now-r.worked < remember {
-				p.worked = r.worked
+			if now-r.answeredAt < historyRetention {
+				p.worked = r.answeredAt
 			}
 		}
 		all = append(all, p)
@@ -148,25 +154,25 @@
 	return out
 }
 
-// DialSchedule is one connecting to a box: which address is begun when.
+// DialSchedule decides when each address of a backend is dialled, for one connection.
 type DialSchedule struct {
 	n, next, open int
-	due           time.Duration // when the next one may begin
-	stagger       time.Duration
+	due           time.Duration // when the next address may be dialled
+	delay         time.Duration
 }
 
-// NewDialSchedule is a race over n addresses, in their order, that must be over at a time.
+// NewDialSchedule returns a schedule for n addresses, in their order, to be completed by end.
 func NewDialSchedule(now, end time.Duration, n int) *DialSchedule {
-	stagger := AttemptDelay
+	delay := AttemptDelay
 	if n > 1 {
-		stagger = min(stagger, time.Duration(float64(end-now)*share)/time.Duration(n-1))
+		delay = min(delay, time.Duration(float64(end-now)*maxDelayShare)/time.Duration(n-1))
 	}
-	return &DialSchedule{n: n, due: now, stagger: max(stagger, time.Millisecond)}
+	return &DialSchedule{n: n, due: now, delay: max(delay, time.Millisecond)}
 }
 
-// Next tells whether the next address is to begin now, and which. Where it is not, wait is when to ask again if nothing fails
-// before; 0 where no address is left. over tells that all have failed.
-func (r *DialSchedule) Next(now time.Duration) (i int, begin bool, wait time.Duration, over bool) {
+// Next reports whether to dial the next address now, and its index i. If not, wait is the time until the next call, unless a dial
+// fails before; it is 0 if no address is left. done is set if all addresses have failed.
+func (r *DialSchedule) Next(now time.Duration) (i int, start bool, wait time.Duration, done bool) {
 	switch {
 	case r.next == r.n:
 		return 0, false, 0, r.open == 0
@@ -176,11 +182,11 @@
 	i = r.next
 	r.next++
 	r.open++
-	r.due = now + r.stagger
+	r.due = now + r.delay
 	return i, true, 0, false
 }
 
-// AttemptFailed notes that an address that was begun has failed: the next one need not wait.
+// AttemptFailed records that a dial has failed: the next one may start at once.
 func (r *DialSchedule) AttemptFailed(now time.Duration) {
 	r.open--
 	r.due = now
--- a/internal/resolve/answer.go
+++ b/internal/resolve/answer.go
@@ -1,5 +1,5 @@
-// Package resolve asks DNS servers for the SRV records of sites (RFC 2782) and the addresses of their targets. What a message
-// means is decided without I/O in answer.go and schedule.go; client.go asks, source.go follows sites for as long as it runs.
+// Package resolve looks up the SRV records of sites (RFC 2782) and the addresses of their targets. answer.go interprets messages
+// and schedule.go decides when to query, both without I/O; client.go sends queries, and source.go follows sites.
 package resolve
 
 import (
@@ -15,16 +15,16 @@
 	"github.com/miekg/dns"
 )
 
-// Bounds on what is believed.
+// Limits on answers.
 const (
-	MaxCNAMEs  = 8                // CNAMEs from the name that was asked
-	MaxTargets = 20000            // targets of one name
-	MinTTL     = time.Second      // a record of 0 or less lives this long: so often is one name asked at most
-	MaxTTL     = 5 * time.Minute  // and none lives longer, however long it says
-	emptyFor   = 30 * time.Second // a negative answer without a SOA, RFC 2308
+	MaxCNAMEs          = 8                // length of a chain of CNAMEs
+	MaxTargets         = 20000            // SRV records of a name
+	MinTTL             = time.Second      // shorter TTLs are raised to it, which bounds the rate of queries
+	MaxTTL             = 5 * time.Minute  // longer TTLs are cut to it
+	defaultNegativeTTL = 30 * time.Second // of a negative answer without a SOA, RFC 2308
 )
 
-// Kinds of answers that name nothing. Each but ErrInvalid also wraps what the server said.
+// Errors of answers without usable records.
 var (
 	ErrNoName    = errors.New("the name does not exist (NXDOMAIN)")
 	ErrNoData    = errors.New("the name has no such record")
@@ -35,7 +35,7 @@
 	ErrInvalid   = errors.New("not an answer to what was asked")
 )
 
-// Negative is an answer that says that there is nothing, and for how long that may be kept.
+// Negative is the error of an answer that says that there are no records. It may be cached for TTL.
 type Negative struct {
 	Err error // ErrNoName or ErrNoData
 	TTL time.Duration
@@ -44,24 +44,24 @@
 func (n *Negative) Error() string { return n.Err.Error() }
 func (n *Negative) Unwrap() error { return n.Err }
 
-// ClampTTL brings a lifetime in seconds within the bounds.
-func ClampTTL(ttl uint32) time.Duration {
-	if ttl > 1<<31-1 { // RFC 2181, section 8: as if it were 0
-		ttl = 0
+// ClampTTL converts a TTL in seconds and limits it to MinTTL and MaxTTL.
+func ClampTTL(seconds uint32) time.Duration {
+	if seconds > 1<<31-1 { // RFC 2181, section 8: as if it were 0
+		seconds = 0
 	}
-	return min(MaxTTL, max(MinTTL, time.Duration(ttl)*time.Second))
+	return min(MaxTTL, max(MinTTL, time.Duration(seconds)*time.Second))
 }
 
-// Matches tells whether m answers q: its id, that it is an answer, and its question. One that does not is as good as none,
-// and may be forged.
+// Matches reports whether m is the response to q, by its ID, flags and question. A message that does not match has to be ignored,
+// as it may be forged.
 func Matches(q, m *dns.Msg) bool {
 	return m.Id == q.Id && m.Response && m.Opcode == dns.OpcodeQuery && len(m.Question) == 1 &&
 		m.Question[0].Qtype == q.Question[0].Qtype && m.Question[0].Qclass == q.Question[0].Qclass &&
 		strings.EqualFold(m.Question[0].Name, q.Question[0].Name)
 }
 
-// Records returns the records of the type that was asked for, behind any chain of CNAMEs, and for how long they live: as
-// long as the shortest of them and of the chain. Other records in the message are not looked at.
+// Records returns the records of the queried type, following any chain of CNAMEs, and the shortest TTL of them and of the chain.
+// It ignores other records in the message.
 func Records(m *dns.Msg) ([]dns.RR, time.Duration, error) {
 	switch {
 	case m.Truncated:
@@ -73,7 +73,7 @@
 	case m.Rcode != dns.RcodeSuccess && m.Rcode != dns.RcodeNameError:
 		return nil, 0, fmt.Errorf("%w: %s", ErrInvalid, dns.RcodeToString[m.Rcode])
 	}
-	name, life := m.Question[0].Name, MaxTTL
+	name, ttl := m.Question[0].Name, MaxTTL
 	for range MaxCNAMEs + 1 {
 		var found []dns.RR
 		next := ""
@@ -83,49 +83,49 @@
 				continue
 			}
 			if h.Rrtype == m.Question[0].Qtype {
-				found, life = append(found, rr), min(life, ClampTTL(h.Ttl))
+				found, ttl = append(found, rr), min(ttl, ClampTTL(h.Ttl))
 			} else if c, ok := rr.(*dns.CNAME); ok {
-				next, life = c.Target, min(life, ClampTTL(h.Ttl))
+				next, ttl = c.Target, min(ttl, ClampTTL(h.Ttl))
 			}
 		}
 		switch {
 		case len(found) > 0 && m.Rcode == dns.RcodeSuccess:
-			return found, life, nil
+			return found, ttl, nil
 		case next == "":
-			return nil, 0, nothing(m)
+			return nil, 0, negative(m)
 		}
 		name = next
 	}
 	return nil, 0, fmt.Errorf("%w: more than %d CNAMEs", ErrInvalid, MaxCNAMEs)
 }
 
-// nothing is what a message without a record says: that there is none, for as long as its SOA has it (RFC 2308, section 5),
-// or that the server can't tell.
-func nothing(m *dns.Msg) error {
-	life, soa := emptyFor, false
+// negative returns the error for a message without a matching record: a Negative with the TTL of its SOA (RFC 2308, section 5),
+// or ErrLame if the server does not know the zone.
+func negative(m *dns.Msg) error {
+	ttl, soa := defaultNegativeTTL, false
 	for _, rr := range m.Ns {
 		if s, ok := rr.(*dns.SOA); ok {
-			life, soa = ClampTTL(min(s.Hdr.Ttl, s.Minttl)), true
+			ttl, soa = ClampTTL(min(s.Hdr.Ttl, s.Minttl)), true
 		}
 	}
 	switch {
 	case m.Rcode == dns.RcodeNameError:
-		return &Negative{ErrNoName, life}
+		return &Negative{ErrNoName, ttl}
 	case !soa && !m.Authoritative && !m.RecursionAvailable && len(m.Ns) > 0:
 		return ErrLame
 	}
-	return &Negative{ErrNoData, life}
+	return &Negative{ErrNoData, ttl}
 }
 
-// Target is one SRV record.
+// Target is the content of an SRV record.
 type Target struct {
 	Name             string
 	Port             uint16
 	Priority, Weight uint16
 }
 
-// Targets are those of SRV records, by priority and name. A target of "." says that the service is not there at all: then
-// there is none, and no error.
+// Targets returns the targets of SRV records, sorted by priority, name and port. The target "." means that the service does not
+// exist: it gives no target and no error.
 func Targets(rrs []dns.RR) ([]Target, error) {
 	if len(rrs) > MaxTargets {
 		return nil, fmt.Errorf("%w: %d targets, %d at most", ErrInvalid, len(rrs), MaxTargets)
@@ -150,7 +150,7 @@
 	return slices.Compact(out), nil
 }
 
-// Addresses are the IP addresses in A or AAAA records.
+// Addresses returns the IP addresses in A and AAAA records, sorted.
 func Addresses(rrs []dns.RR) []netip.Addr {
 	var out []netip.Addr
 	for _, rr := range rrs {
@@ -169,20 +169,20 @@
 	return slices.Compact(out)
 }
 
-// AdditionalAddresses are the addresses that a message's additional records have for a target, and how long they live. They come from the
-// server that is trusted with the targets themselves.
+// AdditionalAddresses returns the addresses for a target in the additional records of a message, and their TTL. They are trusted
+// because they come from the same server as the targets.
 func AdditionalAddresses(extra []dns.RR, target string) ([]netip.Addr, time.Duration) {
 	var rrs []dns.RR
-	life := MaxTTL
+	ttl := MaxTTL
 	for _, rr := range extra {
 		if t := rr.Header().Rrtype; (t == dns.TypeA || t == dns.TypeAAAA) && strings.EqualFold(rr.Header().Name, target) {
-			rrs, life = append(rrs, rr), min(life, ClampTTL(rr.Header().Ttl))
+			rrs, ttl = append(rrs, rr), min(ttl, ClampTTL(rr.Header().Ttl))
 		}
 	}
-	return Addresses(rrs), life
+	return Addresses(rrs), ttl
 }
 
-// HostPort is an address as a box list has it.
+// HostPort returns an address in the format of a backend list.
 func HostPort(a netip.Addr, port uint16) string {
 	return net.JoinHostPort(a.String(), strconv.Itoa(int(port)))
 }
--- a/internal/resolve/client.go
+++ b/internal/resolve/client.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	udpSize = 1232 // of answers over UDP: what passes without fragments nearly everywhere (DNS flag day 2020)
-	rounds  = 2    // times that all servers are asked
+	udpSizeBytes = 1232 // max UDP response; passes without fragmentation nearly everywhere (DNS flag day 2020)
+	maxRounds    = 2    // how often each server is tried
 )
 
-// Client asks DNS servers. Its methods may be called at once.
+// Client queries DNS servers. It is safe for concurrent use.
 type Client struct {
-	Servers []string      // host:port, asked in turn, beginning with another one each time
-	Timeout time.Duration // for each question to each server, over UDP and again over TCP
+	Servers []string      // host:port; tried in turn, starting with the next one for each query
+	Timeout time.Duration // of each try at a server, separately for UDP and TCP
 	next    atomic.Uint32
 }
 
-// Answer is the records that were asked for, for how long they live, and the message that had them.
+// Answer holds the requested records, their TTL and the message that contained them.
 type Answer struct {
 	Records []dns.RR
 	TTL     time.Duration
 	Message *dns.Msg
 }
 
-// Query returns the records of a name, or a Negative where there are none. Each try has an id and a port of its own. Another error
-// wraps what the last server said.
-func (c *Client) Query(ctx context.Context, name string, kind uint16) (Answer, error) {
+// Query returns the records of a name, or a Negative error if there are none. Each try uses a new ID and port. Other errors wrap
+// that of the last try.
+func (c *Client) Query(ctx context.Context, name string, qtype uint16) (Answer, error) {
 	if len(c.Servers) == 0 {
 		return Answer{}, errors.New("no DNS server is set")
 	}
 	first := int(c.next.Add(1) - 1)
 	var last error
-	for i := range rounds * len(c.Servers) {
+	for i := range maxRounds * len(c.Servers) {
 		server := c.Servers[(first+i)%len(c.Servers)]
-		a, err := c.try(ctx, server, name, kind)
-		var no *Negative
-		if err == nil || errors.As(err, &no) {
+		a, err := c.try(ctx, server, name, qtype)
+		var negative *Negative
+		if err == nil || errors.As(err, &negative) {
 			return a, err
 		}
 		if ctx.Err() != nil {
@@ -54,11 +54,11 @@
 	return Answer{}, last
 }
 
-// try asks one server, over TCP too where the answer over UDP is cut.
-func (c *Client) try(ctx context.Context, server, name string, kind uint16) (Answer, error) {
+// try queries one server over UDP, and over TCP if the response is truncated.
+func (c *Client) try(ctx context.Context, server, name string, qtype uint16) (Answer, error) {
 	q := new(dns.Msg)
-	q.SetQuestion(dns.Fqdn(name), kind) // with a random id
-	q.SetEdns0(udpSize, false)
+	q.SetQuestion(dns.Fqdn(name), qtype) // sets a random ID
+	q.SetEdns0(udpSizeBytes, false)
 	a, err := c.records(ctx, "udp", server, q)
 	if errors.Is(err, ErrTruncated) {
 		q.Id = dns.Id()
@@ -67,17 +67,19 @@
 	return a, err
 }
 
+// records sends a query and returns the records of the response.
 func (c *Client) records(ctx context.Context, network, server string, q *dns.Msg) (Answer, error) {
 	m, err := c.exchange(ctx, network, server, q)
 	if err != nil {
 		return Answer{}, err
 	}
-	rrs, life, err := Records(m)
-	return Answer{rrs, life, m}, err
+	rrs, ttl, err := Records(m)
+	return Answer{rrs, ttl, m}, err
 }
 
-// exchange sends one question from a socket of its own, which takes in what comes from that server alone, and reads until an
-// answer to it or the time is up. What does not answer it is passed over: it may be forged, or meant for an earlier one.
+// exchange sends a query from a new socket, connected so that it receives only from that server, and reads until the response
+// arrives or the time is up. Over UDP it skips messages that don't match the query: they may be forged, or responses to an
+// earlier one.
 func (c *Client) exchange(ctx context.Context, network, server string, q *dns.Msg) (*dns.Msg, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
@@ -88,7 +90,7 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	d := &dns.Conn{Conn: conn, UDPSize: udpSize}
+	d := &dns.Conn{Conn: conn, UDPSize: udpSizeBytes}
 	if err := d.WriteMsg(q); err != nil {
 		return nil, err
 	}
@@ -101,37 +103,37 @@
 			return m, nil
 		case network == "tcp" && err == nil:
 			return nil, ErrInvalid
-		case network == "tcp" || isNet(err):
+		case network == "tcp" || isSocketError(err):
 			return nil, err
 		}
 	}
 }
 
-// isNet tells whether an error is the socket's, not that of a message that can't be read.
-func isNet(err error) bool {
+// isSocketError reports whether an error is from the socket, as opposed to a malformed message.
+func isSocketError(err error) bool {
 	var e net.Error
 	return errors.As(err, &e) || errors.Is(err, net.ErrClosed)
 }
 
-// addresses looks a target up.
+// addresses returns the IPv4 and IPv6 addresses of a target and their TTL.
 func (c *Client) addresses(ctx context.Context, target string) ([]netip.Addr, time.Duration, error) {
 	var out []netip.Addr
-	life := MaxTTL
+	ttl := MaxTTL
 	var failed error
-	for _, kind := range []uint16{dns.TypeA, dns.TypeAAAA} {
-		a, err := c.Query(ctx, target, kind)
-		var no *Negative
+	for _, qtype := range []uint16{dns.TypeA, dns.TypeAAAA} {
+		a, err := c.Query(ctx, target, qtype)
+		var negative *Negative
 		switch {
-		case errors.As(err, &no):
-			life = min(life, no.TTL)
+		case errors.As(err, &negative):
+			ttl = min(ttl, negative.TTL)
 		case err != nil:
 			failed = err
 		default:
-			out, life = append(out, Addresses(a.Records)...), min(life, a.TTL)
+			out, ttl = append(out, Addresses(a.Records)...), min(ttl, a.TTL)
 		}
 	}
 	if failed != nil {
-		return nil, 0, failed // half of an answer would withdraw the other half
+		return nil, 0, failed // a partial answer would withdraw the missing addresses
 	}
-	return out, life, nil
+	return out, ttl, nil
 }
--- a/internal/resolve/resolve_test.go
+++ b/internal/resolve/resolve_test.go
@@ -19,6 +19,7 @@
 
 var site = Site{Name: name, Zone: "tacoma"}
 
+// server starts a name server with some records.
 func server(t *testing.T, records ...string) *nameserver.Server {
 	t.Helper()
 	s, err := nameserver.Start()
@@ -32,7 +33,8 @@
 	return s
 }
 
-func boxes(n, ttl int) []string {
+// srvRecords returns the SRV and A records of n backends.
+func srvRecords(n, ttl int) []string {
 	var out []string
 	for i := range n {
 		out = append(out, fmt.Sprintf("%s %d IN SRV 0 1 %d box%d.example.org.", name, ttl, 9000+i, i), fmt.Sprintf("box%d.example.org. %d IN A 127.0.0.1", i, ttl))
@@ -40,6 +42,7 @@
 	return out
 }
 
+// client returns a client of some name servers.
 func client(servers ...*nameserver.Server) *Client {
 	c := &Client{Timeout: 150 * time.Millisecond}
 	for _, s := range servers {
@@ -48,32 +51,32 @@
 	return c
 }
 
-// Each fault of a server, and what comes of it.
-func TestFaults(t *testing.T) {
+// Each fault of a name server gives the expected error, and another server's answer is used.
+func TestServerFaults(t *testing.T) {
 	for _, c := range []struct {
 		fault nameserver.Fault
-		want  error // nil for the sound answer
+		want  error // nil for a correct answer
 	}{
 		{nameserver.Sound, nil}, {nameserver.Cut, nil}, {nameserver.Poison, nil}, {nameserver.Garbage, nil},
 		{nameserver.Lose, context.DeadlineExceeded}, {nameserver.CutHang, context.DeadlineExceeded}, {nameserver.WrongID, context.DeadlineExceeded},
 		{nameserver.Servfail, ErrServer}, {nameserver.Refused, ErrRefused}, {nameserver.Lame, ErrLame},
 	} {
-		bad, good := server(t, boxes(3, 7)...), server(t, boxes(3, 7)...)
+		bad, good := server(t, srvRecords(3, 7)...), server(t, srvRecords(3, 7)...)
 		bad.Script(func(dns.Question, bool) nameserver.Fault { return c.fault }, 0)
-		got, life, err := client(bad).Backends(t.Context(), site)
+		got, ttl, err := client(bad).Backends(t.Context(), site)
 		if c.want != nil {
 			if !errors.Is(err, c.want) {
 				t.Errorf("fault %d: %v, %v; want %v", c.fault, got, err, c.want)
 			}
-			got, life, err = client(bad, good).Backends(t.Context(), site) // another server answers
+			got, ttl, err = client(bad, good).Backends(t.Context(), site) // the second server answers
 		}
-		if err != nil || len(got) != 3 || life != 7*time.Second || got[0].Addr != "127.0.0.1:9000" || got[0].Zone != "tacoma" {
-			t.Errorf("fault %d: %v, %v, %v", c.fault, got, life, err)
+		if err != nil || len(got) != 3 || ttl != 7*time.Second || got[0].Addr != "127.0.0.1:9000" || got[0].Zone != "tacoma" {
+			t.Errorf("fault %d: %v, %v, %v", c.fault, got, ttl, err)
 		}
 	}
 }
 
-func TestAnswersThatNameNothing(t *testing.T) {
+func TestEmptyAnswers(t *testing.T) {
 	s := server(t, "there.example.org. 5 IN A 127.0.0.1", name+" 5 IN SRV 0 0 0 .",
 		"loop.example.org. 5 IN CNAME loop2.example.org.", "loop2.example.org. 5 IN CNAME loop.example.org.",
 		"alias.example.org. 3 IN CNAME real.example.org.", "real.example.org. 9 IN SRV 0 0 9000 there.example.org.")
@@ -83,39 +86,40 @@
 		if !errors.Is(err, want) {
 			t.Errorf("%s: %v, want %v", q, err, want)
 		}
-		var no *Negative
-		if errors.As(err, &no) && no.TTL != 2*time.Second {
-			t.Errorf("%s: kept for %v, want the SOA's least, 2 s", q, no.TTL)
+		var negative *Negative
+		if errors.As(err, &negative) && negative.TTL != 2*time.Second {
+			t.Errorf("%s: TTL %v, want the SOA's minimum, 2 s", q, negative.TTL)
 		}
 	}
-	if got, life, err := c.Backends(t.Context(), Site{Name: "alias.example.org"}); err != nil || len(got) != 1 || life != 3*time.Second {
-		t.Errorf("behind an alias: %v, %v, %v", got, life, err)
+	if got, ttl, err := c.Backends(t.Context(), Site{Name: "alias.example.org"}); err != nil || len(got) != 1 || ttl != 3*time.Second {
+		t.Errorf("with an alias: %v, %v, %v", got, ttl, err)
 	}
 	if got, _, err := c.Backends(t.Context(), site); err != nil || len(got) != 0 {
-		t.Errorf(`a service that is said not to be there ("."): %v, %v; want none and no error`, got, err)
+		t.Errorf(`a service that does not exist ("."): %v, %v; want none and no error`, got, err)
 	}
 }
 
-// Boxes that do not fit into a datagram come over TCP; where their addresses do not fit beside them, those are asked for one by
-// one. More than fit into a message of 64 KiB come under several names: an SRV record takes 18 bytes and its target.
+// Records that don't fit into a datagram are fetched over TCP. Addresses that don't fit into the additional records are looked up
+// one by one. A name with more records than fit into a message of 64 KiB fails, so that its backends have to be split over several
+// names: an SRV record takes 18 bytes and its target.
 func TestLargeAnswers(t *testing.T) {
-	s := server(t, boxes(1200, 60)...)
+	s := server(t, srvRecords(1200, 60)...)
 	c := client(s)
 	c.Timeout = 10 * time.Second
 	got, _, err := c.Backends(t.Context(), site)
 	if err != nil || len(got) != 1200 || s.Asked(dns.TypeA) < 500 {
-		t.Errorf("%d boxes, %v; %d addresses were asked for", len(got), err, s.Asked(dns.TypeA))
+		t.Errorf("%d backends, %v; %d addresses were queried", len(got), err, s.Asked(dns.TypeA))
 	}
-	if err := s.Set(boxes(5000, 60)...); err != nil {
+	if err := s.Set(srvRecords(5000, 60)...); err != nil {
 		t.Fatal(err)
 	}
 	if got, _, err := c.Backends(t.Context(), site); !errors.Is(err, ErrTruncated) {
-		t.Errorf("5,000 boxes under one name: %d, %v; want that it is cut over TCP too", len(got), err)
+		t.Errorf("5,000 backends under one name: %d, %v; want it truncated over TCP too", len(got), err)
 	}
 }
 
-// A target that can't be looked up must not look like one that was withdrawn.
-func TestHalfAnAnswerIsNone(t *testing.T) {
+// A target that can't be looked up must not be treated as withdrawn: the whole lookup fails.
+func TestFailedTargetFailsLookup(t *testing.T) {
 	s := server(t, name+" 5 IN SRV 0 0 9000 one.example.org.", "one.example.org. 5 IN A 127.0.0.1", "one.example.org. 5 IN AAAA ::1")
 	if got, _, err := client(s).Backends(t.Context(), site); err != nil || len(got) != 2 {
 		t.Fatalf("%v, %v", got, err)
@@ -132,23 +136,23 @@
 	}
 }
 
-func TestLifetimesAreClamped(t *testing.T) {
+func TestTTLsAreClamped(t *testing.T) {
 	for ttl, want := range map[uint32]time.Duration{0: MinTTL, 1: time.Second, 30: 30 * time.Second, 1 << 30: MaxTTL, 1<<32 - 1: MinTTL} {
 		if got := ClampTTL(ttl); got != want {
 			t.Errorf("%d: %v, want %v", ttl, got, want)
 		}
 	}
 	var s Schedule
-	for _, chance := range []float64{0, 0.5, 0.999} {
-		if got := s.Succeeded(MinTTL, chance); got < 500*time.Millisecond || got > 800*time.Millisecond {
-			t.Errorf("a record of no life is asked again after %v", got)
+	for _, random := range []float64{0, 0.5, 0.999} {
+		if got := s.Succeeded(MinTTL, random); got < 500*time.Millisecond || got > 800*time.Millisecond {
+			t.Errorf("a record with TTL 0 is queried again after %v", got)
 		}
 	}
 	last := time.Duration(0)
 	for range 40 {
 		wait := s.Failed(0.999)
-		if wait < last || wait > retryMost {
-			t.Errorf("again after %v, before %v", wait, last)
+		if wait < last || wait > maxRetry {
+			t.Errorf("retry after %v, the one before after %v", wait, last)
 		}
 		last = wait
 	}
@@ -172,13 +176,13 @@
 	}
 }
 
-// Whatever is read, nothing panics, and an answer's life is within the bounds.
+// No message causes a panic, and the TTL of an answer is within the limits.
 func FuzzRecords(f *testing.F) {
 	q := new(dns.Msg)
 	q.SetQuestion(name, dns.TypeSRV)
 	m := q.Copy()
 	m.Response = true
-	for _, text := range boxes(2, 9) {
+	for _, text := range srvRecords(2, 9) {
 		rr, _ := dns.NewRR(text)
 		m.Answer = append(m.Answer, rr)
 	}
@@ -192,9 +196,9 @@
 		if m.Unpack(text) != nil || len(m.Question) != 1 {
 			return
 		}
-		rrs, life, err := Records(m)
-		if err == nil && (len(rrs) == 0 || life < MinTTL || life > MaxTTL) {
-			t.Errorf("%d records for %v", len(rrs), life)
+		rrs, ttl, err := Records(m)
+		if err == nil && (len(rrs) == 0 || ttl < MinTTL || ttl > MaxTTL) {
+			t.Errorf("%d records for %v", len(rrs), ttl)
 		}
 		targets, _ := Targets(rrs)
 		for _, x := range targets {
--- a/internal/resolve/schedule.go
+++ b/internal/resolve/schedule.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Schedule says when a name is asked again. It has no clock: its caller tells the time.
+// Schedule decides when a name is queried again. It has no clock.
 type Schedule struct {
 	fails int
 }
 
 const (
-	aheadOf   = 0.8 // part of its life at which an answer is asked for again,
-	spread    = 0.2 // less up to this part of it by chance, so that nodes do not ask together
-	retryAt   = time.Second
-	retryMost = 30 * time.Second
+	refreshFraction = 0.8 // fraction of the TTL after which an answer is refreshed,
+	refreshJitter   = 0.2 // less a random fraction up to this, so that nodes don't query at the same time
+	initialRetry    = time.Second
+	maxRetry        = 30 * time.Second
 )
 
-// Succeeded notes an answer that lives for a time, and returns when to ask again; chance is within [0, 1).
-func (s *Schedule) Succeeded(life time.Duration, chance float64) time.Duration {
+// Succeeded records an answer and returns the delay of the next query; random is within [0, 1).
+func (s *Schedule) Succeeded(ttl time.Duration, random float64) time.Duration {
 	s.fails = 0
-	return max(MinTTL/2, time.Duration(float64(life)*(aheadOf-spread*chance)))
+	return max(MinTTL/2, time.Duration(float64(ttl)*(refreshFraction-refreshJitter*random)))
 }
 
-// Failed notes that no server gave an answer, and returns when to ask again: after twice as long each time, with jitter.
-func (s *Schedule) Failed(chance float64) time.Duration {
-	wait := min(retryMost, retryAt<<min(s.fails, 10))
+// Failed records that no server answered and returns the delay of the next query, which doubles with each failure and has jitter.
+func (s *Schedule) Failed(random float64) time.Duration {
+	wait := min(maxRetry, initialRetry<<min(s.fails, 10))
 	s.fails++
-	return time.Duration(float64(wait) * (0.5 + chance/2))
+	return time.Duration(float64(wait) * (0.5 + random/2))
 }
--- a/internal/resolve/source.go
+++ b/internal/resolve/source.go
@@ -14,28 +14,28 @@
 	"craneglade/internal/timing"
 )
 
-// Site is one SRV name, whose targets are the boxes of a zone.
+// Site is an SRV name whose targets are the backends of a zone.
 type Site struct {
 	Name string // such as _config._tcp.tacoma.example.org
 	Zone string
 }
 
-// Source follows sites. Tell is called with the whole answer of one site at a time, by several goroutines, and returns whether
-// the site is to be asked again at once.
+// Source follows sites. Update is called with the full answer for one site, concurrently for different sites, and reports whether
+// the site should be queried again at once.
 type Source struct {
 	Client *Client
 	Sites  []Site
-	Update func(site Site, boxes []membership.Backend) (again bool)
+	Update func(site Site, backends []membership.Backend) (requery bool)
 	Log    *slog.Logger
 }
 
-// again is how soon a site is asked whose answer is doubted; within the doubt's time.
-const again = 100 * time.Millisecond
+// requeryDelay is the delay of a query to confirm an answer. It has to be shorter than membership.Config.ConfirmDelay.
+const requeryDelay = 100 * time.Millisecond
 
-// lookups is how many targets of one site are looked up at a time.
-const lookups = 16
+// maxLookups is the number of targets of a site that are looked up concurrently.
+const maxLookups = 16
 
-// Run asks until ctx ends. What fails is logged and asked again later; the last answer stands meanwhile.
+// Run queries until ctx is done. Failures are logged and retried later; the last answer stays in force meanwhile.
 func (s *Source) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, site := range s.Sites {
@@ -44,40 +44,41 @@
 	wg.Wait()
 }
 
+// follow queries one site until ctx is done.
 func (s *Source) follow(ctx context.Context, site Site) {
-	var plan Schedule
+	var schedule Schedule
 	for ctx.Err() == nil {
-		boxes, life, err := s.Client.Backends(ctx, site)
+		backends, ttl, err := s.Client.Backends(ctx, site)
 		var wait time.Duration
 		switch {
 		case ctx.Err() != nil:
 			return
 		case err != nil:
-			// Also where the name has no record: a service that is gone says so by the target "." (RFC 2782), an empty
-			// answer is more likely a broken zone.
-			wait = plan.Failed(rand.Float64())
-			var no *Negative
-			if errors.As(err, &no) {
-				wait = max(wait, min(no.TTL, retryMost))
+			// This includes a name without records: a service that does not exist has the target "." (RFC 2782), and an
+			// empty answer is more likely a broken zone.
+			wait = schedule.Failed(rand.Float64())
+			var negative *Negative
+			if errors.As(err, &negative) {
+				wait = max(wait, min(negative.TTL, maxRetry))
 			}
-			s.Log.Warn("asking DNS for a site failed; its last answer stands", "site", site.Name, "err", err, "again_in", wait)
-		case s.Update(site, boxes):
-			wait = again
+			s.Log.Warn("DNS query for a site failed; its last answer stays in force", "site", site.Name, "err", err, "again_in", wait)
+		case s.Update(site, backends):
+			wait = requeryDelay
 		default:
-			wait = plan.Succeeded(life, rand.Float64())
+			wait = schedule.Succeeded(ttl, rand.Float64())
 		}
 		timing.Sleep(ctx, wait)
 	}
 }
 
-// Backends asks for the boxes of a site, and for how long the answer lives. Each address of a target is a box. A target that
-// can't be looked up fails the whole: a part of an answer would withdraw boxes that nobody withdrew.
+// Backends looks up the backends of a site and the TTL of the answer. Each address of a target is a backend. If a target can't be
+// looked up the whole lookup fails, because a partial answer would withdraw the missing backends.
 func (c *Client) Backends(ctx context.Context, site Site) ([]membership.Backend, time.Duration, error) {
 	a, err := c.Query(ctx, site.Name, dns.TypeSRV)
 	if err != nil {
 		return nil, 0, err
 	}
-	life := a.TTL
+	ttl := a.TTL
 	targets, err := Targets(a.Records)
 	if err != nil {
 		return nil, 0, err
@@ -87,33 +88,33 @@
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var failed error
-	out := make([][]membership.Backend, len(targets))
-	room := make(chan struct{}, lookups)
-	beside := map[string][]dns.RR{}
+	byTarget := make([][]membership.Backend, len(targets))
+	slots := make(chan struct{}, maxLookups)
+	additional := map[string][]dns.RR{}
 	for _, rr := range a.Message.Extra {
 		name := dns.CanonicalName(rr.Header().Name)
-		beside[name] = append(beside[name], rr)
+		additional[name] = append(additional[name], rr)
 	}
 	for i, t := range targets {
-		addrs, l := AdditionalAddresses(beside[t.Name], t.Name)
-		put := func() { // mu is held
-			life = min(life, l)
+		addrs, addrTTL := AdditionalAddresses(additional[t.Name], t.Name)
+		add := func() { // mu must be held
+			ttl = min(ttl, addrTTL)
 			for _, a := range addrs {
 				addr := HostPort(a, t.Port)
-				out[i] = append(out[i], membership.Backend{ID: "dns:" + addr, Addr: addr, Zone: site.Zone, State: membership.Ready})
+				byTarget[i] = append(byTarget[i], membership.Backend{ID: "dns:" + addr, Addr: addr, Zone: site.Zone, State: membership.Ready})
 			}
 		}
 		if len(addrs) > 0 {
 			mu.Lock()
-			put()
+			add()
 			mu.Unlock()
 			continue
 		}
-		room <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			var err error
-			addrs, l, err = c.addresses(ctx, t.Name)
+			addrs, addrTTL, err = c.addresses(ctx, t.Name)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -121,16 +122,16 @@
 				cancel()
 				return
 			}
-			put()
+			add()
 		})
 	}
 	wg.Wait()
 	if failed != nil {
 		return nil, 0, failed
 	}
-	var boxes []membership.Backend
-	for _, o := range out {
-		boxes = append(boxes, o...)
+	var backends []membership.Backend
+	for _, o := range byTarget {
+		backends = append(backends, o...)
 	}
-	return boxes, life, nil
+	return backends, ttl, nil
 }
