--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -244,7 +244,7 @@
 	e.scheduleForget()
 }
 
-// drain stops writes to a backend when the grace, counted from now, is over.
+// drain stops new writes to a backend in time before its drain grace, counted from now, is over.
 func (e *Engine) drain(b *Backend) {
 	b.StopWritesAt(time.Now().Add(writableFor(e.settings.DrainGrace)))
 }
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -56,7 +56,7 @@
 		m.RecordFailure(now, string(rune(i)))
 	}
 	if len(m.records) > maxHistory {
-		t.Errorf("%d addresses are kept, want %d at most", len(m.records), maxHistory)
+		t.Errorf("%d addresses are kept, more than maxHistory", len(m.records))
 	}
 }
 
--- a/internal/resolve/answer.go
+++ b/internal/resolve/answer.go
@@ -19,7 +19,7 @@
 const (
 	MaxCNAMEs          = 8                // length of a chain of CNAMEs
 	MaxTargets         = 20000            // SRV records of a name
-	MinTTL             = time.Second      // shorter TTLs are raised to it, which bounds the rate of queries
+	MinTTL             = time.Second      // shorter TTLs, 0 included, are raised to it, which bounds the rate of queries
 	MaxTTL             = 5 * time.Minute  // longer TTLs are cut to it
 	defaultNegativeTTL = 30 * time.Second // of a negative answer without a SOA, RFC 2308
 )
