--- a/internal/discovery/size_test.go
+++ b/internal/discovery/size_test.go
@@ -17,7 +17,7 @@
 	for _, n := range []int{200, largestService, 170000} {
 		l := engine.List{Version: 1, Full: true}
 		for i := range n {
-			l.Servers = append(l.Servers, engine.ListedBackend{ID: fmt.Sprintf("service-0000-%06d", i), Addr: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
+			l.Backends = append(l.Backends, engine.ListedBackend{ID: fmt.Sprintf("service-0000-%06d", i), Addr: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
 				Zone: "region-1-zone-1", Kind: "standard-8", State: "Ready", StartedMS: 1764633600000})
 		}
 		text, err := json.Marshal(l)
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -32,7 +32,7 @@
 				b.StopTimer()
 				e, _ := newEngine(b)
 				b.StartTimer()
-				e.takeList(&List{Version: 1, Full: true, Servers: all}, policy.ListFull)
+				e.takeList(&List{Version: 1, Full: true, Backends: all}, policy.ListFull)
 				b.StopTimer()
 				e.Stop()
 				b.StartTimer()
@@ -47,12 +47,12 @@
 		b.Run(fmt.Sprint("backends=", n), func(b *testing.B) {
 			all := entries(n)
 			e, _ := newEngine(b)
-			e.takeList(&List{Version: 1, Full: true, Servers: all}, policy.ListFull)
+			e.takeList(&List{Version: 1, Full: true, Backends: all}, policy.ListFull)
 			one := all[n/2]
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				one.State = []string{"Terminating", "Ready"}[i%2]
-				e.takeList(&List{Version: int64(i + 2), Servers: []ListedBackend{one}}, policy.ListDelta)
+				e.takeList(&List{Version: int64(i + 2), Backends: []ListedBackend{one}}, policy.ListDelta)
 			}
 			e.Stop()
 		})
@@ -84,7 +84,7 @@
 				} else {
 					e.SetFleetState(&replicaState{shared.New(shared.Config{Name: "n0", Nodes: 1, Terms: escrow.Usual(), Limits: judgement.Usual(), BytesPS: 8192, Datagram: 1400}, time.Hour), time.Hour})
 				}
-				e.takeList(&List{Version: 1, Full: true, Servers: all}, policy.ListFull)
+				e.takeList(&List{Version: 1, Full: true, Backends: all}, policy.ListFull)
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					replaceOne(e, all, i)
@@ -101,7 +101,7 @@
 		b.Run(fmt.Sprint("backends=", n), func(b *testing.B) {
 			all := entries(n)
 			e, _ := newEngine(b)
-			e.takeList(&List{Version: 1, Full: true, Servers: all}, policy.ListFull)
+			e.takeList(&List{Version: 1, Full: true, Backends: all}, policy.ListFull)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				replaceOne(e, all, i)
@@ -121,9 +121,9 @@
 		b.StopTimer()
 		e, _ := newEngine(b)
 		e.settings.DrainGrace = 20 * time.Millisecond
-		e.takeList(&List{Version: 1, Full: true, Servers: all}, policy.ListFull)
+		e.takeList(&List{Version: 1, Full: true, Backends: all}, policy.ListFull)
 		b.StartTimer()
-		e.takeList(&List{Version: 2, Full: true, Servers: all[:1]}, policy.ListFull)
+		e.takeList(&List{Version: 2, Full: true, Backends: all[:1]}, policy.ListFull)
 		b.StopTimer()
 		graceStart := time.Now()
 		for known := n; known > 1; {
@@ -149,5 +149,5 @@
 	leaving.State = "Gone"
 	fresh.ID = fmt.Sprint("fresh-", i)
 	*one = fresh
-	e.takeList(&List{Version: int64(i + 2), Servers: []ListedBackend{leaving, fresh}}, policy.ListDelta)
+	e.takeList(&List{Version: int64(i + 2), Backends: []ListedBackend{leaving, fresh}}, policy.ListDelta)
 }
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -20,9 +20,9 @@
 
 // List is a full backend list or a delta, in the format of PROTOCOL.
 type List struct {
-	Version int64           `json:"version"`
-	Full    bool            `json:"full"`
-	Servers []ListedBackend `json:"servers"`
+	Version  int64           `json:"version"`
+	Full     bool            `json:"full"`
+	Backends []ListedBackend `json:"servers"`
 	// AfterOutage is set if requests for the list failed before it arrived: its updates may have been in force for a while, so
 	// that a drain in it may have no grace left.
 	AfterOutage bool `json:"-"`
@@ -159,13 +159,13 @@
 // applyBackends updates the backends from a list and passes it to the policy. e.mu must be held.
 func (e *Engine) applyBackends(l *List, kind policy.ListKind) {
 	now := e.clock.Now()
-	entries := make([]policy.Entry, 0, len(l.Servers))
+	entries := make([]policy.Entry, 0, len(l.Backends))
 	seen := map[string]bool{}
-	for i := range l.Servers {
-		seen[l.Servers[i].ID] = true
+	for i := range l.Backends {
+		seen[l.Backends[i].ID] = true
 	}
-	for i := range l.Servers {
-		s := &l.Servers[i]
+	for i := range l.Backends {
+		s := &l.Backends[i]
 		x := policy.Entry{Place: subset.Hash(s.ID), Zone: s.Zone, Cell: s.Cell, Kind: s.Kind}
 		if s.RPC != "" {
 			x.Speaks = SpeaksRPC
--- a/internal/engine/list_test.go
+++ b/internal/engine/list_test.go
@@ -134,10 +134,10 @@
 
 func (m *model) apply(l *List, kind policy.ListKind) {
 	seen := map[string]bool{}
-	for _, s := range l.Servers {
+	for _, s := range l.Backends {
 		seen[s.ID] = true
 	}
-	for _, s := range l.Servers {
+	for _, s := range l.Backends {
 		b := m.names[s.ID]
 		if b != nil && (b.addr != s.Addr && s.Addr != "" || b.rpc != s.RPC && s.RPC != "") {
 			m.remove(b)
@@ -235,7 +235,7 @@
 		if rng.IntN(6) == 0 {
 			s.RPC = fmt.Sprint("r", rng.IntN(2))
 		}
-		l.Servers = append(l.Servers, s)
+		l.Backends = append(l.Backends, s)
 	}
 	return l, kind
 }
@@ -312,7 +312,7 @@
 		updates     int
 	}{{"Ready", "a", 2}, {"Terminating", "a", 2}, {"Ready", "a", 2}, {"Ready", "elsewhere", 3}, {"Gone", "elsewhere", 4}, {"Gone", "elsewhere", 4}, {"Ready", "elsewhere", 5}} {
 		one.State, one.Addr = c.state, c.addr
-		e.takeList(&List{Version: int64(i + 1), Servers: []ListedBackend{one}}, policy.ListDelta)
+		e.takeList(&List{Version: int64(i + 1), Backends: []ListedBackend{one}}, policy.ListDelta)
 		if fleetState.updates != c.updates {
 			t.Errorf("after %s at %s the fleet state was updated %d times, want %d", c.state, c.addr, fleetState.updates, c.updates)
 		}
@@ -328,11 +328,11 @@
 		defer e.Stop()
 		backendClock := func() int64 { return time.Now().Add(-time.Hour).UnixMilli() }
 		backend := ListedBackend{ID: "s-1", Addr: "10.0.0.1:80", Zone: "north", Kind: "k", State: "Ready"}
-		e.takeList(&List{Version: 1, Full: true, Servers: []ListedBackend{backend}}, policy.ListFull)
+		e.takeList(&List{Version: 1, Full: true, Backends: []ListedBackend{backend}}, policy.ListFull)
 		time.Sleep(time.Minute)
 		backend.StartedMS = backendClock()
 		time.Sleep(2 * time.Second)
-		e.takeList(&List{Version: 2, Servers: []ListedBackend{backend}}, policy.ListDelta)
+		e.takeList(&List{Version: 2, Backends: []ListedBackend{backend}}, policy.ListDelta)
 		if age := e.clock.Now() - e.byID["s-1"].launched; age > 3*time.Second {
 			t.Errorf("a backend that started 2 s ago is considered %v old", age)
 		}
--- a/internal/engine/members.go
+++ b/internal/engine/members.go
@@ -32,12 +32,12 @@
 
 // mergeList applies a list merged with the other sources. e.mu must be held.
 func (e *Engine) mergeList(l *List, kind policy.ListKind) {
-	statuses := e.members.UpdateList(e.clock.Now(), kind != policy.ListDelta, l.Servers)
-	out := List{Version: l.Version, Servers: make([]ListedBackend, 0, len(statuses)), AfterOutage: l.AfterOutage}
+	statuses := e.members.UpdateList(e.clock.Now(), kind != policy.ListDelta, l.Backends)
+	out := List{Version: l.Version, Backends: make([]ListedBackend, 0, len(statuses)), AfterOutage: l.AfterOutage}
 	for i := range statuses {
 		// A full list removes what it omits, and an empty one must stay empty.
 		if kind == policy.ListDelta || statuses[i].Backend.State != membership.Gone {
-			out.Servers = append(out.Servers, statuses[i].Backend)
+			out.Backends = append(out.Backends, statuses[i].Backend)
 		}
 	}
 	e.applyBackends(&out, kind)
@@ -50,7 +50,7 @@
 	if len(statuses) > 0 {
 		l := List{Version: e.version}
 		for i := range statuses {
-			l.Servers = append(l.Servers, statuses[i].Backend)
+			l.Backends = append(l.Backends, statuses[i].Backend)
 			e.log.Info("backend status changed", "box", statuses[i].Backend.ID, "addr", statuses[i].Backend.Addr, "used", statuses[i].Use,
 				"why", statuses[i].Reason, "source", statuses[i].Source)
 		}
--- a/internal/engine/shutdown_test.go
+++ b/internal/engine/shutdown_test.go
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	e.SetSource(noSource{}, &List{})
-	e.takeList(&List{Version: 1, Full: true, Servers: entries(4)}, policy.ListFull)
+	e.takeList(&List{Version: 1, Full: true, Backends: entries(4)}, policy.ListFull)
 	return e, c
 }
 
--- a/internal/kit/scale/endpointlist/endpointlist.go
+++ b/internal/kit/scale/endpointlist/endpointlist.go
@@ -41,9 +41,9 @@
 	for i := range list {
 		list[i] = listed(i, 0)
 	}
-	full := engine.List{Version: 1, Full: true, Servers: list}
+	full := engine.List{Version: 1, Full: true, Backends: list}
 	out.Add(Mechanism, "node", "bytes of a full list", "B", float64(size(&full)))
-	out.Add(Mechanism, "node", "bytes of a change of one", "B", float64(size(&engine.List{Version: 2, Servers: list[:1]})))
+	out.Add(Mechanism, "node", "bytes of a change of one", "B", float64(size(&engine.List{Version: 2, Backends: list[:1]})))
 	if err := engineTimes(ctx, out, list); err != nil {
 		return nil, err
 	}
@@ -89,7 +89,7 @@
 		if err != nil {
 			return err
 		}
-		first = append(first, news(e, &engine.List{Version: 1, Full: true, Servers: list}, policy.ListFull))
+		first = append(first, news(e, &engine.List{Version: 1, Full: true, Backends: list}, policy.ListFull))
 		e.Stop()
 		if err := context.Cause(ctx); err != nil {
 			return err
@@ -101,15 +101,15 @@
 		return err
 	}
 	defer e.Stop()
-	news(e, &engine.List{Version: 1, Full: true, Servers: list}, policy.ListFull)
+	news(e, &engine.List{Version: 1, Full: true, Backends: list}, policy.ListFull)
 	mebibytes := float64(heap.InUse()-before) / (1 << 20)
 	var again, one []time.Duration
 	for i := range repeats {
-		again = append(again, news(e, &engine.List{Version: int64(2 + i), Full: true, Servers: list}, policy.ListFull))
+		again = append(again, news(e, &engine.List{Version: int64(2 + i), Full: true, Backends: list}, policy.ListFull))
 	}
 	for i := range deltas {
 		change := []engine.ListedBackend{listed(i%len(list), 1+i)}
-		one = append(one, news(e, &engine.List{Version: int64(2 + repeats + i), Servers: change}, policy.ListDelta))
+		one = append(one, news(e, &engine.List{Version: int64(2 + repeats + i), Backends: change}, policy.ListDelta))
 	}
 	out.AddWall(Mechanism, "node", "full list taken in, the first", "ms", milliseconds(median(first)))
 	out.AddWall(Mechanism, "node", "full list taken in, the same again", "ms", milliseconds(median(again)))
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -202,7 +202,7 @@
 	})
 	other := newBox(t, echo)
 	r := tieredRig(t, d, b, patience)
-	both := &engine.List{Version: 2, Full: true, Servers: []engine.ListedBackend{b.entry("s-1"), other.entry("s-2")}}
+	both := &engine.List{Version: 2, Full: true, Backends: []engine.ListedBackend{b.entry("s-1"), other.entry("s-2")}}
 	r.engine.UpdateList(r.list, both, policy.ListFull, func(int64) bool { return true })
 	attempts := func() int { return len(b.requests()) + len(other.requests()) }
 	for _, x := range []struct {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -102,7 +102,7 @@
 	case len(file.Settings) == 0:
 		return Config{}, errors.New("settings: missing")
 	}
-	for i, s := range cfg.Known.Servers {
+	for i, s := range cfg.Known.Backends {
 		if s.ID == "" || s.Addr == "" {
 			return Config{}, fmt.Errorf("known.servers[%d]: id or addr is missing", i)
 		}
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -38,7 +38,7 @@
 // newControl makes the node's part in the control plane, which does nothing before run.
 func (n *node) newControl(own *settings.Control) *control {
 	c := &control{region: own.Region, service: own.Services[0], front: n.front, policy: &n.cfg.Settings.Policy, shares: n.cfg.shares(), log: n.log,
-		endpoints: newEndpoints(n.engine, own.Services[0], n.cfg.Known.Servers)}
+		endpoints: newEndpoints(n.engine, own.Services[0], n.cfg.Known.Backends)}
 	s := subscriber.New(subscriber.Config{Name: n.cfg.Name, Zone: n.cfg.Settings.Policy.Zone, Regions: []string{own.Region},
 		Filter: changelog.Filter{Services: slices.Clone(own.Services)}, Candidates: controlnet.Candidates(own.Parents),
 		Seed: n.controlSeed(), Limits: controlnet.LimitsFor(own.Silence.D()), Leaf: true}, n.clock.Elapsed())
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -95,7 +95,7 @@
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			old, fresh := newBox(t, served), newBox(t, served)
-			second := engine.List{Version: 2, Full: true, Servers: []engine.ListedBackend{fresh.entry("s-2")}}
+			second := engine.List{Version: 2, Full: true, Backends: []engine.ListedBackend{fresh.entry("s-2")}}
 			said := func(text string) func(net.Conn) {
 				return func(c net.Conn) { fmt.Fprint(c, text) }
 			}
@@ -116,7 +116,7 @@
 				func(c net.Conn) { // a change, byte by byte
 					var b bytes.Buffer
 					again := old.entry("s-3")
-					text, _ := json.Marshal(engine.List{Version: 3, Servers: []engine.ListedBackend{again}})
+					text, _ := json.Marshal(engine.List{Version: 3, Backends: []engine.ListedBackend{again}})
 					fmt.Fprintf(&b, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 					for _, x := range b.Bytes() {
 						c.Write([]byte{x})
@@ -151,7 +151,7 @@
 	t.Parallel()
 	b := newBox(t, served)
 	silent := make(chan struct{})
-	d := newScripted(t, func(net.Conn) { close(silent) }, tells(engine.List{Version: 2, Servers: []engine.ListedBackend{b.entry("s-1")}}, nil))
+	d := newScripted(t, func(net.Conn) { close(silent) }, tells(engine.List{Version: 2, Backends: []engine.ListedBackend{b.entry("s-1")}}, nil))
 	r := newRig(t, newRegistry(t), settingsJSON, func(cfg *Config) { cfg.Discovery = d.addr })
 	<-silent
 	wait(t, "the news behind the silence", func() bool { return r.numbered("s-1") != 0 })
@@ -166,9 +166,9 @@
 	t.Parallel()
 	b := newBox(t, served)
 	g := newRegistry(t)
-	g.next <- registryAnswer{200, engine.List{Version: 700, Full: true, Servers: []engine.ListedBackend{b.entry("s-0")}}}
+	g.next <- registryAnswer{200, engine.List{Version: 700, Full: true, Backends: []engine.ListedBackend{b.entry("s-0")}}}
 	g.next <- registryAnswer{200, engine.List{Version: 3}}
-	g.next <- registryAnswer{200, engine.List{Version: 4, Full: true, Servers: []engine.ListedBackend{b.entry("s-1")}}}
+	g.next <- registryAnswer{200, engine.List{Version: 4, Full: true, Backends: []engine.ListedBackend{b.entry("s-1")}}}
 	r := newRig(t, g, settingsJSON, nil, b.entry("s-0"))
 	wait(t, "the list of the new count", func() bool { return r.numbered("s-1") != 0 })
 	wait(t, "a watch from there", func() bool { return len(g.calls()) == 4 })
@@ -195,7 +195,7 @@
 	cl.send(quote("q").text())
 	<-dialing
 	g.next <- registryAnswer{status: 503}
-	g.next <- registryAnswer{200, engine.List{Version: 2, Servers: []engine.ListedBackend{draining}}}
+	g.next <- registryAnswer{200, engine.List{Version: 2, Backends: []engine.ListedBackend{draining}}}
 	wait(t, "the drain", func() bool { return r.numbered("s-1") == 0 })
 	let()
 	if resp, _ := cl.answer(); resp.StatusCode != 503 {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -117,7 +117,7 @@
 			s.told[b.ID] = b
 		}
 	}
-	list := &engine.List{Servers: piece, AfterOutage: late}
+	list := &engine.List{Backends: piece, AfterOutage: late}
 	s.engine.UpdateList(s, list, policy.ListDelta, func(known int64) bool {
 		list.Version = known + 1
 		return true
--- a/internal/node/lists_test.go
+++ b/internal/node/lists_test.go
@@ -15,7 +15,7 @@
 
 // listAnswer answers a discovery call with a list of backends.
 func listAnswer(version int64, full bool, backends ...engine.ListedBackend) registryAnswer {
-	return registryAnswer{200, engine.List{Version: version, Full: full, Servers: backends}}
+	return registryAnswer{200, engine.List{Version: version, Full: full, Backends: backends}}
 }
 
 // in is a list's entry in another state.
@@ -164,7 +164,7 @@
 			if c.kept {
 				steps = append(steps, tells(engine.List{Version: 1}, nil))
 			}
-			d := newScripted(t, append(steps, c.end, tells(engine.List{Version: 2, Full: true, Servers: []engine.ListedBackend{stays.entry("s-2")}}, nil))...)
+			d := newScripted(t, append(steps, c.end, tells(engine.List{Version: 2, Full: true, Backends: []engine.ListedBackend{stays.entry("s-2")}}, nil))...)
 			r := newRig(t, newRegistry(t), longGrace, func(cfg *Config) { cfg.Discovery = d.addr }, left.entry("s-1"))
 			wait(t, "the whole list", func() bool { return r.numbered("s-2") != 0 && r.numbered("s-1") == 0 })
 			before := len(left.requests())
--- a/internal/node/names_test.go
+++ b/internal/node/names_test.go
@@ -101,7 +101,7 @@
 	if source != "dns:"+siteName {
 		t.Errorf("decided by %s", source)
 	}
-	g.next <- registryAnswer{200, engine.List{Version: 2, Servers: []engine.ListedBackend{a.entry("s-0")}}}
+	g.next <- registryAnswer{200, engine.List{Version: 2, Backends: []engine.ListedBackend{a.entry("s-0")}}}
 	grace := told + r.cfg.Settings.Policy.DrainGrace
 	lastSend(t, r, a, func() bool { return r.clock.Now() >= grace })
 	before := len(a.requests())
@@ -204,7 +204,7 @@
 					late := time.AfterFunc(8*time.Second, func() {
 						drained := a.entry("s-0")
 						drained.State = "Terminating"
-						g.next <- registryAnswer{200, engine.List{Version: 2, Servers: []engine.ListedBackend{drained}}}
+						g.next <- registryAnswer{200, engine.List{Version: 2, Backends: []engine.ListedBackend{drained}}}
 					})
 					defer late.Stop()
 					last := lastSend(t, r, a, func() bool { return time.Since(published) > 11*time.Second })
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -427,7 +427,7 @@
 	r := newRig(t, g, settingsJSON, nil, b.entry("s-1"))
 	c := r.dial(t)
 	c.ask(view("x"))
-	g.next <- registryAnswer{200, engine.List{Version: 2, Servers: []engine.ListedBackend{b.entry("s-2")}}}
+	g.next <- registryAnswer{200, engine.List{Version: 2, Backends: []engine.ListedBackend{b.entry("s-2")}}}
 	wait(t, "the news", func() bool {
 		return r.engine.Version() == 2
 	})
@@ -572,7 +572,7 @@
 	draining := old.entry("s-1")
 	draining.State = "Terminating"
 	told := time.Now()
-	g.next <- registryAnswer{200, engine.List{Version: 2, Servers: []engine.ListedBackend{draining, fresh.entry("s-2")}}}
+	g.next <- registryAnswer{200, engine.List{Version: 2, Backends: []engine.ListedBackend{draining, fresh.entry("s-2")}}}
 	wait(t, "the new backend", at(fresh))
 	time.Sleep(time.Until(told.Add(2 * time.Second))) // the grace in the settings: what it is for is over
 	sent := len(old.requests())
@@ -584,18 +584,18 @@
 	if n := len(old.requests()); n != sent {
 		t.Errorf("a draining backend got %d new requests", n-sent)
 	}
-	g.next <- registryAnswer{200, engine.List{Version: 3, Full: true, Servers: []engine.ListedBackend{fresh.entry("s-2")}}}
+	g.next <- registryAnswer{200, engine.List{Version: 3, Full: true, Backends: []engine.ListedBackend{fresh.entry("s-2")}}}
 	select {
 	case <-old.ended:
 	case <-time.After(patience):
 		t.Fatal("connections of a backend that a whole list leaves out stay open")
 	}
 	moved := old.entry("s-2") // the same id and start under another address is another process
-	g.next <- registryAnswer{200, engine.List{Version: 4, Servers: []engine.ListedBackend{moved}}}
+	g.next <- registryAnswer{200, engine.List{Version: 4, Backends: []engine.ListedBackend{moved}}}
 	wait(t, "the new address", at(old))
 	gone := moved
 	gone.State = "Gone"
-	g.next <- registryAnswer{200, engine.List{Version: 5, Servers: []engine.ListedBackend{gone}}}
+	g.next <- registryAnswer{200, engine.List{Version: 5, Backends: []engine.ListedBackend{gone}}}
 	wait(t, "a refusal with nothing left", func() bool {
 		resp, _ := c.ask(view("x"))
 		return resp.StatusCode == 503
@@ -620,7 +620,7 @@
 			t.Parallel()
 			before, after := newBox(t, served), newBox(t, served)
 			g, h := newRegistry(t), newRegistry(t)
-			g.next <- registryAnswer{200, engine.List{Version: 700, Full: true, Servers: []engine.ListedBackend{before.entry("s-1")}}}
+			g.next <- registryAnswer{200, engine.List{Version: 700, Full: true, Backends: []engine.ListedBackend{before.entry("s-1")}}}
 			r := newRig(t, g, strings.Replace(settingsJSON, `"push"`, `"`+mode+`"`, 1), nil)
 			c := r.dial(t)
 			wait(t, "the old discovery's backend", func() bool {
@@ -631,7 +631,7 @@
 			cfg := r.cfg
 			cfg.Discovery = h.addr
 			h.next <- registryAnswer{status: 503} // the new one may fail at first
-			h.next <- registryAnswer{200, engine.List{Version: 3, Full: true, Servers: []engine.ListedBackend{after.entry("s-2")}}}
+			h.next <- registryAnswer{200, engine.List{Version: 3, Full: true, Backends: []engine.ListedBackend{after.entry("s-2")}}}
 			r.reload(cfg)
 			select {
 			case <-g.left:
@@ -664,7 +664,7 @@
 	b := newBox(t, served)
 	g := newRegistry(t)
 	g.next <- registryAnswer{status: 503}
-	g.next <- registryAnswer{200, engine.List{Version: 2, Full: true, Servers: []engine.ListedBackend{b.entry("s-1")}}}
+	g.next <- registryAnswer{200, engine.List{Version: 2, Full: true, Backends: []engine.ListedBackend{b.entry("s-1")}}}
 	r := newRig(t, g, strings.Replace(settingsJSON, `"push"`, `"ask"`, 1), nil)
 	c := r.dial(t)
 	wait(t, "the list after a loss", func() bool {
@@ -689,7 +689,7 @@
 	if s := ready(t, r); s != 503 {
 		t.Errorf("ready with no backend: %d", s)
 	}
-	g.next <- registryAnswer{200, engine.List{Version: 2, Full: true, Servers: []engine.ListedBackend{b.entry("s-1")}}}
+	g.next <- registryAnswer{200, engine.List{Version: 2, Full: true, Backends: []engine.ListedBackend{b.entry("s-1")}}}
 	wait(t, "readiness", func() bool { return ready(t, r) == 200 })
 }
 
@@ -1068,8 +1068,8 @@
 	c := r.dial(t)
 	c.ask(view("x"))
 	g.next <- registryAnswer{200, engine.List{Version: 2, Full: true}}
-	g.next <- registryAnswer{200, engine.List{Version: 3, Full: true, Servers: []engine.ListedBackend{b.entry("s-1")}}}
-	g.next <- registryAnswer{200, engine.List{Version: 3, Full: true, Servers: []engine.ListedBackend{b.entry("s-1")}}}
+	g.next <- registryAnswer{200, engine.List{Version: 3, Full: true, Backends: []engine.ListedBackend{b.entry("s-1")}}}
+	g.next <- registryAnswer{200, engine.List{Version: 3, Full: true, Backends: []engine.ListedBackend{b.entry("s-1")}}}
 	wait(t, "both lists", func() bool {
 		return r.engine.Version() == 3
 	})
--- a/internal/node/rpc_test.go
+++ b/internal/node/rpc_test.go
@@ -370,7 +370,7 @@
 	c.send(`[{"jsonrpc":"2.0","id":1,"method":"saveConfig","params":{"key":"k-1","dealer":"d"}},` +
 		`{"jsonrpc":"2.0","id":2,"method":"sendQuote","params":{"design":7}}]` + "\n")
 	wait(t, "both at the box", func() bool { return one.calls("saveConfig") == 1 && one.calls("sendQuote") == 1 })
-	r.engine.UpdateList(r.list, &engine.List{Version: 9, Full: true, Servers: []engine.ListedBackend{one.entry("s-1"), two.entry("s-2")}},
+	r.engine.UpdateList(r.list, &engine.List{Version: 9, Full: true, Backends: []engine.ListedBackend{one.entry("s-1"), two.entry("s-2")}},
 		policy.ListFull, func(int64) bool { return true })
 	one.mu.Lock()
 	for _, c := range one.conns {
@@ -533,7 +533,7 @@
 	fresh := newRPCBox(t, works)
 	gone := held.entry("s-1")
 	gone.State = "Terminating"
-	r.engine.UpdateList(r.list, &engine.List{Version: 9, Full: true, Servers: []engine.ListedBackend{gone, fresh.entry("s-2")}},
+	r.engine.UpdateList(r.list, &engine.List{Version: 9, Full: true, Backends: []engine.ListedBackend{gone, fresh.entry("s-2")}},
 		policy.ListFull, func(int64) bool { return true })
 	for i := range 20 {
 		d := dialRPC(t, addr)
--- a/internal/node/stub_test.go
+++ b/internal/node/stub_test.go
@@ -243,7 +243,7 @@
 	}
 	// A busy machine reads late: what a test wants served must not be refused for that (TestABehindNodeRefuses has the refusals).
 	atOnce := func(net.Conn) time.Duration { return 0 }
-	cfg := Config{Name: "n0", Discovery: g.addr, Seed: 1, Settings: set, Known: engine.List{Version: 1, Full: true, Servers: known},
+	cfg := Config{Name: "n0", Discovery: g.addr, Seed: 1, Settings: set, Known: engine.List{Version: 1, Full: true, Backends: known},
 		waited: atOnce}
 	if change != nil {
 		change(&cfg)
