--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	minWatchInterval = 50 * time.Millisecond // limits the rate of watches that are answered at once; below the 200 ms within which a watch has to be renewed
+	minWatchInterval = 50 * time.Millisecond // between watches that are answered at once; a watch has to continue within 200 ms
 	maxListBytes     = 16 << 20              // of a response
 )
 
@@ -30,7 +30,7 @@
 	Engine      *engine.Engine
 	Addr        string // host:port
 	Push        bool   // the address is an agent on this machine, where calls are cheap; otherwise each call is a load on discovery
-	NeedFull    bool   // the current list is from another discovery, whose versions mean nothing here
+	NeedFull    bool   // request the full list first: the current one is from another discovery, whose versions mean nothing here
 	AfterOutage bool   // the last call for the current list has failed, see engine.List
 	Log         *slog.Logger
 }
