--- a/internal/httpcarrier/carrier.go
+++ b/internal/httpcarrier/carrier.go
@@ -81,7 +81,7 @@
 
 // Reach reports whether a connection to a backend can be opened before ctx ends. The connection is kept for requests.
 func (n *Carrier) Reach(ctx context.Context, b *engine.Backend) bool {
-	if b.Shut() {
+	if b.WritesStopped() {
 		return false
 	}
 	c, err := n.pool.connect(ctx, n.pool.backend(b), b)
@@ -100,13 +100,13 @@
 func (n *Carrier) Carry(ctx context.Context, a *engine.Attempt) engine.Result {
 	fresh := false
 	res := n.carry(ctx, a, &fresh)
-	res.Fresh = fresh
+	res.NewConnection = fresh
 	return res
 }
 
 // carry implements Carry. It sets fresh if it opens a connection.
 func (n *Carrier) carry(ctx context.Context, a *engine.Attempt, fresh *bool) engine.Result {
-	ctx, cancel := context.WithTimeoutCause(ctx, a.Wait, errTimeout)
+	ctx, cancel := context.WithTimeoutCause(ctx, a.Timeout, errTimeout)
 	defer cancel()
 	r, ok := a.Request.Payload.(*message.Request)
 	if !ok {
@@ -115,7 +115,7 @@
 	b := n.pool.backend(a.Backend)
 	answersBefore := b.answers.Load()
 	// A request whose last byte was not written is sent to the backend's next address, within the same deadline.
-	wait := a.Wait
+	wait := a.Timeout
 	for remaining := len(a.Backend.Addrs()); ; remaining-- {
 		res, unsent := n.send(ctx, a, r, wait, b, answersBefore, fresh)
 		if !unsent || remaining <= 1 {
@@ -132,9 +132,9 @@
 func (n *Carrier) send(ctx context.Context, a *engine.Attempt, r *message.Request, wait time.Duration, b *backendPool, answersBefore int64, fresh *bool) (res engine.Result, unsent bool) {
 	start := time.Now()
 	until := ctx
-	if !a.By.IsZero() {
+	if !a.WriteDeadline.IsZero() {
 		var cancel context.CancelFunc
-		until, cancel = context.WithDeadlineCause(ctx, a.By, errRepeatWindow)
+		until, cancel = context.WithDeadlineCause(ctx, a.WriteDeadline, errRepeatWindow)
 		defer cancel()
 	}
 	c, err := n.pool.get(until, b, a.Backend, a.Effect == policy.Unsafe)
@@ -156,7 +156,7 @@
 	}
 	// Since the attempt was decided on, the client may have disconnected, or the backend's drain grace or the time for repeats
 	// may have ended.
-	if ctx.Err() != nil || !a.MayBegin() {
+	if ctx.Err() != nil || !a.MayStart() {
 		n.pool.put(c)
 		return engine.Result{Outcome: policy.Moot}, false
 	}
@@ -166,8 +166,8 @@
 		return engine.Result{Outcome: policy.Moot}, false // the body is not stored, and an earlier attempt has started to send it
 	}
 	stopCancel := context.AfterFunc(ctx, func() { c.Close() })
-	if !a.By.IsZero() {
-		c.SetWriteDeadline(a.By) // an error shows up in Write
+	if !a.WriteDeadline.IsZero() {
+		c.SetWriteDeadline(a.WriteDeadline) // an error shows up in Write
 	}
 	sent, err := c.Write(text)
 	complete := sent == len(text)
@@ -206,18 +206,18 @@
 	if c.addr != "" {
 		switch {
 		case err == nil, errors.Is(err, errInvalidAnswer):
-			n.pool.reach.Answered(c.addr)
+			n.pool.reach.RecordAnswer(c.addr)
 		case !complete:
-			n.pool.reach.Failed(c.addr)
+			n.pool.reach.RecordFailure(c.addr)
 		case errors.Is(context.Cause(ctx), errTimeout):
-			n.pool.reach.Silent(c.addr)
+			n.pool.reach.RecordSilence(c.addr)
 		}
 	}
 	if err == nil && stream {
 		b.answers.Add(1)
 		return n.streamAnswer(ctx, a, c, resp, stopCancel), false
 	}
-	if !a.By.IsZero() {
+	if !a.WriteDeadline.IsZero() {
 		c.SetWriteDeadline(time.Time{})
 	}
 	// The answer is valid however its connection ends, but only an intact connection is used again.
--- a/internal/httpcarrier/pool.go
+++ b/internal/httpcarrier/pool.go
@@ -56,7 +56,7 @@
 		p.sleep = timing.Sleep
 	}
 	start := time.Now()
-	p.reach = &reach.Dialer{Base: cfg.DialNetwork, Now: func() time.Duration { return time.Since(start) }, Take: p.quota.Acquire, Give: p.quota.Release}
+	p.reach = &reach.Dialer{Base: cfg.DialNetwork, Now: func() time.Duration { return time.Since(start) }, AcquireDescriptor: p.quota.Acquire, ReleaseDescriptor: p.quota.Release}
 	// A request written to a connection that the backend has just closed ends as a reset: close the connection earlier.
 	p.maxIdle = cfg.BackendIdleTimeout * 9 / 10
 	p.backendIdleTimeout, p.start = cfg.BackendIdleTimeout, p.now()
@@ -83,11 +83,11 @@
 
 // backendLocked is like backend. p.mu is held.
 func (p *pool) backendLocked(b *engine.Backend) *backendPool {
-	if k, ok := b.Kept.(*backendPool); ok {
+	if k, ok := b.CarrierState.(*backendPool); ok {
 		return k
 	}
 	k := &backendPool{ages: admission.NewAges(p.backendIdleTimeout, p.ages)}
-	b.Kept = k
+	b.CarrierState = k
 	return k
 }
 
@@ -191,7 +191,7 @@
 	var err error
 	addr := ""
 	if addrs := backend.Addrs(); len(addrs) > 1 {
-		conn, addr, err = p.reach.Dial(ctx, addrs, func() bool { return !backend.Shut() })
+		conn, addr, err = p.reach.Dial(ctx, addrs, func() bool { return !backend.WritesStopped() })
 	} else {
 		conn, err = p.dial(ctx, backend.Addr)
 	}
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -144,7 +144,7 @@
 }
 
 // now returns the time that the account uses.
-func (s *Front) now() time.Duration { return s.clock.Since() }
+func (s *Front) now() time.Duration { return s.clock.Elapsed() }
 
 // host returns an address without its port.
 func host(a net.Addr) string {
@@ -358,8 +358,8 @@
 			return answer{}, clientDisconnected
 		}
 	}
-	r.Left = c.attemptProbe.ended
-	if !s.engine.Begin(&r.Request) {
+	r.Disconnected = c.attemptProbe.ended
+	if !s.engine.Submit(&r.Request) {
 		r.Release()
 		c.reject(&message.Rejection{Status: http.StatusConflict, Text: "X-Request-Id: a request with this id is open"})
 		return answer{}, duplicateID
--- a/internal/httpfront/read.go
+++ b/internal/httpfront/read.go
@@ -144,7 +144,7 @@
 	deadline := headDeadline.Add(bodyTimeout)
 	if size > message.MaxBodyBytes {
 		deadline = deadline.Add(time.Duration(size) * time.Second / minBodyBytesPerSecond)
-		if clientDeadline := r.Arrived.Add(r.Patience); clientDeadline.Before(deadline) {
+		if clientDeadline := r.Arrived.Add(r.ClientTimeout); clientDeadline.Before(deadline) {
 			deadline = clientDeadline
 		}
 	}
--- a/internal/httpfront/shutdown.go
+++ b/internal/httpfront/shutdown.go
@@ -39,9 +39,9 @@
 func (s *Front) shutDown(ln net.Listener, accepted <-chan error) error {
 	shutdown := s.engine.Shutdown(time.Now())
 	s.shuttingDown.Store(true)
-	s.log.Info("leaving: serving the open connections, then finishing accepted requests", "serves", shutdown.Serves,
-		"answered_after", shutdown.Answered, "may_be_killed_after", shutdown.Killed)
-	time.Sleep(time.Until(shutdown.Begun.Add(acceptAfterShutdown)))
+	s.log.Info("leaving: serving the open connections, then finishing accepted requests", "serves", shutdown.AcceptFor,
+		"answered_after", shutdown.AnswerWithin, "may_be_killed_after", shutdown.EarliestKill)
+	time.Sleep(time.Until(shutdown.StartedAt.Add(acceptAfterShutdown)))
 	err := sock.CloseListener(ln, backlogTimeout)
 	s.logStep("listener closed", &shutdown)
 	ended := make(chan struct{})
@@ -58,19 +58,19 @@
 		select {
 		case <-ended:
 			return false
-		case <-time.After(time.Until(shutdown.Begun.Add(after))):
+		case <-time.After(time.Until(shutdown.StartedAt.Add(after))):
 			return true
 		}
 	}
-	if reached(max(acceptAfterShutdown, shutdown.Serves)) {
+	if reached(max(acceptAfterShutdown, shutdown.AcceptFor)) {
 		s.closing.Store(true)         // each answer now has "Connection: close"
 		s.closeMatching(hasNoRequest) // their clients connect to other nodes
 		s.logStep("closed the connections without a request", &shutdown)
 	}
-	for after := max(acceptAfterShutdown, shutdown.Answered); after < shutdown.Last && reached(after); after += closeInterval {
+	for after := max(acceptAfterShutdown, shutdown.AnswerWithin); after < shutdown.CloseAfter && reached(after); after += closeInterval {
 		s.closeMatching(isIncomplete) // complete requests are answered, incomplete ones are not waited for
 	}
-	if reached(shutdown.Last) { // whoever has not read its answer by now is not reading
+	if reached(shutdown.CloseAfter) { // whoever has not read its answer by now is not reading
 		s.logStep("closing connections whose clients did not read their answers", &shutdown)
 		s.closeAll()
 	}
@@ -84,7 +84,7 @@
 	s.mu.Lock()
 	connections := len(s.conns)
 	s.mu.Unlock()
-	s.log.Info(step, "connections", connections, "requests", s.engine.Open(), "after", time.Since(shutdown.Begun))
+	s.log.Info(step, "connections", connections, "requests", s.engine.OpenRequests(), "after", time.Since(shutdown.StartedAt))
 }
 
 // ShuttingDown reports whether the shutdown has started.
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -10,254 +10,261 @@
 )
 
 const (
-	sec   = time.Second
-	ms    = time.Millisecond
-	doubt = 500 * ms
+	sec          = time.Second
+	ms           = time.Millisecond
+	confirmDelay = 500 * ms
 )
 
-func box(n int, state string) Box {
-	return Box{ID: fmt.Sprint("b", n), Addr: fmt.Sprint("127.0.0.1:", 9000+n), Zone: "z", Kind: "k", State: state, StartedMS: 1}
+// backend returns the list entry of backend n.
+func backend(n int, state string) Backend {
+	return Backend{ID: fmt.Sprint("b", n), Addr: fmt.Sprint("127.0.0.1:", 9000+n), Zone: "z", Kind: "k", State: state, StartedMS: 1}
 }
 
-func named(ns ...int) []Box {
-	var out []Box
+// named returns the answer of a source that names some backends.
+func named(ns ...int) []Backend {
+	var out []Backend
 	for _, n := range ns {
-		b := box(n, Ready)
-		out = append(out, Box{ID: "dns:" + b.Addr, Addr: b.Addr, Zone: "z", State: Ready})
+		b := backend(n, Ready)
+		out = append(out, Backend{ID: "dns:" + b.Addr, Addr: b.Addr, Zone: "z", State: Ready})
 	}
 	return out
 }
 
-func listed(ns ...int) []Box {
-	var out []Box
+// listed returns a list of some backends that are ready.
+func listed(ns ...int) []Backend {
+	var out []Backend
 	for _, n := range ns {
-		out = append(out, box(n, Ready))
+		out = append(out, backend(n, Ready))
 	}
 	return out
 }
 
-func fleet() *Fleet { return New(Config{Hold: 60 * sec, Doubt: doubt, Calm: 2 * sec}) }
+func fleet() *Fleet {
+	return New(Config{SourceTimeout: 60 * sec, ConfirmDelay: confirmDelay, FlapPenalty: 2 * sec})
+}
 
-func stand(t *testing.T, f *Fleet, n int) Standing {
+func statusOf(t *testing.T, f *Fleet, n int) Status {
 	t.Helper()
 	for _, s := range f.All() {
-		if s.Box.Addr == box(n, Ready).Addr {
+		if s.Backend.Addr == backend(n, Ready).Addr {
 			return s
 		}
 	}
-	t.Fatalf("box %d is not known", n)
-	return Standing{}
+	t.Fatalf("backend %d is not known", n)
+	return Status{}
 }
 
-// Every cell of the rule, reached by what sources say.
-func TestRule(t *testing.T) {
-	for list := Silent; list <= Withdrawn; list++ {
-		for others := Silent; others <= Withdrawn; others++ {
-			if list == Silent && others == Silent {
+// Each cell of the decision table, reached by updates of the sources.
+func TestDecisionTable(t *testing.T) {
+	for list := NoClaim; list <= Withdrawn; list++ {
+		for others := NoClaim; others <= Withdrawn; others++ {
+			if list == NoClaim && others == NoClaim {
 				continue
 			}
 			f := fleet()
-			if others != Silent {
-				f.Names(sec, "dns", named(1, 2, 3, 4))
+			if others != NoClaim {
+				f.UpdateNames(sec, "dns", named(1, 2, 3, 4))
 			}
 			switch list {
 			case Named:
-				f.List(2*sec, true, listed(1))
+				f.UpdateList(2*sec, true, listed(1))
 			case Withdrawn:
-				f.List(2*sec, true, []Box{box(1, Draining)})
+				f.UpdateList(2*sec, true, []Backend{backend(1, Draining)})
 			}
 			if others == Withdrawn {
-				f.Names(3*sec, "dns", named(2, 3, 4))
+				f.UpdateNames(3*sec, "dns", named(2, 3, 4))
 			}
-			if s, want := stand(t, f, 1), Rule[list][others]; s.Use != want.Use || s.Why != want.Why {
+			if s, want := statusOf(t, f, 1), Decisions[list][others]; s.Use != want.Use || s.Reason != want.Reason {
 				t.Errorf("list %d, others %d: %+v, want %+v", list, others, s, want)
 			}
 		}
 	}
 }
 
-// The grace runs from the first source that told.
-func TestTheFirstThatToldCounts(t *testing.T) {
+// The grace counts from the first source that reports a drain, whichever it is.
+func TestGraceCountsFromFirstSource(t *testing.T) {
 	f := fleet()
-	f.List(sec, true, listed(1, 2, 3))
-	f.Names(sec, "dns", named(1, 2, 3))
-	f.Names(2*sec, "dns", named(2, 3))
-	out := f.List(10*sec, false, []Box{box(1, Draining)})
-	if len(out) != 1 || out[0].Told != 2*sec || out[0].Source != "dns" || out[0].Box.State != Draining {
+	f.UpdateList(sec, true, listed(1, 2, 3))
+	f.UpdateNames(sec, "dns", named(1, 2, 3))
+	f.UpdateNames(2*sec, "dns", named(2, 3))
+	out := f.UpdateList(10*sec, false, []Backend{backend(1, Draining)})
+	if len(out) != 1 || out[0].Since != 2*sec || out[0].Source != "dns" || out[0].Backend.State != Draining {
 		t.Errorf("%+v", out)
 	}
-	f.List(11*sec, false, []Box{box(2, Draining)})
-	f.Names(12*sec, "dns", named(3))
-	if s := stand(t, f, 2); s.Told != 11*sec || s.Source != "list" {
+	f.UpdateList(11*sec, false, []Backend{backend(2, Draining)})
+	f.UpdateNames(12*sec, "dns", named(3))
+	if s := statusOf(t, f, 2); s.Since != 11*sec || s.Source != "list" {
 		t.Errorf("%+v", s)
 	}
 }
 
-// The list is late: that it goes on calling a box ready, whole or in part, does not bring back what names withdrew. A later
-// start, another name at the address, or the source itself does.
-func TestALateListBringsNothingBack(t *testing.T) {
+// A stale list, full or delta, that still has a backend as ready must not restore one that another source has withdrawn. A later
+// start time, another ID at the address, or the source itself does.
+func TestStaleListDoesNotRestoreWithdrawnBackend(t *testing.T) {
 	for what, want := range map[string]bool{"again": false, "whole": false, "restart": true, "successor": true, "names": true} {
 		f := fleet()
-		f.List(sec, true, listed(1, 2, 3))
-		f.Names(sec, "dns", named(1, 2, 3))
-		f.Names(2*sec, "dns", named(2, 3))
-		later := box(1, Ready)
+		f.UpdateList(sec, true, listed(1, 2, 3))
+		f.UpdateNames(sec, "dns", named(1, 2, 3))
+		f.UpdateNames(2*sec, "dns", named(2, 3))
+		later := backend(1, Ready)
 		switch what {
 		case "again":
-			f.List(8*sec, false, listed(1))
+			f.UpdateList(8*sec, false, listed(1))
 		case "whole":
-			f.List(8*sec, true, listed(1, 2, 3))
+			f.UpdateList(8*sec, true, listed(1, 2, 3))
 		case "restart":
 			later.StartedMS = 5
-			f.List(8*sec, false, []Box{later})
+			f.UpdateList(8*sec, false, []Backend{later})
 		case "successor":
 			later.ID = "b1-next"
-			f.List(8*sec, false, []Box{later})
+			f.UpdateList(8*sec, false, []Backend{later})
 		case "names":
-			f.Names(8*sec, "dns", named(1, 2, 3))
+			f.UpdateNames(8*sec, "dns", named(1, 2, 3))
 		}
-		if s := stand(t, f, 1); s.Use != want {
+		if s := statusOf(t, f, 1); s.Use != want {
 			t.Errorf("%s: %+v, want use %v", what, s, want)
 		}
 	}
 }
 
-// Names know a box by any of its addresses, and withdraw it when they name none of them.
+// A source may name a backend by any of its addresses, and withdraws it when it names none of them.
 func TestSeveralAddresses(t *testing.T) {
 	f := fleet()
-	b := box(1, Ready)
+	b := backend(1, Ready)
 	b.Addrs = []string{"[::1]:9001", b.Addr}
-	f.List(sec, true, append(listed(2, 3, 4), b))
-	other := Box{ID: "dns:x", Addr: "[::1]:9001", State: Ready}
-	f.Names(sec, "dns", append(named(1, 2, 3, 4), other))
-	f.Names(2*sec, "dns", append(named(2, 3, 4), other))
-	if s := stand(t, f, 1); !s.Use || len(f.All()) != 4 {
-		t.Errorf("one of its addresses is named: %+v of %d", s, len(f.All()))
+	f.UpdateList(sec, true, append(listed(2, 3, 4), b))
+	other := Backend{ID: "dns:x", Addr: "[::1]:9001", State: Ready}
+	f.UpdateNames(sec, "dns", append(named(1, 2, 3, 4), other))
+	f.UpdateNames(2*sec, "dns", append(named(2, 3, 4), other))
+	if s := statusOf(t, f, 1); !s.Use || len(f.All()) != 4 {
+		t.Errorf("with one of its addresses named: %+v of %d", s, len(f.All()))
 	}
-	f.Names(3*sec, "dns", named(2, 3, 4))
-	if s := stand(t, f, 1); s.Use || s.Told != 3*sec {
-		t.Errorf("none of its addresses is named: %+v", s)
+	f.UpdateNames(3*sec, "dns", named(2, 3, 4))
+	if s := statusOf(t, f, 1); s.Use || s.Since != 3*sec {
+		t.Errorf("with none of its addresses named: %+v", s)
 	}
 }
 
-// A source that withdraws most of what it named is asked again, and stands by it from the first telling on.
-func TestDoubt(t *testing.T) {
+// A source that withdraws most of its backends is queried again. Unless revoked the withdrawal takes effect after the delay, and
+// counts from the first answer.
+func TestMassWithdrawalIsConfirmed(t *testing.T) {
 	f := fleet()
-	f.List(sec, true, listed(1, 2, 3, 4))
-	f.Names(sec, "dns", named(1, 2, 3, 4))
-	changed, ask := f.Names(2*sec, "dns", named(4))
-	if len(changed) != 0 || !ask || !stand(t, f, 1).Use || f.Next() != 2*sec+doubt {
-		t.Fatalf("%v, %v, next %v", changed, ask, f.Next())
+	f.UpdateList(sec, true, listed(1, 2, 3, 4))
+	f.UpdateNames(sec, "dns", named(1, 2, 3, 4))
+	changed, requery := f.UpdateNames(2*sec, "dns", named(4))
+	if len(changed) != 0 || !requery || !statusOf(t, f, 1).Use || f.Next() != 2*sec+confirmDelay {
+		t.Fatalf("%v, %v, next %v", changed, requery, f.Next())
 	}
-	if changed, ask = f.Names(2*sec+100*ms, "dns", named(2, 4)); len(changed) != 0 || ask {
-		t.Errorf("half of it taken back: %v, %v", changed, ask)
+	if changed, requery = f.UpdateNames(2*sec+100*ms, "dns", named(2, 4)); len(changed) != 0 || requery {
+		t.Errorf("withdrawal revoked in part: %v, %v", changed, requery)
 	}
-	changed = f.Tick(2*sec + doubt)
-	if len(changed) != 2 || changed[0].Told != 2*sec || changed[0].Use || !stand(t, f, 2).Use {
-		t.Errorf("not taken back: %+v", changed)
+	changed = f.Tick(2*sec + confirmDelay)
+	if len(changed) != 2 || changed[0].Since != 2*sec || changed[0].Use || !statusOf(t, f, 2).Use {
+		t.Errorf("withdrawal not revoked: %+v", changed)
 	}
-	// The next answer comes before Tick does: the first telling counts all the same.
+	// The next answer arrives before Tick: the withdrawal still counts from the first one.
 	f = fleet()
-	f.List(sec, true, listed(1, 2, 3, 4))
-	f.Names(sec, "dns", named(1, 2, 3, 4))
-	f.Names(2*sec, "dns", named(4))
-	if changed, ask = f.Names(2*sec+doubt, "dns", named(4)); len(changed) != 3 || ask || changed[0].Told != 2*sec {
-		t.Errorf("not taken back by the answer after the doubt: %+v, %v", changed, ask)
+	f.UpdateList(sec, true, listed(1, 2, 3, 4))
+	f.UpdateNames(sec, "dns", named(1, 2, 3, 4))
+	f.UpdateNames(2*sec, "dns", named(4))
+	if changed, requery = f.UpdateNames(2*sec+confirmDelay, "dns", named(4)); len(changed) != 3 || requery || changed[0].Since != 2*sec {
+		t.Errorf("withdrawal not revoked by the answer after the delay: %+v, %v", changed, requery)
 	}
 	f = fleet()
-	f.List(sec, true, listed(1, 2, 3, 4))
-	f.Names(sec, "dns", named(1, 2, 3, 4))
-	f.Names(2*sec, "dns", nil)
-	f.Names(2*sec+100*ms, "dns", named(1, 2, 3, 4))
-	if changed := f.Tick(3 * sec); len(changed) != 0 || !stand(t, f, 1).Use {
-		t.Errorf("taken back: %+v", changed)
+	f.UpdateList(sec, true, listed(1, 2, 3, 4))
+	f.UpdateNames(sec, "dns", named(1, 2, 3, 4))
+	f.UpdateNames(2*sec, "dns", nil)
+	f.UpdateNames(2*sec+100*ms, "dns", named(1, 2, 3, 4))
+	if changed := f.Tick(3 * sec); len(changed) != 0 || !statusOf(t, f, 1).Use {
+		t.Errorf("withdrawal revoked: %+v", changed)
 	}
 }
 
-// A source that is silent loses its say and takes nothing along; what it withdrew before stays withdrawn. While the list is
-// silent, boxes that only names know are used, and no longer once it is back.
-func TestSilence(t *testing.T) {
+// A source that times out loses its authority but removes no backend; what it withdrew before stays withdrawn. While the list has
+// timed out, backends that only other sources name are used, and no longer once it is back.
+func TestSourceTimeout(t *testing.T) {
 	f := fleet()
-	f.List(sec, true, listed(1, 2, 3))
-	f.Names(sec, "dns", named(1, 2, 3, 9))
-	f.Names(2*sec, "dns", named(1, 2, 9)) // 3 drains
-	if changed := f.Tick(30 * sec); len(changed) != 0 || stand(t, f, 9).Use {
+	f.UpdateList(sec, true, listed(1, 2, 3))
+	f.UpdateNames(sec, "dns", named(1, 2, 3, 9))
+	f.UpdateNames(2*sec, "dns", named(1, 2, 9)) // 3 drains
+	if changed := f.Tick(30 * sec); len(changed) != 0 || statusOf(t, f, 9).Use {
 		t.Errorf("%+v", changed)
 	}
-	f.Names(50*sec, "dns", named(1, 2, 9))
-	if changed := f.Tick(61 * sec); len(changed) != 1 || !stand(t, f, 9).Use || !stand(t, f, 1).Use || stand(t, f, 3).Use {
-		t.Errorf("the list is silent: %+v", changed)
+	f.UpdateNames(50*sec, "dns", named(1, 2, 9))
+	if changed := f.Tick(61 * sec); len(changed) != 1 || !statusOf(t, f, 9).Use || !statusOf(t, f, 1).Use || statusOf(t, f, 3).Use {
+		t.Errorf("after the list's timeout: %+v", changed)
 	}
-	if changed := f.Heard(62 * sec); len(changed) != 1 || stand(t, f, 9).Use {
-		t.Errorf("the list is back: %+v", changed)
+	if changed := f.RefreshList(62 * sec); len(changed) != 1 || statusOf(t, f, 9).Use {
+		t.Errorf("after the list's return: %+v", changed)
 	}
-	f.Heard(110 * sec)
-	if f.Tick(111 * sec); !stand(t, f, 1).Use || !stand(t, f, 2).Use || stand(t, f, 3).Use {
-		t.Errorf("names are silent: %+v", f.All())
+	f.RefreshList(110 * sec)
+	if f.Tick(111 * sec); !statusOf(t, f, 1).Use || !statusOf(t, f, 2).Use || statusOf(t, f, 3).Use {
+		t.Errorf("after the timeout of dns: %+v", f.All())
 	}
-	if _, ask := f.Names(120*sec, "dns", named(1)); ask || !stand(t, f, 2).Use {
-		t.Error("what it names after its silence is taken for a withdrawal of the rest")
+	if _, requery := f.UpdateNames(120*sec, "dns", named(1)); requery || !statusOf(t, f, 2).Use {
+		t.Error("the first answer after a timeout is treated as a withdrawal of the backends that it omits")
 	}
 }
 
-// Coming back is damped, going is not.
+// A backend that flaps is excluded for a while when it returns; its removal is never delayed.
 func TestFlapping(t *testing.T) {
 	f := fleet()
-	f.List(sec, true, listed(1, 2, 3))
+	f.UpdateList(sec, true, listed(1, 2, 3))
 	now, returns := sec, 0
 	for range 12 {
 		now += sec
-		f.List(now, false, []Box{box(1, Draining)})
-		if stand(t, f, 1).Use {
-			t.Fatal("a drain was damped")
+		f.UpdateList(now, false, []Backend{backend(1, Draining)})
+		if statusOf(t, f, 1).Use {
+			t.Fatal("a drain was delayed")
 		}
 		now += sec
-		f.List(now, false, listed(1))
-		if stand(t, f, 1).Use {
+		f.UpdateList(now, false, listed(1))
+		if statusOf(t, f, 1).Use {
 			returns++
 		}
 	}
-	if returns != freeReturns {
-		t.Errorf("it came back %d times in 24 s, want %d", returns, freeReturns)
+	if returns != maxUndampedReturns {
+		t.Errorf("it returned %d times in 24 s, want %d", returns, maxUndampedReturns)
 	}
-	for range 40 { // and it does, once it is calm
-		if next := f.Next(); stand(t, f, 1).Use || next == 0 {
+	for range 40 { // it returns once it no longer flaps
+		if next := f.Next(); statusOf(t, f, 1).Use || next == 0 {
 			break
 		} else {
 			now = max(now, next)
-			f.Heard(now)
+			f.RefreshList(now)
 			f.Tick(now)
 		}
 	}
-	if !stand(t, f, 1).Use {
-		t.Error("it never comes back")
+	if !statusOf(t, f, 1).Use {
+		t.Error("it never returns")
 	}
 }
 
-// 200 scripts and more of news in any order: a box that some source called out is out once the doubt is over, counted from no
-// later than that telling, until that source, or a new process in the list, brings it back; and without news of a box none goes.
+// Random updates of all sources in any order. A backend that some source withdraws is out of use after the confirmation delay, with
+// the grace counted from no later than that withdrawal, until that source or a new process in the list restores it. A backend that
+// no source withdraws stays in use.
 func TestAnyNews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := fleet()
 		now := sec
-		out := map[string]map[int]time.Duration{"list": {}, "a": {}, "b": {}} // since when a source calls a box out
-		says := map[string][]int{}
+		withdrawnAt := map[string]map[int]time.Duration{"list": {}, "a": {}, "b": {}} // by source and backend; absent if not withdrawn
+		namedBy := map[string][]int{}
 		started := map[int]int64{}
-		used, ever := map[int]bool{}, map[int]bool{}
-		told := func(src string, ns []int) {
-			for _, n := range says[src] {
-				if _, ok := out[src][n]; !ok {
-					out[src][n] = now
+		used, known := map[int]bool{}, map[int]bool{}
+		setNamed := func(src string, ns []int) {
+			for _, n := range namedBy[src] {
+				if _, ok := withdrawnAt[src][n]; !ok {
+					withdrawnAt[src][n] = now
 				}
 			}
 			for _, n := range ns {
-				delete(out[src], n)
+				delete(withdrawnAt[src], n)
 			}
-			says[src] = ns
+			namedBy[src] = ns
 		}
-		first := func(n int) (at time.Duration) { // 0 for nobody
-			for _, of := range out {
-				if t := of[n]; t != 0 && (at == 0 || t < at) {
+		firstWithdrawal := func(n int) (at time.Duration) { // 0 for none
+			for _, byBackend := range withdrawnAt {
+				if t := byBackend[n]; t != 0 && (at == 0 || t < at) {
 					at = t
 				}
 			}
@@ -266,16 +273,16 @@
 		check := func() {
 			for _, s := range f.All() {
 				var n int
-				fmt.Sscanf(s.Box.Addr, "127.0.0.1:%d", &n)
+				fmt.Sscanf(s.Backend.Addr, "127.0.0.1:%d", &n)
 				n -= 9000
-				at := first(n)
-				if at != 0 && s.Use && now >= at+doubt {
-					t.Fatalf("box %d is used at %v, called out at %v: %+v", n, now, at, s)
-				} else if at != 0 && !s.Use && now >= at+doubt && s.Told > at {
-					t.Fatalf("box %d is out as told at %v, it was at %v: %+v", n, s.Told, at, s)
+				at := firstWithdrawal(n)
+				if at != 0 && s.Use && now >= at+confirmDelay {
+					t.Fatalf("backend %d is used at %v, though withdrawn at %v: %+v", n, now, at, s)
+				} else if at != 0 && !s.Use && now >= at+confirmDelay && s.Since > at {
+					t.Fatalf("backend %d is out since %v, want %v: %+v", n, s.Since, at, s)
 				}
 				if used[n] && !s.Use && at == 0 {
-					t.Fatalf("box %d went at %v though nobody called it out: %+v", n, now, s)
+					t.Fatalf("backend %d was removed at %v though no source withdrew it: %+v", n, now, s)
 				}
 				used[n] = s.Use
 			}
@@ -287,99 +294,99 @@
 			ns := rapid.SliceOfNDistinct(rapid.IntRange(1, 6), 0, 6, rapid.ID[int]).Draw(t, "boxes")
 			switch src := rapid.SampledFrom([]string{"list", "a", "b", "restart"}).Draw(t, "source"); src {
 			case "list":
-				var l []Box
+				var l []Backend
 				for _, n := range ns {
-					b := box(n, Ready)
+					b := backend(n, Ready)
 					b.StartedMS = started[n]
 					l = append(l, b)
-					ever[n] = true
+					known[n] = true
 				}
-				told("list", ns)
-				f.List(now, true, l)
+				setNamed("list", ns)
+				f.UpdateList(now, true, l)
 			case "restart":
 				if len(ns) == 0 {
 					continue
 				}
 				n := ns[0]
 				started[n]++
-				b := box(n, Ready)
+				b := backend(n, Ready)
 				b.StartedMS = started[n]
-				delete(out["list"], n)
-				if ever[n] { // else it is the list's first word on it, and no new process
-					delete(out["a"], n)
-					delete(out["b"], n)
+				delete(withdrawnAt["list"], n)
+				if known[n] { // else it is listed for the first time, not a new process
+					delete(withdrawnAt["a"], n)
+					delete(withdrawnAt["b"], n)
 				}
-				ever[n] = true
-				if !slices.Contains(says["list"], n) {
-					says["list"] = append(slices.Clone(says["list"]), n)
+				known[n] = true
+				if !slices.Contains(namedBy["list"], n) {
+					namedBy["list"] = append(slices.Clone(namedBy["list"]), n)
 				}
-				f.List(now, false, []Box{b})
+				f.UpdateList(now, false, []Backend{b})
 			default:
-				told(src, ns)
-				f.Names(now, src, named(ns...))
+				setNamed(src, ns)
+				f.UpdateNames(now, src, named(ns...))
 			}
 			check()
 		}
 	})
 }
 
-// Boxes that come and go do not stay for good, also where nothing but the list is ever heard.
-func TestTheGoneAreForgotten(t *testing.T) {
+// Backends that come and go must not accumulate, even if Tick is never called.
+func TestRemovedBackendsAreForgotten(t *testing.T) {
 	f := fleet()
 	for i := range 2000 {
 		now := time.Duration(i+1) * sec
-		f.List(now, true, listed(i, i+1))
-		f.Names(now, "dns", named(i, i+1))
+		f.UpdateList(now, true, listed(i, i+1))
+		f.UpdateNames(now, "dns", named(i, i+1))
 	}
-	if n := len(f.members); n > 200 || len(f.byID) != 2 {
-		t.Errorf("%d boxes are kept and %d names, of 2 that are there", n, len(f.byID))
+	if members := len(f.members); members > 200 || len(f.byID) != 2 {
+		t.Errorf("%d backends and %d IDs are kept, with 2 listed", members, len(f.byID))
 	}
 }
 
-// The work for a change grows with it, not with the fleet.
+// BenchmarkList measures full lists and deltas. The cost of a delta must grow with its size, not with the fleet.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{500, 5000} {
-		var all []Box
+		var all []Backend
 		for i := range n {
-			all = append(all, box(i, Ready))
+			all = append(all, backend(i, Ready))
 		}
 		b.Run(fmt.Sprintf("whole/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			f := fleet()
 			for b.Loop() {
-				f.List(sec, true, all)
+				f.UpdateList(sec, true, all)
 			}
 		})
 		b.Run(fmt.Sprintf("ten/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			f := fleet()
-			f.List(sec, true, all)
+			f.UpdateList(sec, true, all)
 			for b.Loop() {
-				f.List(sec, false, all[:10])
+				f.UpdateList(sec, false, all[:10])
 			}
 		})
 	}
 }
 
-// A name whose address was told under another name is not the list's any more: once that other one is forgotten, a whole
-// list that names neither finds nothing to withdraw. (It was a nil pointer.)
-func TestAddressToldUnderAnotherNameThenForgotten(t *testing.T) {
+// An ID whose address is listed under another ID is off the list. Once the other one is forgotten too, a full list without either
+// has nothing to remove. It was a nil pointer dereference when the first ID was kept.
+func TestAddressReusedByAnotherIDThenForgotten(t *testing.T) {
 	f := fleet()
-	f.List(sec, true, listed(0))
-	other := box(1, Draining)
-	other.Addr = box(0, Ready).Addr
-	f.List(2*sec, false, []Box{other})
+	f.UpdateList(sec, true, listed(0))
+	other := backend(1, Draining)
+	other.Addr = backend(0, Ready).Addr
+	f.UpdateList(2*sec, false, []Backend{other})
 	other.State = Gone
-	f.List(3*sec, false, []Box{other})
+	f.UpdateList(3*sec, false, []Backend{other})
 	for now := 4 * sec; now < 10*60*sec; now += sec {
-		f.Heard(now)
+		f.RefreshList(now)
 		f.Tick(now)
 	}
 	if len(f.members) != 0 {
-		t.Fatalf("%d members are kept, want none: the case that this test is for does not come up", len(f.members))
+		t.Fatalf("%d members are kept, want none: the test does not reach its case", len(f.members))
 	}
-	f.List(601*sec, true, nil)
+	f.UpdateList(601*sec, true, nil)
 	if len(f.byID) != 0 {
-		t.Errorf("names without a member are kept: %v", f.byID)
+		t.Errorf("IDs without a member are kept: %v", f.byID)
 	}
 }
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -204,8 +204,8 @@
 	})
 	other := newStubBackend(t, echo)
 	r := startTieredNode(t, d, b, testTimeout)
-	both := &engine.List{Version: 2, Full: true, Servers: []engine.Listed{b.entry("s-1"), other.entry("s-2")}}
-	r.engine.News(r.listSource, both, policy.ListFull, func(int64) bool { return true })
+	both := &engine.List{Version: 2, Full: true, Backends: []engine.ListedBackend{b.entry("s-1"), other.entry("s-2")}}
+	r.engine.UpdateList(r.listSource, both, policy.ListFull, func(int64) bool { return true })
 	attempts := func() int { return len(b.requests()) + len(other.requests()) }
 	for _, x := range []struct {
 		name     string
@@ -430,7 +430,7 @@
 		c.send(view(fmt.Sprint("deaf", i)).text())
 	}
 	wait(t, "the end of its request", func() bool {
-		return r.engine.Open() == 0
+		return r.engine.OpenRequests() == 0
 	})
 }
 
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -38,12 +38,12 @@
 // newControl returns the node's connection to the control plane, which run starts.
 func (n *node) newControl(cfg *settings.Control) *control {
 	c := &control{region: cfg.Region, service: cfg.Services[0], front: n.front, policy: &n.cfg.Settings.Policy, initialShares: n.cfg.tenantShares(), log: n.log,
-		endpoints: newEndpoints(n.engine, cfg.Services[0], n.cfg.Known.Servers)}
+		endpoints: newEndpoints(n.engine, cfg.Services[0], n.cfg.Known.Backends)}
 	s := subscriber.New(subscriber.Config{Name: n.cfg.Name, Zone: n.cfg.Settings.Policy.Zone, Regions: []string{cfg.Region},
 		Filter: changelog.Filter{Services: slices.Clone(cfg.Services)}, Candidates: controlnet.Candidates(cfg.Parents),
-		Seed: n.controlSeed(), Limits: controlnet.LimitsFor(cfg.Silence.D()), Leaf: true}, n.clock.Since())
+		Seed: n.controlSeed(), Limits: controlnet.LimitsFor(cfg.Silence.D()), Leaf: true}, n.clock.Elapsed())
 	c.process = controlnet.NewProcess(controlnet.Config{Name: n.cfg.Name, Keys: cfg.Keys, Cluster: cfg.Cluster, BytesPerSecond: int(cfg.Bytes), StaleAfter: cfg.Silence.D(),
-		Subscribers: []*subscriber.Subscriber{s}, Applied: c.apply, Clock: n.clock.Since, Log: n.log})
+		Subscribers: []*subscriber.Subscriber{s}, Applied: c.apply, Clock: n.clock.Elapsed, Log: n.log})
 	return c
 }
 
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -96,7 +96,7 @@
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			old, fresh := newStubBackend(t, respondOK), newStubBackend(t, respondOK)
-			second := engine.List{Version: 2, Full: true, Servers: []engine.Listed{fresh.entry("s-2")}}
+			second := engine.List{Version: 2, Full: true, Backends: []engine.ListedBackend{fresh.entry("s-2")}}
 			said := func(text string) func(net.Conn) {
 				return func(c net.Conn) { fmt.Fprint(c, text) }
 			}
@@ -117,7 +117,7 @@
 				func(c net.Conn) { // a delta, byte by byte
 					var b bytes.Buffer
 					again := old.entry("s-3")
-					text, _ := json.Marshal(engine.List{Version: 3, Servers: []engine.Listed{again}})
+					text, _ := json.Marshal(engine.List{Version: 3, Backends: []engine.ListedBackend{again}})
 					fmt.Fprintf(&b, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 					for _, x := range b.Bytes() {
 						c.Write([]byte{x})
@@ -152,7 +152,7 @@
 	t.Parallel()
 	b := newStubBackend(t, respondOK)
 	watching := make(chan struct{})
-	d := newScriptedDiscovery(t, func(net.Conn) { close(watching) }, sendList(engine.List{Version: 2, Servers: []engine.Listed{b.entry("s-1")}}, nil))
+	d := newScriptedDiscovery(t, func(net.Conn) { close(watching) }, sendList(engine.List{Version: 2, Backends: []engine.ListedBackend{b.entry("s-1")}}, nil))
 	r := startNode(t, newStubDiscovery(t), settingsJSON, func(cfg *Config) { cfg.Discovery = d.addr })
 	<-watching
 	wait(t, "the list of the second call", func() bool { return r.backendNumber("s-1") != 0 })
@@ -167,9 +167,9 @@
 	t.Parallel()
 	b := newStubBackend(t, respondOK)
 	g := newStubDiscovery(t)
-	g.responses <- discoveryResponse{200, engine.List{Version: 700, Full: true, Servers: []engine.Listed{b.entry("s-0")}}}
+	g.responses <- discoveryResponse{200, engine.List{Version: 700, Full: true, Backends: []engine.ListedBackend{b.entry("s-0")}}}
 	g.responses <- discoveryResponse{200, engine.List{Version: 3}}
-	g.responses <- discoveryResponse{200, engine.List{Version: 4, Full: true, Servers: []engine.Listed{b.entry("s-1")}}}
+	g.responses <- discoveryResponse{200, engine.List{Version: 4, Full: true, Backends: []engine.ListedBackend{b.entry("s-1")}}}
 	r := startNode(t, g, settingsJSON, nil, b.entry("s-0"))
 	wait(t, "the list with the new versions", func() bool { return r.backendNumber("s-1") != 0 })
 	wait(t, "a watch from the new version", func() bool { return len(g.calls()) == 4 })
@@ -196,7 +196,7 @@
 	cl.send(quote("q").text())
 	<-dialing
 	g.responses <- discoveryResponse{status: 503}
-	g.responses <- discoveryResponse{200, engine.List{Version: 2, Servers: []engine.Listed{draining}}}
+	g.responses <- discoveryResponse{200, engine.List{Version: 2, Backends: []engine.ListedBackend{draining}}}
 	wait(t, "the drain", func() bool { return r.backendNumber("s-1") == 0 })
 	unblock()
 	if resp, _ := cl.readResponse(); resp.StatusCode != 503 {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -19,13 +19,13 @@
 type endpoints struct {
 	engine       *engine.Engine
 	service      string
-	known        map[string]engine.Listed // the engine's list, by name
-	listReceived bool                     // the first list from the control plane has arrived
+	known        map[string]engine.ListedBackend // the engine's list, by name
+	listReceived bool                            // the first list from the control plane has arrived
 }
 
 // newEndpoints returns the source of a service's endpoints, for an engine whose initial list is known.
-func newEndpoints(e *engine.Engine, service string, known []engine.Listed) *endpoints {
-	s := &endpoints{engine: e, service: service, known: make(map[string]engine.Listed, len(known))}
+func newEndpoints(e *engine.Engine, service string, known []engine.ListedBackend) *endpoints {
+	s := &endpoints{engine: e, service: service, known: make(map[string]engine.ListedBackend, len(known))}
 	for _, b := range known {
 		s.known[b.ID] = b
 	}
@@ -40,7 +40,7 @@
 
 // confirm tells the engine that its list is current, by an empty delta.
 func (s *endpoints) confirm() {
-	s.engine.News(s, &engine.List{}, policy.ListDelta, func(int64) bool { return false })
+	s.engine.UpdateList(s, &engine.List{}, policy.ListDelta, func(int64) bool { return false })
 }
 
 // apply passes changes to the engine, in batches. late says that the changes may have been announced a while ago, so that draining
@@ -53,7 +53,7 @@
 
 // batches returns the changes in the batches and the order in which the engine gets them. The first changes that name an endpoint
 // are a full list: it removes known endpoints that it does not name.
-func (s *endpoints) batches(changes []resource.Change) (batches [][]engine.Listed) {
+func (s *endpoints) batches(changes []resource.Change) (batches [][]engine.ListedBackend) {
 	ready, withdrawn := s.split(changes)
 	if !s.listReceived && len(ready)+len(withdrawn) > 0 {
 		withdrawn = append(withdrawn, s.unlisted(ready, withdrawn)...)
@@ -62,14 +62,14 @@
 	// One batch of ready endpoints goes first, so that the list is never empty. The withdrawn ones come next, as they must not wait
 	// for all the others.
 	first := min(batchSize, len(ready))
-	for _, list := range [][]engine.Listed{ready[:first], withdrawn, ready[first:]} {
+	for _, list := range [][]engine.ListedBackend{ready[:first], withdrawn, ready[first:]} {
 		batches = slices.AppendSeq(batches, slices.Chunk(list, batchSize))
 	}
 	return batches
 }
 
 // split divides the changes of this service's endpoints into those that may be used and those that may not.
-func (s *endpoints) split(changes []resource.Change) (ready, withdrawn []engine.Listed) {
+func (s *endpoints) split(changes []resource.Change) (ready, withdrawn []engine.ListedBackend) {
 	for i := range changes {
 		c := &changes[i]
 		key := c.Resource.Key
@@ -92,7 +92,7 @@
 }
 
 // unlisted returns the endpoints that the engine has and the lists do not, marked as removed.
-func (s *endpoints) unlisted(lists ...[]engine.Listed) (removed []engine.Listed) {
+func (s *endpoints) unlisted(lists ...[]engine.ListedBackend) (removed []engine.ListedBackend) {
 	present := map[string]bool{}
 	for _, list := range lists {
 		for i := range list {
@@ -109,7 +109,7 @@
 }
 
 // applyBatch passes one batch to the engine.
-func (s *endpoints) applyBatch(batch []engine.Listed, late bool) {
+func (s *endpoints) applyBatch(batch []engine.ListedBackend, late bool) {
 	for _, b := range batch {
 		if b.State == membership.Gone {
 			delete(s.known, b.ID)
@@ -117,16 +117,16 @@
 			s.known[b.ID] = b
 		}
 	}
-	list := &engine.List{Servers: batch, Late: late}
-	s.engine.News(s, list, policy.ListDelta, func(known int64) bool {
+	list := &engine.List{Backends: batch, AfterOutage: late}
+	s.engine.UpdateList(s, list, policy.ListDelta, func(known int64) bool {
 		list.Version = known + 1
 		return true
 	})
 }
 
 // toListed converts an endpoint to an entry of the engine's lists.
-func toListed(name string, e *resource.Endpoint) engine.Listed {
-	b := engine.Listed{ID: name, Addr: e.Address, Zone: e.Zone, Kind: e.Class, Cell: int64(e.Cell), State: membership.Draining,
+func toListed(name string, e *resource.Endpoint) engine.ListedBackend {
+	b := engine.ListedBackend{ID: name, Addr: e.Address, Zone: e.Zone, Kind: e.Class, Cell: int64(e.Cell), State: membership.Draining,
 		StartedMS: int64(e.StartedMS)}
 	if e.State == resource.EndpointReady {
 		b.State = membership.Ready
--- a/internal/node/lists_test.go
+++ b/internal/node/lists_test.go
@@ -14,12 +14,12 @@
 var longGrace = strings.Replace(settingsJSON, `"drain_grace_s":2`, `"drain_grace_s":3600`, 1)
 
 // listResponse returns the response to a discovery call with a list of backends.
-func listResponse(version int64, full bool, backends ...engine.Listed) discoveryResponse {
-	return discoveryResponse{200, engine.List{Version: version, Full: full, Servers: backends}}
+func listResponse(version int64, full bool, backends ...engine.ListedBackend) discoveryResponse {
+	return discoveryResponse{200, engine.List{Version: version, Full: full, Backends: backends}}
 }
 
 // withState returns an entry of a list in another state.
-func withState(state string, entry engine.Listed) engine.Listed {
+func withState(state string, entry engine.ListedBackend) engine.ListedBackend {
 	entry.State = state
 	return entry
 }
@@ -92,7 +92,7 @@
 			return listResponse(2, false, withState("Gone", b.entry("s-1")))
 		}},
 		{"missing from a full list", func(b *stubBackend) discoveryResponse {
-			return listResponse(2, true, engine.Listed{ID: "s-2", Addr: "127.0.0.1:1", State: "Ready"})
+			return listResponse(2, true, engine.ListedBackend{ID: "s-2", Addr: "127.0.0.1:1", State: "Ready"})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -166,7 +166,7 @@
 			if c.kept {
 				steps = append(steps, sendList(engine.List{Version: 1}, nil))
 			}
-			d := newScriptedDiscovery(t, append(steps, c.end, sendList(engine.List{Version: 2, Full: true, Servers: []engine.Listed{kept.entry("s-2")}}, nil))...)
+			d := newScriptedDiscovery(t, append(steps, c.end, sendList(engine.List{Version: 2, Full: true, Backends: []engine.ListedBackend{kept.entry("s-2")}}, nil))...)
 			r := startNode(t, newStubDiscovery(t), longGrace, func(cfg *Config) { cfg.Discovery = d.addr }, removed.entry("s-1"))
 			wait(t, "the full list", func() bool { return r.backendNumber("s-2") != 0 && r.backendNumber("s-1") == 0 })
 			before := len(removed.requests())
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -18,7 +18,7 @@
 	}
 	// A suspected withdrawal takes effect up to a quarter of the grace late. The policy then goes on sending for 0.6 of the grace,
 	// which still ends before the grace does.
-	return membership.New(membership.Config{Hold: dns.Hold.D(), Doubt: grace / 4, Calm: dns.Calm.D()})
+	return membership.New(membership.Config{SourceTimeout: dns.Hold.D(), ConfirmDelay: grace / 4, FlapPenalty: dns.Calm.D()})
 }
 
 // followDNS updates the engine from the DNS names of the sites in the settings until ctx ends.
@@ -27,8 +27,8 @@
 		return
 	}
 	s := &resolve.Source{Client: &resolve.Client{Servers: dns.Servers, Timeout: dns.Timeout.D()}, Log: n.log,
-		Tell: func(site resolve.Site, backends []membership.Box) bool {
-			return n.engine.Names("dns:"+site.Name, backends)
+		Update: func(site resolve.Site, backends []membership.Backend) bool {
+			return n.engine.UpdateNames("dns:"+site.Name, backends)
 		}}
 	for _, site := range dns.Sites {
 		s.Sites = append(s.Sites, resolve.Site{Name: site.Name, Zone: site.Zone})
--- a/internal/node/names_test.go
+++ b/internal/node/names_test.go
@@ -44,7 +44,7 @@
 	if err := dns.Set(dnsRecords(ttl, backends...)...); err != nil {
 		t.Fatal(err)
 	}
-	var list []engine.Listed
+	var list []engine.ListedBackend
 	for i, b := range backends {
 		list = append(list, b.entry(fmt.Sprint("s-", i)))
 	}
@@ -62,8 +62,8 @@
 
 func (r *testNode) decision(addr string) (used bool, since time.Duration, source string) {
 	for _, s := range r.engine.Members() {
-		if s.Box.Addr == addr {
-			return s.Use, s.Told, s.Source
+		if s.Backend.Addr == addr {
+			return s.Use, s.Since, s.Source
 		}
 	}
 	return false, 0, ""
@@ -101,7 +101,7 @@
 	if source != "dns:"+siteName {
 		t.Errorf("deciding source: %s", source)
 	}
-	g.responses <- discoveryResponse{200, engine.List{Version: 2, Servers: []engine.Listed{a.entry("s-0")}}}
+	g.responses <- discoveryResponse{200, engine.List{Version: 2, Backends: []engine.ListedBackend{a.entry("s-0")}}}
 	grace := announced + r.cfg.Settings.Policy.DrainGrace
 	lastSend(t, r, a, func() bool { return r.clock.Now() >= grace })
 	before := len(a.requests())
@@ -206,7 +206,7 @@
 					announce := time.AfterFunc(8*time.Second, func() {
 						drained := a.entry("s-0")
 						drained.State = "Terminating"
-						g.responses <- discoveryResponse{200, engine.List{Version: 2, Servers: []engine.Listed{drained}}}
+						g.responses <- discoveryResponse{200, engine.List{Version: 2, Backends: []engine.ListedBackend{drained}}}
 					})
 					defer announce.Stop()
 					last := lastSend(t, r, a, func() bool { return time.Since(published) > 11*time.Second })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -172,12 +172,12 @@
 	n.followDNS(ctx, &file.DNS)
 	if file.Fleet.Listen != "" {
 		n.peers, err = peers.Start(peers.Config{Fleet: &file.Fleet, Name: cfg.Name, Policy: &cfg.Settings.Policy, OverflowSites: file.Sites.Names(), Clock: clock.Now,
-			ViewChanged: n.engine.Shared, Log: log})
+			ViewChanged: n.engine.FleetStateChanged, Log: log})
 		if err != nil {
 			n.shutdown()
 			return nil, err
 		}
-		n.engine.Share(n.peers)
+		n.engine.SetFleetState(n.peers)
 	}
 	n.watchSites(ctx, &file.Sites)
 	if err := n.serveStatus(ctx, file.Fleet.Socket); err != nil {
@@ -195,11 +195,11 @@
 func (n *node) followList(ctx context.Context, cfg *settings.Control) {
 	if !cfg.On() {
 		n.listSource = n.newSource(discovery.Config{Addr: n.cfg.Discovery})
-		n.engine.Follow(n.listSource, &n.cfg.Known)
+		n.engine.SetSource(n.listSource, &n.cfg.Known)
 		return
 	}
 	n.control = n.newControl(cfg)
-	n.engine.Follow(n.control.endpoints, &n.cfg.Known)
+	n.engine.SetSource(n.control.endpoints, &n.cfg.Known)
 	n.wg.Go(func() { n.control.run(ctx) })
 }
 
@@ -315,7 +315,7 @@
 		return
 	}
 	n.log.Info("discovery address changed", "from", old.Addr(), "to", cfg.Discovery)
-	n.listSource = n.newSource(discovery.Config{Addr: cfg.Discovery, Whole: true, Late: old.Late()})
-	n.engine.Replace(n.listSource)
+	n.listSource = n.newSource(discovery.Config{Addr: cfg.Discovery, NeedFull: true, AfterOutage: old.AfterOutage()})
+	n.engine.ReplaceSource(n.listSource)
 	old.Stop()
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -83,7 +83,7 @@
 		t.Errorf("the backend got %d requests, want 1", n)
 	}
 	wait(t, "no open requests", func() bool {
-		return r.engine.Open() == 0
+		return r.engine.OpenRequests() == 0
 	})
 	if resp, _ := r.dial(t).roundTrip(save("twin")); resp.StatusCode != 200 {
 		t.Errorf("the same id afterwards: %d", resp.StatusCode)
@@ -429,7 +429,7 @@
 	r := startNode(t, g, settingsJSON, nil, b.entry("s-1"))
 	c := r.dial(t)
 	c.roundTrip(view("x"))
-	g.responses <- discoveryResponse{200, engine.List{Version: 2, Servers: []engine.Listed{b.entry("s-2")}}}
+	g.responses <- discoveryResponse{200, engine.List{Version: 2, Backends: []engine.ListedBackend{b.entry("s-2")}}}
 	wait(t, "the list", func() bool {
 		return r.engine.Version() == 2
 	})
@@ -449,7 +449,7 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, engine.Listed{ID: "s-1", Addr: ln.Addr().String(), State: "Ready"})
+	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, engine.ListedBackend{ID: "s-1", Addr: ln.Addr().String(), State: "Ready"})
 	if resp, _ := r.dial(t).roundTrip(quote("q")); resp.StatusCode != 503 {
 		t.Errorf("answered %d, want 503", resp.StatusCode)
 	}
@@ -531,7 +531,7 @@
 		t.Fatal("the attempt was not cancelled")
 	}
 	wait(t, "no open requests", func() bool {
-		return r.engine.Open() == 0
+		return r.engine.OpenRequests() == 0
 	})
 }
 
@@ -542,11 +542,11 @@
 	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
 	be := &engine.Backend{ID: "s-1", Addr: b.entry("s-1").Addr}
 	for _, q := range []testRequest{view("v"), save("s")} {
-		be.ShutFrom(time.Now().Add(-time.Millisecond))
+		be.StopWritesAt(time.Now().Add(-time.Millisecond))
 		if o := r.attempt(context.Background(), be, q, testTimeout); o != policy.Moot {
 			t.Errorf("%s: outcome %d, want it never sent", q.method, o)
 		}
-		be.Reopen()
+		be.ResumeWrites()
 		if o := r.attempt(context.Background(), be, q, testTimeout); o != policy.OK {
 			t.Errorf("%s: outcome %d without a drain, want OK", q.method, o)
 		}
@@ -574,7 +574,7 @@
 	draining := old.entry("s-1")
 	draining.State = "Terminating"
 	announced := time.Now()
-	g.responses <- discoveryResponse{200, engine.List{Version: 2, Servers: []engine.Listed{draining, fresh.entry("s-2")}}}
+	g.responses <- discoveryResponse{200, engine.List{Version: 2, Backends: []engine.ListedBackend{draining, fresh.entry("s-2")}}}
 	wait(t, "the new backend", at(fresh))
 	time.Sleep(time.Until(announced.Add(2 * time.Second))) // the drain grace of the settings
 	sent := len(old.requests())
@@ -586,18 +586,18 @@
 	if n := len(old.requests()); n != sent {
 		t.Errorf("a draining backend got %d new requests", n-sent)
 	}
-	g.responses <- discoveryResponse{200, engine.List{Version: 3, Full: true, Servers: []engine.Listed{fresh.entry("s-2")}}}
+	g.responses <- discoveryResponse{200, engine.List{Version: 3, Full: true, Backends: []engine.ListedBackend{fresh.entry("s-2")}}}
 	select {
 	case <-old.disconnected:
 	case <-time.After(testTimeout):
 		t.Fatal("connections to a backend that is missing from a full list stay open")
 	}
 	moved := old.entry("s-2") // the same id and start time at another address is another process
-	g.responses <- discoveryResponse{200, engine.List{Version: 4, Servers: []engine.Listed{moved}}}
+	g.responses <- discoveryResponse{200, engine.List{Version: 4, Backends: []engine.ListedBackend{moved}}}
 	wait(t, "the new address", at(old))
 	removed := moved
 	removed.State = "Gone"
-	g.responses <- discoveryResponse{200, engine.List{Version: 5, Servers: []engine.Listed{removed}}}
+	g.responses <- discoveryResponse{200, engine.List{Version: 5, Backends: []engine.ListedBackend{removed}}}
 	wait(t, "503 with no backend left", func() bool {
 		resp, _ := c.roundTrip(view("x"))
 		return resp.StatusCode == 503
@@ -622,7 +622,7 @@
 			t.Parallel()
 			before, after := newStubBackend(t, respondOK), newStubBackend(t, respondOK)
 			g, h := newStubDiscovery(t), newStubDiscovery(t)
-			g.responses <- discoveryResponse{200, engine.List{Version: 700, Full: true, Servers: []engine.Listed{before.entry("s-1")}}}
+			g.responses <- discoveryResponse{200, engine.List{Version: 700, Full: true, Backends: []engine.ListedBackend{before.entry("s-1")}}}
 			r := startNode(t, g, strings.Replace(settingsJSON, `"push"`, `"`+mode+`"`, 1), nil)
 			c := r.dial(t)
 			wait(t, "the old discovery's backend", func() bool {
@@ -633,7 +633,7 @@
 			cfg := r.cfg
 			cfg.Discovery = h.addr
 			h.responses <- discoveryResponse{status: 503} // the new one may fail at first
-			h.responses <- discoveryResponse{200, engine.List{Version: 3, Full: true, Servers: []engine.Listed{after.entry("s-2")}}}
+			h.responses <- discoveryResponse{200, engine.List{Version: 3, Full: true, Backends: []engine.ListedBackend{after.entry("s-2")}}}
 			r.reload(cfg)
 			select {
 			case <-g.cancelled:
@@ -666,7 +666,7 @@
 	b := newStubBackend(t, respondOK)
 	g := newStubDiscovery(t)
 	g.responses <- discoveryResponse{status: 503}
-	g.responses <- discoveryResponse{200, engine.List{Version: 2, Full: true, Servers: []engine.Listed{b.entry("s-1")}}}
+	g.responses <- discoveryResponse{200, engine.List{Version: 2, Full: true, Backends: []engine.ListedBackend{b.entry("s-1")}}}
 	r := startNode(t, g, strings.Replace(settingsJSON, `"push"`, `"ask"`, 1), nil)
 	c := r.dial(t)
 	wait(t, "the list after a failed call", func() bool {
@@ -691,7 +691,7 @@
 	if s := readyStatus(t, r); s != 503 {
 		t.Errorf("ready with no backend: %d", s)
 	}
-	g.responses <- discoveryResponse{200, engine.List{Version: 2, Full: true, Servers: []engine.Listed{b.entry("s-1")}}}
+	g.responses <- discoveryResponse{200, engine.List{Version: 2, Full: true, Backends: []engine.ListedBackend{b.entry("s-1")}}}
 	wait(t, "readiness", func() bool { return readyStatus(t, r) == 200 })
 }
 
@@ -1067,8 +1067,8 @@
 	c := r.dial(t)
 	c.roundTrip(view("x"))
 	g.responses <- discoveryResponse{200, engine.List{Version: 2, Full: true}}
-	g.responses <- discoveryResponse{200, engine.List{Version: 3, Full: true, Servers: []engine.Listed{b.entry("s-1")}}}
-	g.responses <- discoveryResponse{200, engine.List{Version: 3, Full: true, Servers: []engine.Listed{b.entry("s-1")}}}
+	g.responses <- discoveryResponse{200, engine.List{Version: 3, Full: true, Backends: []engine.ListedBackend{b.entry("s-1")}}}
+	g.responses <- discoveryResponse{200, engine.List{Version: 3, Full: true, Backends: []engine.ListedBackend{b.entry("s-1")}}}
 	wait(t, "both lists", func() bool {
 		return r.engine.Version() == 3
 	})
@@ -1105,7 +1105,7 @@
 		defer c.Close()
 	}
 	r := startNode(t, newStubDiscovery(t), strings.Replace(settingsJSON, `"connect_timeout_s":5`, `"connect_timeout_s":0.2`, 1), nil,
-		engine.Listed{ID: "s-1", Addr: addr, State: "Ready"})
+		engine.ListedBackend{ID: "s-1", Addr: addr, State: "Ready"})
 	if resp, _ := r.dial(t).roundTrip(quote("q")); resp.StatusCode != 503 {
 		t.Errorf("answered %d, want 503", resp.StatusCode)
 	}
--- a/internal/node/reach_test.go
+++ b/internal/node/reach_test.go
@@ -11,7 +11,7 @@
 )
 
 // withAddresses returns the list entry of a backend with more addresses before its own.
-func withAddresses(b *stubBackend, more ...string) engine.Listed {
+func withAddresses(b *stubBackend, more ...string) engine.ListedBackend {
 	e := b.entry("s-0")
 	e.Addrs = append(append([]string{}, more...), e.Addr)
 	return e
--- a/internal/node/rpc_test.go
+++ b/internal/node/rpc_test.go
@@ -83,7 +83,7 @@
 	return len(b.conns)
 }
 
-func (b *rpcBackend) entry(id string) engine.Listed {
+func (b *rpcBackend) entry(id string) engine.ListedBackend {
 	e := b.http.entry(id)
 	e.RPC = b.ln.Addr().String()
 	return e
@@ -138,12 +138,12 @@
 }
 
 // startRPCNode starts a node with both fronts, and returns the address of the one for JSON-RPC.
-func startRPCNode(t *testing.T, change func(*settings.JSONRPC), known ...engine.Listed) (*testNode, string) {
+func startRPCNode(t *testing.T, change func(*settings.JSONRPC), known ...engine.ListedBackend) (*testNode, string) {
 	t.Helper()
 	return startRPCNodeWith(t, func(*Config) {}, change, known...)
 }
 
-func startRPCNodeWith(t *testing.T, configure func(*Config), change func(*settings.JSONRPC), known ...engine.Listed) (*testNode, string) {
+func startRPCNodeWith(t *testing.T, configure func(*Config), change func(*settings.JSONRPC), known ...engine.ListedBackend) (*testNode, string) {
 	t.Helper()
 	file := &settings.File{JSONRPC: settings.JSONRPC{Listen: "127.0.0.1:0", Inflight: 64, Batch: 100, Conns: 2, Beside: true}}
 	file.JSONRPC.Idle.UnmarshalText([]byte("1m"))
@@ -370,7 +370,7 @@
 	c.send(`[{"jsonrpc":"2.0","id":1,"method":"saveConfig","params":{"key":"k-1","dealer":"d"}},` +
 		`{"jsonrpc":"2.0","id":2,"method":"sendQuote","params":{"design":7}}]` + "\n")
 	wait(t, "both calls at the backend", func() bool { return one.calls("saveConfig") == 1 && one.calls("sendQuote") == 1 })
-	r.engine.News(r.listSource, &engine.List{Version: 9, Full: true, Servers: []engine.Listed{one.entry("s-1"), two.entry("s-2")}},
+	r.engine.UpdateList(r.listSource, &engine.List{Version: 9, Full: true, Backends: []engine.ListedBackend{one.entry("s-1"), two.entry("s-2")}},
 		policy.ListFull, func(int64) bool { return true })
 	one.mu.Lock()
 	for _, c := range one.conns {
@@ -392,7 +392,7 @@
 			t.Errorf("%s was sent with the additional member %s", m.Method, m.Extra)
 		}
 	}
-	wait(t, "no open requests", func() bool { return r.engine.Open() == 0 })
+	wait(t, "no open requests", func() bool { return r.engine.OpenRequests() == 0 })
 }
 
 // A backend responds twice, late, or with an unknown id: each call gets only its own response.
@@ -526,7 +526,7 @@
 	before := 0
 	wait(t, "a steady number of calls at the backend", func() bool {
 		n := old.calls("saveConfig")
-		open := r.engine.Open()
+		open := r.engine.OpenRequests()
 		still := n > 20 && n == before && open == n
 		before = n
 		return still
@@ -535,7 +535,7 @@
 	fresh := newRPCBackend(t, respondRPC)
 	entry := old.entry("s-1")
 	entry.State = "Terminating"
-	r.engine.News(r.listSource, &engine.List{Version: 9, Full: true, Servers: []engine.Listed{entry, fresh.entry("s-2")}},
+	r.engine.UpdateList(r.listSource, &engine.List{Version: 9, Full: true, Backends: []engine.ListedBackend{entry, fresh.entry("s-2")}},
 		policy.ListFull, func(int64) bool { return true })
 	for i := range 20 {
 		d := dialRPC(t, addr)
@@ -571,14 +571,14 @@
 	c.send(`[{"jsonrpc":"2.0","id":1,"method":"sendQuote","params":{}},{"jsonrpc":"2.0","id":2,"method":"sum","params":[1]}]`)
 	wait(t, "the quote at the backend", func() bool { return backend.calls("sendQuote") == 1 })
 	c.Close()
-	wait(t, "no open requests", func() bool { return r.engine.Open() == 0 })
+	wait(t, "no open requests", func() bool { return r.engine.OpenRequests() == 0 })
 	d := dialRPC(t, addr)
 	d.send(`{"jsonrpc":"2.0","method":"update","params":[1]}{"jsonrpc":"2.0","id":3,"method":"sum","params":[1]}`)
 	if got := d.line(); !sameJSON(got, `{"jsonrpc":"2.0","id":3,"result":1}`) {
 		t.Errorf("after a notification: %s", got)
 	}
 	wait(t, "the notification at the backend", func() bool { return backend.calls("update") == 1 })
-	wait(t, "no open requests", func() bool { return r.engine.Open() == 0 })
+	wait(t, "no open requests", func() bool { return r.engine.OpenRequests() == 0 })
 }
 
 // A backend without JSON-RPC gets no call. If there is no other, the client gets an error at once that says that a retry is harmless.
--- a/internal/node/sites.go
+++ b/internal/node/sites.go
@@ -19,7 +19,7 @@
 	if !cfg.On() {
 		return
 	}
-	n.engine.Watch(siting.New(&n.cfg.Settings.Policy, cfg.Plan))
+	n.engine.WatchSites(siting.New(&n.cfg.Settings.Policy, cfg.Plan))
 	n.wg.Go(func() {
 		var probes sync.WaitGroup
 		defer probes.Wait()
--- a/internal/node/stub_test.go
+++ b/internal/node/stub_test.go
@@ -124,8 +124,8 @@
 	return len(b.conns)
 }
 
-func (b *stubBackend) entry(id string) engine.Listed {
-	return engine.Listed{ID: id, Addr: b.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
+func (b *stubBackend) entry(id string) engine.ListedBackend {
+	return engine.ListedBackend{ID: id, Addr: b.ln.Addr().String(), Zone: "north", Kind: "k", State: "Ready"}
 }
 
 // writeResponse writes a response. headers are lines that end in \r\n.
@@ -209,7 +209,7 @@
 	in, _ := http.NewRequest(q.method, "http://x/api", nil)
 	m := &message.Request{In: in, Body: &message.Body{Memory: []byte(q.body)}}
 	m.Payload = m
-	return r.carrier.Carry(ctx, &engine.Attempt{Request: &m.Request, Backend: b, Wait: wait, Effect: policy.Unsafe}).Outcome
+	return r.carrier.Carry(ctx, &engine.Attempt{Request: &m.Request, Backend: b, Timeout: wait, Effect: policy.Unsafe}).Outcome
 }
 
 // backendNumber returns the policy's number of the backend with an id, or 0 if none is listed.
@@ -231,12 +231,12 @@
 	exited  chan error
 }
 
-func startNode(t *testing.T, g *stubDiscovery, settings string, change func(*Config), known ...engine.Listed) *testNode {
+func startNode(t *testing.T, g *stubDiscovery, settings string, change func(*Config), known ...engine.ListedBackend) *testNode {
 	t.Helper()
 	return startNodeWithLog(t, g, slog.New(slog.DiscardHandler), settings, change, known...)
 }
 
-func startNodeWithLog(t *testing.T, g *stubDiscovery, log *slog.Logger, settings string, change func(*Config), known ...engine.Listed) *testNode {
+func startNodeWithLog(t *testing.T, g *stubDiscovery, log *slog.Logger, settings string, change func(*Config), known ...engine.ListedBackend) *testNode {
 	t.Helper()
 	set, err := wire.DecodeSettings([]byte(settings))
 	if err != nil {
@@ -244,7 +244,7 @@
 	}
 	// A busy machine reads late, and the node must not reject requests for that, except in TestOverloadedNodeRejects.
 	noDelay := func(net.Conn) time.Duration { return 0 }
-	cfg := Config{Name: "n0", Discovery: g.addr, Seed: 1, Settings: set, Known: engine.List{Version: 1, Full: true, Servers: known},
+	cfg := Config{Name: "n0", Discovery: g.addr, Seed: 1, Settings: set, Known: engine.List{Version: 1, Full: true, Backends: known},
 		sinceLastReceive: noDelay}
 	if change != nil {
 		change(&cfg)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -210,21 +210,21 @@
 }
 
 // Request counts a request of this node's clients.
-func (p *Peers) Request(tenant string) {
+func (p *Peers) CountRequest(tenant string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replica.CountRequest(p.now(), tenant)
 }
 
 // Crossed counts a request that goes to another site because its client's own is lost.
-func (p *Peers) Crossed(site string) {
+func (p *Peers) CountCrossSite(site string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replica.CountCrossSite(p.now(), site)
 }
 
 // Outcome records how an attempt at a backend ended.
-func (p *Peers) Outcome(k judgement.Key, o policy.Outcome) {
+func (p *Peers) RecordOutcome(k judgement.Key, o policy.Outcome) {
 	if known, failed := shared.Evidence(o); known {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -233,7 +233,7 @@
 }
 
 // Listed sets the list of backends.
-func (p *Peers) Listed(list []judgement.Backend) {
+func (p *Peers) SetBackends(list []judgement.Backend) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replica.SetBackends(list)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -84,7 +84,7 @@
 			f.Audit = audit
 		}
 		p, stop := startNode(t, i, f)
-		p.Listed([]judgement.Backend{{Key: 1, Name: "s-1"}, {Key: 2, Name: "s-2"}, {Key: 3}, {Key: 4}})
+		p.SetBackends([]judgement.Backend{{Key: 1, Name: "s-1"}, {Key: 2, Name: "s-2"}, {Key: 3}, {Key: 4}})
 		all, stops = append(all, p), append(stops, stop)
 	}
 	for i, p := range all {
@@ -94,16 +94,16 @@
 	// third learns of it.
 	waitFor(t, "a share that follows the demand", func() bool {
 		for range 3 {
-			all[1].Request("a")
+			all[1].CountRequest("a")
 		}
 		for _, p := range all[:2] {
-			p.Outcome(2, policy.ConnectFailed)
+			p.RecordOutcome(2, policy.ConnectFailed)
 		}
 		return spendableFraction(all[1]) > 0.5
 	})
 	waitFor(t, "the ejection on the third node", func() bool {
 		for _, p := range all[:2] {
-			p.Outcome(2, policy.ConnectFailed)
+			p.RecordOutcome(2, policy.ConnectFailed)
 		}
 		v := all[2].View()
 		return len(v.Ejected) == 1 && v.Ejected[0] == 2
--- a/internal/rpccarrier/carrier.go
+++ b/internal/rpccarrier/carrier.go
@@ -111,7 +111,7 @@
 // ends first, an answer that arrives later is dropped. A call that was not written completely never ran, and no part of it is
 // written after Carry has returned.
 func (n *Carrier) Carry(ctx context.Context, a *engine.Attempt) engine.Result {
-	ctx, cancel := context.WithTimeoutCause(ctx, a.Wait, errTimeout)
+	ctx, cancel := context.WithTimeoutCause(ctx, a.Timeout, errTimeout)
 	defer cancel()
 	c, ok := a.Request.Payload.(*Call)
 	if !ok || a.Backend.RPC == "" {
@@ -124,7 +124,7 @@
 		return engine.Result{Outcome: policy.ConnectFailed}
 	}
 	l, err := n.acquire(ctx, a.Backend)
-	if errors.Is(err, errNoDescriptor) || err != nil && !a.MayBegin() {
+	if errors.Is(err, errNoDescriptor) || err != nil && !a.MayStart() {
 		return engine.Result{Outcome: policy.Moot}
 	} else if err != nil {
 		return notSent()
@@ -136,7 +136,7 @@
 	}
 	// Last check before the first byte: the drain grace or the time for repeats may have ended meanwhile, or the client may have
 	// disconnected.
-	if !a.MayBegin() {
+	if !a.MayStart() {
 		<-l.writing
 		return engine.Result{Outcome: policy.Moot}
 	}
@@ -163,8 +163,8 @@
 	}
 	text := jsonrpc.AppendFrame(nil, jsonrpc.Lines, jsonrpc.AppendCall(nil, id, c.Method, c.Params, member, metadata))
 	writeDeadline := time.Now().Add(min(writeTimeout, time.Until(until)))
-	if !a.By.IsZero() && a.By.Before(writeDeadline) {
-		writeDeadline = a.By
+	if !a.WriteDeadline.IsZero() && a.WriteDeadline.Before(writeDeadline) {
+		writeDeadline = a.WriteDeadline
 	}
 	l.SetWriteDeadline(writeDeadline) // an error shows up in Write
 	sent, err := l.Write(text)
--- a/internal/rpcfront/front.go
+++ b/internal/rpcfront/front.go
@@ -113,7 +113,7 @@
 	}
 	shutdown := f.cfg.Engine.Shutdown(time.Now())
 	f.shuttingDown.Store(true)
-	time.Sleep(time.Until(shutdown.Begun.Add(acceptAfterShutdown)))
+	time.Sleep(time.Until(shutdown.StartedAt.Add(acceptAfterShutdown)))
 	err := sock.CloseListener(ln, backlogTimeout)
 	if e := <-failed; !errors.Is(e, net.ErrClosed) {
 		err = errors.Join(err, e)
@@ -127,7 +127,7 @@
 	select {
 	case <-done:
 		return err
-	case <-time.After(time.Until(shutdown.Begun.Add(shutdown.Last))):
+	case <-time.After(time.Until(shutdown.StartedAt.Add(shutdown.CloseAfter))):
 	}
 	f.forEach(func(c *conn) { c.Close() })
 	<-done
@@ -359,13 +359,13 @@
 			b.parts[i] = errAnswer
 			continue
 		}
-		if shortest == 0 || call.Patience < shortest {
-			shortest = call.Patience
+		if shortest == 0 || call.ClientTimeout < shortest {
+			shortest = call.ClientTimeout
 		}
 		calls = append(calls, memberCall{call, id, i})
 	}
 	for _, x := range calls {
-		x.call.Patience = shortest
+		x.call.ClientTimeout = shortest
 		b.addPending()
 		c.start(x.call, x.id, func(answer []byte) { b.set(x.at, answer) })
 	}
@@ -436,7 +436,7 @@
 		return nil, nil, refuse(jsonrpc.MethodNotFound, "Method not found", m.Method)
 	}
 	call = &rpccarrier.Call{Method: m.Method, Params: m.Params, Request: engine.Request{Class: method.Class,
-		Arrived: arrived, Patience: method.ClientTimeout, Needs: engine.SpeaksRPC}}
+		Arrived: arrived, ClientTimeout: method.ClientTimeout, Needs: engine.SpeaksRPC}}
 	call.Payload = call
 	// The engine's ids include those of HTTP clients: a byte that no header can contain keeps the two apart.
 	call.ID = "\x00" + strconv.FormatUint(c.front.lastCall.Add(1), 36)
@@ -460,7 +460,7 @@
 			if err != nil || !(ms > 0 && ms <= 1e9) {
 				return nil, nil, refuse(jsonrpc.InvalidParams, "Invalid params", "the deadline is milliseconds above 0")
 			}
-			call.Patience = min(call.Patience, time.Duration(ms*float64(time.Millisecond)))
+			call.ClientTimeout = min(call.ClientTimeout, time.Duration(ms*float64(time.Millisecond)))
 		}
 	}
 	if m.IsNotification() {
@@ -483,7 +483,7 @@
 // slows the client down. answer is called once, with nil for a notification or a client that has disconnected.
 func (c *conn) start(call *rpccarrier.Call, id jsontext.Value, answer func([]byte)) {
 	f := c.front
-	if !c.acquireSlot(call.Arrived.Add(call.Patience)) {
+	if !c.acquireSlot(call.Arrived.Add(call.ClientTimeout)) {
 		c.finish(id, answer, jsonrpc.AppendError(nil, idOrNull(id), Refused, "too many calls are open", refusalData(refuseRetryAfter)))
 		return
 	}
@@ -494,7 +494,7 @@
 	}
 	c.callStarted()
 	c.calls.Add(1)
-	f.cfg.Engine.Begin(&call.Request) // the id is new, so this can't fail
+	f.cfg.Engine.Submit(&call.Request) // the id is new, so this can't fail
 	go func() {
 		defer c.calls.Done()
 		defer c.callDone()
