--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -233,10 +233,10 @@
 func (c labCmd) settings() ([]lab.Setting, error) {
 	var out []lab.Setting
 	if !c.Only {
-		out = append(out, lab.Setting{Name: "in service", Tuning: policy.Tuned()})
+		out = append(out, lab.Setting{Name: "in service", Tuning: policy.DefaultTuning()})
 	}
 	for _, text := range c.Set {
-		s := lab.Setting{Name: text, Tuning: policy.Tuned()}
+		s := lab.Setting{Name: text, Tuning: policy.DefaultTuning()}
 		for _, part := range strings.Split(text, ",") {
 			name, value, ok := strings.Cut(part, "=")
 			if !ok {
@@ -258,7 +258,7 @@
 			return nil, usage("--sites: %s has no [[sites.site]], and no sites.watch = true", file)
 		}
 		plans = append(plans, &lab.Siting{Plan: own.Sites.Plan})
-		out = append(out, lab.Setting{Name: "sites " + filepath.Base(file), Tuning: policy.Tuned(), Sites: plans[len(plans)-1]})
+		out = append(out, lab.Setting{Name: "sites " + filepath.Base(file), Tuning: policy.DefaultTuning(), Sites: plans[len(plans)-1]})
 	}
 	for _, text := range c.Share {
 		use, err := settings.ParseUse(strings.Split(text, ","))
@@ -268,7 +268,7 @@
 		if c.Loss < 0 || c.Loss >= 1 {
 			return nil, usage("--loss: %v is outside 0 to 1", c.Loss)
 		}
-		set := lab.Setting{Name: "share " + text, Tuning: policy.Tuned(), Share: &lab.Sharing{Use: use, Loss: c.Loss, BytesPS: settings.DefaultBytes}}
+		set := lab.Setting{Name: "share " + text, Tuning: policy.DefaultTuning(), Share: &lab.Sharing{Use: use, Loss: c.Loss, BytesPS: settings.DefaultBytes}}
 		if use.Crossing {
 			if len(plans) == 0 || plans[0].Plan == nil {
 				return nil, usage("--share: crossing needs a plan: --sites FILE")
@@ -285,7 +285,7 @@
 		}
 		from := grid
 		if from == nil {
-			from = []lab.Setting{{Tuning: policy.Tuned()}}
+			from = []lab.Setting{{Tuning: policy.DefaultTuning()}}
 		}
 		grid = nil
 		for _, s := range from {
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -45,7 +45,7 @@
 	for range 1000 {
 		due := w.now + 10*time.Second
 		for _, a := range out {
-			if a.Kind == policy.ActWatch {
+			if a.Kind == policy.ActSubscribe {
 				return
 			}
 			if a.Kind == policy.ActTimer {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -114,7 +114,7 @@
 	}
 	r.answered.Store(true)
 	r.done <- Answer{Payload: reply}
-	e.handle(e.clock.Now(), &policy.Event{Kind: policy.EvBegun, ID: r.ID, Attempt: a.index})
+	e.handle(e.clock.Now(), &policy.Event{Kind: policy.EvResponseStarted, ID: r.ID, Attempt: a.index})
 	return true
 }
 
@@ -244,7 +244,7 @@
 		e.sharer.Request(r.Tenant)
 		e.look(now, false)
 	}
-	e.handle(now, &policy.Event{Kind: policy.EvRequest, ID: r.ID, Class: r.Class, Tenant: r.Tenant, Left: left, Needs: r.Needs, Repeat: r.Repeat})
+	e.handle(now, &policy.Event{Kind: policy.EvRequest, ID: r.ID, Class: r.Class, Tenant: r.Tenant, Remaining: left, RequiredProtocols: r.Needs, ClientRetry: r.Repeat})
 	return true
 }
 
@@ -256,7 +256,7 @@
 		return
 	}
 	r.answered.Store(true)
-	e.handle(e.clock.Now(), &policy.Event{Kind: policy.EvGone, ID: r.ID})
+	e.handle(e.clock.Now(), &policy.Event{Kind: policy.EvDisconnected, ID: r.ID})
 	e.forget(r)
 }
 
@@ -273,7 +273,7 @@
 func (e *Engine) settle(r *Request, a Answer) {
 	r.answered.Store(true)
 	r.done <- a
-	e.handle(e.clock.Now(), &policy.Event{Kind: policy.EvGone, ID: r.ID})
+	e.handle(e.clock.Now(), &policy.Event{Kind: policy.EvDisconnected, ID: r.ID})
 	e.forget(r)
 }
 
@@ -340,7 +340,7 @@
 	if e.tells {
 		e.log.LogAttrs(e.ctx, slog.LevelDebug, "attempt", slog.String("request", r.ID), slog.String("backend", a.Backend.ID), slog.String("zone", a.Backend.Zone),
 			slog.String("class", r.Class), slog.Int("nth", a.index), slog.Any("outcome", res.Outcome), slog.Duration("took", now-a.sent),
-			slog.Bool("fresh", res.Fresh), slog.Float64("held", res.Load.Held), slog.Float64("queue", res.Load.Queue))
+			slog.Bool("fresh", res.Fresh), slog.Float64("held", res.Load.Occupancy), slog.Float64("queue", res.Load.Queue))
 	}
 	if e.sharer != nil {
 		e.sharer.Outcome(a.Backend.key, res.Outcome)
@@ -348,8 +348,8 @@
 	if e.sites != nil {
 		e.sites.Ended(now, a.Backend.Number, res.Outcome, now-a.sent)
 	}
-	e.handle(now, &policy.Event{Kind: policy.EvOutcome, ID: r.ID, Server: a.Backend.Number, Attempt: a.index,
-		Took: now - a.sent, Last: r.answered.Load(), Outcome: res.Outcome, Load: res.Load})
+	e.handle(now, &policy.Event{Kind: policy.EvOutcome, ID: r.ID, Backend: a.Backend.Number, Attempt: a.index,
+		Took: now - a.sent, Finished: r.answered.Load(), Outcome: res.Outcome, Load: res.Load})
 	e.forget(r)
 }
 
@@ -403,7 +403,7 @@
 		case policy.ActTimer:
 			token := a.Token
 			time.AfterFunc(a.At-now, func() { e.due(token) })
-		case policy.ActWatch:
+		case policy.ActSubscribe:
 			e.source.Watch()
 		case policy.ActFetch:
 			e.source.Fetch()
@@ -434,10 +434,10 @@
 	} else {
 		r.attempts = r.list[:0]
 	}
-	*a = Attempt{Request: r, Backend: e.boxes[act.Server], engine: e, index: len(r.attempts), sent: now}
+	*a = Attempt{Request: r, Backend: e.boxes[act.Backend], engine: e, index: len(r.attempts), sent: now}
 	a.Effect, _ = e.Effect(r.Class)
-	if act.By > 0 && a.Effect == policy.Keyed {
-		a.By = time.Now().Add(act.By - now)
+	if act.SendDeadline > 0 && a.Effect == policy.Keyed {
+		a.By = time.Now().Add(act.SendDeadline - now)
 	}
 	a.Wait = min(act.Wait, r.until-now)
 	if act.Wait <= 0 {
@@ -448,7 +448,7 @@
 	r.attempts = append(r.attempts, a)
 	r.open++
 	if e.sites != nil {
-		e.sites.Sent(now, act.Server)
+		e.sites.Sent(now, act.Backend)
 		if e.sharer != nil && a.Backend != nil && e.sites.Node.Crosses(a.Backend.Zone) {
 			e.sharer.Crossed(a.Backend.Zone)
 		}
@@ -457,9 +457,9 @@
 	go func() {
 		defer e.wg.Done()
 		defer cancel()
-		res := Result{Outcome: policy.Moot}
+		res := Result{Outcome: policy.NeverSent}
 		if a.Backend == nil {
-			a.Backend = &Backend{Number: act.Server} // in none of the lists: never sent
+			a.Backend = &Backend{Number: act.Backend} // in none of the lists: never sent
 		} else {
 			res = e.carrier.Carry(ctx, a)
 		}
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -166,32 +166,32 @@
 	}
 	for i := range l.Servers {
 		s := &l.Servers[i]
-		x := policy.Entry{Place: subset.Hash(s.ID), Zone: s.Zone, Cell: s.Cell, Kind: s.Kind}
+		x := policy.Entry{Hash: subset.Hash(s.ID), Zone: s.Zone, Cell: s.Cell, Kind: s.Kind}
 		if s.RPC != "" {
-			x.Speaks = SpeaksRPC
+			x.Protocols = SpeaksRPC
 		}
 		switch s.State {
 		case "Ready":
 		case "Gone":
-			x.State = policy.Left
+			x.State = policy.Removed
 		default: // Terminating, or a state that is not known here: nothing new for either
-			x.State = policy.Leaving
+			x.State = policy.Draining
 		}
 		b := e.names[s.ID]
 		if b != nil && (b.Addr != s.Addr && s.Addr != "" || b.RPC != s.RPC && s.RPC != "") {
 			// Another address is another process, even where the start time does not tell.
-			entries = append(entries, policy.Entry{ID: b.Number, State: policy.Left})
+			entries = append(entries, policy.Entry{ID: b.Number, State: policy.Removed})
 			e.drop(b)
 			b = nil
 		}
 		switch {
-		case b == nil && x.State == policy.Left:
+		case b == nil && x.State == policy.Removed:
 			continue
 		case b == nil:
 			for _, o := range e.listed.at(s.Addr) {
 				if !seen[o.ID] {
 					// Its process can't be there any more: what goes to its address reaches the new one.
-					entries = append(entries, policy.Entry{ID: o.Number, State: policy.Left})
+					entries = append(entries, policy.Entry{ID: o.Number, State: policy.Removed})
 					e.drop(o)
 				}
 			}
@@ -214,16 +214,16 @@
 		case policy.Active:
 			b.left = false
 			b.Reopen()
-		case policy.Leaving:
+		case policy.Draining:
 			e.drain(b)
 			if l.Late { // no moment of its grace may be left
-				x.State = policy.Left
+				x.State = policy.Removed
 			}
-		case policy.Left:
+		case policy.Removed:
 			e.drop(b)
 		}
 		e.listed.update(b)
-		if l.Late && x.State == policy.Left {
+		if l.Late && x.State == policy.Removed {
 			b.ShutFrom(time.Now())
 		}
 		entries = append(entries, x)
--- a/internal/engine/list_test.go
+++ b/internal/engine/list_test.go
@@ -26,7 +26,7 @@
 	retired []*Backend
 }
 
-func (c *carrier) Carry(context.Context, *Attempt) Result { return Result{Outcome: policy.Moot} }
+func (c *carrier) Carry(context.Context, *Attempt) Result { return Result{Outcome: policy.NeverSent} }
 
 func (c *carrier) Retire(b *Backend) {
 	c.mu.Lock()
--- a/internal/httpcarrier/carrier.go
+++ b/internal/httpcarrier/carrier.go
@@ -110,7 +110,7 @@
 	defer cancel()
 	r, ok := a.Request.Payload.(*message.Request)
 	if !ok {
-		return engine.Result{Outcome: policy.Moot} // another protocol's: never sent
+		return engine.Result{Outcome: policy.NeverSent} // another protocol's: never sent
 	}
 	b := n.pool.of(a.Backend)
 	heard := b.heard.Load()
@@ -141,7 +141,7 @@
 	*fresh = *fresh || c == nil && !errors.Is(err, errSockets) || c != nil && c.rested == 0
 	switch {
 	case errors.Is(err, errSockets), errors.Is(err, reach.ErrStopped), sock.IsOwnTrouble(err), err != nil && errors.Is(context.Cause(until), errLate):
-		return engine.Result{Outcome: policy.Moot}, false // not the backend's doing, and not to be held against it
+		return engine.Result{Outcome: policy.NeverSent}, false // not the backend's doing, and not to be held against it
 	case err != nil && context.Cause(ctx) == nil, errors.Is(context.Cause(ctx), errTimeout):
 		return engine.Result{Outcome: policy.ConnectFailed}, false
 	case err != nil:
@@ -152,17 +152,17 @@
 	if err != nil {
 		n.pool.put(c)
 		n.log.Warn("a request can't be written", "err", err)
-		return engine.Result{Outcome: policy.Moot}, false
+		return engine.Result{Outcome: policy.NeverSent}, false
 	}
 	// What was decided a while ago may not hold any more: the client has left, the backend's drain grace or the time for repeats is over.
 	if ctx.Err() != nil || !a.MayBegin() {
 		n.pool.put(c)
-		return engine.Result{Outcome: policy.Moot}, false
+		return engine.Result{Outcome: policy.NeverSent}, false
 	}
 	p := r.Body
 	if p != nil && p.Tier == bodies.Once && !p.Begun.CompareAndSwap(false, true) {
 		n.pool.put(c)
-		return engine.Result{Outcome: policy.Moot}, false // it is not kept, and an earlier attempt has begun to send it
+		return engine.Result{Outcome: policy.NeverSent}, false // it is not kept, and an earlier attempt has begun to send it
 	}
 	giveUp := context.AfterFunc(ctx, func() { c.Close() })
 	if !a.By.IsZero() {
@@ -179,7 +179,7 @@
 			if errors.Is(err, message.ErrClient) {
 				a.Abort(message.CutShort(err))
 			}
-			return engine.Result{Outcome: policy.Moot}, false
+			return engine.Result{Outcome: policy.NeverSent}, false
 		}
 	}
 	var resp *http.Response
--- a/internal/kit/lab/box.go
+++ b/internal/kit/lab/box.go
@@ -229,9 +229,9 @@
 
 // reply answers an attempt once its answer has come as far as the node.
 func (b *box) reply(a *attempt, o policy.Outcome) {
-	load := policy.Load{Queue: -1, Held: -1}
+	load := policy.Load{Queue: -1, Occupancy: -1}
 	if held, queue, ok := b.reports.Due(); ok {
-		load = policy.Load{Known: true, Queue: float64(queue), Held: float64(held)}
+		load = policy.Load{Known: true, Queue: float64(queue), Occupancy: float64(held)}
 	}
 	b.w.after(b.w.delay(b.plan.Site, a.node.Site), func() {
 		if a.over || b.w.cut(b.plan.Site, a.node.Site) {
--- a/internal/kit/lab/class_test.go
+++ b/internal/kit/lab/class_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := Options{Name: "one-class-fails", Plan: plan.New(s, 4), Tuning: policy.Tuned()}
+	o := Options{Name: "one-class-fails", Plan: plan.New(s, 4), Tuning: policy.DefaultTuning()}
 	sick := map[string]bool{}
 	for _, st := range o.Plan.Steps {
 		if st.Do == plan.Fail && st.By > 0 {
--- a/internal/kit/lab/client.go
+++ b/internal/kit/lab/client.go
@@ -78,7 +78,7 @@
 			n.shared.Request(epoch+w.now, rec.Tenant)
 		}
 		n.handle(&policy.Event{Kind: policy.EvRequest, ID: r.id, Class: rec.Class, Tenant: rec.Tenant,
-			Left: max(0, r.wait-(w.now-r.sentAt)-transit)})
+			Remaining: max(0, r.wait-(w.now-r.sentAt)-transit)})
 	})
 	w.at(r.sentAt+r.wait+deployment.AnswerSlack+deployment.LimitSlack+overtime, func() { w.leave(n, r, "time", plan.Failed) })
 	if r.need.Impatient > 0 && r.try == 0 {
@@ -96,7 +96,7 @@
 	rec.Kind, rec.ID, rec.Node, rec.Conn, rec.Why = trace.GaveUp, r.id, n.Name, r.conn, why
 	w.note(rec)
 	if n.life == r.life {
-		n.handle(&policy.Event{Kind: policy.EvGone, ID: r.id})
+		n.handle(&policy.Event{Kind: policy.EvDisconnected, ID: r.id})
 		n.forget(r)
 	}
 	w.done(r, how)
--- a/internal/kit/lab/fleet_test.go
+++ b/internal/kit/lab/fleet_test.go
@@ -36,7 +36,7 @@
 // play plays a day that must keep the rules and returns its counts; tell changes what nodes are told.
 func play(t *testing.T, s *scenario.Scenario, seed uint64, tell func(*policy.Settings)) *Counts {
 	t.Helper()
-	o := Options{Name: "twin", Plan: plan.New(s, seed), Tuning: policy.Tuned(), Counts: &Counts{}, tell: tell}
+	o := Options{Name: "twin", Plan: plan.New(s, seed), Tuning: policy.DefaultTuning(), Counts: &Counts{}, tell: tell}
 	v := judged(t, o)
 	for _, x := range v.Violations {
 		t.Errorf("rule %d at %v: %s %s", x.Rule, time.Duration(x.At)*time.Microsecond, x.Name, x.Text)
@@ -55,7 +55,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := twin(t, name)
-			d, err := PlayOnce(name, s, 3, policy.Tuned())
+			d, err := PlayOnce(name, s, 3, policy.DefaultTuning())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -71,7 +71,7 @@
 			if name != "fleet-herd" { // the one with kills and a list that is asked for
 				return
 			}
-			if again, err := PlayOnce(name, s, 3, policy.Tuned()); err != nil || again.Figure != d.Figure || again.Counts.NewConns != d.Counts.NewConns {
+			if again, err := PlayOnce(name, s, 3, policy.DefaultTuning()); err != nil || again.Figure != d.Figure || again.Counts.NewConns != d.Counts.NewConns {
 				t.Errorf("a second play differs: %v and %v, %v", d.Figure, again.Figure, err)
 			}
 		})
--- a/internal/kit/lab/lab_test.go
+++ b/internal/kit/lab/lab_test.go
@@ -33,7 +33,7 @@
 func text(t *testing.T, s *scenario.Scenario, seed uint64) string {
 	t.Helper()
 	var b strings.Builder
-	o := Options{Name: "x", Plan: plan.New(s, seed), Tuning: policy.Tuned()}
+	o := Options{Name: "x", Plan: plan.New(s, seed), Tuning: policy.DefaultTuning()}
 	w := trace.NewWriter(&b, Head(&o))
 	o.Record = w.Add
 	if err := Play(o); err != nil {
@@ -72,7 +72,7 @@
 func TestScenariosKeepTheRules(t *testing.T) {
 	for _, name := range []string{"rolling-deploy", "late-list", "slow-after-overload", "half-cold"} {
 		s := load(t, name)
-		d, err := PlayOnce(name, s, 3, policy.Tuned())
+		d, err := PlayOnce(name, s, 3, policy.DefaultTuning())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -97,7 +97,7 @@
 		hide   func(policy.Entry) bool
 	}{
 		{"rolling-deploy", judge.DrainsKept, func(s *scenario.Scenario) { s.Events[0].Drain = 8 * scenario.Duration(time.Second) }, nil,
-			func(e policy.Entry) bool { return e.State == policy.Leaving }},
+			func(e policy.Entry) bool { return e.State == policy.Draining }},
 		{"half-cold", judge.ColdKept, func(s *scenario.Scenario) { s.Rules.FallFactor = 0.3 },
 			func(p *policy.Settings) { p.ColdShare, p.FallFactor = 1, 40 }, nil},
 		{"lost-requests", judge.NoEffect2, short, func(p *policy.Settings) {
@@ -107,7 +107,7 @@
 		}, nil},
 	} {
 		s := load(t, c.name, c.change)
-		o := Options{Name: c.name, Plan: plan.New(s, 5), Tuning: policy.Tuned(), tell: c.tell, hide: c.hide}
+		o := Options{Name: c.name, Plan: plan.New(s, 5), Tuning: policy.DefaultTuning(), tell: c.tell, hide: c.hide}
 		if v := judged(t, o); !v.Broken(c.rule) {
 			t.Errorf("%s with a module that was told wrongly: rule %d is not named as broken", c.name, c.rule)
 		}
@@ -116,7 +116,7 @@
 
 func TestWhatIsNotPlayed(t *testing.T) {
 	for name, want := range map[string]string{"kill": `"term"`, "reload": `"reload"`, "bad-boxes": `"spoil"`} {
-		_, err := PlayOnce(name, load(t, name), 1, policy.Tuned())
+		_, err := PlayOnce(name, load(t, name), 1, policy.DefaultTuning())
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: error %v, want one that names %s", name, err, want)
 		}
@@ -126,7 +126,7 @@
 func TestBeliefsStandBesideTheTruth(t *testing.T) {
 	s := load(t, "calm", short)
 	seen, off := 0, 0.0
-	o := Options{Name: "calm", Plan: plan.New(s, 1), Tuning: policy.Tuned(), Record: func(*trace.Record) {},
+	o := Options{Name: "calm", Plan: plan.New(s, 1), Tuning: policy.DefaultTuning(), Record: func(*trace.Record) {},
 		Belief: func(b Belief) {
 			seen++
 			off += math.Abs(b.Held - float64(b.TrueHeld))
@@ -147,9 +147,9 @@
 
 func TestSweep(t *testing.T) {
 	s := load(t, "peak-short", short)
-	worse := policy.Tuned()
+	worse := policy.DefaultTuning()
 	worse.H = 0.5
-	sweep := &Sweep{Name: "peak-short", Scenario: s, Seeds: []uint64{1, 2, 3}, Settings: []Setting{{Name: "in service", Tuning: policy.Tuned()}, {Name: "h=0.5", Tuning: worse}}}
+	sweep := &Sweep{Name: "peak-short", Scenario: s, Seeds: []uint64{1, 2, 3}, Settings: []Setting{{Name: "in service", Tuning: policy.DefaultTuning()}, {Name: "h=0.5", Tuning: worse}}}
 	calls := 0
 	out, err := sweep.Run(context.Background(), func(played, all int) {
 		if calls++; played != calls || all != 6 {
@@ -196,7 +196,7 @@
 		b.Fatal(err)
 	}
 	for i := range b.N {
-		if _, err := PlayOnce("peak-short", s, uint64(i+1), policy.Tuned()); err != nil {
+		if _, err := PlayOnce("peak-short", s, uint64(i+1), policy.DefaultTuning()); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/kit/lab/list.go
+++ b/internal/kit/lab/list.go
@@ -103,7 +103,7 @@
 			now[e.ID] = e
 		}
 		for _, id := range slices.Sorted(maps.Keys(now)) {
-			if now[id].State != policy.Left {
+			if now[id].State != policy.Removed {
 				news = append(news, now[id])
 			}
 		}
--- a/internal/kit/lab/node.go
+++ b/internal/kit/lab/node.go
@@ -105,7 +105,7 @@
 	if w.opt.tell != nil {
 		w.opt.tell(&set.Policy)
 	}
-	n.bal, err = policy.NewTuned(set.Policy, w.plan.Seed<<8+uint64(n.index)+uint64(n.life)<<40, w.opt.Tuning)
+	n.bal, err = policy.NewWithTuning(set.Policy, w.plan.Seed<<8+uint64(n.index)+uint64(n.life)<<40, w.opt.Tuning)
 	if err != nil {
 		return err
 	}
@@ -198,7 +198,7 @@
 				n.w.note(trace.Record{Kind: trace.Told, Node: n.Name, Box: n.w.plan.Boxes[e.ID-1].ID, State: name})
 			}
 		}
-		if e.State == policy.Left {
+		if e.State == policy.Removed {
 			delete(n.known, e.ID)
 		}
 	}
@@ -237,7 +237,7 @@
 					n.handle(&policy.Event{Kind: policy.EvTimer, Token: token})
 				}
 			})
-		case policy.ActWatch:
+		case policy.ActSubscribe:
 			n.watch()
 		case policy.ActFetch:
 			n.fetch()
@@ -252,15 +252,15 @@
 	if r == nil {
 		return
 	}
-	w, b := n.w, n.w.boxes[act.Server-1]
+	w, b := n.w, n.w.boxes[act.Backend-1]
 	w.atts++
 	a := &attempt{att: uint64(w.atts), node: n, box: b, req: r, index: len(r.attempts), sent: w.now,
-		wait: min(act.Wait, r.sentAt+r.wait-transit-w.now), load: policy.Load{Queue: -1, Held: -1}}
+		wait: min(act.Wait, r.sentAt+r.wait-transit-w.now), load: policy.Load{Queue: -1, Occupancy: -1}}
 	r.attempts = append(r.attempts, a)
 	n.flying = append(n.flying, a)
 	w.after(a.wait, func() { a.giveUp(policy.TimedOut) })
 	if n.sites != nil {
-		n.sites.Sent(epoch+w.now, act.Server)
+		n.sites.Sent(epoch+w.now, act.Backend)
 		if n.shared != nil && n.sites.Node.Crosses(b.plan.Site) {
 			n.shared.Crossed(epoch+w.now, b.plan.Site)
 		}
@@ -436,8 +436,8 @@
 	if n.sites != nil {
 		n.sites.Ended(epoch+n.w.now, uint32(n.w.number[a.box.plan.ID]+1), o, n.w.now-a.sent)
 	}
-	n.handle(&policy.Event{Kind: policy.EvOutcome, ID: r.id, Server: uint32(n.w.number[a.box.plan.ID] + 1), Attempt: a.index,
-		Took: n.w.now - a.sent, Last: r.answered, Outcome: o, Load: a.load})
+	n.handle(&policy.Event{Kind: policy.EvOutcome, ID: r.id, Backend: uint32(n.w.number[a.box.plan.ID] + 1), Attempt: a.index,
+		Took: n.w.now - a.sent, Finished: r.answered, Outcome: o, Load: a.load})
 	n.forget(r)
 }
 
--- a/internal/kit/lab/share_test.go
+++ b/internal/kit/lab/share_test.go
@@ -21,11 +21,11 @@
 	})
 	alone, together := 0.0, 0.0
 	for seed := range uint64(3) {
-		a, err := playSetting("greedy", s, seed, Setting{Tuning: policy.Tuned()})
+		a, err := playSetting("greedy", s, seed, Setting{Tuning: policy.DefaultTuning()})
 		if err != nil {
 			t.Fatal(err)
 		}
-		set := Setting{Tuning: policy.Tuned(), Share: &Sharing{Use: shared.Use{Quotas: true, Ejections: true}, Loss: 0.2, BytesPS: 64 << 10}}
+		set := Setting{Tuning: policy.DefaultTuning(), Share: &Sharing{Use: shared.Use{Quotas: true, Ejections: true}, Loss: 0.2, BytesPS: 64 << 10}}
 		b, err := playSetting("greedy", s, seed, set)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/kit/lab/site_test.go
+++ b/internal/kit/lab/site_test.go
@@ -29,7 +29,7 @@
 				lost[node]++
 			}
 		}
-		for i, set := range []Setting{{Tuning: policy.Tuned()}, {Tuning: policy.Tuned(), Sites: &Siting{Plan: own.Sites.Plan, Note: note}}} {
+		for i, set := range []Setting{{Tuning: policy.DefaultTuning()}, {Tuning: policy.DefaultTuning(), Sites: &Siting{Plan: own.Sites.Plan, Note: note}}} {
 			d, err := playSetting("site-lost", s, seed, set)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/kit/lab/world.go
+++ b/internal/kit/lab/world.go
@@ -291,7 +291,7 @@
 // entry is a box as the list has it.
 func (w *world) entry(i int, state policy.State) policy.Entry {
 	p := &w.plan.Boxes[i]
-	e := policy.Entry{ID: uint32(i + 1), Place: subset.Hash(p.ID), Zone: p.Site, Cell: int64(p.Cell), Kind: p.Kind, State: state}
+	e := policy.Entry{ID: uint32(i + 1), Hash: subset.Hash(p.ID), Zone: p.Site, Cell: int64(p.Cell), Kind: p.Kind, State: state}
 	if b := w.boxes[i]; b != nil && b.started > 0 {
 		e.Launched = epoch + b.started
 	}
@@ -331,7 +331,7 @@
 	return time.Duration(w.rng.Float64() * float64(w.plan.Scenario.List.Spread.D()))
 }
 
-var states = map[string]policy.State{trace.Ready: policy.Active, trace.Terminating: policy.Leaving, trace.Gone: policy.Left}
+var states = map[string]policy.State{trace.Ready: policy.Active, trace.Terminating: policy.Draining, trace.Gone: policy.Removed}
 
 // beliefs notes once a second what every node believes of every box.
 func (w *world) beliefs() {
--- a/internal/kit/proof/proof_test.go
+++ b/internal/kit/proof/proof_test.go
@@ -73,7 +73,7 @@
 
 var daemonFaults = []fault{
 	{name: "drains not taken in", names: []string{judge.Drained}, file: "internal/engine/list.go",
-		old: `			x.State = policy.Leaving`,
+		old: `			x.State = policy.Draining`,
 		new: `			x.State = policy.Active; ` + engineLogged + `"-", "box", s.ID)`},
 	{name: "a reset counts as never run", names: []string{judge.UnsafeTwice, judge.FalseRefusal, judge.OutsideGroup, judge.AfterWindow},
 		file: "internal/httpcarrier/carrier.go",
@@ -118,8 +118,8 @@
 		old: `			return engine.Result{Outcome: policy.Reset} // its last byte was written: it may have run`,
 		new: `			n.cfg.Log.Info("planted", "id", "-"); return engine.Result{Outcome: policy.ConnectFailed}`},
 	{name: "drains not taken in where a box speaks JSON-RPC", names: []string{judge.Drained}, file: "internal/engine/list.go", day: "jsonrpc.toml",
-		old: `			x.State = policy.Leaving`,
-		new: `			x.State = policy.Leaving; if s.RPC != "" { x.State = policy.Active; ` + engineLogged + `"-", "box", s.ID) }`},
+		old: `			x.State = policy.Draining`,
+		new: `			x.State = policy.Draining; if s.RPC != "" { x.State = policy.Active; ` + engineLogged + `"-", "box", s.ID) }`},
 	// Where the request whose answer is given away has a second attempt out, that one's answer comes to it as well: the same
 	// bytes are then a second answer to it and a wrong one to the other, and the judge says the former.
 	{name: "an answer given to another's id", names: []string{judge.WrongAnswer, judge.SecondAnswer}, file: "internal/rpccarrier/carrier.go", day: "jsonrpc.toml",
--- a/internal/kit/scale/endpointlist/endpointlist.go
+++ b/internal/kit/scale/endpointlist/endpointlist.go
@@ -77,7 +77,7 @@
 type carrier struct{}
 
 func (carrier) Carry(context.Context, *engine.Attempt) engine.Result {
-	return engine.Result{Outcome: policy.Moot}
+	return engine.Result{Outcome: policy.NeverSent}
 }
 func (carrier) Retire(*engine.Backend) {}
 
@@ -161,7 +161,7 @@
 	}
 	var entries []policy.Entry
 	for i := range list {
-		entries = append(entries, policy.Entry{ID: uint32(i + 1), Place: uint64(i) * 0x9e3779b97f4a7c15, Zone: list[i].Zone, Cell: list[i].Cell, Kind: list[i].Kind})
+		entries = append(entries, policy.Entry{ID: uint32(i + 1), Hash: uint64(i) * 0x9e3779b97f4a7c15, Zone: list[i].Zone, Cell: list[i].Cell, Kind: list[i].Kind})
 	}
 	now := time.Hour
 	actions := balancer.Handle(now, &policy.Event{Kind: policy.EvList, List: policy.ListFull, Entries: entries}, nil)
@@ -170,7 +170,7 @@
 	decide := func() {
 		number++
 		now += time.Millisecond
-		request := policy.Event{Kind: policy.EvRequest, ID: fmt.Sprint("r", number), Class: class, Left: time.Second}
+		request := policy.Event{Kind: policy.EvRequest, ID: fmt.Sprint("r", number), Class: class, Remaining: time.Second}
 		began := time.Now()
 		actions = balancer.Handle(now, &request, actions[:0])
 		taken = append(taken, time.Since(began))
@@ -188,8 +188,8 @@
 func finish(balancer *policy.Balancer, now time.Duration, id string, actions []policy.Action) {
 	for i := range actions {
 		if actions[i].Kind == policy.ActSend {
-			balancer.Handle(now+wait, &policy.Event{Kind: policy.EvOutcome, ID: id, Server: actions[i].Server, Took: wait, Last: true, Outcome: policy.OK,
-				Load: policy.Load{Known: true, Held: 2}}, nil)
+			balancer.Handle(now+wait, &policy.Event{Kind: policy.EvOutcome, ID: id, Backend: actions[i].Backend, Took: wait, Finished: true, Outcome: policy.OK,
+				Load: policy.Load{Known: true, Occupancy: 2}}, nil)
 		}
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -541,7 +541,7 @@
 	be := &engine.Backend{ID: "s-1", Addr: b.entry("s-1").Addr}
 	for _, q := range []call{view("v"), save("s")} {
 		be.ShutFrom(time.Now().Add(-time.Millisecond))
-		if o := r.attempt(context.Background(), be, q, patience); o != policy.Moot {
+		if o := r.attempt(context.Background(), be, q, patience); o != policy.NeverSent {
 			t.Errorf("%s: outcome %d, want it never sent", q.method, o)
 		}
 		be.Reopen()
@@ -1121,7 +1121,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	none := newRig(t, newRegistry(t), settingsJSON, func(c *Config) { c.backendQuota = quotaFor(0) })
-	if o := none.attempt(ctx, be, quote("q"), patience); o != policy.Moot {
+	if o := none.attempt(ctx, be, quote("q"), patience); o != policy.NeverSent {
 		t.Errorf("with no descriptor: outcome %d, want it never sent", o)
 	}
 	r := newRig(t, newRegistry(t), settingsJSON, nil)
--- a/internal/rpccarrier/carrier.go
+++ b/internal/rpccarrier/carrier.go
@@ -115,7 +115,7 @@
 	defer cancel()
 	c, ok := a.Request.Payload.(*Call)
 	if !ok || a.Backend.RPC == "" {
-		return engine.Result{Outcome: policy.Moot}
+		return engine.Result{Outcome: policy.NeverSent}
 	}
 	early := func() engine.Result { // it was never sent
 		if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, errTimeout) {
@@ -125,7 +125,7 @@
 	}
 	l, err := n.link(ctx, a.Backend)
 	if errors.Is(err, errNoRoom) || err != nil && !a.MayBegin() {
-		return engine.Result{Outcome: policy.Moot}
+		return engine.Result{Outcome: policy.NeverSent}
 	} else if err != nil {
 		return early()
 	}
@@ -137,7 +137,7 @@
 	// The moment before its first byte goes out: a drain whose grace ended meanwhile, a client that left or a repeat that comes too late stops it.
 	if !a.MayBegin() {
 		<-l.writing
-		return engine.Result{Outcome: policy.Moot}
+		return engine.Result{Outcome: policy.NeverSent}
 	}
 	if ctx.Err() != nil {
 		<-l.writing
@@ -153,7 +153,7 @@
 	if err != nil {
 		<-l.writing
 		n.cfg.Log.Warn("a call can't be written", "err", err)
-		return engine.Result{Outcome: policy.Moot}
+		return engine.Result{Outcome: policy.NeverSent}
 	}
 	id, answer, heard, ok := l.open()
 	if !ok {
--- a/internal/shared/bridge.go
+++ b/internal/shared/bridge.go
@@ -23,10 +23,10 @@
 // Event is a view as the decision module takes it. Number gives the module's number of a backend; false for one that it
 // does not know.
 func (v *View) Event(number func(judgement.Key) (uint32, bool)) *policy.Event {
-	s := &policy.Shared{Within: v.Within}
+	s := &policy.SharedState{WithinQuota: v.Within}
 	for _, k := range v.Out {
 		if n, known := number(k); known {
-			s.Out = append(s.Out, n)
+			s.Ejected = append(s.Ejected, n)
 		}
 	}
 	return &policy.Event{Kind: policy.EvShared, Shared: s}
--- a/internal/shared/replica_test.go
+++ b/internal/shared/replica_test.go
@@ -239,7 +239,7 @@
 			t.Errorf("node %d leaves out %v, want the one that fails", i, v.Out)
 		}
 		ev := v.Event(func(k judgement.Key) (uint32, bool) { return 7, k == bad })
-		if ev.Kind != policy.EvShared || len(ev.Shared.Out) != 1 || ev.Shared.Out[0] != 7 {
+		if ev.Kind != policy.EvShared || len(ev.Shared.Ejected) != 1 || ev.Shared.Ejected[0] != 7 {
 			t.Errorf("as an event: %+v", ev.Shared)
 		}
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -99,25 +99,25 @@
 		if d.has(3) && d.row[3].Type() == fastjson.TypeString { // 0 stands for none
 			ev.Tenant = d.text(3, "client_group", false)
 		}
-		ev.Left = d.seconds(5, "grace_s", true)
+		ev.Remaining = d.seconds(5, "grace_s", true)
 		if d.has(7) {
-			ev.Repeat = d.boolean(7, "repeat")
+			ev.ClientRetry = d.boolean(7, "repeat")
 		}
 	case "ended":
 		ev.Kind, ev.ID = policy.EvOutcome, d.text(1, "corr", true)
-		ev.Attempt, ev.Server = int(d.integer(2, "seq_no")), d.server(3)
-		ev.Took, ev.Last = d.seconds(4, "wait_time_s", true), d.boolean(5, "last")
+		ev.Attempt, ev.Backend = int(d.integer(2, "seq_no")), d.server(3)
+		ev.Took, ev.Finished = d.seconds(4, "wait_time_s", true), d.boolean(5, "last")
 		ev.Outcome = d.outcome(6)
 		ev.Load = d.load(7)
 	case "abandoned":
-		ev.Kind, ev.ID = policy.EvGone, d.text(1, "corr", true)
+		ev.Kind, ev.ID = policy.EvDisconnected, d.text(1, "corr", true)
 	case "targets":
 		ev.Kind = policy.EvList
 		d.list(ev)
 	case "tick_due":
 		ev.Kind, ev.Token = policy.EvTimer, d.text(1, "nonce", true)
 	case "flowing":
-		ev.Kind, ev.ID, ev.Attempt = policy.EvBegun, d.text(1, "corr", true), int(d.integer(4, "seq_no"))
+		ev.Kind, ev.ID, ev.Attempt = policy.EvResponseStarted, d.text(1, "corr", true), int(d.integer(4, "seq_no"))
 	case "checked", "memo":
 		ev.Kind = policy.EvOther
 	default:
@@ -256,7 +256,7 @@
 	case "Canceled":
 		return policy.Canceled
 	case "Ignored":
-		return policy.Moot
+		return policy.NeverSent
 	}
 	d.fail("outcome", "unknown value "+strconv.Quote(name))
 	return policy.OK
@@ -282,8 +282,8 @@
 		}
 		return f
 	}
-	l := policy.Load{Queue: get("depth"), Held: get("concurrent"), Work: max(get("mean_ms"), 0) / 1e3}
-	l.Known = l.Queue >= 0 || l.Held >= 0
+	l := policy.Load{Queue: get("depth"), Occupancy: get("concurrent"), ServiceSeconds: max(get("mean_ms"), 0) / 1e3}
+	l.Known = l.Queue >= 0 || l.Occupancy >= 0
 	return l
 }
 
@@ -322,7 +322,7 @@
 		d.row = row
 		e := policy.Entry{Zone: d.text(1, "az", false), Kind: d.text(3, "shape", false),
 			Launched: d.seconds(4, "launched_s", false), ID: d.server(6)}
-		e.Place = place(e.ID)
+		e.Hash = place(e.ID)
 		if d.has(2) {
 			e.Cell = d.integer(2, "unit_group")
 		}
@@ -330,9 +330,9 @@
 		case "active":
 			e.State = policy.Active
 		case "leaving":
-			e.State = policy.Leaving
+			e.State = policy.Draining
 		case "left":
-			e.State = policy.Left
+			e.State = policy.Removed
 		default:
 			d.fail("availability", "unknown value "+strconv.Quote(s))
 		}
@@ -467,7 +467,7 @@
 	switch a.Kind {
 	case policy.ActSend:
 		buf = appendID(appendHead(buf, "relay", who), a.ID)
-		buf = strconv.AppendUint(append(buf, ','), uint64(a.Server), 10)
+		buf = strconv.AppendUint(append(buf, ','), uint64(a.Backend), 10)
 		buf = appendSeconds(buf, a.Wait)
 	case policy.ActCancel:
 		buf = appendID(appendHead(buf, "retract", who), a.ID)
@@ -478,7 +478,7 @@
 		buf = appendID(appendHead(buf, "report_failure", who), a.ID)
 	case policy.ActTimer:
 		buf = appendSeconds(appendID(appendHead(buf, "notify_me", who), a.Token), a.At)
-	case policy.ActWatch:
+	case policy.ActSubscribe:
 		buf = append(appendHead(buf, "stream_changes", who), ",true"...)
 	case policy.ActFetch:
 		buf = appendHead(buf, "list_all", who)
@@ -548,8 +548,8 @@
 		}
 		return none
 	}
-	l := policy.Load{Queue: first(-1, in.Depth, in.Queue), Held: first(-1, in.Concurrent, in.Inflight),
-		Work: max(first(0, in.Mean, in.Latency), 0) / 1e3}
-	l.Known = l.Queue >= 0 || l.Held >= 0
+	l := policy.Load{Queue: first(-1, in.Depth, in.Queue), Occupancy: first(-1, in.Concurrent, in.Inflight),
+		ServiceSeconds: max(first(0, in.Mean, in.Latency), 0) / 1e3}
+	l.Known = l.Queue >= 0 || l.Occupancy >= 0
 	return l, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -23,27 +23,27 @@
 		`["your_turn"]`:        {Kind: Turn},
 		`["power_off",3]`:      {Kind: PowerOff, Instance: 3},
 		`["demand",3,"r-b","route",null,"k:1",0.24,0.012,false,false]`: {Kind: Event, Instance: 3, Event: policy.Event{
-			Kind: policy.EvRequest, ID: "r-b", Class: "route", Left: 240 * time.Millisecond}},
+			Kind: policy.EvRequest, ID: "r-b", Class: "route", Remaining: 240 * time.Millisecond}},
 		`["demand",3,"r-b","route",null,null,0.24,null,true]`: {Kind: Event, Instance: 3, Event: policy.Event{
-			Kind: policy.EvRequest, ID: "r-b", Class: "route", Left: 240 * time.Millisecond, Repeat: true}},
+			Kind: policy.EvRequest, ID: "r-b", Class: "route", Remaining: 240 * time.Millisecond, ClientRetry: true}},
 		`["demand",3,"r-b","route","t",null,0.24]`: {Kind: Event, Instance: 3, Event: policy.Event{
-			Kind: policy.EvRequest, ID: "r-b", Class: "route", Tenant: "t", Left: 240 * time.Millisecond}},
+			Kind: policy.EvRequest, ID: "r-b", Class: "route", Tenant: "t", Remaining: 240 * time.Millisecond}},
 		`["ended",3,"r-b",1,4294967295,0.0185,true,"Ok",{"depth":3,"mean_ms":14.5}]`: {Kind: Event, Instance: 3,
-			Event: policy.Event{Kind: policy.EvOutcome, ID: "r-b", Attempt: 1, Server: 4294967295, Last: true,
-				Took: 18500 * time.Microsecond, Load: policy.Load{Known: true, Queue: 3, Held: -1, Work: 0.0145}}},
+			Event: policy.Event{Kind: policy.EvOutcome, ID: "r-b", Attempt: 1, Backend: 4294967295, Finished: true,
+				Took: 18500 * time.Microsecond, Load: policy.Load{Known: true, Queue: 3, Occupancy: -1, ServiceSeconds: 0.0145}}},
 		`["ended",3,"r-b",0,5,0.2,false,"ConnectError",null]`: {Kind: Event, Instance: 3, Event: policy.Event{
-			Kind: policy.EvOutcome, ID: "r-b", Server: 5, Took: 200 * time.Millisecond,
+			Kind: policy.EvOutcome, ID: "r-b", Backend: 5, Took: 200 * time.Millisecond,
 			Outcome: policy.ConnectFailed}},
-		`["abandoned",5,"r-a"]`: {Kind: Event, Instance: 5, Event: policy.Event{Kind: policy.EvGone, ID: "r-a"}},
+		`["abandoned",5,"r-a"]`: {Kind: Event, Instance: 5, Event: policy.Event{Kind: policy.EvDisconnected, ID: "r-a"}},
 		`["flowing",3,"r-b",5,0.009,1]`: {Kind: Event, Instance: 3, Event: policy.Event{
-			Kind: policy.EvBegun, ID: "r-b", Attempt: 1}},
+			Kind: policy.EvResponseStarted, ID: "r-b", Attempt: 1}},
 		`["tick_due",3,"sweep"]`:           {Kind: Event, Instance: 3, Event: policy.Event{Kind: policy.EvTimer, Token: "sweep"}},
 		`["checked",3,7,"Ok",0.0014,null]`: {Kind: Event, Instance: 3, Event: policy.Event{Kind: policy.EvOther}},
 		`["targets",3,"lost",4,null]`: {Kind: Event, Instance: 3, Event: policy.Event{
 			Kind: policy.EvList, List: policy.ListFailed}},
 		`["targets",3,"incr",41,[[1.5,"n",2,"std",6.1,"leaving",7]]]`: {Kind: Event, Instance: 3, Event: policy.Event{
-			Kind: policy.EvList, Entries: []policy.Entry{{ID: 7, Place: place(7), Zone: "n", Cell: 2, Kind: "std",
-				Launched: 6100 * time.Millisecond, State: policy.Leaving}}}},
+			Kind: policy.EvList, Entries: []policy.Entry{{ID: 7, Hash: place(7), Zone: "n", Cell: 2, Kind: "std",
+				Launched: 6100 * time.Millisecond, State: policy.Draining}}}},
 	} {
 		var d Decoder
 		m, err := d.Decode([]byte(line))
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	m, err := d.Decode([]byte(`["demand",3,"q","c",null,null,1]`))
-	if err != nil || m.Event.Last || m.Event.Load.Known || m.Event.Outcome != policy.OK {
+	if err != nil || m.Event.Finished || m.Event.Load.Known || m.Event.Outcome != policy.OK {
 		t.Errorf("%+v, %v", m, err)
 	}
 }
@@ -126,12 +126,12 @@
 
 func TestAppendAction(t *testing.T) {
 	for want, a := range map[string]policy.Action{
-		`["relay",3,"r-b",51530247,0.08]`: {Kind: policy.ActSend, ID: "r-b", Server: 51530247, Wait: 80 * time.Millisecond},
+		`["relay",3,"r-b",51530247,0.08]`: {Kind: policy.ActSend, ID: "r-b", Backend: 51530247, Wait: 80 * time.Millisecond},
 		`["retract",3,"r-b",2]`:           {Kind: policy.ActCancel, ID: "r-b", Attempt: 2},
 		`["say_no",3,"r-b",0.25]`:         {Kind: policy.ActRefuse, ID: "r-b", Wait: 250 * time.Millisecond},
 		`["report_failure",3,"r-b"]`:      {Kind: policy.ActFail, ID: "r-b"},
 		`["notify_me",3,"tick",8.912251]`: {Kind: policy.ActTimer, Token: "tick", At: 8912250*time.Microsecond + 1},
-		`["stream_changes",3,true]`:       {Kind: policy.ActWatch},
+		`["stream_changes",3,true]`:       {Kind: policy.ActSubscribe},
 		`["list_all",3]`:                  {Kind: policy.ActFetch},
 		`["say_log",3,"a \"b\" é"]`:       {Kind: policy.ActLog, Text: `a "b" é`},
 	} {
--- a/policy/api.go
+++ b/policy/api.go
@@ -109,15 +109,15 @@
 type EventKind uint8
 
 const (
-	EvRequest EventKind = iota // a client request arrived
-	EvOutcome                  // an attempt ended
-	EvGone                     // the client gave up
-	EvList                     // news of the server list
-	EvTimer                    // a timer set by ActTimer is due
-	EvBegun                    // an answer that goes on while it comes has begun to; Attempt brings it
-	EvShared                   // news of what the nodes of the fleet share; Shared brings it
-	EvSites                    // how zones are to be used while some are lost; Zones and Admit bring it
-	EvOther                    // anything the policy does not act on
+	EvRequest         EventKind = iota // a client request arrived
+	EvOutcome                          // an attempt ended
+	EvDisconnected                     // the client gave up
+	EvList                             // news of the server list
+	EvTimer                            // a timer set by ActTimer is due
+	EvResponseStarted                  // an answer that goes on while it comes has begun to; Attempt brings it
+	EvShared                           // news of what the nodes of the fleet share; Shared brings it
+	EvSites                            // how zones are to be used while some are lost; Zones and Admit bring it
+	EvOther                            // anything the policy does not act on
 )
 
 // Outcome is how an attempt ended.
@@ -131,15 +131,15 @@
 	ConnectFailed         // no connection in time; never ran
 	Reset                 // the connection dropped; may have run
 	Canceled              // cancelled; may have run
-	Moot                  // never sent; never ran
+	NeverSent             // never sent; never ran
 )
 
 // Load is a backend's report. Queue and Held are negative when the report does not carry them.
 type Load struct {
-	Known bool
-	Queue float64 // requests waiting; negative when not told
-	Held  float64 // requests held, waiting or in work; negative when not told
-	Work  float64 // seconds of service lately, without waiting; not positive when not told
+	Known          bool
+	Queue          float64 // requests waiting; negative when not told
+	Occupancy      float64 // requests held, waiting or in work; negative when not told
+	ServiceSeconds float64 // seconds of service lately, without waiting; not positive when not told
 }
 
 // ListKind says how Event.Entries is to be read.
@@ -157,74 +157,74 @@
 
 const (
 	Active State = iota
-	Leaving
-	Left
+	Draining
+	Removed
 )
 
 // Entry is one backend in a list.
 type Entry struct {
-	ID       uint32
-	Place    uint64 // subset.Hash of the list's id: the same at every node
-	Zone     string
-	Cell     int64
-	Kind     string        // machine kind; only ever compared for equality
-	Launched time.Duration // clock time of its last start; 0 means long ago
-	State    State
-	Speaks   uint8 // protocols beside the first one, a bit for each
+	ID        uint32
+	Hash      uint64 // subset.Hash of the list's id: the same at every node
+	Zone      string
+	Cell      int64
+	Kind      string        // machine kind; only ever compared for equality
+	Launched  time.Duration // clock time of its last start; 0 means long ago
+	State     State
+	Protocols uint8 // protocols beside the first one, a bit for each
 }
 
 // Event is one thing that happened at this node. Only the fields of its kind are read.
 type Event struct {
-	Kind    EventKind
-	ID      string                // EvRequest, EvOutcome, EvGone: the request
-	Class   string                // EvRequest
-	Tenant  string                // EvRequest
-	Left    time.Duration         // EvRequest: the client gives up after this
-	Needs   uint8                 // EvRequest: bits of Entry.Speaks that a backend must have
-	Repeat  bool                  // EvRequest: a client's repeat of its earlier try, where clients say so
-	Server  uint32                // EvOutcome
-	Attempt int                   // EvOutcome: number of the attempt, from 0 in the order of the sends
-	Took    time.Duration         // EvOutcome: since the send
-	Last    bool                  // EvOutcome: the request is finished
-	Outcome Outcome               // EvOutcome
-	Load    Load                  // EvOutcome
-	List    ListKind              // EvList
-	Entries []Entry               // EvList; not kept by the policy
-	Token   string                // EvTimer
-	Shared  *Shared               // EvShared; not kept by the policy
-	Zones   map[string]sites.Zone // EvSites: without one a zone is used as usual; not changed by the policy
-	Admit   map[string][2]float64 // EvSites: by class, parts admitted within shares, and past them
+	Kind              EventKind
+	ID                string                // EvRequest, EvOutcome, EvGone: the request
+	Class             string                // EvRequest
+	Tenant            string                // EvRequest
+	Remaining         time.Duration         // EvRequest: the client gives up after this
+	RequiredProtocols uint8                 // EvRequest: bits of Entry.Speaks that a backend must have
+	ClientRetry       bool                  // EvRequest: a client's repeat of its earlier try, where clients say so
+	Backend           uint32                // EvOutcome
+	Attempt           int                   // EvOutcome: number of the attempt, from 0 in the order of the sends
+	Took              time.Duration         // EvOutcome: since the send
+	Finished          bool                  // EvOutcome: the request is finished
+	Outcome           Outcome               // EvOutcome
+	Load              Load                  // EvOutcome
+	List              ListKind              // EvList
+	Entries           []Entry               // EvList; not kept by the policy
+	Token             string                // EvTimer
+	Shared            *SharedState          // EvShared; not kept by the policy
+	Zones             map[string]sites.Zone // EvSites: without one a zone is used as usual; not changed by the policy
+	Admit             map[string][2]float64 // EvSites: by class, parts admitted within shares, and past them
 }
 
-// Shared is what the nodes of a fleet know together. Of what is not told, or zero, this node decides alone.
-type Shared struct {
-	Within map[string]float64 // by tenant: part of its requests here that lie within its share
-	Out    []uint32           // servers that enough nodes find broken
+// SharedState is what the nodes of a fleet know together. Of what is not told, or zero, this node decides alone.
+type SharedState struct {
+	WithinQuota map[string]float64 // by tenant: part of its requests here that lie within its share
+	Ejected     []uint32           // servers that enough nodes find broken
 }
 
 // ActionKind names what the node is to do.
 type ActionKind uint8
 
 const (
-	ActSend   ActionKind = iota // start an attempt of ID at Server, with Wait as its time-out
-	ActCancel                   // stop waiting for attempt Attempt of ID
-	ActRefuse                   // final answer: refused, the client may try again after Wait
-	ActFail                     // final answer: failed, no promise
-	ActTimer                    // send EvTimer with Token once the clock reaches At
-	ActWatch                    // subscribe to changes of the list
-	ActFetch                    // ask for the whole list once
-	ActLog                      // Text is worth an operator's look
+	ActSend      ActionKind = iota // start an attempt of ID at Server, with Wait as its time-out
+	ActCancel                      // stop waiting for attempt Attempt of ID
+	ActRefuse                      // final answer: refused, the client may try again after Wait
+	ActFail                        // final answer: failed, no promise
+	ActTimer                       // send EvTimer with Token once the clock reaches At
+	ActSubscribe                   // subscribe to changes of the list
+	ActFetch                       // ask for the whole list once
+	ActLog                         // Text is worth an operator's look
 )
 
 // Action is one thing for the node to do, in the order given.
 type Action struct {
-	Kind    ActionKind
-	ID      string
-	Server  uint32
-	Attempt int
-	Wait    time.Duration
-	At      time.Duration
-	By      time.Duration // ActSend of a keyed class: clock time by which its last byte must be out; 0 for any
-	Token   string
-	Text    string
+	Kind         ActionKind
+	ID           string
+	Backend      uint32
+	Attempt      int
+	Wait         time.Duration
+	At           time.Duration
+	SendDeadline time.Duration // ActSend of a keyed class: clock time by which its last byte must be out; 0 for any
+	Token        string
+	Text         string
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -21,7 +21,7 @@
 			}
 			var list []policy.Entry
 			for i := range boxes {
-				list = append(list, policy.Entry{ID: uint32(i + 1), Place: uint64(i) << 40, Zone: []string{"east", "west"}[i%2], Kind: "k"})
+				list = append(list, policy.Entry{ID: uint32(i + 1), Hash: uint64(i) << 40, Zone: []string{"east", "west"}[i%2], Kind: "k"})
 			}
 			now := time.Hour
 			out := bal.Handle(now, &policy.Event{Kind: policy.EvList, List: policy.ListCached, Entries: list}, nil)
@@ -29,11 +29,11 @@
 			for i := range b.N {
 				now += time.Millisecond
 				id := fmt.Sprint("r", i)
-				out = bal.Handle(now, &policy.Event{Kind: policy.EvRequest, ID: id, Class: "read", Left: time.Second}, out[:0])
+				out = bal.Handle(now, &policy.Event{Kind: policy.EvRequest, ID: id, Class: "read", Remaining: time.Second}, out[:0])
 				for _, a := range out {
 					if a.Kind == policy.ActSend {
-						bal.Handle(now+40*time.Millisecond, &policy.Event{Kind: policy.EvOutcome, ID: id, Server: a.Server, Took: 40 * time.Millisecond,
-							Last: true, Outcome: policy.OK, Load: policy.Load{Known: true, Held: 2}}, nil)
+						bal.Handle(now+40*time.Millisecond, &policy.Event{Kind: policy.EvOutcome, ID: id, Backend: a.Backend, Took: 40 * time.Millisecond,
+							Finished: true, Outcome: policy.OK, Load: policy.Load{Known: true, Occupancy: 2}}, nil)
 					}
 				}
 			}
@@ -46,7 +46,7 @@
 	for _, boxes := range []int{18, 200, 1000, 5000, 20000} {
 		var list []policy.Entry
 		for i := range boxes {
-			list = append(list, policy.Entry{ID: uint32(i + 1), Place: uint64(i) << 40, Zone: []string{"east", "west"}[i%2], Kind: "k"})
+			list = append(list, policy.Entry{ID: uint32(i + 1), Hash: uint64(i) << 40, Zone: []string{"east", "west"}[i%2], Kind: "k"})
 		}
 		bal, err := policy.New(testSettings(300, false), 1)
 		if err != nil {
@@ -91,11 +91,11 @@
 			for i := 0; b.Loop(); i++ {
 				now += time.Millisecond
 				id := fmt.Sprint("r", i)
-				out = bal.Handle(now, &policy.Event{Kind: policy.EvRequest, ID: id, Class: "read", Tenant: last, Left: time.Second}, out[:0])
+				out = bal.Handle(now, &policy.Event{Kind: policy.EvRequest, ID: id, Class: "read", Tenant: last, Remaining: time.Second}, out[:0])
 				for _, a := range out {
 					if a.Kind == policy.ActSend {
-						bal.Handle(now+40*time.Millisecond, &policy.Event{Kind: policy.EvOutcome, ID: id, Server: a.Server, Took: 40 * time.Millisecond,
-							Last: true, Outcome: policy.OK, Load: policy.Load{Known: true, Held: 2}}, nil)
+						bal.Handle(now+40*time.Millisecond, &policy.Event{Kind: policy.EvOutcome, ID: id, Backend: a.Backend, Took: 40 * time.Millisecond,
+							Finished: true, Outcome: policy.OK, Load: policy.Load{Known: true, Occupancy: 2}}, nil)
 					}
 				}
 			}
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -75,7 +75,7 @@
 	f.boxes = map[uint32]*coldBox{}
 	var known []Entry
 	for i := range warm + 2 {
-		b := &coldBox{entry: Entry{ID: uint32(i + 1), Place: uint64(i+1) * 0x9e3779b97f4a7c15, Zone: "a", Kind: "k"}}
+		b := &coldBox{entry: Entry{ID: uint32(i + 1), Hash: uint64(i+1) * 0x9e3779b97f4a7c15, Zone: "a", Kind: "k"}}
 		f.boxes[b.entry.ID] = b
 		if i < warm {
 			known = append(known, b.entry)
@@ -104,7 +104,7 @@
 		}
 		if replaced {
 			for _, e := range known {
-				e.State = Left
+				e.State = Removed
 				f.add(told+1, i, Event{Kind: EvList, List: ListDelta, Entries: []Entry{e}})
 			}
 		}
@@ -116,13 +116,13 @@
 			break
 		}
 		if e.ev.Kind == EvRequest {
-			e.ev = Event{Kind: EvRequest, ID: fmt.Sprint("r", n), Class: "c", Left: time.Second}
+			e.ev = Event{Kind: EvRequest, ID: fmt.Sprint("r", n), Class: "c", Remaining: time.Second}
 			f.add(e.at+f.rng.ExpFloat64()*sum/weight[e.node]/rate, e.node, Event{Kind: EvRequest})
 		}
 		if e.ev.Kind == EvOutcome {
-			b := f.boxes[e.ev.Server]
+			b := f.boxes[e.ev.Backend]
 			b.held--
-			e.ev.Load = Load{Known: true, Held: b.held, Queue: max(0, b.held-coldCores)}
+			e.ev.Load = Load{Known: true, Occupancy: b.held, Queue: max(0, b.held-coldCores)}
 		}
 		out = f.nodes[e.node].Handle(t0+span(e.at), &e.ev, out[:0])
 		for _, a := range out {
@@ -130,13 +130,13 @@
 			case ActTimer:
 				f.add(max((a.At-t0).Seconds(), e.at+1e-6), e.node, Event{Kind: EvTimer, Token: a.Token})
 			case ActSend:
-				b := f.boxes[a.Server]
+				b := f.boxes[a.Backend]
 				b.sent = append(b.sent, e.at)
 				b.held++
 				took := coldWork * f.rng.ExpFloat64() * max(1, b.held/coldCores) * coldCores / coldWork / f.capacity(b, e.at)
-				ev := Event{Kind: EvOutcome, ID: a.ID, Server: a.Server, Attempt: 0, Took: span(took), Last: true}
+				ev := Event{Kind: EvOutcome, ID: a.ID, Backend: a.Backend, Attempt: 0, Took: span(took), Finished: true}
 				if took > a.Wait.Seconds() {
-					ev.Took, ev.Outcome, ev.Last = a.Wait, TimedOut, false
+					ev.Took, ev.Outcome, ev.Finished = a.Wait, TimedOut, false
 				}
 				f.add(e.at+ev.Took.Seconds(), e.node, ev)
 			}
--- a/policy/copy_test.go
+++ b/policy/copy_test.go
@@ -19,7 +19,7 @@
 		outcome(b, now, ask(b, now, now.String(), class), OK, Load{Known: true})
 	}
 	shut(b, 2, 3)
-	if lost = ask(b, now, "lost", class); lost.Kind != ActSend || lost.Server != 1 {
+	if lost = ask(b, now, "lost", class); lost.Kind != ActSend || lost.Backend != 1 {
 		t.Fatalf("%+v, want a send to 1", lost)
 	}
 	b.servers[1].lostAt = now.Seconds()
@@ -40,8 +40,8 @@
 	shut(b, 2, 3)
 	send := ask(b, now, fmt.Sprint("later", now), class)
 	shut(b)
-	for _, a := range b.Handle(now+50*time.Millisecond, &Event{Kind: EvOutcome, ID: send.ID, Server: send.Server,
-		Took: 50 * time.Millisecond, Outcome: OK, Last: true, Load: Load{Known: true}}, nil) {
+	for _, a := range b.Handle(now+50*time.Millisecond, &Event{Kind: EvOutcome, ID: send.ID, Backend: send.Backend,
+		Took: 50 * time.Millisecond, Outcome: OK, Finished: true, Load: Load{Known: true}}, nil) {
 		if a.Kind == ActSend {
 			copies = append(copies, a)
 		}
@@ -82,8 +82,8 @@
 			t.Errorf("%s: %d copies, want %d", c.name, len(copies), c.copies)
 		}
 		for _, a := range copies {
-			if a.ID != lost.ID || a.Server == 1 || c.class == "key" && a.Server != 2 {
-				t.Errorf("%s: a copy of %s to %d", c.name, a.ID, a.Server)
+			if a.ID != lost.ID || a.Backend == 1 || c.class == "key" && a.Backend != 2 {
+				t.Errorf("%s: a copy of %s to %d", c.name, a.ID, a.Backend)
 			}
 		}
 	}
@@ -108,8 +108,8 @@
 		for _, a := range b.Handle(at, &Event{Kind: EvTimer, Token: "tick"}, nil) {
 			if a.Kind == ActSend {
 				copies++
-				if a.ID != lost.ID || a.Server == 1 {
-					t.Errorf("a copy of %s to %d", a.ID, a.Server)
+				if a.ID != lost.ID || a.Backend == 1 {
+					t.Errorf("a copy of %s to %d", a.ID, a.Backend)
 				}
 			}
 		}
@@ -138,13 +138,13 @@
 		if len(copies) != 1 {
 			t.Fatalf("%s: %d copies", c.name, len(copies))
 		}
-		servers, now := []uint32{lost.Server, copies[0].Server}, now+700*time.Millisecond
+		servers, now := []uint32{lost.Backend, copies[0].Backend}, now+700*time.Millisecond
 		over := false
 		for i, n := range c.ends {
 			o := c.with[i]
 			served := o == OK
-			out := b.Handle(now, &Event{Kind: EvOutcome, ID: lost.ID, Attempt: n, Server: servers[n], Took: 100 * time.Millisecond,
-				Outcome: o, Last: served || over}, nil)
+			out := b.Handle(now, &Event{Kind: EvOutcome, ID: lost.ID, Attempt: n, Backend: servers[n], Took: 100 * time.Millisecond,
+				Outcome: o, Finished: served || over}, nil)
 			answers, called := 0, 0
 			for _, a := range out {
 				switch a.Kind {
@@ -175,7 +175,7 @@
 func TestAnAnswerThatHasBegunStandsAlone(t *testing.T) {
 	b, lost, now := lossy(t, "top", func(*Settings) {})
 	begun := func(attempt int) (called []int) {
-		for _, a := range b.Handle(now, &Event{Kind: EvBegun, ID: lost.ID, Attempt: attempt}, nil) {
+		for _, a := range b.Handle(now, &Event{Kind: EvResponseStarted, ID: lost.ID, Attempt: attempt}, nil) {
 			if a.Kind == ActCancel {
 				called = append(called, a.Attempt)
 			}
@@ -186,7 +186,7 @@
 		t.Errorf("%v called off, want nothing", called)
 	}
 	if copies := overtake(b, now+600*time.Millisecond, "top"); copies != nil {
-		t.Errorf("a copy to %d behind an answer that has begun", copies[0].Server)
+		t.Errorf("a copy to %d behind an answer that has begun", copies[0].Backend)
 	}
 
 	b, lost, now = lossy(t, "top", func(*Settings) {})
@@ -198,8 +198,8 @@
 		t.Errorf("%v called off, want the first", called)
 	}
 	for i, o := range []Outcome{Canceled, OK} {
-		for _, a := range b.Handle(now+time.Second, &Event{Kind: EvOutcome, ID: lost.ID, Attempt: i, Server: []uint32{1, copies[0].Server}[i],
-			Took: time.Second, Outcome: o, Last: true}, nil) {
+		for _, a := range b.Handle(now+time.Second, &Event{Kind: EvOutcome, ID: lost.ID, Attempt: i, Backend: []uint32{1, copies[0].Backend}[i],
+			Took: time.Second, Outcome: o, Finished: true}, nil) {
 			if a.Kind != ActTimer && a.Kind != ActLog {
 				t.Errorf("%+v after attempt %d ended", a, i)
 			}
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -9,7 +9,7 @@
 // missing. A box goes on serving for a part of its grace, and only where this node is sure when it was told.
 func TestADrainingBackendServesForAPartOfItsGrace(t *testing.T) {
 	const grace = 2 * time.Second
-	leaving := Entry{ID: 1, Zone: "a", State: Leaving}
+	leaving := Entry{ID: 1, Zone: "a", State: Draining}
 	for _, c := range []struct {
 		name   string
 		ask    bool     // the list is asked for: what is told may have counted as told before
--- a/policy/drive_test.go
+++ b/policy/drive_test.go
@@ -143,9 +143,9 @@
 				left = 0
 			}
 			id := fmt.Sprintf("r%d-%d", n, i)
-			w.add(at, n, policy.Event{Kind: policy.EvRequest, ID: id, Class: c.Name, Left: left, Repeat: w.rng.IntN(4) == 0})
+			w.add(at, n, policy.Event{Kind: policy.EvRequest, ID: id, Class: c.Name, Remaining: left, ClientRetry: w.rng.IntN(4) == 0})
 			if w.rng.IntN(50) == 0 {
-				w.add(at+time.Duration(w.rng.Int64N(int64(300*ms))), n, policy.Event{Kind: policy.EvGone, ID: id})
+				w.add(at+time.Duration(w.rng.Int64N(int64(300*ms))), n, policy.Event{Kind: policy.EvDisconnected, ID: id})
 			}
 		}
 	}
@@ -157,7 +157,7 @@
 			w.boxes[id].broken = w.rng.IntN(4)
 		case 1:
 			old := w.boxes[id].Entry
-			old.State = policy.Leaving
+			old.State = policy.Draining
 			fresh := old
 			fresh.ID, fresh.State, fresh.Launched = uint32(10000+len(w.ids)), policy.Active, at
 			w.boxes[fresh.ID] = &box{Entry: fresh, drained: make([]time.Duration, nodes)}
@@ -165,9 +165,9 @@
 			for n := range w.nodes {
 				late := at + time.Duration(w.rng.Int64N(int64(time.Second)))
 				w.tell(late, n, policy.ListDelta, old, fresh)
-				old.State = policy.Left
+				old.State = policy.Removed
 				w.tell(late+time.Second, n, policy.ListDelta, old)
-				old.State = policy.Leaving
+				old.State = policy.Draining
 			}
 		case 2:
 			for n := range w.nodes {
@@ -205,10 +205,10 @@
 	case policy.EvRequest:
 		for _, c := range w.set.Classes {
 			if c.Name == ev.Class {
-				asks[ev.ID] = &ask{class: c, until: h.at + ev.Left}
+				asks[ev.ID] = &ask{class: c, until: h.at + ev.Remaining}
 			}
 		}
-	case policy.EvGone:
+	case policy.EvDisconnected:
 		asks[ev.ID].gone = true
 	case policy.EvOutcome:
 		a := asks[ev.ID]
@@ -217,12 +217,12 @@
 		}
 		tr := &a.attempts[ev.Attempt]
 		tr.open = false
-		w.boxes[ev.Server].held--
-		tr.ran = ev.Outcome != policy.Full && ev.Outcome != policy.ConnectFailed && ev.Outcome != policy.Moot
+		w.boxes[ev.Backend].held--
+		tr.ran = ev.Outcome != policy.Full && ev.Outcome != policy.ConnectFailed && ev.Outcome != policy.NeverSent
 		if ev.Outcome == policy.OK && a.answers == 0 {
 			a.answers++
 		}
-		ev.Last = a.answers > 0 || a.gone
+		ev.Finished = a.answers > 0 || a.gone
 	case policy.EvList:
 		for _, e := range ev.Entries {
 			b := w.boxes[e.ID]
@@ -265,12 +265,12 @@
 
 func (w *world) send(now time.Duration, node int, a *ask, act policy.Action) {
 	w.sent++
-	b := w.boxes[act.Server]
+	b := w.boxes[act.Backend]
 	if a.answers > 0 || a.gone {
 		w.fault("rule 1: %s sent after its final answer", act.ID)
 	}
 	if d := b.drained[node]; d > 0 && now > d+w.set.DrainGrace {
-		w.fault("rule 3: %s sent to %d, told to drain %v ago", act.ID, act.Server, now-d)
+		w.fault("rule 3: %s sent to %d, told to drain %v ago", act.ID, act.Backend, now-d)
 	}
 	if len(a.attempts) >= w.set.MaxAttempts {
 		w.fault("%s: attempt %d of %d", act.ID, len(a.attempts)+1, w.set.MaxAttempts)
@@ -316,7 +316,7 @@
 	case w.rng.IntN(300) == 0:
 		outcome, took = policy.Reset, 5*ms
 	case w.rng.IntN(500) == 0:
-		outcome, took = policy.Moot, 0
+		outcome, took = policy.NeverSent, 0
 	}
 	limit := a.until - now
 	if act.Wait > 0 {
@@ -325,16 +325,16 @@
 	if took > limit {
 		outcome, took = policy.TimedOut, max(limit, 0)
 	}
-	ev := policy.Event{Kind: policy.EvOutcome, ID: act.ID, Server: act.Server, Attempt: len(a.attempts) - 1,
+	ev := policy.Event{Kind: policy.EvOutcome, ID: act.ID, Backend: act.Backend, Attempt: len(a.attempts) - 1,
 		Took: took, Outcome: outcome}
 	if outcome == policy.OK {
-		ev.Load = policy.Load{Known: true, Queue: float64(max(0, b.held-4)), Held: float64(b.held)}
+		ev.Load = policy.Load{Known: true, Queue: float64(max(0, b.held-4)), Occupancy: float64(b.held)}
 		switch w.rng.IntN(40) {
 		case 0: // an absurd report
 			odd := []float64{math.NaN(), math.Inf(1), -1e300, 1e300}
-			ev.Load.Queue, ev.Load.Held, ev.Load.Work = odd[w.rng.IntN(4)], odd[w.rng.IntN(4)], odd[w.rng.IntN(4)]
+			ev.Load.Queue, ev.Load.Occupancy, ev.Load.ServiceSeconds = odd[w.rng.IntN(4)], odd[w.rng.IntN(4)], odd[w.rng.IntN(4)]
 		case 1: // only the queue and the time in work
-			ev.Load.Held, ev.Load.Work = -1, took.Seconds()
+			ev.Load.Occupancy, ev.Load.ServiceSeconds = -1, took.Seconds()
 		}
 	}
 	w.add(now+took, node, ev)
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -32,20 +32,20 @@
 	list := []policy.Entry{{ID: 1, Zone: "north"}}
 	step(policy.Event{Kind: policy.EvList, List: policy.ListFull, Entries: list})
 
-	send := step(policy.Event{Kind: policy.EvRequest, ID: "r1", Class: "page", Left: 2 * time.Second})
-	fmt.Println("send to", send.Server, "for at most", send.Wait)
+	send := step(policy.Event{Kind: policy.EvRequest, ID: "r1", Class: "page", Remaining: 2 * time.Second})
+	fmt.Println("send to", send.Backend, "for at most", send.Wait)
 
 	now += 30 * time.Millisecond
-	step(policy.Event{Kind: policy.EvOutcome, ID: "r1", Server: 1, Took: 30 * time.Millisecond, Last: true,
+	step(policy.Event{Kind: policy.EvOutcome, ID: "r1", Backend: 1, Took: 30 * time.Millisecond, Finished: true,
 		Outcome: policy.OK, Load: policy.Load{Known: true, Queue: 2}})
 
 	now += 250 * time.Millisecond
 	step(policy.Event{Kind: policy.EvTimer, Token: "tick"})
 
-	list[0].State = policy.Leaving
+	list[0].State = policy.Draining
 	step(policy.Event{Kind: policy.EvList, List: policy.ListDelta, Entries: list})
 	now += 2 * time.Second // its grace is over
-	answer := step(policy.Event{Kind: policy.EvRequest, ID: "r2", Class: "page", Left: 2 * time.Second})
+	answer := step(policy.Event{Kind: policy.EvRequest, ID: "r2", Class: "page", Remaining: 2 * time.Second})
 	fmt.Println("refused:", answer.Kind == policy.ActRefuse)
 	// Output:
 	// send to 1 for at most 2s
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	var entries []Entry
 	for i := range 60 {
-		entries = append(entries, Entry{ID: uint32(i + 1), Place: subset.Hash(fmt.Sprint(i)), Zone: string("abc"[i%3]), Kind: "k"})
+		entries = append(entries, Entry{ID: uint32(i + 1), Hash: subset.Hash(fmt.Sprint(i)), Zone: string("abc"[i%3]), Kind: "k"})
 	}
 	change = append([]func(*Settings){func(s *Settings) { s.Nodes, s.Number, s.Copies = 80, 5, true }}, change...)
 	b := node(t, settings(change...), entries...)
@@ -40,7 +40,7 @@
 			}
 		}
 		now += 300 * time.Millisecond
-		outcome(b, now, send, OK, Load{Known: true, Queue: 0, Held: 1})
+		outcome(b, now, send, OK, Load{Known: true, Queue: 0, Occupancy: 1})
 	}
 	if sends != 60 {
 		t.Errorf("%d sends for 60 requests: what was only unheard of was taken for lost", sends)
@@ -70,8 +70,8 @@
 		}
 		b.retries = 10
 		send := ask(b, now, "k", "key")
-		if send.Server != first {
-			t.Fatalf("sent to %d, want the one of its part in order, %d", send.Server, first)
+		if send.Backend != first {
+			t.Fatalf("sent to %d, want the one of its part in order, %d", send.Backend, first)
 		}
 		again := outcome(b, now+50*time.Millisecond, send, Failed, Load{Known: true})
 		if window < 50*time.Millisecond {
@@ -80,7 +80,7 @@
 			}
 			continue
 		}
-		if again.Kind != ActSend || again.Server == first || b.servers[again.Server].Zone != "a" {
+		if again.Kind != ActSend || again.Backend == first || b.servers[again.Backend].Zone != "a" {
 			t.Errorf("it goes on with %+v, want another backend of zone a", again)
 		}
 	}
@@ -105,15 +105,15 @@
 			send := ask(b, at, fmt.Sprint("r", at), "low")
 			for tries := 0; send.Kind == ActSend && tries < 3; tries++ {
 				send.Attempt = tries
-				if send.Server != full.ID {
-					outcome(b, at, send, OK, Load{Known: true, Held: 1})
+				if send.Backend != full.ID {
+					outcome(b, at, send, OK, Load{Known: true, Occupancy: 1})
 					break
 				}
 				o := OK
 				if n++; n%3 < turned {
 					o = Full
 				}
-				if send = outcome(b, at, send, o, Load{Known: true, Held: 1}); full.Ejected > at.Seconds() {
+				if send = outcome(b, at, send, o, Load{Known: true, Occupancy: 1}); full.Ejected > at.Seconds() {
 					t.Fatalf("it counts as broken after %d requests: %.2f", n, full.Bad)
 				}
 			}
@@ -172,7 +172,7 @@
 func TestWhatTheFleetKnows(t *testing.T) {
 	set := Settings{Nodes: 4, MaxAttempts: 2, Classes: []Class{{Name: "c", Effect: Safe}},
 		Tenants: []Tenant{{"greedy", 40}}, OverShare: 0.2}
-	over := func(sh *Shared) int {
+	over := func(sh *SharedState) int {
 		b, err := New(set, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -187,10 +187,10 @@
 		}
 		return n
 	}
-	if n := over(&Shared{Within: map[string]float64{"greedy": 0.3}}); n < 600 || n > 800 {
+	if n := over(&SharedState{WithinQuota: map[string]float64{"greedy": 0.3}}); n < 600 || n > 800 {
 		t.Errorf("%d of 1000 past a share of three tenths, want about 700", n)
 	}
-	if n := over(&Shared{Within: map[string]float64{"greedy": 1e-9}}); n < 990 {
+	if n := over(&SharedState{WithinQuota: map[string]float64{"greedy": 1e-9}}); n < 990 {
 		t.Errorf("%d of 1000 past no share at all", n)
 	}
 	b, err := New(set, 1)
@@ -200,7 +200,7 @@
 	b.Handle(t0, &Event{Kind: EvList, List: ListFull, Entries: []Entry{{ID: 1}, {ID: 2}}}, nil)
 	now := t0 + 2*time.Second
 	b.servers[1].lastOK, b.servers[2].lastOK = now.Seconds(), 0
-	b.Handle(now, &Event{Kind: EvShared, Shared: &Shared{Out: []uint32{1, 2, 99}}}, nil)
+	b.Handle(now, &Event{Kind: EvShared, Shared: &SharedState{Ejected: []uint32{1, 2, 99}}}, nil)
 	for range 50 {
 		if s := b.pick(now.Seconds(), &request{class: b.classes[0]}, overload); s == nil || s.ID != 1 {
 			t.Fatalf("%+v is drawn, want the one that has just answered here", s)
--- a/policy/part_test.go
+++ b/policy/part_test.go
@@ -28,7 +28,7 @@
 			crowd(part[1:], now)
 			part[0].Ejected = now.Seconds() + 60
 		}, 100, true},
-		{"gone", func(b *Balancer, part, _ []*server) { tell(b, now, part, Left, 0) }, 0, false},
+		{"gone", func(b *Balancer, part, _ []*server) { tell(b, now, part, Removed, 0) }, 0, false},
 		{"cold", func(b *Balancer, part, _ []*server) { tell(b, now, part, Active, now) }, 0, false},
 		{"crowded, and all others cold", func(b *Balancer, part, rest []*server) {
 			tell(b, now, rest, Active, now)
@@ -37,7 +37,7 @@
 	} {
 		var entries []Entry
 		for i := range 60 {
-			entries = append(entries, Entry{ID: uint32(i + 1), Place: subset.Hash(fmt.Sprint(i)), Zone: "a", Kind: "k"})
+			entries = append(entries, Entry{ID: uint32(i + 1), Hash: subset.Hash(fmt.Sprint(i)), Zone: "a", Kind: "k"})
 		}
 		b := node(t, settings(func(s *Settings) { s.Nodes, s.Number = 80, 5 }), entries...)
 		part, rest := divided(b)
@@ -61,7 +61,7 @@
 				unsent++
 				continue
 			}
-			if c.keep && was[send.Server] {
+			if c.keep && was[send.Backend] {
 				t.Errorf("%s: a backend beyond the part was sent a request", c.name)
 			}
 			outcome(b, now, send, OK, Load{Known: true})
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -52,10 +52,12 @@
 )
 
 // New returns the balancer of one node, or an error that names the setting that makes no sense.
-func New(set Settings, seed uint64) (*Balancer, error) { return NewTuned(set, seed, Tuned()) }
+func New(set Settings, seed uint64) (*Balancer, error) {
+	return NewWithTuning(set, seed, DefaultTuning())
+}
 
-// NewTuned is New with other figures than those in service, for the laboratory.
-func NewTuned(set Settings, seed uint64, tune Tuning) (*Balancer, error) {
+// NewWithTuning is New with other figures than those in service, for the laboratory.
+func NewWithTuning(set Settings, seed uint64, tune Tuning) (*Balancer, error) {
 	if err := set.Validate(); err != nil {
 		return nil, err
 	}
@@ -92,9 +94,9 @@
 		b.arrive(t, ev)
 	case EvOutcome:
 		b.ended(t, ev)
-	case EvGone:
+	case EvDisconnected:
 		b.gone(ev)
-	case EvBegun:
+	case EvResponseStarted:
 		b.begun(ev)
 	case EvList:
 		b.list(t, ev)
@@ -106,7 +108,7 @@
 		b.plan(t)
 		if b.askAt > 0 && t >= b.askAt {
 			b.askAt = 0
-			b.do(Action{Kind: ActWatch})
+			b.do(Action{Kind: ActSubscribe})
 		}
 	}
 	b.overdue(t) // after the event, which may end one of them
@@ -138,13 +140,14 @@
 		c = b.classes[i]
 	}
 	c.requests++
-	left := ev.Left.Seconds()
-	r := &request{id: ev.ID, class: c, needs: ev.Needs, until: now + left, aim: now + left, luck: b.gates.Draw(b.rng)}
+	left := ev.Remaining.Seconds()
+	r := &request{id: ev.ID, class: c, needs: ev.RequiredProtocols, until: now + left,
+		aim: now + left, luck: b.gates.Draw(b.rng)}
 	if aim := c.Aim.Seconds(); aim > 0 && c.LateWorth == 0 {
 		// A repeat with less time left than any first try lately tells its request's age. Past its aim it is no use.
-		if ev.Repeat && left < c.least-1e-3 {
+		if ev.ClientRetry && left < c.least-1e-3 {
 			aim -= max(0, c.Deadline.Seconds()-left)
-		} else if !ev.Repeat {
+		} else if !ev.ClientRetry {
 			c.least = min(c.least*1.001, left)
 		}
 		r.aim = min(r.aim, now+aim)
@@ -214,7 +217,7 @@
 	if s.mode != normal {
 		until = r.aim // here it mostly waits, and keeps others from being in time
 	}
-	b.do(Action{Kind: ActSend, ID: r.id, Server: s.ID, Wait: span(max(until-now, 1e-6)), By: span(r.by)})
+	b.do(Action{Kind: ActSend, ID: r.id, Backend: s.ID, Wait: span(max(until-now, 1e-6)), SendDeadline: span(r.by)})
 }
 
 // finish gives the final answer: a refusal where the client may safely try again, a failure elsewhere.
@@ -242,13 +245,13 @@
 	s := a.server
 	a.open = false
 	r.open--
-	r.final = r.final || ev.Last
+	r.final = r.final || ev.Finished
 	b.learn(now, s, r, a, ev)
 	if r.final {
 		b.over(r)
 		return
 	}
-	if r.mayRun == nil && ev.Outcome != Full && ev.Outcome != ConnectFailed && ev.Outcome != Moot {
+	if r.mayRun == nil && ev.Outcome != Full && ev.Outcome != ConnectFailed && ev.Outcome != NeverSent {
 		r.mayRun, r.by = s, now-ev.Took.Seconds()+r.class.Window.Seconds()
 	}
 	r.avoid = s
@@ -298,18 +301,18 @@
 	}
 	s.flying = slices.Delete(s.flying, 0, ended(s.flying))
 	took := max(0, ev.Took.Seconds())
-	n, told := max(ev.Load.Queue, ev.Load.Held, 0), ev.Load.Known
+	n, told := max(ev.Load.Queue, ev.Load.Occupancy, 0), ev.Load.Known
 	if best := r.class.best; b.set.NoReports && !told && ev.Outcome == OK && best > 0 {
 		n, told = max(0, took/best-1), true // an answer's own time is all that tells of others' requests
 	}
-	if w := ev.Load.Work; ev.Load.Held < 0 && w > 0 && w < math.MaxInt32 && b.ramp(s, now) == 1 {
+	if w := ev.Load.ServiceSeconds; ev.Load.Occupancy < 0 && w > 0 && w < math.MaxInt32 && b.ramp(s, now) == 1 {
 		// Where the queue alone is told, many slots hide a crowd from it: a backend chokes on what is in work
 		// with nothing waiting. Requests then take many times as long as at their best.
 		s.work = cmp.Or(s.work, w)
 		s.work += (w - s.work) * (1 - math.Exp((s.reportAt-now)/othersTau))
 		n += max(0, s.work/s.base/crowdAt-1)
 	}
-	if q, h := ev.Load.Queue, ev.Load.Held; q >= 0 && h-q < math.MaxInt32 {
+	if q, h := ev.Load.Queue, ev.Load.Occupancy; q >= 0 && h-q < math.MaxInt32 {
 		s.slots = max(s.slots, h-q) // so many it has in work at once
 	}
 	if told && n < math.MaxInt32 { // and not NaN
@@ -385,11 +388,11 @@
 }
 
 // shared takes in what the nodes of the fleet know together. What this one saw itself goes first.
-func (b *Balancer) shared(now float64, sh *Shared) {
+func (b *Balancer) shared(now float64, sh *SharedState) {
 	for _, t := range b.tenants {
-		t.told = sh.Within[t.Name]
+		t.told = sh.WithinQuota[t.Name]
 	}
-	for _, id := range sh.Out {
+	for _, id := range sh.Ejected {
 		if s := b.servers[id]; s != nil && s.lastOK < now-silence {
 			s.Ejected, s.Trial = max(s.Ejected, now+health.First), true
 		}
@@ -513,7 +516,7 @@
 // usable tells whether a request may go to a backend at all, whatever its mode.
 func (b *Balancer) usable(now float64, r *request, s *server) bool {
 	if s.State != Active && now >= s.grace || now < s.Ejected || s.Trial && s.own > 0 || s == r.avoid ||
-		s.Speaks&r.needs != r.needs || s.classes != nil && now < s.of(b, r.class).Ejected ||
+		s.Protocols&r.needs != r.needs || s.classes != nil && now < s.of(b, r.class).Ejected ||
 		!b.gates.Open(now, s.Zone, r.luck) {
 		return false
 	}
@@ -655,7 +658,7 @@
 		return
 	}
 	if ev.List == ListCached && b.set.MustAsk {
-		b.do(Action{Kind: ActWatch})
+		b.do(Action{Kind: ActSubscribe})
 	}
 	if ev.List != ListDelta {
 		grace := 0.0
@@ -669,7 +672,7 @@
 			if s.State == Active {
 				s.grace = grace
 			}
-			s.State = Left // those still listed are put back below
+			s.State = Removed // those still listed are put back below
 		}
 		if grace > 0 {
 			return
@@ -677,7 +680,7 @@
 	}
 	for _, e := range ev.Entries {
 		s := b.servers[e.ID]
-		leaves := s != nil && s.State == Active && e.State == Leaving && ev.List == ListDelta && s.served > 0
+		leaves := s != nil && s.State == Active && e.State == Draining && ev.List == ListDelta && s.served > 0
 		if s == nil || e.Launched.Seconds() > s.launched && e.State == Active {
 			s = &server{launched: e.Launched.Seconds(), room: math.Inf(1), base: math.Inf(1), reportAt: now,
 				ownAt: now, sentAt: now, lastOK: now}
@@ -692,11 +695,11 @@
 			s.grace = now + drainPart*b.set.DrainGrace.Seconds()
 		}
 	}
-	b.order = slices.DeleteFunc(b.order, func(s *server) bool { return s.State == Left || b.servers[s.ID] != s })
+	b.order = slices.DeleteFunc(b.order, func(s *server) bool { return s.State == Removed || b.servers[s.ID] != s })
 	// Attempts that are out keep their own hold on what goes here.
-	maps.DeleteFunc(b.servers, func(_ uint32, s *server) bool { return s.State == Left })
+	maps.DeleteFunc(b.servers, func(_ uint32, s *server) bool { return s.State == Removed })
 	slices.SortFunc(b.order, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
-	in, sharers := subset.Part(len(b.order), func(i int) (string, uint64) { return b.order[i].Zone, b.order[i].Place },
+	in, sharers := subset.Part(len(b.order), func(i int) (string, uint64) { return b.order[i].Zone, b.order[i].Hash },
 		subset.Node{Number: b.set.Number, Nodes: b.set.Nodes, Zone: b.set.Zone, CrossPrice: b.set.CrossPrice})
 	for i, s := range b.order {
 		s.wide = !in[i]
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -48,13 +48,13 @@
 }
 
 func ask(b *Balancer, now time.Duration, id, class string) Action {
-	out := b.Handle(now, &Event{Kind: EvRequest, ID: id, Class: class, Left: 2 * time.Second}, nil)
+	out := b.Handle(now, &Event{Kind: EvRequest, ID: id, Class: class, Remaining: 2 * time.Second}, nil)
 	return last(out)
 }
 
 func outcome(b *Balancer, now time.Duration, send Action, o Outcome, load Load) Action {
-	out := b.Handle(now, &Event{Kind: EvOutcome, ID: send.ID, Server: send.Server, Attempt: send.Attempt,
-		Took: 50 * time.Millisecond, Outcome: o, Last: o == OK, Load: load}, nil)
+	out := b.Handle(now, &Event{Kind: EvOutcome, ID: send.ID, Backend: send.Backend, Attempt: send.Attempt,
+		Took: 50 * time.Millisecond, Outcome: o, Finished: o == OK, Load: load}, nil)
 	return last(out)
 }
 
@@ -133,7 +133,7 @@
 	// A new report decides afresh.
 	s.own = 1
 	b.requests["x"] = &request{id: "x", class: &class{}, attempts: []*attempt{{server: s, open: true, met: 1}}, open: 1, final: true}
-	outcome(b, t0+2*time.Second, Action{ID: "x", Server: 1}, Failed, Load{Known: true, Queue: 500})
+	outcome(b, t0+2*time.Second, Action{ID: "x", Backend: 1}, Failed, Load{Known: true, Queue: 500})
 	if s.mode != discard {
 		t.Errorf("after a new report above R: mode %d, want discard", s.mode)
 	}
@@ -176,7 +176,7 @@
 	for i := 0; i < 200; i++ {
 		fix(over, t0, 8)
 		fix(calm, t0, 5)
-		to[ask(b, t0, string(rune(1000+i)), "low").Server]++
+		to[ask(b, t0, string(rune(1000+i)), "low").Backend]++
 	}
 	if to[1]+to[2] != 200 || to[2] < 150 {
 		t.Errorf("200 requests, a backend in overload and a normal one: %v", to)
@@ -242,7 +242,7 @@
 			if send.Kind != ActSend {
 				continue
 			}
-			if send.Server == 1 {
+			if send.Backend == 1 {
 				bad++
 				outcome(b, now, send, o, Load{Known: true})
 			} else {
@@ -287,9 +287,9 @@
 			if send.Kind != ActSend {
 				t.Fatalf("request %d is not sent", i)
 			}
-			to[class][send.Server]++
+			to[class][send.Backend]++
 			o := OK
-			if sick && class == "once" && send.Server == 1 {
+			if sick && class == "once" && send.Backend == 1 {
 				o, failed = Failed, failed+1
 			}
 			outcome(b, now, send, o, Load{Known: true})
@@ -367,12 +367,12 @@
 	if h := b.high(s, b.limit(s)); h != minH {
 		t.Fatalf("H %.2f with no report, want its least", h)
 	}
-	outcome(b, t0, ask(b, t0, "r", "once"), OK, Load{Known: true, Queue: 3, Held: 7})
+	outcome(b, t0, ask(b, t0, "r", "once"), OK, Load{Known: true, Queue: 3, Occupancy: 7})
 	if h, r := b.high(s, b.limit(s)), b.limit(s); h != 4 || r <= h {
 		t.Errorf("H %.2f and R %.2f with 4 requests in work, want H at 4 and R beyond", h, r)
 	}
-	outcome(b, t0, ask(b, t0, "s", "once"), OK, Load{Known: true, Queue: 3, Held: -1})
-	outcome(b, t0, ask(b, t0, "t", "once"), OK, Load{Known: true, Queue: -1, Held: 9})
+	outcome(b, t0, ask(b, t0, "s", "once"), OK, Load{Known: true, Queue: 3, Occupancy: -1})
+	outcome(b, t0, ask(b, t0, "t", "once"), OK, Load{Known: true, Queue: -1, Occupancy: 9})
 	if s.slots != 4 {
 		t.Errorf("%v in work by reports that do not tell, want 4 still", s.slots)
 	}
@@ -422,7 +422,7 @@
 		fix(quiet, t0, 0)
 		fix(calm, t0, 1)
 		quiet.own = 2
-		to[ask(b, t0, string(rune(1000+i)), "low").Server]++
+		to[ask(b, t0, string(rune(1000+i)), "low").Backend]++
 	}
 	if to[1] > 10 {
 		t.Errorf("%d of 100 requests went to a backend that owes two answers", to[1])
@@ -438,7 +438,7 @@
 		fix(tried, t0, 3)
 		fix(idle, t0, 5) // by reports alone the other one is well ahead
 		tried.own = 1
-		to[ask(b, t0, string(rune(1000+i)), "low").Server]++
+		to[ask(b, t0, string(rune(1000+i)), "low").Backend]++
 	}
 	if to[1] >= to[2] {
 		t.Errorf("%d of 200 went to the backend that this node, and so perhaps each of 8, has used", to[1])
@@ -468,7 +468,7 @@
 		want  ActionKind
 	}{
 		{"top", Failed, ActSend}, {"top", TimedOut, ActSend}, {"top", Full, ActSend},
-		{"key", Full, ActSend}, {"key", ConnectFailed, ActSend}, {"key", Moot, ActSend},
+		{"key", Full, ActSend}, {"key", ConnectFailed, ActSend}, {"key", NeverSent, ActSend},
 		{"key", Failed, ActFail}, {"key", Reset, ActFail}, // the only other backend is in another zone
 		{"once", Full, ActSend}, {"once", Failed, ActFail}, {"once", TimedOut, ActFail},
 		{"once", Reset, ActFail}, {"once", Canceled, ActFail}, {"unheard-of", Failed, ActFail},
@@ -479,7 +479,7 @@
 		if next.Kind != c.want {
 			t.Errorf("%s after outcome %d: action %d, want %d", c.class, c.o, next.Kind, c.want)
 		}
-		if next.Kind == ActSend && next.Server == send.Server {
+		if next.Kind == ActSend && next.Backend == send.Backend {
 			t.Errorf("%s after outcome %d: the same backend again", c.class, c.o)
 		}
 	}
@@ -522,7 +522,7 @@
 func TestGoneCancelsAndLateEventsChangeNothing(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
 	send := ask(b, t0, "r", "top")
-	out := b.Handle(t0, &Event{Kind: EvGone, ID: "r"}, nil)
+	out := b.Handle(t0, &Event{Kind: EvDisconnected, ID: "r"}, nil)
 	if len(out) != 1 || out[0].Kind != ActCancel || out[0].Attempt != 0 {
 		t.Errorf("gone: %+v, want a cancel", out)
 	}
@@ -532,8 +532,8 @@
 	}
 	own := b.servers[1].own
 	for _, ev := range []Event{
-		{Kind: EvGone, ID: "r"}, {Kind: EvGone, ID: "unknown"},
-		{Kind: EvOutcome, ID: "r", Server: 1}, {Kind: EvOutcome, ID: "unknown", Server: 9, Attempt: -1},
+		{Kind: EvDisconnected, ID: "r"}, {Kind: EvDisconnected, ID: "unknown"},
+		{Kind: EvOutcome, ID: "r", Backend: 1}, {Kind: EvOutcome, ID: "unknown", Backend: 9, Attempt: -1},
 		{Kind: EvOther},
 	} {
 		if out := b.Handle(t0, &ev, nil); len(out) != 0 {
@@ -551,7 +551,7 @@
 		for i := 0; i < 60; i++ {
 			send := ask(b, now, now.String()+string(rune(1000+i)), "low")
 			if send.Kind == ActSend {
-				got[send.Server] = true
+				got[send.Backend] = true
 				outcome(b, now, send, OK, Load{Known: true, Queue: 1})
 			}
 		}
@@ -559,7 +559,7 @@
 	}
 	e := func(id uint32, s State) Entry { return Entry{ID: id, Zone: "a", State: s} }
 	b := node(t, settings(), e(1, Active), e(2, Active))
-	b.Handle(t0, &Event{Kind: EvList, List: ListDelta, Entries: []Entry{e(1, Leaving)}}, nil)
+	b.Handle(t0, &Event{Kind: EvList, List: ListDelta, Entries: []Entry{e(1, Draining)}}, nil)
 	if got := sendable(b, t0); got[1] || !got[2] {
 		t.Errorf("1 drains: sent to %v", got)
 	}
@@ -586,7 +586,7 @@
 
 // An empty list must not bring back what drains.
 func TestEmptyListKeepsDrains(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a", State: Leaving})
+	b := node(t, settings(), Entry{ID: 1, Zone: "a", State: Draining})
 	b.Handle(t0, &Event{Kind: EvList, List: ListFull}, nil)
 	if a := ask(b, t0+time.Millisecond, "r", "top"); a.Kind != ActRefuse {
 		t.Errorf("got %+v, want a refusal", a)
@@ -612,7 +612,7 @@
 		t.Fatal(err)
 	}
 	out := b.Handle(t0, &Event{Kind: EvList, List: ListCached, Entries: []Entry{{ID: 1}}}, nil)
-	if last(out).Kind != ActWatch {
+	if last(out).Kind != ActSubscribe {
 		t.Fatalf("at the start: %+v, want a subscription", out)
 	}
 	now := t0
@@ -622,7 +622,7 @@
 		for asked := false; !asked; {
 			now += 250 * time.Millisecond
 			for _, a := range b.Handle(now, &Event{Kind: EvTimer, Token: "tick"}, nil) {
-				asked = asked || a.Kind == ActWatch
+				asked = asked || a.Kind == ActSubscribe
 			}
 			if now > from+set.MustAskIn {
 				t.Fatalf("loss %d: not asked for %v", i, now-from)
@@ -643,7 +643,7 @@
 				b.Handle(now, &Event{Kind: EvTimer, Token: "tick"}, nil)
 			}
 			send := ask(b, now, now.String(), "low")
-			to[send.Server]++
+			to[send.Backend]++
 			outcome(b, now+5*time.Millisecond, send, OK, Load{Known: true, Queue: 1})
 		}
 		return to
@@ -687,7 +687,7 @@
 	b.Handle(now, &Event{Kind: EvList, List: ListDelta,
 		Entries: []Entry{{ID: 3, Zone: "a", Kind: "k", Launched: now}}}, nil)
 	for range 200 {
-		if step().Server == 3 {
+		if step().Backend == 3 {
 			got++
 		}
 	}
@@ -705,10 +705,10 @@
 		least float64
 		most  float64
 	}{
-		{Load{Known: true, Queue: 0, Held: -1}, 0, 0.1},
-		{Load{Known: true, Queue: 12, Held: -1}, 11.9, 12.1},
-		{Load{Known: true, Queue: 0, Held: 3}, 2.9, 3.1},
-		{Load{Known: true, Queue: -1, Held: 3}, 2.9, 3.1},
+		{Load{Known: true, Queue: 0, Occupancy: -1}, 0, 0.1},
+		{Load{Known: true, Queue: 12, Occupancy: -1}, 11.9, 12.1},
+		{Load{Known: true, Queue: 0, Occupancy: 3}, 2.9, 3.1},
+		{Load{Known: true, Queue: -1, Occupancy: 3}, 2.9, 3.1},
 	} {
 		b := node(t, settings(func(s *Settings) { s.Nodes = 145 }), Entry{ID: 1, Zone: "a"})
 		s := b.servers[1]
@@ -735,7 +735,7 @@
 			s := b.servers[id]
 			send := Action{ID: now.String()}
 			b.requests[send.ID] = &request{id: send.ID, class: b.classes[0], open: 1, attempts: []*attempt{{server: s, open: true, met: 1}}}
-			outcome(b, now, send, OK, Load{Known: true, Held: -1, Work: work})
+			outcome(b, now, send, OK, Load{Known: true, Occupancy: -1, ServiceSeconds: work})
 			b.Handle(now, &Event{Kind: EvTimer, Token: "tick"}, nil)
 		}
 		now := t0
@@ -830,7 +830,7 @@
 	for i := 0; i < 300; i++ {
 		fix(b.servers[1], t0, 1)
 		fix(b.servers[2], t0, 1)
-		to[ask(b, t0, string(rune(1000+i)), "top").Server]++
+		to[ask(b, t0, string(rune(1000+i)), "top").Backend]++
 	}
 	if to[1] < 150 || to[2] < 60 {
 		t.Errorf("300 requests over alike backends, own zone and another: %v, want about 180 and 120", to)
@@ -860,8 +860,8 @@
 		{true, 1e300, -1, 1e300}, {true, 1, -1, math.NaN()}, {true, 1, -1, -3}, {true, 1, -1, math.Inf(1)}} {
 		for j := 0; j < 4; j++ {
 			send := ask(b, t0-time.Duration(i)*time.Hour, string(rune(1000+10*i+j)), "top") // the clock steps back
-			b.Handle(t0, &Event{Kind: EvOutcome, ID: send.ID, Server: send.Server, Took: -time.Hour, Load: l,
-				Last: true}, nil)
+			b.Handle(t0, &Event{Kind: EvOutcome, ID: send.ID, Backend: send.Backend, Took: -time.Hour, Load: l,
+				Finished: true}, nil)
 		}
 	}
 	if send := ask(b, t0+time.Second, "r", "top"); send.Kind != ActSend || send.Wait != 2*time.Second {
@@ -1001,7 +1001,7 @@
 	} {
 		b := node(t, settings(func(s *Settings) { s.Classes[1].LateWorth = c.late }), Entry{ID: 1, Zone: "a"})
 		first := func(id string, left time.Duration, repeat bool) Action {
-			return last(b.Handle(t0, &Event{Kind: EvRequest, ID: id, Class: "low", Left: left, Repeat: repeat}, nil))
+			return last(b.Handle(t0, &Event{Kind: EvRequest, ID: id, Class: "low", Remaining: left, ClientRetry: repeat}, nil))
 		}
 		fix(b.servers[1], t0, 0)
 		first("earlier", 1200*time.Millisecond, false)
@@ -1042,13 +1042,13 @@
 func TestRepeatedEventsChangeNothing(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
 	ask(b, t0, "r", "low")
-	if out := b.Handle(t0, &Event{Kind: EvRequest, ID: "r", Class: "low", Left: time.Second}, nil); len(out) > 0 {
+	if out := b.Handle(t0, &Event{Kind: EvRequest, ID: "r", Class: "low", Remaining: time.Second}, nil); len(out) > 0 {
 		t.Errorf("a request told twice: %+v", out)
 	}
-	if out := b.Handle(t0, &Event{Kind: EvGone, ID: "r"}, nil); len(out) != 1 || out[0].Kind != ActCancel {
+	if out := b.Handle(t0, &Event{Kind: EvDisconnected, ID: "r"}, nil); len(out) != 1 || out[0].Kind != ActCancel {
 		t.Errorf("gone: %+v", out)
 	}
-	if out := b.Handle(t0, &Event{Kind: EvGone, ID: "r"}, nil); len(out) > 0 {
+	if out := b.Handle(t0, &Event{Kind: EvDisconnected, ID: "r"}, nil); len(out) > 0 {
 		t.Errorf("gone twice: %+v", out)
 	}
 	if b.Handle(t0-time.Hour, &Event{Kind: EvOther}, nil); b.now != t0.Seconds() {
@@ -1116,7 +1116,7 @@
 	var fleet []*Balancer
 	var entries []Entry
 	for i := range servers {
-		entries = append(entries, Entry{ID: uint32(i + 1), Kind: "k", Place: subset.Hash(fmt.Sprint(i))})
+		entries = append(entries, Entry{ID: uint32(i + 1), Kind: "k", Hash: subset.Hash(fmt.Sprint(i))})
 	}
 	for i := range nodes {
 		set.Number = i
@@ -1146,7 +1146,7 @@
 			}
 		}
 		if send := ask(b, now, now.String(), "low"); send.Kind == ActSend {
-			if send.Server == 99 {
+			if send.Backend == 99 {
 				cold = append(cold, now)
 			}
 			outcome(b, now, send, OK, Load{})
@@ -1183,7 +1183,7 @@
 		}
 		return count
 	}
-	tune := Tuned()
+	tune := DefaultTuning()
 	for _, c := range []struct{ n, want float64 }{
 		{6, 4000 * (1 - tune.Divert)}, // at H
 		{6 * (1 + tune.Ramp/2), 4000 * (1 - tune.Divert) / 2},
@@ -1205,7 +1205,7 @@
 		fix(good, now, 0)
 		bad.latency, bad.occupancy, bad.others, bad.reportAt = 50000, 100000, 0, now.Seconds()
 		a := ask(b, now, fmt.Sprint("r", i), "top")
-		if a.Server == 2 {
+		if a.Backend == 2 {
 			tried++
 		}
 		outcome(b, now, a, OK, Load{})
@@ -1242,12 +1242,12 @@
 		now := t0 + time.Duration(i)*10*time.Millisecond
 		keep := open[:0]
 		for _, o := range open {
-			ev := Event{Kind: EvOutcome, ID: o.send.ID, Server: 1, Attempt: o.send.Attempt, Took: now - o.at}
+			ev := Event{Kind: EvOutcome, ID: o.send.ID, Backend: 1, Attempt: o.send.Attempt, Took: now - o.at}
 			switch {
 			case o.lost && ev.Took >= o.send.Wait:
 				ev.Outcome = TimedOut
 			case !o.lost && ev.Took >= 30*time.Millisecond:
-				ev.Outcome, ev.Last, ev.Load = OK, true, Load{Known: true, Held: 3, Queue: 0}
+				ev.Outcome, ev.Finished, ev.Load = OK, true, Load{Known: true, Occupancy: 3, Queue: 0}
 			default:
 				keep = append(keep, o)
 				continue
@@ -1307,7 +1307,7 @@
 			t.Errorf("queue only %v: %v waiting before a report, want %v", only, got, want)
 		}
 		send := ask(b, t0, "r", "top")
-		outcome(b, t0, send, OK, Load{Known: true, Queue: 0, Held: -1})
+		outcome(b, t0, send, OK, Load{Known: true, Queue: 0, Occupancy: -1})
 		if math.IsInf(s.reportAt, -1) {
 			t.Errorf("queue only %v: a report was not taken in", only)
 		}
@@ -1321,7 +1321,7 @@
 	b := node(t, set, Entry{ID: 1, Zone: "a", Kind: "k"})
 	for i := range 200 { // its kind answers in a time that leaves H well over its floor
 		now := t0 + time.Duration(i)*20*time.Millisecond
-		outcome(b, now+2*time.Millisecond, ask(b, now, now.String(), "low"), OK, Load{Known: true, Queue: 1, Held: 1})
+		outcome(b, now+2*time.Millisecond, ask(b, now, now.String(), "low"), OK, Load{Known: true, Queue: 1, Occupancy: 1})
 	}
 	start := t0 + 4*time.Second
 	b.Handle(start, &Event{Kind: EvList, List: ListDelta, Entries: []Entry{{ID: 2, Zone: "a", Kind: "k", Launched: start}}}, nil)
--- a/policy/sites_test.go
+++ b/policy/sites_test.go
@@ -22,12 +22,12 @@
 		case act.Kind != ActSend:
 			refused++
 			continue
-		case act.Server <= 2:
+		case act.Backend <= 2:
 			a++
 		default:
 			z++
 		}
-		b.Handle(now, &Event{Kind: EvOutcome, ID: act.ID, Server: act.Server, Took: 10 * time.Millisecond, Outcome: OK, Last: true}, nil)
+		b.Handle(now, &Event{Kind: EvOutcome, ID: act.ID, Backend: act.Backend, Took: 10 * time.Millisecond, Outcome: OK, Finished: true}, nil)
 	}
 	return a, z, refused
 }
@@ -47,7 +47,7 @@
 		t.Errorf("closed: %d to a, %d to b, %d refused", a, z, refused)
 	}
 	send := ask(b, t0+16*time.Second, "again", "top")
-	if act := outcome(b, t0+16*time.Second+10*time.Millisecond, send, ConnectFailed, Load{}); act.Kind != ActSend || act.Server > 2 {
+	if act := outcome(b, t0+16*time.Second+10*time.Millisecond, send, ConnectFailed, Load{}); act.Kind != ActSend || act.Backend > 2 {
 		t.Errorf("the further attempt: %+v", act)
 	}
 	order(t0+20*time.Second, map[string]sites.Zone{"a": {Part: 0, Rate: -1}, "b": {Part: 1, Rate: 10}})
--- a/policy/tuning.go
+++ b/policy/tuning.go
@@ -5,5 +5,5 @@
 // Tuning are the figures that the laboratory varies.
 type Tuning = tuning.Figures
 
-// Tuned are the figures in service.
-func Tuned() Tuning { return tuning.InService() }
+// DefaultTuning are the figures in service.
+func DefaultTuning() Tuning { return tuning.InService() }
--- a/policy/unreported_test.go
+++ b/policy/unreported_test.go
@@ -33,7 +33,7 @@
 		answer := func(outcome Outcome, took time.Duration) {
 			now += 50 * time.Millisecond
 			if send := ask(b, now, now.String(), "top"); send.Kind == ActSend { // and is not refused
-				b.Handle(now, &Event{Kind: EvOutcome, ID: send.ID, Took: took, Outcome: outcome, Last: true}, nil)
+				b.Handle(now, &Event{Kind: EvOutcome, ID: send.ID, Took: took, Outcome: outcome, Finished: true}, nil)
 			}
 			b.Handle(now, &Event{Kind: EvTimer, Token: "tick"}, nil)
 		}
@@ -95,7 +95,7 @@
 
 // send has a backend take an attempt. It serves it also where its node no longer waits.
 func (f *crowdedFleet) send(now time.Duration, node int, send Action) {
-	cores := f.free[send.Server]
+	cores := f.free[send.Backend]
 	core := slices.Index(cores, slices.Min(cores))
 	work := time.Duration(float64(crowdedWork) * (0.5 + f.random.Float64()))
 	cores[core] = max(now, cores[core]) + work
@@ -103,7 +103,7 @@
 	if end > now+send.Wait {
 		end, outcome = now+send.Wait, TimedOut
 	}
-	f.add(end, node, Event{Kind: EvOutcome, ID: send.ID, Server: send.Server, Took: end - now, Outcome: outcome, Last: true})
+	f.add(end, node, Event{Kind: EvOutcome, ID: send.ID, Backend: send.Backend, Took: end - now, Outcome: outcome, Finished: true})
 	if outcome == OK && end-now <= crowdedAim {
 		f.inTime++
 	}
@@ -117,7 +117,7 @@
 		n := int(part * most)
 		for i := range n {
 			at := crowdedStart + time.Duration(float64(time.Second)*(float64(second)+float64(i)/float64(n)))
-			f.add(at, f.random.IntN(len(f.nodes)), Event{Kind: EvRequest, ID: fmt.Sprint(second, "-", i), Class: "only", Left: crowdedDeadline})
+			f.add(at, f.random.IntN(len(f.nodes)), Event{Kind: EvRequest, ID: fmt.Sprint(second, "-", i), Class: "only", Remaining: crowdedDeadline})
 		}
 	}
 	const counted = 5
@@ -148,7 +148,7 @@
 	const nodes, backends = 32, 12
 	var entries []Entry
 	for i := range backends {
-		entries = append(entries, Entry{ID: uint32(i), Place: subset.Hash(fmt.Sprint(i)), Kind: "k"})
+		entries = append(entries, Entry{ID: uint32(i), Hash: subset.Hash(fmt.Sprint(i)), Kind: "k"})
 	}
 	f := &crowdedFleet{random: rand.New(rand.NewPCG(1, 2))}
 	for range backends {
--- a/policy/zone_test.go
+++ b/policy/zone_test.go
@@ -34,9 +34,9 @@
 		for len(out) > 0 && out[0].at <= now {
 			a := out[0]
 			out = out[1:]
-			held[a.send.Server]--
-			b.Handle(now, &Event{Kind: EvOutcome, ID: a.send.ID, Server: a.send.Server, Took: a.took, Outcome: OK, Last: true,
-				Load: Load{Known: true, Queue: float64(max(0, held[a.send.Server]-4)), Held: -1}}, nil)
+			held[a.send.Backend]--
+			b.Handle(now, &Event{Kind: EvOutcome, ID: a.send.ID, Backend: a.send.Backend, Took: a.took, Outcome: OK, Finished: true,
+				Load: Load{Known: true, Queue: float64(max(0, held[a.send.Backend]-4)), Occupancy: -1}}, nil)
 		}
 		if i%5 != 0 {
 			continue
@@ -47,11 +47,11 @@
 			continue
 		}
 		took := here
-		if act.Server > 2 {
+		if act.Backend > 2 {
 			took = there
 		}
-		held[act.Server]++
-		took = time.Duration(float64(took) * (1 + max(0, float64(held[act.Server]-4))/4))
+		held[act.Backend]++
+		took = time.Duration(float64(took) * (1 + max(0, float64(held[act.Backend]-4))/4))
 		at := now + took
 		j := len(out)
 		for j > 0 && out[j-1].at > at {
@@ -60,7 +60,7 @@
 		out = append(out[:j], append([]answer{{at, act, took}}, out[j:]...)...)
 		if i >= 2000 {
 			sent[class]++
-			if act.Server > 2 {
+			if act.Backend > 2 {
 				crossed[class]++
 			}
 		}
