--- a/policy/api.go
+++ b/policy/api.go
@@ -9,16 +9,16 @@
 	"craneglade/internal/sites"
 )
 
-// Effect says what repeating a request would do.
+// Effect says whether a request may run more than once.
 type Effect uint8
 
 const (
 	Safe   Effect = iota // may run any number of times
-	Keyed                // carries a key; backends of one group drop repeats inside Class.Window
+	Keyed                // carries a key: backends of one group drop repeats within Class.Window
 	Unsafe               // must never run twice
 )
 
-// Group says which backends share the memory that drops repeats of a keyed request.
+// Group says which backends share the deduplication of a keyed request.
 type Group uint8
 
 const (
@@ -27,49 +27,49 @@
 	GroupCell              // the backends of one cell
 )
 
-// Class describes one kind of request.
+// Class describes one class of requests.
 type Class struct {
 	Name      string
-	Aim       time.Duration // an answer within this earns the full worth
-	Deadline  time.Duration // the client's whole patience; 0 means none was told
+	Aim       time.Duration // latency target: an answer within it has the full worth
+	Deadline  time.Duration // client timeout; 0: not set
 	Worth     float64
-	LateWorth float64 // share of the worth that is paid after the aim
+	LateWorth float64 // fraction of the worth that an answer after the aim has
 	Effect    Effect
 	Group     Group
-	Window    time.Duration // keyed: how long repeats are dropped, from the send of the first attempt
+	Window    time.Duration // Keyed: time for which repeats are dropped, from the send of the first attempt
 }
 
-// Tenant is one customer of the service. QuotaPerS is its share in requests a second, over all nodes.
+// Tenant is one customer of the service. QuotaPerS is its quota in requests per second over all nodes.
 type Tenant struct {
 	Name      string
 	QuotaPerS float64
 }
 
-// Settings is what a node is told at its start. Durations and counts left zero mean "not told".
+// Settings are the settings of a node at its start. A duration or count of 0 means that it is not set.
 type Settings struct {
 	Zone        string        // zone of this node
-	CrossPrice  float64       // of an attempt that leaves the zone, in mean requests' worth
+	CrossPrice  float64       // of an attempt that leaves the zone, as a multiple of the mean worth of a request
 	Nodes       int           // nodes in service, this one included; at least 1
-	Number      int           // this node's own among them, from 0
-	MustAsk     bool          // the list comes only when asked for
-	MustAskIn   time.Duration // after a loss the list must be asked for within this; 0 when not told
+	Number      int           // index of this node among them, from 0
+	MustAsk     bool          // the list comes only on request
+	MustAskIn   time.Duration // time within which a lost list must be requested again; 0: not set
 	Classes     []Class
 	Tenants     []Tenant
-	OverShare   float64       // worth of a request past its tenant's share, as a part of the usual
-	MaxAttempts int           // attempts for one request; at least 1
+	OverShare   float64       // worth of a request over its tenant's quota, as a fraction of its normal worth
+	MaxAttempts int           // per request; at least 1
 	Cancel      bool          // attempts may be cancelled
-	QueueOnly   bool          // load reports tell what waits and not what is held
-	NoReports   bool          // answers hold no load reports
-	Copies      bool          // a request may have two attempts out at a time
-	RetryAfter  time.Duration // longest retry-after that clients honour; 0 when they see none
-	DrainGrace  time.Duration
-	ColdShare   float64 // a cold backend's capacity at its start, as a part of the full
-	ColdFor     time.Duration
-	FallFactor  float64       // this multiple of its present capacity,
-	FallFor     time.Duration // sent for this long, brings a cold backend down
+	QueueOnly   bool          // load reports hold the queue length only, not the requests in work
+	NoReports   bool          // answers carry no load reports
+	Copies      bool          // a request may have two attempts in flight at a time (hedging)
+	RetryAfter  time.Duration // longest retry-after that clients honour; 0: they ignore it
+	DrainGrace  time.Duration // time after the notification of a drain within which requests may still be sent
+	ColdShare   float64       // capacity of a backend at its start, as a fraction of the full one
+	ColdFor     time.Duration // time from its start until its capacity is full
+	FallFactor  float64       // load, as a multiple of its present capacity, that brings a cold backend down
+	FallFor     time.Duration // if it lasts this long
 }
 
-// Validate reports the first setting that makes no sense.
+// Validate returns an error that names the first invalid setting, if any.
 func (s *Settings) Validate() (err error) {
 	check := func(ok bool, format string, args ...any) {
 		if err == nil && !ok {
@@ -79,7 +79,7 @@
 	figures := func(at, names string, values ...float64) {
 		for i, name := range strings.Fields(names) {
 			v := values[i]
-			check(v >= 0 && v <= math.MaxFloat64, "%s%s: %v must be a number that is not negative", at, name, v)
+			check(v >= 0 && v <= math.MaxFloat64, "%s%s: %v must be finite and not negative", at, name, v)
 		}
 	}
 	check(len(s.Classes) > 0, "Classes: at least one class is needed")
@@ -110,13 +110,13 @@
 
 const (
 	EvRequest         EventKind = iota // a client request arrived
-	EvOutcome                          // an attempt ended
-	EvDisconnected                     // the client gave up
-	EvList                             // news of the server list
+	EvOutcome                          // an attempt has ended
+	EvDisconnected                     // the client has disconnected or given up
+	EvList                             // an update of the backend list
 	EvTimer                            // a timer set by ActTimer is due
-	EvResponseStarted                  // an answer that goes on while it comes has begun to; Attempt brings it
-	EvShared                           // news of what the nodes of the fleet share; Shared brings it
-	EvSites                            // how zones are to be used while some are lost; Zones and Admit bring it
+	EvResponseStarted                  // the client has started to receive a streamed response, of attempt Attempt
+	EvShared                           // an update of the fleet's shared state, in Shared
+	EvSites                            // limits on zones and classes while sites are lost, in Zones and Admit
 	EvOther                            // anything the policy does not act on
 )
 
@@ -124,96 +124,96 @@
 type Outcome uint8
 
 const (
-	OK            Outcome = iota
-	Failed                // an error answer; may have run
-	Full                  // turned away unseen; never ran
-	TimedOut              // no answer in time; may have run
-	ConnectFailed         // no connection in time; never ran
-	Reset                 // the connection dropped; may have run
-	Canceled              // cancelled; may have run
-	NeverSent             // never sent; never ran
+	OK            Outcome = iota // answered
+	Failed                       // error response; may have run
+	Full                         // rejected for lack of capacity; never ran
+	TimedOut                     // no response in time; may have run
+	ConnectFailed                // no connection in time; never ran
+	Reset                        // the connection dropped; may have run
+	Canceled                     // cancelled; may have run
+	NeverSent                    // not sent, for no fault of the backend; never ran
 )
 
-// Load is a backend's report. Queue and Held are negative when the report does not carry them.
+// Load is a backend's load report.
 type Load struct {
-	Known          bool
-	Queue          float64 // requests waiting; negative when not told
-	Occupancy      float64 // requests held, waiting or in work; negative when not told
-	ServiceSeconds float64 // seconds of service lately, without waiting; not positive when not told
+	Known          bool    // the answer carried a report
+	Queue          float64 // requests waiting; negative: unknown
+	Occupancy      float64 // requests waiting or in work; negative: unknown
+	ServiceSeconds float64 // recent service time of a request, without waiting; 0 or negative: unknown
 }
 
-// ListKind says how Event.Entries is to be read.
+// ListKind says what Event.Entries holds.
 type ListKind uint8
 
 const (
 	ListDelta  ListKind = iota // changed entries only
-	ListFull                   // all entries; a backend not in it has left
+	ListFull                   // all entries; a backend not among them is removed
 	ListCached                 // all entries as last seen, perhaps stale
-	ListFailed                 // no entries: a call for the list failed, or the subscription dropped
+	ListFailed                 // no entries: a fetch failed or the subscription was lost
 )
 
-// State is a backend's standing in the list.
+// State is the state of a backend in the list.
 type State uint8
 
 const (
-	Active State = iota
-	Draining
-	Removed
+	Active   State = iota
+	Draining       // gets new requests for part of Settings.DrainGrace at most
+	Removed        // no longer listed
 )
 
 // Entry is one backend in a list.
 type Entry struct {
 	ID        uint32
-	Hash      uint64 // subset.Hash of the list's id: the same at every node
+	Hash      uint64 // subset.Hash of the backend's id in the list: the same at every node
 	Zone      string
 	Cell      int64
-	Kind      string        // machine kind; only ever compared for equality
-	Launched  time.Duration // clock time of its last start; 0 means long ago
+	Kind      string        // machine kind; only compared for equality
+	Launched  time.Duration // clock time of its latest start; 0: unknown, long ago
 	State     State
-	Protocols uint8 // protocols beside the first one, a bit for each
+	Protocols uint8 // bit set of the protocols that it speaks besides the first one
 }
 
 // Event is one thing that happened at this node. Only the fields of its kind are read.
 type Event struct {
 	Kind              EventKind
-	ID                string                // EvRequest, EvOutcome, EvGone: the request
+	ID                string                // EvRequest, EvOutcome, EvDisconnected, EvResponseStarted: the request
 	Class             string                // EvRequest
 	Tenant            string                // EvRequest
-	Remaining         time.Duration         // EvRequest: the client gives up after this
-	RequiredProtocols uint8                 // EvRequest: bits of Entry.Speaks that a backend must have
-	ClientRetry       bool                  // EvRequest: a client's repeat of its earlier try, where clients say so
+	Remaining         time.Duration         // EvRequest: time until the client gives up
+	RequiredProtocols uint8                 // EvRequest: bits of Entry.Protocols that a backend must have
+	ClientRetry       bool                  // EvRequest: marked by the client as a retry of an earlier request
 	Backend           uint32                // EvOutcome
-	Attempt           int                   // EvOutcome: number of the attempt, from 0 in the order of the sends
+	Attempt           int                   // EvOutcome, EvResponseStarted: from 0 in the order of the sends
 	Took              time.Duration         // EvOutcome: since the send
-	Finished          bool                  // EvOutcome: the request is finished
+	Finished          bool                  // EvOutcome: the client has its final answer or is gone
 	Outcome           Outcome               // EvOutcome
 	Load              Load                  // EvOutcome
 	List              ListKind              // EvList
 	Entries           []Entry               // EvList; not kept by the policy
 	Token             string                // EvTimer
 	Shared            *SharedState          // EvShared; not kept by the policy
-	Zones             map[string]sites.Zone // EvSites: without one a zone is used as usual; not changed by the policy
-	Admit             map[string][2]float64 // EvSites: by class, parts admitted within shares, and past them
+	Zones             map[string]sites.Zone // EvSites: by zone; a missing one has no limit; not changed by the policy
+	Admit             map[string][2]float64 // EvSites: by class, fractions admitted within quota and over quota
 }
 
-// SharedState is what the nodes of a fleet know together. Of what is not told, or zero, this node decides alone.
+// SharedState is what the nodes of a fleet have agreed on. This node decides alone about what is missing or zero.
 type SharedState struct {
-	WithinQuota map[string]float64 // by tenant: part of its requests here that lie within its share
-	Ejected     []uint32           // servers that enough nodes find broken
+	WithinQuota map[string]float64 // by tenant: fraction of its requests at this node that are within its quota
+	Ejected     []uint32           // backends that enough nodes report as failing
 }
 
 // ActionKind names what the node is to do.
 type ActionKind uint8
 
 const (
-	ActSend      ActionKind = iota // start an attempt of ID at Server, with Wait as its time-out
-	ActCancel                      // stop waiting for attempt Attempt of ID
-	ActRefuse                      // final answer: refused, the client may try again after Wait
-	ActFail                        // final answer: failed, no promise
+	ActSend      ActionKind = iota // start an attempt of ID at Backend, with Wait as its time-out
+	ActCancel                      // cancel attempt Attempt of ID
+	ActRefuse                      // final answer: refused; the client may retry after Wait
+	ActFail                        // final answer: failed; it may have run
 	ActTimer                       // send EvTimer with Token once the clock reaches At
 	ActSubscribe                   // subscribe to changes of the list
-	ActFetch                       // ask for the whole list once
-	ActLog                         // Text is worth an operator's look
+	ActFetch                       // fetch the full list once
+	ActLog                         // log Text for the operator
 )
 
 // Action is one thing for the node to do, in the order given.
@@ -224,7 +224,7 @@
 	Attempt      int
 	Wait         time.Duration
 	At           time.Duration
-	SendDeadline time.Duration // ActSend of a keyed class: clock time by which its last byte must be out; 0 for any
+	SendDeadline time.Duration // ActSend of a keyed class: clock time by which all of it must be written; 0: any
 	Token        string
 	Text         string
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// BenchmarkList is what a list costs the policy: all backends, and news of one. A whole list is of backends that are known.
+// BenchmarkList is what a list costs the policy: all backends, and news of one. A whole list is of backends that are
+// known.
 func BenchmarkList(b *testing.B) {
 	for _, boxes := range []int{18, 200, 1000, 5000, 20000} {
 		var list []policy.Entry
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -68,9 +68,9 @@
 	return ramp * coldCores / coldWork
 }
 
-// play runs nodes over warm backends and two cold ones at a part of what the warm ones carry; with replaced the warm ones leave a
-// second after the cold ones start. It returns the worst window: sends to a
-// cold backend as a part of what its budget of N allows, N + 2 x root of N + 2.
+// play runs nodes over warm backends and two cold ones at a part of what the warm ones carry; with replaced the warm
+// ones leave a second after the cold ones start. It returns the worst window: sends to a cold backend as a part of what
+// its budget of N allows, N + 2 x root of N + 2.
 func (f *coldFleet) play(nodes, warm int, load float64, replaced bool, end float64) (worst float64, sent int) {
 	f.boxes = map[uint32]*coldBox{}
 	var known []Entry
@@ -80,7 +80,7 @@
 		if i < warm {
 			known = append(known, b.entry)
 		} else {
-			b.entry.Launched = t0 + span(coldStart)
+			b.entry.Launched = t0 + toDuration(coldStart)
 		}
 	}
 	weight, sum := make([]float64, nodes), 0.0
@@ -124,7 +124,7 @@
 			b.held--
 			e.ev.Load = Load{Known: true, Occupancy: b.held, Queue: max(0, b.held-coldCores)}
 		}
-		out = f.nodes[e.node].Handle(t0+span(e.at), &e.ev, out[:0])
+		out = f.nodes[e.node].Handle(t0+toDuration(e.at), &e.ev, out[:0])
 		for _, a := range out {
 			switch a.Kind {
 			case ActTimer:
@@ -134,7 +134,7 @@
 				b.sent = append(b.sent, e.at)
 				b.held++
 				took := coldWork * f.rng.ExpFloat64() * max(1, b.held/coldCores) * coldCores / coldWork / f.capacity(b, e.at)
-				ev := Event{Kind: EvOutcome, ID: a.ID, Backend: a.Backend, Attempt: 0, Took: span(took), Finished: true}
+				ev := Event{Kind: EvOutcome, ID: a.ID, Backend: a.Backend, Attempt: 0, Took: toDuration(took), Finished: true}
 				if took > a.Wait.Seconds() {
 					ev.Took, ev.Outcome, ev.Finished = a.Wait, TimedOut, false
 				}
@@ -150,7 +150,8 @@
 			for b.sent[to]-b.sent[from] > window {
 				from++
 			}
-			// What the settings allow it then: its capacity grows evenly, so that the window's mean is that of its middle.
+			// What the settings allow it then: its capacity grows evenly, so that the window's mean is that of its
+			// middle.
 			n := f.set.FallFactor * window * f.capacity(b, b.sent[to]-window/2)
 			worst = max(worst, float64(to-from+1)/(n+2*math.Sqrt(n)+2))
 		}
@@ -158,8 +159,8 @@
 	return worst, sent
 }
 
-// The sum of what all nodes send to a cold backend stays within its budget in every window, however many they are, uneven their traffic
-// and different the moments at which they hear of it.
+// The sum of what all nodes send to a cold backend stays within its budget in every window, however many they are,
+// uneven their traffic and different the moments at which they hear of it.
 func TestTheColdBudgetHoldsForTheSumOfAllNodes(t *testing.T) {
 	t.Parallel()
 	for _, set := range []struct {
--- a/policy/copy.go
+++ b/policy/copy.go
@@ -1,54 +1,57 @@
 package policy
 
-// A second copy of what seems lost, where the class and the settings allow two attempts at a time.
+// Hedging of attempts that seem lost, if the class and the settings allow two attempts at a time.
 
-const tail = 4.0 // deviations beyond a class's mean latency after which an attempt is late: 1 in 60 of exponential ones
+// lateDeviations is how many standard deviations above its class's mean latency an attempt is late: with exponential
+// latencies about 1 in 150.
+const lateDeviations = 4.0
 
-// tooLong is after what time an attempt of a class is late.
-func (c *class) tooLong() float64 {
-	late := c.took.Beyond(tail)
+// hedgeAfter returns the seconds after which an attempt of a class is late; at most half the aim.
+func (c *class) hedgeAfter() float64 {
+	late := c.latency.Beyond(lateDeviations)
 	if aim := c.Aim.Seconds(); aim > 0 {
 		late = min(late, aim/2)
 	}
 	return late
 }
 
-// again tells whether an attempt of a class that may have run can be followed by another one.
-func (b *Balancer) again(c *class) bool {
-	return b.set.Copies && c.Effect != Unsafe && c.took.N >= prior
+// mayHedge reports whether an attempt of a class may be followed by another one while it is in flight.
+func (b *Balancer) mayHedge(c *class) bool {
+	return b.cfg.Copies && c.Effect != Unsafe && c.latency.N >= priorSamples
 }
 
-// overdue gives late attempts a second copy. Attempts of a class are late in the order of their sends.
-func (b *Balancer) overdue(now float64) {
+// hedgeOverdue hedges attempts that have become late. Those of a class become late in the order of their sends.
+func (b *Balancer) hedgeOverdue(now float64) {
 	for _, c := range b.classes {
-		wait := c.tooLong()
-		for len(c.out) > 0 && (!c.out[0].open || now-c.out[0].at > wait) {
-			a := c.out[0]
-			c.out = c.out[1:]
-			b.copy(now, a)
+		wait := c.hedgeAfter()
+		for len(c.hedgeable) > 0 && (!c.hedgeable[0].open || now-c.hedgeable[0].sentAt > wait) {
+			a := c.hedgeable[0]
+			c.hedgeable = c.hedgeable[1:]
+			b.hedge(now, a)
 		}
 	}
 }
 
-// copy sends a second copy of an attempt that is out, where its backend shows that it is lost: later ones were
-// answered, at a backend that loses some, or nothing came from it at all since. One that is late in a crowd shows
-// neither, and a copy would only add to it. It goes to a backend in normal mode, from the budget of further attempts.
-func (b *Balancer) copy(now float64, a *attempt) {
-	s, r := a.server, a.request
-	// Nothing since tells only where something was due: a node of many that has one request there hears of no other.
-	lost := a.stray && now-s.lostAt < oldTau || s.lastOK < a.at && s.served/rateTau*(now-a.at) >= 1
-	if !a.open || !lost || r.final || r.open != 1 || !b.again(r.class) || now-a.at < r.class.tooLong() {
+// hedge sends a second attempt of a request whose first one seems lost: its backend has answered much later attempts
+// and has lost others recently, or has answered nothing at all since. An attempt that is late because of an overload
+// shows neither, and a hedge would only add to the load. A hedge needs a backend in normal mode, and a retry token.
+func (b *Balancer) hedge(now float64, a *attempt) {
+	s, r := a.backend, a.request
+	// Silence is evidence only if an answer was due: a node with little traffic may have no other attempt there.
+	lost := a.presumedLost && now-s.lossAt < historyDecaySeconds ||
+		s.lastOKAt < a.sentAt && s.answers/rateDecaySeconds*(now-a.sentAt) >= 1
+	if !a.open || !lost || r.done || r.open != 1 || !b.mayHedge(r.class) || now-a.sentAt < r.class.hedgeAfter() {
 		return
 	}
-	if r.mayRun == nil {
-		r.mayRun, r.by = s, a.at+r.class.Window.Seconds()
+	if r.mayHaveRun == nil {
+		r.mayHaveRun, r.retryBefore = s, a.sentAt+r.class.Window.Seconds()
 	}
 	r.avoid = s
 	if !b.mayRetry(now, r) {
 		return
 	}
-	if to := b.pick(now, r, normal); to != nil {
-		b.retries--
-		b.send(now, r, to)
+	if target := b.pick(now, r, normal); target != nil {
+		b.retryTokens--
+		b.send(now, r, target)
 	}
 }
--- a/policy/copy_test.go
+++ b/policy/copy_test.go
@@ -22,13 +22,13 @@
 	if lost = ask(b, now, "lost", class); lost.Kind != ActSend || lost.Backend != 1 {
 		t.Fatalf("%+v, want a send to 1", lost)
 	}
-	b.servers[1].lostAt = now.Seconds()
+	b.backends[1].lossAt = now.Seconds()
 	return b, lost, now
 }
 
 // shut leaves backends out, and opens all others.
 func shut(b *Balancer, ids ...uint32) {
-	for id, s := range b.servers {
+	for id, s := range b.backends {
 		if s.Ejected = 0; slices.Contains(ids, id) {
 			s.Ejected = 1e9
 		}
@@ -65,12 +65,12 @@
 		{"out for too short a time", "top", func(*Settings) {}, 5 * time.Millisecond, nil, 0},
 		{"its window is over", "key", func(s *Settings) { s.Classes[2].Window = late }, late, nil, 0},
 		{"the only attempt allowed", "top", func(s *Settings) { s.MaxAttempts = 1 }, late, nil, 0},
-		{"a backend that loses nothing", "top", func(*Settings) {}, late, func(b *Balancer) { b.servers[1].lostAt = 0 }, 0},
-		{"no budget", "top", func(*Settings) {}, late, func(b *Balancer) { b.retries = 0 }, 0},
+		{"a backend that loses nothing", "top", func(*Settings) {}, late, func(b *Balancer) { b.backends[1].lossAt = 0 }, 0},
+		{"no budget", "top", func(*Settings) {}, late, func(b *Balancer) { b.retryTokens = 0 }, 0},
 		{"others in overload", "top", func(*Settings) {}, late, func(b *Balancer) {
-			b.servers[2].room, b.servers[3].room = 0.1, 0.1
-			b.servers[2].others, b.servers[3].others = 50, 50
-			b.servers[2].reportAt, b.servers[3].reportAt = 1e6, 1e6
+			b.backends[2].minFullOccupancy, b.backends[3].minFullOccupancy = 0.1, 0.1
+			b.backends[2].reportedExcess, b.backends[3].reportedExcess = 50, 50
+			b.backends[2].reportAt, b.backends[3].reportAt = 1e6, 1e6
 		}, 0},
 	} {
 		b, lost, now := lossy(t, c.class, c.change)
@@ -89,9 +89,9 @@
 	}
 }
 
-// A backend that has answered nothing at all since an attempt was sent shows as little as one that lost it.
-// Where this node is one of many and nothing else was due from it, its silence tells nothing: copies of all that was late
-// were a fifth of the work that 80 nodes gave 60 backends.
+// A backend that has answered nothing at all since an attempt was sent shows as little as one that lost it. Where this
+// node is one of many and nothing else was due from it, its silence tells nothing: copies of all that was late were a
+// fifth of the work that 80 nodes gave 60 backends.
 func TestASilentBackendsAttemptGetsASecondCopy(t *testing.T) {
 	silent(t, 300, 1)
 	silent(t, 1, 0)
@@ -101,7 +101,7 @@
 func silent(t *testing.T, served float64, want int) {
 	t.Helper()
 	b, lost, now := lossy(t, "top", func(*Settings) {})
-	b.servers[1].lostAt, b.servers[1].served = 0, served
+	b.backends[1].lossAt, b.backends[1].answers = 0, served
 	shut(b)
 	copies := 0
 	for at := now; at < now+time.Second; at += 20 * time.Millisecond {
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A third of the fleet told to drain at once, with successors seconds away: what all nodes stop using in the same instant is
-// missing. A box goes on serving for a part of its grace, and only where this node is sure when it was told.
+// A third of the fleet told to drain at once, with successors seconds away: what all nodes stop using in the same
+// instant is missing. A box goes on serving for a part of its grace, and only where this node is sure when it was told.
 func TestADrainingBackendServesForAPartOfItsGrace(t *testing.T) {
 	const grace = 2 * time.Second
 	leaving := Entry{ID: 1, Zone: "a", State: Draining}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -10,7 +10,7 @@
 )
 
 // many is a node of 80 over 60 backends in three zones, and its backends.
-func many(t *testing.T, change ...func(*Settings)) (*Balancer, []*server) {
+func many(t *testing.T, change ...func(*Settings)) (*Balancer, []*backend) {
 	t.Helper()
 	var entries []Entry
 	for i := range 60 {
@@ -18,7 +18,7 @@
 	}
 	change = append([]func(*Settings){func(s *Settings) { s.Nodes, s.Number, s.Copies = 80, 5, true }}, change...)
 	b := node(t, settings(change...), entries...)
-	return b, b.order
+	return b, b.sorted
 }
 
 // A node with one request in ten seconds hears of nothing in between: that is no sign of anything.
@@ -61,14 +61,14 @@
 		first := uint32(0)
 		for _, s := range all {
 			fix(s, now, 0)
-			s.served = 17
-			if s.Zone == "a" && !s.wide && first == 0 {
+			s.answers = 17
+			if s.Zone == "a" && !s.outsideSubset && first == 0 {
 				first = s.ID
-			} else if !s.wide {
+			} else if !s.outsideSubset {
 				s.Ejected = now.Seconds() + 3600
 			}
 		}
-		b.retries = 10
+		b.retryTokens = 10
 		send := ask(b, now, "k", "key")
 		if send.Backend != first {
 			t.Fatalf("sent to %d, want the one of its part in order, %d", send.Backend, first)
@@ -80,7 +80,7 @@
 			}
 			continue
 		}
-		if again.Kind != ActSend || again.Backend == first || b.servers[again.Backend].Zone != "a" {
+		if again.Kind != ActSend || again.Backend == first || b.backends[again.Backend].Zone != "a" {
 			t.Errorf("it goes on with %+v, want another backend of zone a", again)
 		}
 	}
@@ -91,12 +91,12 @@
 func TestABackendWithAFullTableIsNeitherEjectedNorHammered(t *testing.T) {
 	b, all := many(t)
 	now := t0 + time.Minute
-	var full *server
+	var full *backend
 	part, _ := divided(b)
 	for _, s := range all {
 		fix(s, now, 0)
-		s.served = 17
-		if !s.wide && full == nil {
+		s.answers = 17
+		if !s.outsideSubset && full == nil {
 			full = s
 		}
 	}
@@ -138,8 +138,8 @@
 	for _, s := range all {
 		fix(s, now, 0)
 	}
-	b.level.Mean = 4.8 // of 20 that a warm one may hold here, in 10 of which it is in overload
-	var cold []*server
+	b.othersLoad.Mean = 4.8 // of 20 that a warm one may hold here, in 10 of which it is in overload
+	var cold []*backend
 	for _, s := range all[:20] {
 		cold = append(cold, s)
 	}
@@ -181,7 +181,7 @@
 		b.tenants[0].rate = 100
 		n := 0
 		for range 1000 {
-			if b.overShare("greedy") {
+			if b.drawOverQuota("greedy") {
 				n++
 			}
 		}
@@ -199,14 +199,14 @@
 	}
 	b.Handle(t0, &Event{Kind: EvList, List: ListFull, Entries: []Entry{{ID: 1}, {ID: 2}}}, nil)
 	now := t0 + 2*time.Second
-	b.servers[1].lastOK, b.servers[2].lastOK = now.Seconds(), 0
+	b.backends[1].lastOKAt, b.backends[2].lastOKAt = now.Seconds(), 0
 	b.Handle(now, &Event{Kind: EvShared, Shared: &SharedState{Ejected: []uint32{1, 2, 99}}}, nil)
 	for range 50 {
 		if s := b.pick(now.Seconds(), &request{class: b.classes[0]}, overload); s == nil || s.ID != 1 {
 			t.Fatalf("%+v is drawn, want the one that has just answered here", s)
 		}
 	}
-	if s := b.servers[2]; s.Ejected < now.Seconds()+health.First || !s.Trial {
+	if s := b.backends[2]; s.Ejected < now.Seconds()+health.First || !s.Trial {
 		t.Errorf("it is out until %.1f, trial %v", s.Ejected-now.Seconds(), s.Trial)
 	}
 }
--- a/policy/lost.go
+++ b/policy/lost.go
@@ -2,26 +2,26 @@
 
 import "slices"
 
-// overtaken takes what is out at a backend for much longer than what was just answered off its occupancy.
-// Backends take requests in turn: what was sent several service times before one that has its answer does not
-// wait there, but was lost on the way, or is one of a few with far more work than most. Held until it times
-// out, it would make a backend that loses a tenth of its requests look crowded while it stands idle.
-func (b *Balancer) overtaken(s *server, by *attempt) {
-	before := by.at - b.tune.Overtake*b.service(s)
-	for len(s.flying) > 0 && s.flying[0].at < before {
-		a := s.flying[0]
-		a.stray = true
-		b.flying--
-		s.own = max(0, s.own-1)
-		s.flying = slices.Delete(s.flying, 0, 1+ended(s.flying[1:]))
-		b.copy(b.now, a)
+// presumeLost removes attempts from the occupancy of a backend that were sent Tuning.Overtake service times before the
+// one just answered. Backends serve requests in order of arrival, so such an attempt isn't waiting there: it was lost,
+// or is one of a few with far more work than most. Counted until its time-out, it would make a backend that loses a
+// tenth of its requests look overloaded while it is idle.
+func (b *Balancer) presumeLost(s *backend, answered *attempt) {
+	sentBefore := answered.sentAt - b.tuning.Overtake*b.serviceTime(s)
+	for len(s.attempts) > 0 && s.attempts[0].sentAt < sentBefore {
+		a := s.attempts[0]
+		a.presumedLost = true
+		b.inFlight--
+		s.inFlight = max(0, s.inFlight-1)
+		s.attempts = slices.Delete(s.attempts, 0, 1+leadingEnded(s.attempts[1:]))
+		b.hedge(b.now, a)
 	}
 }
 
-// ended counts the attempts at the front that have an outcome.
-func ended(flying []*attempt) int {
-	if i := slices.IndexFunc(flying, func(a *attempt) bool { return a.open }); i >= 0 {
+// leadingEnded counts the attempts at the front that have an outcome.
+func leadingEnded(attempts []*attempt) int {
+	if i := slices.IndexFunc(attempts, func(a *attempt) bool { return a.open }); i >= 0 {
 		return i
 	}
-	return len(flying)
+	return len(attempts)
 }
--- a/policy/paper_test.go
+++ b/policy/paper_test.go
@@ -8,10 +8,10 @@
 	"craneglade/internal/kit/chain"
 )
 
-// The mode rule is the paper's, but that discard ends one request later: at fewer than H, where the paper's ends at H. A box
-// that is an M/M/1 queue with exact and immediate reports (load 1.2, service 5 ms, R = 100) is driven through it, with the four
-// settings of the paper's Table 1; shares of the modes and times until normal are those of the exact solution, within four
-// standard errors of the run.
+// The mode rule is the paper's, but that discard ends one request later: at fewer than H, where the paper's ends at H.
+// A box that is an M/M/1 queue with exact and immediate reports (load 1.2, service 5 ms, R = 100) is driven through it,
+// with the four settings of the paper's Table 1; shares of the modes and times until normal are those of the exact
+// solution, within four standard errors of the run.
 func TestModeRuleIsThePapers(t *testing.T) {
 	const lambda, mu, r = 1.2, 1.0, 100
 	for i, x := range []struct {
--- a/policy/part_test.go
+++ b/policy/part_test.go
@@ -8,29 +8,30 @@
 	"craneglade/internal/subset"
 )
 
-// A node of 80 works with a part of 60 backends. Where that is of no use its requests go to others; where it is crowded,
-// they don't: all nodes' parts are then, and connections to strangers made a crowd of every backend (docs/fleet-test.md).
+// A node of 80 works with a part of 60 backends. Where that is of no use its requests go to others; where it is
+// crowded, they don't: all nodes' parts are then, and connections to strangers made a crowd of every backend
+// (docs/fleet-test.md).
 func TestANodeWhosePartIsOfNoUseTakesTheRest(t *testing.T) {
 	now := t0 + time.Minute
 	for _, c := range []struct {
 		name string
-		does func(b *Balancer, part, rest []*server) // to the part, or to both
-		most int                                     // of 100 requests that go unsent
-		keep bool                                    // what is beyond the part must get nothing
+		does func(b *Balancer, part, rest []*backend) // to the part, or to both
+		most int                                      // of 100 requests that go unsent
+		keep bool                                     // what is beyond the part must get nothing
 	}{
-		{"crowded", func(_ *Balancer, part, _ []*server) { crowd(part, now) }, 100, true},
-		{"ejected", func(_ *Balancer, part, _ []*server) {
+		{"crowded", func(_ *Balancer, part, _ []*backend) { crowd(part, now) }, 100, true},
+		{"ejected", func(_ *Balancer, part, _ []*backend) {
 			for _, s := range part {
 				s.Ejected = now.Seconds() + 60
 			}
 		}, 0, false},
-		{"crowded but for one, which is ejected", func(_ *Balancer, part, _ []*server) {
+		{"crowded but for one, which is ejected", func(_ *Balancer, part, _ []*backend) {
 			crowd(part[1:], now)
 			part[0].Ejected = now.Seconds() + 60
 		}, 100, true},
-		{"gone", func(b *Balancer, part, _ []*server) { tell(b, now, part, Removed, 0) }, 0, false},
-		{"cold", func(b *Balancer, part, _ []*server) { tell(b, now, part, Active, now) }, 0, false},
-		{"crowded, and all others cold", func(b *Balancer, part, rest []*server) {
+		{"gone", func(b *Balancer, part, _ []*backend) { tell(b, now, part, Removed, 0) }, 0, false},
+		{"cold", func(b *Balancer, part, _ []*backend) { tell(b, now, part, Active, now) }, 0, false},
+		{"crowded, and all others cold", func(b *Balancer, part, rest []*backend) {
 			tell(b, now, rest, Active, now)
 			crowd(part, now)
 		}, 100, true},
@@ -44,11 +45,11 @@
 		if len(part) != 9 {
 			t.Fatalf("a part of %d, want 9 of 60", len(part))
 		}
-		for _, s := range b.order {
+		for _, s := range b.sorted {
 			fix(s, now, 0)
-			s.served = 60
+			s.answers = 60
 		}
-		b.picks, b.planAt = 100, now.Seconds() // so that a cold backend's part of them is far from nothing
+		b.pickCount, b.refreshedAt = 100, now.Seconds() // so that a cold backend's part of them is far from nothing
 		was := map[uint32]bool{}
 		for _, s := range rest {
 			was[s.ID] = true
@@ -75,9 +76,9 @@
 	}
 }
 
-func divided(b *Balancer) (part, rest []*server) {
-	for _, s := range b.order {
-		if s.wide {
+func divided(b *Balancer) (part, rest []*backend) {
+	for _, s := range b.sorted {
+		if s.outsideSubset {
 			rest = append(rest, s)
 		} else {
 			part = append(part, s)
@@ -86,13 +87,13 @@
 	return part, rest
 }
 
-func crowd(all []*server, now time.Duration) {
+func crowd(all []*backend, now time.Duration) {
 	for _, s := range all {
 		fix(s, now, 1000)
 	}
 }
 
-func tell(b *Balancer, now time.Duration, all []*server, state State, launched time.Duration) {
+func tell(b *Balancer, now time.Duration, all []*backend, state State, launched time.Duration) {
 	var entries []Entry
 	for _, s := range all {
 		e := s.Entry
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,8 +1,9 @@
-// Package policy makes the decisions of one load balancer: which backend a request goes to, which are refused,
-// what is tried again. Settings, events and actions are in api.go, what a node remembers in state.go.
+// Package policy makes the decisions of one load balancer node: which backend a request goes to, which requests are
+// refused and which are retried or hedged. Settings, events and actions are in api.go, the state of a node in state.go.
 //
 // Each backend has a mode, after Abaev et al., "Simulation of Overload Control in SIP Server Networks": normal,
-// overload (each request is diverted with probability q, to a normal one or refused) and discard (nothing is sent).
+// overload (each request is diverted with probability q: sent to a normal backend, or refused without one) and discard
+// (nothing is sent).
 package policy
 
 import (
@@ -19,164 +20,189 @@
 	"craneglade/internal/subset"
 )
 
-// Times are in seconds. The constants are the design's, or middles of plateaus over unlike fleets.
+// H and R are the thresholds between a backend's modes, see thresholdH and thresholdR.
 const (
-	onset     = 0.90 // H as a part of R
-	abatement = 0.78 // L as a part of R
-	roomPart  = 0.80 // and at most this part of an occupancy that drew 'full', as reports tell of it too late
-	minH      = 1.6  // below this the noise of single requests would decide the modes
-	sharpness = 8    // the split's weights fall with this power of the expected delay
-	ownZone   = 1.5  // weight of a backend in this node's own zone
-	othersTau = 3.0  // reports are older than most requests: what others add is known as a mean only
-	levelTau  = 9.0  // but what all hold alike moves within this part of it: over the nodes that share a backend
-	few       = 2.0  // so many that tell nothing stand before the first; fewer answers lately tell nothing either
-	swingTau  = 0.7  // reports tell of about that long ago
-	lagTau    = 0.5  // about how old a report is when it is read,
-	reportTau = 1.1  // and when the next one is
-	rateTau   = 3.0  // memory of service times and send rates
-	knowTau   = 2.0  // a report fades towards the mean of the fresh ones over this
-	oldTau    = 10.0 // an occupancy that drew 'full' and class shares fade over this
-	slotTau   = 60.0 // and how many it has in work at once over this
-	unheard   = 0.5  // so much of what is out does not wait, until a report tells what does
-	prior     = 5.0  // a backend's own service time counts from this many held requests on
-	guess     = 0.1  // service time before any answer was seen
-	silence   = 1.0  // time-outs and "full" are failures of a backend that answered nothing for this long
-	crowdAt   = 5.0  // time in work beyond this multiple of the kind's best tells of a crowd, not of chance
-	coldPart  = 0.45 // of the multiple that brings a cold backend down: so much it is sent at most
-	qMost     = 0.95 // q is never more
-	retryPart = 0.2  // further attempts that each first one allows
-	retryBank = 10.0 // and how many may be saved up
-	askAgain  = 1.0  // after a lost list a node asks again within about this
-	drainPart = 0.6  // of its grace a backend that is told to drain goes on serving; the rest is for late news
-	tick      = 0.25 // plans are renewed this often
+	onsetFraction     = 0.90 // H as a fraction of R
+	abatementFraction = 0.78 // L, below which a backend is normal again, as a fraction of R
+
+	// H is at most this fraction of the lowest occupancy that drew Full: reports show an occupancy too late.
+	fullFraction = 0.80
+
+	minH            = 1.6 // H is never lower: the noise of single requests would decide the modes
+	weightExponent  = 8   // a backend's weight in the draw falls with this power of its expected delay
+	localZoneWeight = 1.5 // factor on the weight of a backend in this node's zone
+
+	// Reports are older than most requests last, so only a mean of the other nodes' load at a backend is known.
+	othersDecaySeconds = 3.0
+
+	// The mean of the other nodes' load over all backends moves faster: this is divided by the nodes per backend.
+	meanLoadDecaySeconds = 9.0
+
+	// A mean starts as if this many samples of 0 came before the first; fewer recent answers are no evidence.
+	minSamples = 2.0
+
+	trendDecaySeconds       = 0.7  // about the age of what reports show
+	reportLagSeconds        = 0.5  // about the age of a report when it is read
+	reportMaxAgeSeconds     = 1.1  // about its age when the next one is read
+	rateDecaySeconds        = 3.0  // of service times and rates
+	reportDecaySeconds      = 2.0  // a report decays towards the mean of the recent ones
+	historyDecaySeconds     = 10.0 // of class statistics and of the occupancy that drew Full
+	concurrencyDecaySeconds = 60.0 // of the highest number of requests in work at once
+
+	// Fraction of the own attempts in flight that counts as in work rather than waiting, until the first report.
+	inServiceFraction = 0.5
+
+	priorSamples          = 5.0 // weight, in requests, of a default against a backend's or a class's own latencies
+	defaultServiceSeconds = 0.1 // service time before the first answer
+
+	// Time-outs and Full answers are failures only of a backend that has not answered any request for this long.
+	silenceSeconds = 1.0
+
+	// Service times beyond this multiple of the lowest of the kind show contention, not chance.
+	contentionFactor = 5.0
+
+	// A cold backend is sent at most this fraction of Settings.FallFactor, the multiple that brings it down.
+	coldTrafficFraction = 0.45
+
+	maxQ               = 0.95 // upper bound of the diverted fraction
+	retriesPerRequest  = 0.2  // retry tokens that each first attempt adds
+	maxRetryTokens     = 10.0
+	resubscribeSeconds = 1.0 // mean wait before subscribing to a lost list again
+
+	// Fraction of the drain grace for which a draining backend is still used; the rest allows for a late notification.
+	drainServeFraction = 0.6
+
+	refreshSeconds = 0.25
 )
 
-// New returns the balancer of one node, or an error that names the setting that makes no sense.
-func New(set Settings, seed uint64) (*Balancer, error) {
-	return NewWithTuning(set, seed, DefaultTuning())
+// New returns the balancer of one node, or an error that names the first invalid setting.
+func New(cfg Settings, seed uint64) (*Balancer, error) {
+	return NewWithTuning(cfg, seed, DefaultTuning())
 }
 
-// NewWithTuning is New with other figures than those in service, for the laboratory.
-func NewWithTuning(set Settings, seed uint64, tune Tuning) (*Balancer, error) {
-	if err := set.Validate(); err != nil {
+// NewWithTuning is like New, with tuning instead of DefaultTuning. Simulations use it.
+func NewWithTuning(cfg Settings, seed uint64, tuning Tuning) (*Balancer, error) {
+	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{set: set, tune: tune, rng: rand.New(rand.NewPCG(seed, 0)), servers: map[uint32]*server{},
-		requests: map[string]*request{}, tenant: map[string]*tenant{},
-		retries: retryBank, aim: math.Inf(1), half: math.Inf(1),
-		sharers: 1, many: 1, swing: 1}
-	for i, c := range set.Classes {
-		b.classes = append(b.classes, &class{Class: c, index: i, stay: 1, least: c.Deadline.Seconds()})
+	b := &Balancer{cfg: cfg, tuning: tuning, rng: rand.New(rand.NewPCG(seed, 0)), backends: map[uint32]*backend{},
+		requests: map[string]*request{}, tenantByName: map[string]*tenant{},
+		retryTokens: maxRetryTokens, minAim: math.Inf(1), halfMinDeadline: math.Inf(1),
+		nodesPerBackend: 1, sharingFactor: 1, loadTrend: 1}
+	for i, c := range cfg.Classes {
+		b.classes = append(b.classes, &class{Class: c, index: i, localFraction: 1, minRemaining: c.Deadline.Seconds()})
 		if d := c.Deadline.Seconds(); d > 0 {
-			b.half = min(b.half, d/2)
+			b.halfMinDeadline = min(b.halfMinDeadline, d/2)
 		}
 		if a := c.Aim.Seconds(); a > 0 {
-			b.aim = min(b.aim, a)
+			b.minAim = min(b.minAim, a)
 		}
 	}
-	for _, t := range set.Tenants {
+	for _, t := range cfg.Tenants {
 		b.tenants = append(b.tenants, &tenant{Tenant: t})
-		b.tenant[t.Name] = cmp.Or(b.tenant[t.Name], b.tenants[len(b.tenants)-1])
+		b.tenantByName[t.Name] = cmp.Or(b.tenantByName[t.Name], b.tenants[len(b.tenants)-1])
 	}
 	return b, nil
 }
 
-// Handle takes one event at the given time and appends what is to be done to out.
+// Handle processes one event at the given time and appends the resulting actions to out.
 func (b *Balancer) Handle(now time.Duration, ev *Event, out []Action) []Action {
-	b.out = out
-	t := max(now.Seconds(), b.now) // a clock that steps back must not undo what was learnt
+	b.actions = out
+	t := max(now.Seconds(), b.now) // a clock that steps back must not undo state
 	b.now = t
-	if b.many > 1 { // what moves here now moves at the others too, and their reports will tell only then
-		b.swing = math.Pow(b.drift.Of(t, b.flying, swingTau, few, 2), 1-1/b.many)
+	if b.sharingFactor > 1 {
+		// The other nodes' load moves like this one's, and reports will show it only later.
+		b.loadTrend = math.Pow(b.inFlightTrend.Of(t, b.inFlight, trendDecaySeconds, minSamples, 2), 1-1/b.sharingFactor)
 	}
 	switch ev.Kind {
 	case EvRequest:
-		b.arrive(t, ev)
+		b.handleRequest(t, ev)
 	case EvOutcome:
-		b.ended(t, ev)
+		b.handleOutcome(t, ev)
 	case EvDisconnected:
-		b.gone(ev)
+		b.handleDisconnect(ev)
 	case EvResponseStarted:
-		b.begun(ev)
+		b.handleResponseStart(ev)
 	case EvList:
-		b.list(t, ev)
+		b.applyList(t, ev)
 	case EvShared:
-		b.shared(t, ev.Shared)
+		b.applyShared(t, ev.Shared)
 	case EvSites:
 		b.gates.Set(t, ev.Zones, ev.Admit)
 	case EvTimer:
-		b.plan(t)
-		if b.askAt > 0 && t >= b.askAt {
-			b.askAt = 0
+		b.refresh(t)
+		if b.resubscribeAt > 0 && t >= b.resubscribeAt {
+			b.resubscribeAt = 0
 			b.do(Action{Kind: ActSubscribe})
 		}
 	}
-	b.overdue(t) // after the event, which may end one of them
-	// One timer is out at a time, whatever timers come in; one that was lost is set anew.
-	if t >= b.tickAt-1e-6 && (ev.Kind == EvTimer || t > b.tickAt+tick) {
-		b.tickAt = t + tick
-		b.do(Action{Kind: ActTimer, Token: "tick", At: span(b.tickAt)})
+	b.hedgeOverdue(t) // after the event, which may end an overdue attempt
+	// Only one timer is pending at a time, whatever timer events arrive; a lost one is set again.
+	if t >= b.nextRefreshAt-1e-6 && (ev.Kind == EvTimer || t > b.nextRefreshAt+refreshSeconds) {
+		b.nextRefreshAt = t + refreshSeconds
+		b.do(Action{Kind: ActTimer, Token: "tick", At: toDuration(b.nextRefreshAt)})
 	}
-	out, b.out = b.out, nil
+	out, b.actions = b.actions, nil
 	return out
 }
 
-func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
+func (b *Balancer) do(a Action) { b.actions = append(b.actions, a) }
 
 func (b *Balancer) log(format string, args ...any) {
 	b.do(Action{Kind: ActLog, Text: fmt.Sprintf(format, args...)})
 }
 
-func span(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+func toDuration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// arrive admits a request or refuses it at once; nothing is ever held.
-func (b *Balancer) arrive(now float64, ev *Event) {
+// handleRequest sends a request or refuses it at once; requests are never queued here.
+func (b *Balancer) handleRequest(now float64, ev *Event) {
 	if _, known := b.requests[ev.ID]; known {
 		return
 	}
-	// A class never told of must be taken as one that must not run twice.
-	c := &class{Class: Class{Name: ev.Class, Effect: Unsafe}, stay: 1, index: len(b.classes)}
+	// A request of an unknown class must not run twice.
+	c := &class{Class: Class{Name: ev.Class, Effect: Unsafe}, localFraction: 1, index: len(b.classes)}
 	if i := slices.IndexFunc(b.classes, func(k *class) bool { return k.Name == ev.Class }); i >= 0 {
 		c = b.classes[i]
 	}
 	c.requests++
-	left := ev.Remaining.Seconds()
-	r := &request{id: ev.ID, class: c, needs: ev.RequiredProtocols, until: now + left,
-		aim: now + left, luck: b.gates.Draw(b.rng)}
-	if aim := c.Aim.Seconds(); aim > 0 && c.LateWorth == 0 {
-		// A repeat with less time left than any first try lately tells its request's age. Past its aim it is no use.
-		if ev.ClientRetry && left < c.least-1e-3 {
-			aim -= max(0, c.Deadline.Seconds()-left)
+	remaining := ev.Remaining.Seconds()
+	r := &request{id: ev.ID, class: c, requiredProtocols: ev.RequiredProtocols, deadline: now + remaining,
+		usefulUntil: now + remaining, zoneDraw: b.gates.Draw(b.rng)}
+	if target := c.Aim.Seconds(); target > 0 && c.LateWorth == 0 {
+		// A client's retry with less time left than any recent first try belongs to an older request: the time that the
+		// client has waited for that counts against the aim.
+		if ev.ClientRetry && remaining < c.minRemaining-1e-3 {
+			target -= max(0, c.Deadline.Seconds()-remaining)
 		} else if !ev.ClientRetry {
-			c.least = min(c.least*1.001, left)
+			c.minRemaining = min(c.minRemaining*1.001, remaining)
 		}
-		r.aim = min(r.aim, now+aim)
+		r.usefulUntil = min(r.usefulUntil, now+target)
 	}
 	b.requests[ev.ID] = r
-	b.total++
-	over := b.overShare(ev.Tenant)
-	if over {
-		c.over++
+	b.requestCount++
+	overQuota := b.drawOverQuota(ev.Tenant)
+	if overQuota {
+		c.overQuota++
 	}
-	if r.lesser = over || c.lesser; r.lesser {
-		b.lessers++
+	if r.lowPriority = overQuota || c.lowPriority; r.lowPriority {
+		b.lowPriorityCount++
 	}
-	if left <= 0 || r.aim <= now || !b.gates.Admits(c.Name, over, b.rng) || !b.try(now, r) {
-		b.finish(now, r)
+	if remaining <= 0 || r.usefulUntil <= now || !b.gates.Admits(c.Name, overQuota, b.rng) || !b.trySend(now, r) {
+		b.refuseOrFail(now, r)
 		return
 	}
-	b.retries = min(retryBank, b.retries+retryPart)
+	b.retryTokens = min(maxRetryTokens, b.retryTokens+retriesPerRequest)
 }
 
-// try sends a request on the ordinary path of the design, or tells that no backend takes it: draw a backend,
-// let one in overload divert the request with probability q, and diverted requests draw a normal one.
-func (b *Balancer) try(now float64, r *request) bool {
+// trySend draws a backend for a request and sends it, and reports whether a backend took it. A backend in overload
+// diverts the request with probability q; a diverted request draws a backend in normal mode.
+func (b *Balancer) trySend(now float64, r *request) bool {
 	s := b.pick(now, r, overload)
-	if s != nil && s.mode == overload && b.diverts(now, s, r.lesser) {
+	if s != nil && s.mode == overload && b.diverts(now, s, r.lowPriority) {
 		s = b.pick(now, r, normal)
 	}
 	if len(r.attempts) == 0 {
-		if s != nil && b.sharers > b.tune.Steep && !b.pace.Allows(now, r.lesser) {
+		if s != nil && b.nodesPerBackend > b.tuning.Steep && !b.pace.Allows(now, r.lowPriority) {
 			s = nil
 		}
 		b.pace.Asked(s != nil)
@@ -187,250 +213,262 @@
 	return s != nil
 }
 
-func (b *Balancer) send(now float64, r *request, s *server) {
+// send starts an attempt of a request at a backend.
+func (b *Balancer) send(now float64, r *request, s *backend) {
 	b.pace.Sent()
 	b.sends.N++
-	if b.priced(s) {
+	if b.crossesAtPrice(s) {
 		b.sends.Sum++
 	}
-	a := &r.first
+	a := &r.firstAttempt
 	if len(r.attempts) > 0 {
 		a = &attempt{}
 	} else {
-		r.attempts = r.list[:0]
+		r.attempts = r.attemptsBuf[:0]
 	}
-	*a = attempt{server: s, request: r, open: true, met: b.waiting(s, now) + 1, at: now}
+	*a = attempt{backend: s, request: r, open: true, occupancyAtSend: b.occupancy(s, now) + 1, sentAt: now}
 	r.attempts = append(r.attempts, a)
-	s.flying = append(s.flying, a)
-	if b.again(r.class) && r.open == 0 {
-		r.class.out = append(r.class.out, a)
+	s.attempts = append(s.attempts, a)
+	if b.mayHedge(r.class) && r.open == 0 {
+		r.class.hedgeable = append(r.class.hedgeable, a)
 	}
 	s.sentAt = now
 	b.gates.Sent(s.Zone)
-	if s.classes != nil && s.of(b, r.class).Trial {
-		s.of(b, r.class).Ejected = now + health.First // one at a time
+	if s.classHealth != nil && s.classRecord(b, r.class).Trial {
+		s.classRecord(b, r.class).Ejected = now + health.First // one trial at a time
 	}
 	r.open++
-	s.own++
-	b.flying++
-	until := r.until // ended at the aim, it would draw a client's retry that is worth nothing
+	s.inFlight++
+	b.inFlight++
+	timeoutAt := r.deadline // a time-out at the aim would draw a client's retry that is worth nothing
 	if s.mode != normal {
-		until = r.aim // here it mostly waits, and keeps others from being in time
+		timeoutAt = r.usefulUntil // here it mostly queues, and delays requests that could still be in time
 	}
-	b.do(Action{Kind: ActSend, ID: r.id, Backend: s.ID, Wait: span(max(until-now, 1e-6)), SendDeadline: span(r.by)})
+	b.do(Action{Kind: ActSend, ID: r.id, Backend: s.ID, Wait: toDuration(max(timeoutAt-now, 1e-6)),
+		SendDeadline: toDuration(r.retryBefore)})
 }
 
-// finish gives the final answer: a refusal where the client may safely try again, a failure elsewhere.
-func (b *Balancer) finish(now float64, r *request) {
-	delete(b.requests, r.id) // no attempt is out: nothing more can come of it
+// refuseOrFail gives the final answer: a refusal if the client may safely retry, a failure otherwise.
+func (b *Balancer) refuseOrFail(now float64, r *request) {
+	delete(b.requests, r.id) // no attempt is in flight
 	c := r.class
-	if r.mayRun != nil && (c.Effect == Unsafe || c.Effect == Keyed && c.Group != GroupAll) {
-		b.do(Action{Kind: ActFail, ID: r.id}) // it may have run: a refusal would promise too much
+	if r.mayHaveRun != nil && (c.Effect == Unsafe || c.Effect == Keyed && c.Group != GroupAll) {
+		b.do(Action{Kind: ActFail, ID: r.id}) // a refusal would promise that it has not run
 		return
 	}
-	wait := b.set.RetryAfter.Seconds() // past the aim no repeat can be in time; before it a queue clears in part
-	if now < r.aim {
-		wait = min(wait, b.aim/4)
+	wait := b.cfg.RetryAfter.Seconds() // after the aim no retry can be in time; before it queues may shorten enough
+	if now < r.usefulUntil {
+		wait = min(wait, b.minAim/4)
 	}
-	b.do(Action{Kind: ActRefuse, ID: r.id, Wait: span(wait)})
+	b.do(Action{Kind: ActRefuse, ID: r.id, Wait: toDuration(wait)})
 }
 
-// ended takes an attempt's outcome. Outcomes that are late, doubled or of unknown requests change nothing.
-func (b *Balancer) ended(now float64, ev *Event) {
+// handleOutcome processes the outcome of an attempt. Late and repeated outcomes and those of unknown requests are
+// ignored.
+func (b *Balancer) handleOutcome(now float64, ev *Event) {
 	r := b.requests[ev.ID]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].open {
 		return
 	}
 	a := r.attempts[ev.Attempt]
-	s := a.server
+	s := a.backend
 	a.open = false
 	r.open--
-	r.final = r.final || ev.Finished
-	b.learn(now, s, r, a, ev)
-	if r.final {
-		b.over(r)
+	r.done = r.done || ev.Finished
+	b.recordOutcome(now, s, r, a, ev)
+	if r.done {
+		b.endRequest(r)
 		return
 	}
-	if r.mayRun == nil && ev.Outcome != Full && ev.Outcome != ConnectFailed && ev.Outcome != NeverSent {
-		r.mayRun, r.by = s, now-ev.Took.Seconds()+r.class.Window.Seconds()
+	if r.mayHaveRun == nil && ev.Outcome != Full && ev.Outcome != ConnectFailed && ev.Outcome != NeverSent {
+		r.mayHaveRun, r.retryBefore = s, now-ev.Took.Seconds()+r.class.Window.Seconds()
 	}
 	r.avoid = s
 	if r.open > 0 {
-		return // its other copy is still out
+		return // its other attempt is still in flight
 	}
-	if b.mayRetry(now, r) && b.try(now, r) {
-		b.retries--
+	if b.mayRetry(now, r) && b.trySend(now, r) {
+		b.retryTokens--
 	} else {
-		b.finish(now, r)
+		b.refuseOrFail(now, r)
 	}
 }
 
-// diverts draws whether a backend in overload diverts a request. The share q of all is diverted, lesser classes first;
-// it grows from Divert at H to qMost at 1 + Ramp times H, as a fixed one passes too much, or closes it to all.
-func (b *Balancer) diverts(now float64, s *server, lesser bool) bool {
-	q := b.q(b.waiting(s, now), b.high(s, b.limit(s)))
-	part := b.lessers / max(b.total, 1)
-	if lesser {
-		return b.rng.Float64()*part < q
+// diverts draws whether a backend in overload diverts a request. A fraction q of all requests is diverted, low-priority
+// ones first. It grows from Tuning.Divert at H to maxQ near 1 + Tuning.Ramp times H: a fixed fraction lets too many
+// requests pass, or none.
+func (b *Balancer) diverts(now float64, s *backend, lowPriority bool) bool {
+	q := b.divertFraction(b.occupancy(s, now), b.thresholdH(s, b.thresholdR(s)))
+	lowFraction := b.lowPriorityCount / max(b.requestCount, 1)
+	if lowPriority {
+		return b.rng.Float64()*lowFraction < q
 	}
-	return b.rng.Float64()*(1-part) < q-part
+	return b.rng.Float64()*(1-lowFraction) < q-lowFraction
 }
 
-// q is the part of all requests that a backend in overload diverts at an occupancy of n. Some always pass: without
-// them no report would tell that it has emptied. What a node does itself to a backend it sees at once, the others'
-// part a report later: where many share one, a steep q has all of them swing together, so it is flatter there.
-func (b *Balancer) q(n, h float64) float64 {
-	from := b.tune.Divert / b.many
-	return min(qMost, from+(1-from)*max(0, n/h-1)/(b.tune.Ramp*b.many))
+// divertFraction is q, the fraction of all requests that a backend in overload diverts at an occupancy of n. Some
+// requests always pass: without them no report would show that its queue has emptied. A node sees its own load on a
+// backend at once and the other nodes' load a report later. If many nodes share a backend, a steep q makes all of them
+// oscillate together, so it is flatter there.
+func (b *Balancer) divertFraction(n, h float64) float64 {
+	atH := b.tuning.Divert / b.sharingFactor
+	return min(maxQ, atH+(1-atH)*max(0, n/h-1)/(b.tuning.Ramp*b.sharingFactor))
 }
 
-// mayRetry tells whether the rules and the budget allow a further attempt. Retries must never add to an
-// overload: they take the ordinary path again, and share a budget that only first attempts fill.
+// mayRetry reports whether the rules and the retry budget allow a further attempt. Retries must never add to an
+// overload: they draw a backend like first attempts do, and share a budget that only first attempts fill.
 func (b *Balancer) mayRetry(now float64, r *request) bool {
 	c := r.class
-	return len(r.attempts) < b.set.MaxAttempts && now < r.aim && b.retries >= 1 && (r.mayRun == nil ||
-		c.Effect == Safe || c.Effect == Keyed && now < r.by)
+	return len(r.attempts) < b.cfg.MaxAttempts && now < r.usefulUntil && b.retryTokens >= 1 && (r.mayHaveRun == nil ||
+		c.Effect == Safe || c.Effect == Keyed && now < r.retryBefore)
 }
 
-// learn books what an outcome shows of its backend.
-func (b *Balancer) learn(now float64, s *server, r *request, a *attempt, ev *Event) {
-	s.settle(now)
-	if !a.stray {
-		b.flying--
-		s.own = max(0, s.own-1)
+// recordOutcome updates the state of a backend by the outcome of an attempt there.
+func (b *Balancer) recordOutcome(now float64, s *backend, r *request, a *attempt, ev *Event) {
+	s.updateLagged(now)
+	if !a.presumedLost {
+		b.inFlight--
+		s.inFlight = max(0, s.inFlight-1)
 	}
-	s.flying = slices.Delete(s.flying, 0, ended(s.flying))
+	s.attempts = slices.Delete(s.attempts, 0, leadingEnded(s.attempts))
 	took := max(0, ev.Took.Seconds())
-	n, told := max(ev.Load.Queue, ev.Load.Occupancy, 0), ev.Load.Known
-	if best := r.class.best; b.set.NoReports && !told && ev.Outcome == OK && best > 0 {
-		n, told = max(0, took/best-1), true // an answer's own time is all that tells of others' requests
-	}
-	if w := ev.Load.ServiceSeconds; ev.Load.Occupancy < 0 && w > 0 && w < math.MaxInt32 && b.ramp(s, now) == 1 {
-		// Where the queue alone is told, many slots hide a crowd from it: a backend chokes on what is in work
-		// with nothing waiting. Requests then take many times as long as at their best.
-		s.work = cmp.Or(s.work, w)
-		s.work += (w - s.work) * (1 - math.Exp((s.reportAt-now)/othersTau))
-		n += max(0, s.work/s.base/crowdAt-1)
+	n, known := max(ev.Load.Queue, ev.Load.Occupancy, 0), ev.Load.Known
+	if best := r.class.bestLocalLatency; b.cfg.NoReports && !known && ev.Outcome == OK && best > 0 {
+		n, known = max(0, took/best-1), true // without reports only the latency shows the other nodes' requests
+	}
+	if w := ev.Load.ServiceSeconds; ev.Load.Occupancy < 0 && w > 0 && w < math.MaxInt32 &&
+		b.capacityFraction(s, now) == 1 {
+		// If only the queue is reported, a backend with many slots can be overloaded by the requests in work while none
+		// waits. Their service times then are many times those of an idle backend.
+		s.workTime = cmp.Or(s.workTime, w)
+		s.workTime += (w - s.workTime) * (1 - math.Exp((s.reportAt-now)/othersDecaySeconds))
+		n += max(0, s.workTime/s.baseWorkTime/contentionFactor-1)
 	}
 	if q, h := ev.Load.Queue, ev.Load.Occupancy; q >= 0 && h-q < math.MaxInt32 {
-		s.slots = max(s.slots, h-q) // so many it has in work at once
-	}
-	if told && n < math.MaxInt32 { // and not NaN
-		held := b.level.Mean*b.ramp(s, now) + s.others // which its own report moves as slowly as before
-		b.level.Add(now, max(0, n-s.ownLag), levelTau/b.sharers, few)
-		s.others = held - b.level.Mean*b.ramp(s, now) + (n-s.ownLag-held)*(1-math.Exp((s.reportAt-now)/othersTau))
+		s.concurrency = max(s.concurrency, h-q) // requests in work
+	}
+	if known && n < math.MaxInt32 { // false for NaN
+		// The mean moves by this report at its own pace; the estimate for this backend moves by othersDecaySeconds
+		// only.
+		estimate := b.othersLoad.Mean*b.capacityFraction(s, now) + s.reportedExcess
+		b.othersLoad.Add(now, max(0, n-s.laggedInFlight), meanLoadDecaySeconds/b.nodesPerBackend, minSamples)
+		s.reportedExcess = estimate - b.othersLoad.Mean*b.capacityFraction(s, now) +
+			(n-s.laggedInFlight-estimate)*(1-math.Exp((s.reportAt-now)/othersDecaySeconds))
 		s.reportAt = now
 	}
 	switch ev.Outcome {
 	case OK:
-		s.lastOK, s.turned = now, 0
-		s.served++
+		s.lastOKAt, s.rejections = now, 0
+		s.answers++
 		if s.Answered(now) {
-			b.log("backend %d answers again", s.ID)
+			b.log("backend %d answers again: ejection ended", s.ID)
 		}
-		if s.classes != nil && s.of(b, r.class).Answered(now) {
-			b.log("backend %d answers class %s again", s.ID, r.class.Name)
+		if s.classHealth != nil && s.classRecord(b, r.class).Answered(now) {
+			b.log("backend %d answers class %s again: ejection for the class ended", s.ID, r.class.Name)
 		}
-		b.latency(s, r, a, took)
-		b.overtaken(s, a)
+		b.recordLatency(s, r, a, took)
+		b.presumeLost(s, a)
 	case Full:
-		// A draining or broken backend turns requests away with nothing waiting: that is no limit.
-		if n := b.waiting(s, now) + 1; n >= minH {
-			s.room = min(s.room, n)
-		}
-		// Turned away is the freshest report there is: R is reached, whatever older reports still arrive.
-		// Without this a full backend looks best, as what it turns away at once never counts as in flight.
-		s.full, s.fullAt, s.turned = b.limit(s), now, s.turned+1
-		// A draining backend turns all away until the list tells; a crowded one still answers others.
-		if s.lastOK < now-silence && s.turned > few {
-			b.blame(now, s, 1) // one whose connections are all taken answers what comes on those that are kept
+		// A draining or failing backend rejects requests with nothing waiting: that occupancy is no limit.
+		if n := b.occupancy(s, now) + 1; n >= minH {
+			s.minFullOccupancy = min(s.minFullOccupancy, n)
+		}
+		// A rejection is the freshest report there is: R is reached, whatever older reports still arrive. Otherwise a
+		// full backend would look best, as requests that it rejects at once never count as in flight.
+		s.fullOccupancy, s.fullAt, s.rejections = b.thresholdR(s), now, s.rejections+1
+		// A draining backend rejects everything until the list shows it; an overloaded one still answers others, and
+		// one without free connections answers on those that are open.
+		if s.lastOKAt < now-silenceSeconds && s.rejections > minSamples {
+			b.recordFailure(now, s, 1)
 		}
 	case TimedOut:
-		if a.stray { // it tells of a loss, not of a crowd
-			s.lostAt = now
-			b.blame(now, s, health.Memory)
+		if a.presumedLost { // a loss, not an overload
+			s.lossAt = now
+			b.recordFailure(now, s, health.Memory)
 			break
 		}
-		// The true latency is longer: as seen it would make a slow backend look as good as the time-out.
-		b.latency(s, r, a, 2*took)
-		s.ghosts++ // the backend may well run on with it, until the next reports tell
-		// A slow backend still answers some; one that answered nothing meanwhile is not slow but out.
-		if s.lastOK < now-max(took, silence) {
-			b.blame(now, s, health.Out)
+		// The true latency is longer than the time-out, so it counts double.
+		b.recordLatency(s, r, a, 2*took)
+		s.orphans++ // it may still run at the backend, until the next reports show otherwise
+		// A slow backend still answers some requests; one that answered none meanwhile has failed.
+		if s.lastOKAt < now-max(took, silenceSeconds) {
+			b.recordFailure(now, s, health.Out)
 		}
 	case ConnectFailed:
-		b.blame(now, s, health.Out)
+		b.recordFailure(now, s, health.Out)
 	case Failed, Reset:
-		b.blame(now, s, health.Memory)
-		if ev.Outcome == Failed && s.of(b, r.class).Failed(now, health.Out, b.rng.Float64) {
-			b.log("backend %d gets no class %s for %.1f s: it fails those", s.ID, r.class.Name,
-				s.of(b, r.class).Ejected-now)
+		b.recordFailure(now, s, health.Memory)
+		if ev.Outcome == Failed && s.classRecord(b, r.class).Failed(now, health.Out, b.rng.Float64) {
+			b.log("backend %d ejected for class %s for %.1f s: it fails such requests", s.ID, r.class.Name,
+				s.classRecord(b, r.class).Ejected-now)
 		}
 	}
-	s.update(now, b)
+	s.updateMode(now, b)
 }
 
-// latency books an answer's time against the occupancy it met when it was sent. Taking the occupancy of the
-// moment it came back would make a backend that is filling up look fast, as its quick answers come first.
-func (b *Balancer) latency(s *server, r *request, a *attempt, took float64) {
-	s.latency += took
-	s.occupancy += a.met
-	b.zoned(s, r.class, took)
-	r.class.took.Add(took)
+// recordLatency counts a latency against the occupancy at the send of the attempt. The occupancy at the answer would
+// make a backend that is filling up look fast, as its quick answers come first.
+func (b *Balancer) recordLatency(s *backend, r *request, a *attempt, took float64) {
+	s.latencySum += took
+	s.occupancySum += a.occupancyAtSend
+	b.recordZoneLatency(s, r.class, took)
+	r.class.latency.Add(took)
 }
 
-// blame counts a failed attempt. A broken backend can look best (fast errors, an empty queue), so one that fails too
-// often is ejected, for a growing time; the others' modes refuse what they cannot take.
-func (b *Balancer) blame(now float64, s *server, tau float64) {
-	if s.Failed(now, tau, b.rng.Float64) {
+// recordFailure counts a failed attempt, with a weight of one in decayAttempts. A failing backend can look best (fast
+// errors, an empty queue), so one that fails too often is ejected, each time for longer. Requests that the others
+// cannot take are then refused by their modes.
+func (b *Balancer) recordFailure(now float64, s *backend, decayAttempts float64) {
+	if s.Failed(now, decayAttempts, b.rng.Float64) {
 		b.log("backend %d ejected for %.1f s: too many attempts failed", s.ID, s.Ejected-now)
 	}
 }
 
-// shared takes in what the nodes of the fleet know together. What this one saw itself goes first.
-func (b *Balancer) shared(now float64, sh *SharedState) {
+// applyShared applies the fleet's shared state. A recent answer seen by this node overrides an ejection by the others.
+func (b *Balancer) applyShared(now float64, sh *SharedState) {
 	for _, t := range b.tenants {
-		t.told = sh.WithinQuota[t.Name]
+		t.withinQuota = sh.WithinQuota[t.Name]
 	}
 	for _, id := range sh.Ejected {
-		if s := b.servers[id]; s != nil && s.lastOK < now-silence {
+		if s := b.backends[id]; s != nil && s.lastOKAt < now-silenceSeconds {
 			s.Ejected, s.Trial = max(s.Ejected, now+health.First), true
 		}
 	}
 }
 
-// of is the record of one class at a backend. One of a class never told of is not kept.
-func (s *server) of(b *Balancer, c *class) *health.Record {
+// classRecord returns the health record of one class at a backend. That of an unknown class is not kept.
+func (s *backend) classRecord(b *Balancer, c *class) *health.Record {
 	if c.index >= len(b.classes) {
 		return &health.Record{}
 	}
-	if s.classes == nil {
-		s.classes = make([]health.Record, len(b.classes))
+	if s.classHealth == nil {
+		s.classHealth = make([]health.Record, len(b.classes))
 	}
-	return &s.classes[c.index]
+	return &s.classHealth[c.index]
 }
 
-func (b *Balancer) gone(ev *Event) {
-	if r := b.requests[ev.ID]; r != nil && !r.final {
-		r.final = true
-		b.over(r)
+// handleDisconnect ends a request whose client has disconnected.
+func (b *Balancer) handleDisconnect(ev *Event) {
+	if r := b.requests[ev.ID]; r != nil && !r.done {
+		r.done = true
+		b.endRequest(r)
 	}
 }
 
-// begun leaves a request to the attempt whose answer has begun to reach the client.
-func (b *Balancer) begun(ev *Event) {
-	if r := b.requests[ev.ID]; r != nil && !r.final && ev.Attempt >= 0 && ev.Attempt < len(r.attempts) {
-		r.attempts[ev.Attempt].called = true // never, from now on
-		b.gone(ev)
+// handleResponseStart ends a request, but for the attempt whose response the client has started to receive.
+func (b *Balancer) handleResponseStart(ev *Event) {
+	if r := b.requests[ev.ID]; r != nil && !r.done && ev.Attempt >= 0 && ev.Attempt < len(r.attempts) {
+		r.attempts[ev.Attempt].noCancel = true
+		b.handleDisconnect(ev)
 	}
 }
 
-// over ends a request that has its final answer or whose client has left.
-func (b *Balancer) over(r *request) {
+// endRequest cancels the open attempts of a request that has its final answer or whose client has disconnected.
+func (b *Balancer) endRequest(r *request) {
 	for i, a := range r.attempts {
-		if a.open && b.set.Cancel && !a.called {
-			a.called = true
-			b.do(Action{Kind: ActCancel, ID: r.id, Attempt: i}) // nobody waits for this work any more
+		if a.open && b.cfg.Cancel && !a.noCancel {
+			a.noCancel = true
+			b.do(Action{Kind: ActCancel, ID: r.id, Attempt: i})
 		}
 	}
 	if r.open == 0 {
@@ -438,66 +476,75 @@
 	}
 }
 
-// settle moves ownLag towards own, so that it tells what was in flight when the report was made.
-func (s *server) settle(now float64) {
-	if now != s.ownAt { // a draw asks twice
-		f := math.Exp((s.ownAt - now) / lagTau)
-		s.ownLag += (s.own - s.ownLag) * (1 - f)
-		s.ghosts *= f
-		s.ownAt = now
+// updateLagged moves laggedInFlight towards inFlight, so that it is about what was in flight when the report was made.
+func (s *backend) updateLagged(now float64) {
+	if now != s.laggedAt { // a draw calls it twice
+		f := math.Exp((s.laggedAt - now) / reportLagSeconds)
+		s.laggedInFlight += (s.inFlight - s.laggedInFlight) * (1 - f)
+		s.orphans *= f
+		s.laggedAt = now
 	}
 }
 
-// waiting estimates the present occupancy: the report, and own sends it does not show yet. An old report fades towards
-// what fresh ones show of the fleet; fading towards nothing would make the least known backend look best.
-func (b *Balancer) waiting(s *server, now float64) float64 {
-	s.settle(now)
-	n := max(0, (b.level.Mean*b.ramp(s, now)+s.others*math.Exp((s.reportAt-now)/knowTau))*b.swing+s.own+s.ghosts)
+// occupancy estimates the present occupancy of a backend: the reported one, and own attempts that the report does not
+// show yet. An old report decays towards the mean of recent reports of all backends: decaying to 0 would make the
+// backend with the oldest report look best.
+func (b *Balancer) occupancy(s *backend, now float64) float64 {
+	s.updateLagged(now)
+	n := max(0, (b.othersLoad.Mean*b.capacityFraction(s, now)+
+		s.reportedExcess*math.Exp((s.reportAt-now)/reportDecaySeconds))*b.loadTrend+s.inFlight+s.orphans)
 	if math.IsInf(s.reportAt, -1) {
-		n = max(0, b.level.Mean+s.own-s.ownLag*unheard+s.ghosts) // taken for a crowd, what works well would be refused
+		// If all of it counted as waiting, requests would be refused at a backend that works well.
+		n = max(0, b.othersLoad.Mean+s.inFlight-s.laggedInFlight*inServiceFraction+s.orphans)
 	}
-	if s.full > 0 {
-		n = max(n, s.full-(now-s.fullAt)/b.service(s)) // it cannot have cleared more than this
+	if s.fullOccupancy > 0 {
+		n = max(n, s.fullOccupancy-(now-s.fullAt)/b.serviceTime(s)) // it cannot have completed more since
 	}
 	return n
 }
 
-// service is the time a backend needs for each request it holds: by its few answers here, weighed against its kind's.
-func (b *Balancer) service(s *server) float64 {
-	return (s.latency + prior*s.typical) / (s.occupancy + prior)
+// serviceTime returns the seconds that a backend needs per request of its occupancy: the mean of its recent answers to
+// this node, which are few, combined with the service time of its kind.
+func (b *Balancer) serviceTime(s *backend) float64 {
+	return (s.latencySum + priorSamples*s.kindServiceTime) / (s.occupancySum + priorSamples)
 }
 
-// limit is R: the queue a backend clears in half the shortest told deadline, capped where 'full' was met.
-func (b *Balancer) limit(s *server) float64 {
-	return max(min(s.room, b.half/b.service(s)), s.least()/onset, b.tune.H/onset)
+// thresholdR returns R, from which on nothing is sent: the occupancy that a backend completes in half the shortest
+// deadline, at most the lowest recent one that drew Full.
+func (b *Balancer) thresholdR(s *backend) float64 {
+	return max(min(s.minFullOccupancy, b.halfMinDeadline/b.serviceTime(s)), s.minThreshold()/onsetFraction,
+		b.tuning.H/onsetFraction)
 }
 
-// high is H. It never lets a backend hold more than it clears in a part of the shortest aim: an answer past
-// its aim is wasted work, however long the deadline.
-func (b *Balancer) high(s *server, r float64) float64 {
-	if b.tune.H > 0 {
-		return b.tune.H
+// thresholdH returns H, from which on requests are diverted. It is at most what a backend completes in a fraction of
+// the shortest aim: an answer after the aim is wasted work, however long the deadline.
+func (b *Balancer) thresholdH(s *backend, r float64) float64 {
+	if b.tuning.H > 0 {
+		return b.tuning.H
 	}
-	h := max(min(onset*r, roomPart*s.room, b.tune.AimPart*b.aim/b.service(s)), s.least())
-	return max(minH, h*b.ramp(s, b.now)) // a cold backend clears its part of that
+	h := max(min(onsetFraction*r, fullFraction*s.minFullOccupancy, b.tuning.AimPart*b.minAim/b.serviceTime(s)),
+		s.minThreshold())
+	return max(minH, h*b.capacityFraction(s, b.now)) // a cold backend completes only that fraction
 }
 
-// least is what H never falls below: as many requests as a backend of its kind was seen to have in work at once.
-// Until they are exceeded nothing waits, however long each takes. A few requests with nothing waiting make the
-// service time look long, and with it H low: a node that refuses for that reason would never see better.
-func (s *server) least() float64 { return max(minH, min(max(s.slots, s.alike), roomPart*s.room)) }
+// minThreshold returns the lower bound of H: the number of requests that a backend of its kind had in work at once.
+// Up to it nothing waits, however long each request takes. A few requests with nothing waiting make the service time
+// look long and so H low: a node that refused requests for that would never measure a shorter one.
+func (s *backend) minThreshold() float64 {
+	return max(minH, min(max(s.concurrency, s.kindConcurrency), fullFraction*s.minFullOccupancy))
+}
 
-// update moves a backend between its modes.
-func (s *server) update(now float64, b *Balancer) {
-	n, r := b.waiting(s, now), b.limit(s)
-	h := b.high(s, r)
-	s.mode = s.mode.next(n, h*abatement/onset, h, r)
-	if s.mode == discard && now-max(s.reportAt, s.fullAt) > r*b.service(s) {
-		s.mode = overload // passing sends bring a new report
+// updateMode sets the mode of a backend by its present occupancy.
+func (s *backend) updateMode(now float64, b *Balancer) {
+	n, r := b.occupancy(s, now), b.thresholdR(s)
+	h := b.thresholdH(s, r)
+	s.mode = s.mode.next(n, h*abatementFraction/onsetFraction, h, r)
+	if s.mode == discard && now-max(s.reportAt, s.fullAt) > r*b.serviceTime(s) {
+		s.mode = overload // requests that pass bring a new report
 	}
 }
 
-// next is the mode that follows at an occupancy of n.
+// next returns the mode that follows m at an occupancy of n.
 func (m mode) next(n, l, h, r float64) mode {
 	switch {
 	case m == normal && n < h, n < l:
@@ -508,204 +555,214 @@
 	return overload
 }
 
-// ramp is the least part of its capacity that a backend has, by the time since its start.
-func (b *Balancer) ramp(s *server, now float64) float64 {
-	return cold.Ramp(s.launched, now, b.set.ColdShare, b.set.ColdFor.Seconds())
+// capacityFraction returns the fraction of its full capacity that a backend has at least, by the time since its start.
+func (b *Balancer) capacityFraction(s *backend, now float64) float64 {
+	return cold.Ramp(s.launched, now, b.cfg.ColdShare, b.cfg.ColdFor.Seconds())
 }
 
-// usable tells whether a request may go to a backend at all, whatever its mode.
-func (b *Balancer) usable(now float64, r *request, s *server) bool {
-	if s.State != Active && now >= s.grace || now < s.Ejected || s.Trial && s.own > 0 || s == r.avoid ||
-		s.Protocols&r.needs != r.needs || s.classes != nil && now < s.of(b, r.class).Ejected ||
-		!b.gates.Open(now, s.Zone, r.luck) {
+// usable reports whether a request may go to a backend, whatever its mode.
+func (b *Balancer) usable(now float64, r *request, s *backend) bool {
+	if s.State != Active && now >= s.usableUntil || now < s.Ejected || s.Trial && s.inFlight > 0 || s == r.avoid ||
+		s.Protocols&r.requiredProtocols != r.requiredProtocols ||
+		s.classHealth != nil && now < s.classRecord(b, r.class).Ejected ||
+		!b.gates.Open(now, s.Zone, r.zoneDraw) {
 		return false
 	}
-	m, group := r.mayRun, r.class.Group
+	m, group := r.mayHaveRun, r.class.Group
 	return m == nil || r.class.Effect != Keyed ||
 		(group != GroupZone || s.Zone == m.Zone) && (group != GroupCell || s.Cell == m.Cell)
 }
 
-// pick draws a backend in the given mode or a better one, from this node's part of the fleet. Others are for when
-// none there is warm and answers: its crowd is theirs too, and a new connection costs them part of a request.
-func (b *Balancer) pick(now float64, r *request, worst mode) *server {
-	b.picks++
-	s, warm := b.draw(now, r, worst, false)
+// pick draws a backend in maxMode or a better mode from this node's subset of the fleet. It draws from the other
+// backends only if none in the subset is warm and answers: when the subset is overloaded, so are the others, and a new
+// connection costs them part of a request's work.
+func (b *Balancer) pick(now float64, r *request, maxMode mode) *backend {
+	b.pickCount++
+	s, warm := b.draw(now, r, maxMode, false)
 	if s == nil && !warm {
-		s, _ = b.draw(now, r, worst, true)
+		s, _ = b.draw(now, r, maxMode, true)
 	}
 	return s
 }
 
-// draw is pick in one part of the fleet, by weights that fall with the expected delay. It tells of warm ones.
-func (b *Balancer) draw(now float64, r *request, worst mode, wide bool) (_ *server, warm bool) {
-	var chosen [2]*server // here, and where it costs a crossing
+// draw draws a backend inside or outside the subset, by weights that fall with the expected delay, and reports whether
+// a usable one there is warm.
+func (b *Balancer) draw(now float64, r *request, maxMode mode, outsideSubset bool) (_ *backend, warm bool) {
+	var chosen [2]*backend // without and with a priced cross-zone send
 	var sum [2]float64
-	for _, s := range b.order {
-		if s.wide != wide {
+	for _, s := range b.sorted {
+		if s.outsideSubset != outsideSubset {
 			continue
 		}
-		if s.update(now, b); !b.usable(now, r, s) {
+		if s.updateMode(now, b); !b.usable(now, r, s) {
 			continue
 		}
-		ramp := b.ramp(s, now)
-		if warm = warm || ramp == 1 && s.served >= few; s.mode > worst {
+		capacity := b.capacityFraction(s, now)
+		if warm = warm || capacity == 1 && s.answers >= minSamples; s.mode > maxMode {
 			continue
 		}
-		if s.mode == normal && now-s.sentAt > b.heal(s) && ramp == 1 {
-			return s, true // what is believed of it is old: one request tells, and no more follow for as long
+		if s.mode == normal && now-s.sentAt > b.probeInterval(s) && capacity == 1 {
+			return s, true // its estimate is old: send one request to renew it, and no other for as long
 		}
-		if ramp < 1 {
-			// A fixed share of each node's requests: the ramp's part of what a warm one serves, times a part of the
-			// multiple that brings it down. Nothing is saved up, which at hundreds of nodes would come due together.
-			if !wide && b.rng.Float64() < s.chance*ramp*b.set.FallFactor*coldPart {
+		if capacity < 1 {
+			// A fixed fraction of each node's requests: the capacity fraction of what a warm one serves, times part of
+			// the multiple that brings it down. No budget accumulates: those of hundreds of nodes would be spent
+			// together.
+			if !outsideSubset && b.rng.Float64() < s.warmShare*capacity*b.cfg.FallFactor*coldTrafficFraction {
 				return s, warm
 			}
 			continue
 		}
-		// Others see the same and do alike: an own attempt stands for one of each. Else many meet at one by chance.
-		delay := b.service(s) * (b.waiting(s, now) + 1 + s.own*(b.sharers-1))
-		weight := math.Pow(1/max(delay, 1e-3), sharpness)
-		if s.Zone == b.set.Zone {
-			weight *= ownZone
+		// The other nodes see the same reports and choose alike, so an own attempt counts as one of each of them.
+		// Otherwise many nodes would pick the same backend by chance.
+		delay := b.serviceTime(s) * (b.occupancy(s, now) + 1 + s.inFlight*(b.nodesPerBackend-1))
+		weight := math.Pow(1/max(delay, 1e-3), weightExponent)
+		if s.Zone == b.cfg.Zone {
+			weight *= localZoneWeight
 		}
 		i := 0
-		if b.priced(s) {
+		if b.crossesAtPrice(s) {
 			i = 1
 		}
 		sum[i] += weight
-		if b.rng.Float64()*sum[i] < weight { // so that each is drawn with its part of the whole sum
+		if b.rng.Float64()*sum[i] < weight { // so each is drawn with probability weight over the total sum
 			chosen[i] = s
 		}
 	}
-	if chosen[0] == nil || chosen[1] != nil && b.rng.Float64() >= r.class.stay {
+	if chosen[0] == nil || chosen[1] != nil && b.rng.Float64() >= r.class.localFraction {
 		return chosen[1], warm
 	}
 	return chosen[0], warm
 }
 
-// plan runs a few times a second: it ages what was learnt and renews what the requests then use.
-func (b *Balancer) plan(now float64) {
-	type pool struct{ latency, occupancy, served, warm, work, told, slots float64 }
+// refresh runs every refreshSeconds: it decays the statistics and recomputes the values that requests use.
+func (b *Balancer) refresh(now float64) {
+	type pool struct{ latency, occupancy, answers, warm, work, reported, concurrency float64 }
 	kinds, all := map[string]*pool{}, &pool{}
-	dt := max(now-b.planAt, 1e-3)
-	b.pace.Tick(dt, 2*b.tune.AimPart*min(b.aim, 1)/(reportTau*reportTau)) // it fills no more than H until reports tell
-	b.planAt, b.born = now, cmp.Or(b.born, now)
-	f := math.Exp(-dt / rateTau)
-	b.picks, b.span = b.picks*f, b.span*f+rateTau*(1-f)
-	for _, s := range b.order {
-		s.latency, s.occupancy, s.served = s.latency*f, s.occupancy*f, s.served*f
-		s.room *= math.Exp(dt / oldTau)
-		s.slots *= math.Exp(-dt / slotTau)
+	dt := max(now-b.refreshedAt, 1e-3)
+	// Sends may grow only as fast as fills a backend up to H before the reports show it.
+	b.pace.Tick(dt, 2*b.tuning.AimPart*min(b.minAim, 1)/(reportMaxAgeSeconds*reportMaxAgeSeconds))
+	b.refreshedAt, b.firstRefreshAt = now, cmp.Or(b.firstRefreshAt, now)
+	decay := math.Exp(-dt / rateDecaySeconds)
+	b.pickCount, b.pickSeconds = b.pickCount*decay, b.pickSeconds*decay+rateDecaySeconds*(1-decay)
+	for _, s := range b.sorted {
+		s.latencySum, s.occupancySum, s.answers = s.latencySum*decay, s.occupancySum*decay, s.answers*decay
+		s.minFullOccupancy *= math.Exp(dt / historyDecaySeconds)
+		s.concurrency *= math.Exp(-dt / concurrencyDecaySeconds)
 		k := kinds[s.Kind]
 		if k == nil {
 			k = &pool{}
 			kinds[s.Kind] = k
 		}
 		for _, p := range []*pool{k, all} {
-			p.latency += s.latency
-			if s.work > 0 {
-				p.work += s.work
-				p.told++
+			p.latency += s.latencySum
+			if s.workTime > 0 {
+				p.work += s.workTime
+				p.reported++
 			}
-			p.occupancy += s.occupancy
-			p.slots = max(p.slots, s.slots)
-			if !s.wide && s.State == Active && now >= s.Ejected && b.ramp(s, now) == 1 {
-				p.served += s.served
+			p.occupancy += s.occupancySum
+			p.concurrency = max(p.concurrency, s.concurrency)
+			if !s.outsideSubset && s.State == Active && now >= s.Ejected && b.capacityFraction(s, now) == 1 {
+				p.answers += s.answers
 				p.warm++
 			}
 		}
 	}
-	fleet := (all.latency + prior*guess) / (all.occupancy + prior)
-	own, others := 1.0, float64(b.set.Nodes-1) // what this node and the others have in flight
-	each := float64(b.set.Nodes) / b.sharers   // backends for each that this node hears of
-	for _, s := range b.order {
+	fleetServiceTime := (all.latency + priorSamples*defaultServiceSeconds) / (all.occupancy + priorSamples)
+	own, others := 1.0, float64(b.cfg.Nodes-1)       // what this node and the others have in flight
+	each := float64(b.cfg.Nodes) / b.nodesPerBackend // backends in the fleet per backend in the subset
+	for _, s := range b.sorted {
 		k := kinds[s.Kind]
-		s.typical, s.alike = (k.latency+prior*fleet)/(k.occupancy+prior), k.slots
-		if k.told > 0 {
-			s.base = min(s.base, k.work/k.told)
+		s.kindServiceTime, s.kindConcurrency =
+			(k.latency+priorSamples*fleetServiceTime)/(k.occupancy+priorSamples), k.concurrency
+		if k.reported > 0 {
+			s.baseWorkTime = min(s.baseWorkTime, k.work/k.reported)
 		}
-		own += s.ownLag
-		if !s.wide {
-			others += max(0, b.level.Mean*b.ramp(s, now)+s.others) * each
+		own += s.laggedInFlight
+		if !s.outsideSubset {
+			others += max(0, b.othersLoad.Mean*b.capacityFraction(s, now)+s.reportedExcess) * each
 		}
-		s.chance = b.span / s.typical / b.sharers // one after the other, where no backend is warm
+		s.warmShare = b.pickSeconds / s.kindServiceTime / b.nodesPerBackend // one at a time, if no backend is warm
 		if k.warm > 0 {
-			s.chance = k.served / k.warm
+			s.warmShare = k.answers / k.warm
 		} else if all.warm > 0 {
-			s.chance = all.served / all.warm / 2 // its kind may be the slower one
+			s.warmShare = all.answers / all.warm / 2 // its kind may be slower
 		}
-		s.chance /= b.picks + 1
+		s.warmShare /= b.pickCount + 1
 	}
-	b.part = own / (own + others)
+	b.trafficShare = own / (own + others)
 	for _, t := range b.tenants {
-		t.rate, t.count = t.rate*f+t.count/dt*(1-f), 0
+		t.rate, t.count = t.rate*decay+t.count/dt*(1-decay), 0
 	}
 	for _, c := range b.classes {
-		c.stay = b.stays(c, dt)
-		c.near.Fade(f)
+		c.localFraction = b.computeLocalFraction(c, dt)
+		c.localLatency.Fade(decay)
 	}
-	b.far.Fade(f)
-	b.sends.Fade(f)
-	b.shares(math.Exp(-dt / oldTau))
+	b.remoteLatency.Fade(decay)
+	b.sends.Fade(decay)
+	b.rankClasses(math.Exp(-dt / historyDecaySeconds))
 }
 
-// list follows the server list.
-func (b *Balancer) list(now float64, ev *Event) {
+// applyList applies an update of the backend list.
+func (b *Balancer) applyList(now float64, ev *Event) {
 	if ev.List == ListFailed {
-		// Every node loses the list at once: ask again after a random wait, so that they do not ask together.
-		wait := min(askAgain, cmp.Or(b.set.MustAskIn, time.Hour).Seconds()/3)
-		b.askAt = now + wait*(0.5+b.rng.Float64())
+		// All nodes lose the list at once: subscribe again after a random wait, so that they don't do it together.
+		wait := min(resubscribeSeconds, cmp.Or(b.cfg.MustAskIn, time.Hour).Seconds()/3)
+		b.resubscribeAt = now + wait*(0.5+b.rng.Float64())
 		return
 	}
-	if ev.List == ListCached && b.set.MustAsk {
+	if ev.List == ListCached && b.cfg.MustAsk {
 		b.do(Action{Kind: ActSubscribe})
 	}
 	if ev.List != ListDelta {
-		grace := 0.0
-		if len(ev.Entries) == 0 && len(b.order) > 0 {
-			// More likely a broken list than an empty fleet: ask again, use the old one as the drain rule lets us.
-			grace = now + drainPart*b.set.DrainGrace.Seconds()
+		usableUntil := 0.0
+		if len(ev.Entries) == 0 && len(b.sorted) > 0 {
+			// An empty list is more likely an error than an empty fleet: fetch it again, and use the old one for as
+			// long as its backends may be used if they drain.
+			usableUntil = now + drainServeFraction*b.cfg.DrainGrace.Seconds()
 			b.do(Action{Kind: ActFetch})
-			b.log("the server list came empty; using the old one for its grace")
+			b.log("the backend list is empty: using the previous one for part of the drain grace")
 		}
-		for _, s := range b.order {
+		for _, s := range b.sorted {
 			if s.State == Active {
-				s.grace = grace
+				s.usableUntil = usableUntil
 			}
-			s.State = Removed // those still listed are put back below
+			s.State = Removed // those still listed become active or draining below
 		}
-		if grace > 0 {
+		if usableUntil > 0 {
 			return
 		}
 	}
 	for _, e := range ev.Entries {
-		s := b.servers[e.ID]
-		leaves := s != nil && s.State == Active && e.State == Draining && ev.List == ListDelta && s.served > 0
+		s := b.backends[e.ID]
+		startsDraining := s != nil && s.State == Active && e.State == Draining && ev.List == ListDelta && s.answers > 0
 		if s == nil || e.Launched.Seconds() > s.launched && e.State == Active {
-			s = &server{launched: e.Launched.Seconds(), room: math.Inf(1), base: math.Inf(1), reportAt: now,
-				ownAt: now, sentAt: now, lastOK: now}
-			if b.set.QueueOnly {
-				s.reportAt = math.Inf(-1) // what is in work shows in the first report only
+			s = &backend{launched: e.Launched.Seconds(), minFullOccupancy: math.Inf(1), baseWorkTime: math.Inf(1),
+				reportAt: now, laggedAt: now, sentAt: now, lastOKAt: now}
+			if b.cfg.QueueOnly {
+				s.reportAt = math.Inf(-1) // until the first report it is unknown how many attempts wait
 			}
-			b.servers[e.ID] = s
-			b.order = append(b.order, s)
+			b.backends[e.ID] = s
+			b.sorted = append(b.sorted, s)
 		}
-		s.Entry, s.grace = e, 0
-		if leaves && !b.set.MustAsk { // all nodes hear of it at once, and its successor is seconds away
-			s.grace = now + drainPart*b.set.DrainGrace.Seconds()
+		s.Entry, s.usableUntil = e, 0
+		if startsDraining && !b.cfg.MustAsk { // all nodes learn it at once, seconds before its successor is listed
+			s.usableUntil = now + drainServeFraction*b.cfg.DrainGrace.Seconds()
 		}
 	}
-	b.order = slices.DeleteFunc(b.order, func(s *server) bool { return s.State == Removed || b.servers[s.ID] != s })
-	// Attempts that are out keep their own hold on what goes here.
-	maps.DeleteFunc(b.servers, func(_ uint32, s *server) bool { return s.State == Removed })
-	slices.SortFunc(b.order, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
-	in, sharers := subset.Part(len(b.order), func(i int) (string, uint64) { return b.order[i].Zone, b.order[i].Hash },
-		subset.Node{Number: b.set.Number, Nodes: b.set.Nodes, Zone: b.set.Zone, CrossPrice: b.set.CrossPrice})
-	for i, s := range b.order {
-		s.wide = !in[i]
+	b.sorted = slices.DeleteFunc(b.sorted, func(s *backend) bool { return s.State == Removed || b.backends[s.ID] != s })
+	// Attempts in flight keep their own pointers to the backends removed here.
+	maps.DeleteFunc(b.backends, func(_ uint32, s *backend) bool { return s.State == Removed })
+	slices.SortFunc(b.sorted, func(x, y *backend) int { return cmp.Compare(x.ID, y.ID) })
+	inSubset, nodesPerBackend := subset.Part(len(b.sorted),
+		func(i int) (string, uint64) { return b.sorted[i].Zone, b.sorted[i].Hash },
+		subset.Node{Number: b.cfg.Number, Nodes: b.cfg.Nodes, Zone: b.cfg.Zone, CrossPrice: b.cfg.CrossPrice})
+	for i, s := range b.sorted {
+		s.outsideSubset = !inSubset[i]
 	}
-	if b.sharers = sharers; !b.set.QueueOnly { // a queue that is told alone is a crowd, and late news of it
-		b.many = max(1, sharers/b.tune.Steep)
+	// A queue reported alone is already an overload, and a late sign of it: it gets no flatter q.
+	if b.nodesPerBackend = nodesPerBackend; !b.cfg.QueueOnly {
+		b.sharingFactor = max(1, nodesPerBackend/b.tuning.Steep)
 	}
-	b.plan(now)
+	b.refresh(now)
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -68,10 +68,10 @@
 }
 
 // fix gives a backend a known service time of 50 ms and a fresh report of n. R is then 1 s / 50 ms = 20.
-func fix(s *server, now time.Duration, n float64) {
-	s.latency, s.occupancy, s.typical = 5000, 100000, 0.05
-	s.own, s.ownLag, s.ownAt = 0, 0, now.Seconds()
-	s.others, s.reportAt = n, now.Seconds()
+func fix(s *backend, now time.Duration, n float64) {
+	s.latencySum, s.occupancySum, s.kindServiceTime = 5000, 100000, 0.05
+	s.inFlight, s.laggedInFlight, s.laggedAt = 0, 0, now.Seconds()
+	s.reportedExcess, s.reportAt = n, now.Seconds()
 }
 
 func TestModes(t *testing.T) {
@@ -79,8 +79,8 @@
 	set := settings()
 	set.Classes = set.Classes[:2]
 	set.Classes[0].Aim, set.Classes[1].Aim = 0, 0 // H is then 0.9 R: no aim bounds it
-	h := onset * r
-	l := h * abatement / onset
+	h := onsetFraction * r
+	l := h * abatementFraction / onsetFraction
 	below := func(x float64) float64 { return x - 1e-6 }
 	for _, c := range []struct {
 		name string
@@ -100,10 +100,10 @@
 		{"discard straight to normal under L", discard, below(l), normal},
 	} {
 		b := node(t, set, Entry{ID: 1, Zone: "a"})
-		s := b.servers[1]
+		s := b.backends[1]
 		fix(s, t0, c.n)
 		s.mode = c.from
-		s.update(t0.Seconds(), b)
+		s.updateMode(t0.Seconds(), b)
 		if s.mode != c.want {
 			t.Errorf("%s: mode %d, want %d", c.name, s.mode, c.want)
 		}
@@ -112,7 +112,7 @@
 
 func TestAgedDiscardFallsToOverload(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-	s := b.servers[1]
+	s := b.backends[1]
 	clear := 1.0 // R at its service time: 20 held at 50 ms
 	for _, c := range []struct {
 		age  float64
@@ -121,18 +121,18 @@
 		fix(s, t0, 500) // so high that fading does not end the discard
 		s.mode = discard
 		now := t0.Seconds() + c.age
-		s.update(now, b)
+		s.updateMode(now, b)
 		if s.mode != c.want {
 			t.Errorf("report %.2f s old: mode %d, want %d", c.age, s.mode, c.want)
 		}
-		s.update(now, b)
+		s.updateMode(now, b)
 		if s.mode != c.want {
 			t.Errorf("report %.2f s old: mode %d at a second look, want %d", c.age, s.mode, c.want)
 		}
 	}
 	// A new report decides afresh.
-	s.own = 1
-	b.requests["x"] = &request{id: "x", class: &class{}, attempts: []*attempt{{server: s, open: true, met: 1}}, open: 1, final: true}
+	s.inFlight = 1
+	b.requests["x"] = &request{id: "x", class: &class{}, attempts: []*attempt{{backend: s, open: true, occupancyAtSend: 1}}, open: 1, done: true}
 	outcome(b, t0+2*time.Second, Action{ID: "x", Backend: 1}, Failed, Load{Known: true, Queue: 500})
 	if s.mode != discard {
 		t.Errorf("after a new report above R: mode %d, want discard", s.mode)
@@ -141,7 +141,7 @@
 
 func TestDiscardGetsNothing(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-	fix(b.servers[1], t0, 500)
+	fix(b.backends[1], t0, 500)
 	if a := ask(b, t0, "r", "top"); a.Kind != ActRefuse || a.Wait <= 0 || a.Wait > time.Second {
 		t.Errorf("got %+v, want a refusal with a retry-after", a)
 	}
@@ -149,13 +149,13 @@
 
 func TestOverloadDivertsLesserClassesFirst(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-	s := b.servers[1]
+	s := b.backends[1]
 	sent := map[string]int{}
 	for i := 0; i < 400; i++ {
 		name := []string{"top", "low"}[i%2]
 		now := t0 + time.Duration(i)*10*time.Millisecond
 		if i == 200 {
-			b.plan(now.Seconds())
+			b.refresh(now.Seconds())
 			sent = map[string]int{}
 		}
 		fix(s, now, 7) // between H (6: 0.3 of the aim) and R (20)
@@ -171,7 +171,7 @@
 
 func TestDivertedRequestsTakeANormalBackend(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
-	over, calm := b.servers[1], b.servers[2]
+	over, calm := b.backends[1], b.backends[2]
 	to := map[uint32]int{}
 	for i := 0; i < 200; i++ {
 		fix(over, t0, 8)
@@ -201,15 +201,15 @@
 			s.Classes = []Class{{Name: "top", Deadline: c.deadline, Worth: 1}}
 		})
 		b := node(t, set, Entry{ID: 1, Zone: "a"})
-		s := b.servers[1]
+		s := b.backends[1]
 		fix(s, now, 0)
 		if c.full >= 0 {
 			send := ask(b, now, "r", "top")
 			fix(s, now, c.full)
-			s.own = 1
+			s.inFlight = 1
 			outcome(b, now, send, Full, Load{})
 		}
-		if r := b.limit(s); math.Abs(r-c.want) > 0.5 && r != c.want {
+		if r := b.thresholdR(s); math.Abs(r-c.want) > 0.5 && r != c.want {
 			t.Errorf("%s: R %v, want %v", c.name, r, c.want)
 		}
 	}
@@ -218,7 +218,7 @@
 // A full backend answers at once and holds nothing of ours: without the floor it would look best.
 func TestFullCountsAsReportOfR(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-	s := b.servers[1]
+	s := b.backends[1]
 	fix(s, t0, 7)
 	send := ask(b, t0, "r", "top")
 	outcome(b, t0, send, Full, Load{Known: true, Queue: 1})
@@ -226,7 +226,7 @@
 		t.Fatalf("mode %d after a full answer with an old report, want it out of normal", s.mode)
 	}
 	fix(s, t0+time.Second, 0)
-	if s.update(t0.Seconds()+1, b); s.mode != normal {
+	if s.updateMode(t0.Seconds()+1, b); s.mode != normal {
 		t.Errorf("mode %d a second later, want normal: it can have cleared by then", s.mode)
 	}
 }
@@ -252,19 +252,19 @@
 		if bad > 5 {
 			t.Errorf("outcome %d: %d of 200 requests went to the failing backend", o, bad)
 		}
-		s := b.servers[1]
+		s := b.backends[1]
 		for n := 0; s.Ejected == 0 && n < 3; n++ { // chance may have kept it from a third failure
-			b.blame(t0.Seconds()+0.2, s, health.Out)
+			b.recordFailure(t0.Seconds()+0.2, s, health.Out)
 		}
 		first := s.Ejected
 		for i := 0; i < 50; i++ { // after the ejection: one at a time
 			now := time.Duration((first+0.01)*float64(time.Second)) + time.Duration(i)*time.Millisecond
 			ask(b, now, string(rune(2000+i)), "top")
 		}
-		if s.own > 1 {
-			t.Errorf("outcome %d: %v attempts out at a backend on trial", o, s.own)
+		if s.inFlight > 1 {
+			t.Errorf("outcome %d: %v attempts out at a backend on trial", o, s.inFlight)
 		}
-		b.blame(first+0.1, s, health.Out)
+		b.recordFailure(first+0.1, s, health.Out)
 		if wait := s.Ejected - first - 0.1; wait < 1.4 {
 			t.Errorf("outcome %d: second ejection %.2f s, want it longer than the first", o, wait)
 		}
@@ -302,7 +302,7 @@
 	if n := to["low"][1]; n < 300 {
 		t.Errorf("the backend got %d of 1000 requests of a class that it answers", n)
 	}
-	if s := b.servers[1]; s.Trial || s.Ejected > 0 {
+	if s := b.backends[1]; s.Trial || s.Ejected > 0 {
 		t.Error("the backend was ejected whole")
 	}
 	sick = false
@@ -330,7 +330,7 @@
 		}
 		outcome(b, now, send, o, Load{Known: true})
 	}
-	for _, s := range b.order {
+	for _, s := range b.sorted {
 		if s.Ejections > 0 || s.Ejected > 0 {
 			t.Errorf("backend %d was ejected", s.ID)
 		}
@@ -346,9 +346,9 @@
 			sent = append(sent, send)
 		}
 	}
-	s := b.servers[1]
+	s := b.backends[1]
 	for s.Ejected == 0 {
-		b.blame(t0.Seconds(), s, health.Out)
+		b.recordFailure(t0.Seconds(), s, health.Out)
 	}
 	for _, send := range sent[:2] {
 		outcome(b, t0+20*time.Millisecond, send, OK, Load{Known: true})
@@ -362,19 +362,19 @@
 // was seen to have in work at once, or the node refuses what an idle core would take, and never learns better.
 func TestOnsetIsNotBelowWhatIsInWork(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-	s := b.servers[1]
-	s.latency, s.occupancy, s.typical = 100, 100, 1 // H by the aim alone is below 1
-	if h := b.high(s, b.limit(s)); h != minH {
+	s := b.backends[1]
+	s.latencySum, s.occupancySum, s.kindServiceTime = 100, 100, 1 // H by the aim alone is below 1
+	if h := b.thresholdH(s, b.thresholdR(s)); h != minH {
 		t.Fatalf("H %.2f with no report, want its least", h)
 	}
 	outcome(b, t0, ask(b, t0, "r", "once"), OK, Load{Known: true, Queue: 3, Occupancy: 7})
-	if h, r := b.high(s, b.limit(s)), b.limit(s); h != 4 || r <= h {
+	if h, r := b.thresholdH(s, b.thresholdR(s)), b.thresholdR(s); h != 4 || r <= h {
 		t.Errorf("H %.2f and R %.2f with 4 requests in work, want H at 4 and R beyond", h, r)
 	}
 	outcome(b, t0, ask(b, t0, "s", "once"), OK, Load{Known: true, Queue: 3, Occupancy: -1})
 	outcome(b, t0, ask(b, t0, "t", "once"), OK, Load{Known: true, Queue: -1, Occupancy: 9})
-	if s.slots != 4 {
-		t.Errorf("%v in work by reports that do not tell, want 4 still", s.slots)
+	if s.concurrency != 4 {
+		t.Errorf("%v in work by reports that do not tell, want 4 still", s.concurrency)
 	}
 }
 
@@ -385,9 +385,9 @@
 		want   bool
 	}{{t0.Seconds() - 0.2, false}, {t0.Seconds() - 1.5, true}} {
 		b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-		s := b.servers[1]
+		s := b.backends[1]
 		send := ask(b, t0, "r", "once")
-		s.lastOK = c.lastOK
+		s.lastOKAt = c.lastOK
 		outcome(b, t0, send, TimedOut, Load{})
 		if got := s.Bad > 0; got != c.want {
 			t.Errorf("last answer at %v: blamed %v, want %v", c.lastOK, got, c.want)
@@ -398,10 +398,10 @@
 // A draining backend turns all away until the list tells of it.
 func TestFullAndSilentIsEjected(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-	s := b.servers[1]
-	s.lastOK = t0.Seconds() - 1.5
+	s := b.backends[1]
+	s.lastOKAt = t0.Seconds() - 1.5
 	for i := 0; i < 3; i++ {
-		s.full, s.mode = 0, normal
+		s.fullOccupancy, s.mode = 0, normal
 		send := ask(b, t0, string(rune(1000+i)), "once")
 		if send.Kind != ActSend {
 			t.Fatalf("attempt %d: got %+v", i, send)
@@ -416,12 +416,12 @@
 // A backend that has gone silent, and so keeps what it was sent, must lose weight long before time-outs are due.
 func TestSilenceLosesWeight(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
-	quiet, calm := b.servers[1], b.servers[2]
+	quiet, calm := b.backends[1], b.backends[2]
 	to := map[uint32]int{}
 	for i := 0; i < 100; i++ {
 		fix(quiet, t0, 0)
 		fix(calm, t0, 1)
-		quiet.own = 2
+		quiet.inFlight = 2
 		to[ask(b, t0, string(rune(1000+i)), "low").Backend]++
 	}
 	if to[1] > 10 {
@@ -432,12 +432,12 @@
 // Nodes with few attempts out each must not meet on the same backends: an own attempt stands for one of each node.
 func TestOwnAttemptsStandForAllNodesInTheSplit(t *testing.T) {
 	b := node(t, settings(func(s *Settings) { s.Nodes = 8 }), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
-	tried, idle := b.servers[1], b.servers[2]
+	tried, idle := b.backends[1], b.backends[2]
 	to := map[uint32]int{}
 	for i := 0; i < 200; i++ {
 		fix(tried, t0, 3)
 		fix(idle, t0, 5) // by reports alone the other one is well ahead
-		tried.own = 1
+		tried.inFlight = 1
 		to[ask(b, t0, string(rune(1000+i)), "low").Backend]++
 	}
 	if to[1] >= to[2] {
@@ -448,14 +448,14 @@
 // A backend that fills up answers its first requests fast; that must not make it look fast.
 func TestServiceTimeGoesByTheOccupancyMet(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-	s := b.servers[1]
+	s := b.backends[1]
 	fix(s, t0, 0)
 	first := ask(b, t0, "r0", "top")
 	for i := 0; i < 6; i++ {
 		ask(b, t0, string(rune(1000+i)), "top")
 	}
 	outcome(b, t0+50*time.Millisecond, first, OK, Load{})
-	if met := s.occupancy - 100000; math.Abs(s.latency-5000.05) > 1e-6 || met != 1 {
+	if met := s.occupancySum - 100000; math.Abs(s.latencySum-5000.05) > 1e-6 || met != 1 {
 		t.Errorf("50 ms against an occupancy plus one of %v, want 1: it met none", met)
 	}
 }
@@ -489,7 +489,7 @@
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"}, Entry{ID: 3, Zone: "a"})
 	again := 0
 	for i := 0; i < 300; i++ {
-		for _, s := range b.order {
+		for _, s := range b.sorted {
 			fix(s, t0, 0)
 			s.Bad, s.Ejected = 0, 0
 		}
@@ -502,7 +502,7 @@
 			send = outcome(b, t0, send, Failed, Load{})
 		}
 	}
-	if most := retryBank + 300*retryPart; again == 0 || float64(again) > most {
+	if most := maxRetryTokens + 300*retriesPerRequest; again == 0 || float64(again) > most {
 		t.Errorf("%d further attempts for 300 requests, want at most %v", again, most)
 	}
 }
@@ -530,7 +530,7 @@
 	if n := len(b.requests); n != 0 {
 		t.Errorf("%d requests remembered after the last outcome", n)
 	}
-	own := b.servers[1].own
+	own := b.backends[1].inFlight
 	for _, ev := range []Event{
 		{Kind: EvDisconnected, ID: "r"}, {Kind: EvDisconnected, ID: "unknown"},
 		{Kind: EvOutcome, ID: "r", Backend: 1}, {Kind: EvOutcome, ID: "unknown", Backend: 9, Attempt: -1},
@@ -540,7 +540,7 @@
 			t.Errorf("%+v: %+v, want nothing", ev, out)
 		}
 	}
-	if b.servers[1].own != own {
+	if b.backends[1].inFlight != own {
 		t.Error("a doubled outcome changed the count of attempts")
 	}
 }
@@ -674,8 +674,8 @@
 			b.Handle(now, &Event{Kind: EvTimer, Token: "tick"}, nil)
 		}
 		for _, id := range []uint32{1, 2} {
-			fix(b.servers[id], now, 15)
-			b.servers[id].mode = normal
+			fix(b.backends[id], now, 15)
+			b.backends[id].mode = normal
 		}
 		send := ask(b, now, now.String(), "low")
 		outcome(b, now, send, OK, Load{})
@@ -711,14 +711,14 @@
 		{Load{Known: true, Queue: -1, Occupancy: 3}, 2.9, 3.1},
 	} {
 		b := node(t, settings(func(s *Settings) { s.Nodes = 145 }), Entry{ID: 1, Zone: "a"})
-		s := b.servers[1]
+		s := b.backends[1]
 		for now := t0; now < t0+40*time.Second; now += 250 * time.Millisecond {
 			send := ask(b, now, now.String(), "once")
-			s.own, s.ownLag, s.ownAt = 2, 2, now.Seconds()
+			s.inFlight, s.laggedInFlight, s.laggedAt = 2, 2, now.Seconds()
 			outcome(b, now, send, OK, c.load)
 		}
-		s.own, s.full = 2, 0
-		if n := b.waiting(s, s.reportAt); n < c.least || n > c.most {
+		s.inFlight, s.fullOccupancy = 2, 0
+		if n := b.occupancy(s, s.reportAt); n < c.least || n > c.most {
 			t.Errorf("report %+v: occupancy %.2f, want %.1f to %.1f", c.load, n, c.least, c.most)
 		}
 	}
@@ -732,9 +732,9 @@
 	}{{0.05, normal}, {0.2, normal}, {4, overload}} {
 		b := node(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a", Launched: t0})
 		report := func(now time.Duration, id uint32, work float64) {
-			s := b.servers[id]
+			s := b.backends[id]
 			send := Action{ID: now.String()}
-			b.requests[send.ID] = &request{id: send.ID, class: b.classes[0], open: 1, attempts: []*attempt{{server: s, open: true, met: 1}}}
+			b.requests[send.ID] = &request{id: send.ID, class: b.classes[0], open: 1, attempts: []*attempt{{backend: s, open: true, occupancyAtSend: 1}}}
 			outcome(b, now, send, OK, Load{Known: true, Occupancy: -1, ServiceSeconds: work})
 			b.Handle(now, &Event{Kind: EvTimer, Token: "tick"}, nil)
 		}
@@ -747,12 +747,12 @@
 			now += 250 * time.Millisecond
 			report(now, 1, c.work)
 		}
-		s := b.servers[1]
-		fix(s, now, s.others)
-		if s.update(now.Seconds(), b); s.mode != c.want {
-			t.Errorf("time in work %.2f s after 0.05: mode %d with %.1f held, want %d", c.work, s.mode, s.others, c.want)
+		s := b.backends[1]
+		fix(s, now, s.reportedExcess)
+		if s.updateMode(now.Seconds(), b); s.mode != c.want {
+			t.Errorf("time in work %.2f s after 0.05: mode %d with %.1f held, want %d", c.work, s.mode, s.reportedExcess, c.want)
 		}
-		if n := b.servers[2].others; n > 0.1 {
+		if n := b.backends[2].reportedExcess; n > 0.1 {
 			t.Errorf("a cold backend counts as crowded by %.1f", n)
 		}
 	}
@@ -774,11 +774,11 @@
 		if i%5 == 0 {
 			name = "small"
 		}
-		if b.overShare(name) && i >= 1000 {
+		if b.drawOverQuota(name) && i >= 1000 {
 			over[name]++
 		}
 	}
-	if over["big"] < 300 || over["big"] > 500 || over["small"] > 0 || b.overShare("unheard-of") {
+	if over["big"] < 300 || over["big"] > 500 || over["small"] > 0 || b.drawOverQuota("unheard-of") {
 		t.Errorf("past their share: %v of 800 at twice the share and 200 at half of it", over)
 	}
 }
@@ -786,15 +786,15 @@
 // A backend that started anew under its old id is cold, and what was learnt of it is void.
 func TestRestartUnderTheSameID(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-	b.servers[1].Ejected = 1e9
+	b.backends[1].Ejected = 1e9
 	out := ask(b, t0, "r", "once")
 	if out.Kind != ActRefuse {
 		t.Fatalf("ejected, yet %+v", out)
 	}
 	now := t0 + time.Second
 	b.Handle(now, &Event{Kind: EvList, List: ListDelta, Entries: []Entry{{ID: 1, Zone: "a", Launched: now}}}, nil)
-	if b.ramp(b.servers[1], now.Seconds()) != 0.25 {
-		t.Errorf("ramp %v after a restart, want 0.25", b.ramp(b.servers[1], now.Seconds()))
+	if b.capacityFraction(b.backends[1], now.Seconds()) != 0.25 {
+		t.Errorf("ramp %v after a restart, want 0.25", b.capacityFraction(b.backends[1], now.Seconds()))
 	}
 	b.Handle(now+2*time.Second, &Event{Kind: EvTimer, Token: "tick"}, nil)
 	if out := ask(b, now+2*time.Second, "s", "once"); out.Kind != ActSend {
@@ -805,10 +805,10 @@
 // A new backend is judged by its kind until it has shown enough itself.
 func TestServiceTimeStartsFromTheKind(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Kind: "slow"}, Entry{ID: 2, Kind: "fast"}, Entry{ID: 3, Kind: "slow"})
-	b.servers[1].latency, b.servers[1].occupancy = 400, 1000
-	b.servers[2].latency, b.servers[2].occupancy = 50, 1000
-	b.plan(t0.Seconds() + 0.25)
-	if v := b.service(b.servers[3]); v < 0.35 || v > 0.45 {
+	b.backends[1].latencySum, b.backends[1].occupancySum = 400, 1000
+	b.backends[2].latencySum, b.backends[2].occupancySum = 50, 1000
+	b.refresh(t0.Seconds() + 0.25)
+	if v := b.serviceTime(b.backends[3]); v < 0.35 || v > 0.45 {
 		t.Errorf("service time %v of a new backend, its kind's is 0.4", v)
 	}
 }
@@ -816,11 +816,11 @@
 // A time-out cuts the latency short and its work may run on.
 func TestTimeOutCountsDoubleAndStaysHeld(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-	s := b.servers[1]
+	s := b.backends[1]
 	fix(s, t0, 0)
 	outcome(b, t0, ask(b, t0, "r", "once"), TimedOut, Load{})
-	if took := s.latency - 5000; math.Abs(took-0.1) > 1e-6 || b.waiting(s, t0.Seconds()) != 1 {
-		t.Errorf("latency %v after a wait of 0.05, occupancy %v; want 0.1 and 1", took, b.waiting(s, t0.Seconds()))
+	if took := s.latencySum - 5000; math.Abs(took-0.1) > 1e-6 || b.occupancy(s, t0.Seconds()) != 1 {
+		t.Errorf("latency %v after a wait of 0.05, occupancy %v; want 0.1 and 1", took, b.occupancy(s, t0.Seconds()))
 	}
 }
 
@@ -828,8 +828,8 @@
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "b"})
 	to := map[uint32]int{}
 	for i := 0; i < 300; i++ {
-		fix(b.servers[1], t0, 1)
-		fix(b.servers[2], t0, 1)
+		fix(b.backends[1], t0, 1)
+		fix(b.backends[2], t0, 1)
 		to[ask(b, t0, string(rune(1000+i)), "top").Backend]++
 	}
 	if to[1] < 150 || to[2] < 60 {
@@ -846,7 +846,7 @@
 			t.Fatal(err)
 		}
 		b.Handle(t0, &Event{Kind: EvList, List: ListFailed}, nil)
-		seen[b.askAt] = true
+		seen[b.resubscribeAt] = true
 	}
 	if len(seen) < 5 {
 		t.Errorf("five nodes ask at %d different times", len(seen))
@@ -936,32 +936,32 @@
 
 // What a node holds true between two reports, by the clock alone.
 func TestEstimatesAge(t *testing.T) {
-	fresh := func() (*Balancer, *server) {
+	fresh := func() (*Balancer, *backend) {
 		b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-		s := b.servers[1]
+		s := b.backends[1]
 		fix(s, t0, 0)
 		return b, s
 	}
 	at := t0.Seconds()
 	b, s := fresh()
-	s.full, s.fullAt = 20, at
-	if n := b.waiting(s, at+0.5); !near(n, 10) {
+	s.fullOccupancy, s.fullAt = 20, at
+	if n := b.occupancy(s, at+0.5); !near(n, 10) {
 		t.Errorf("half a second after 'full' at 20 and 50 ms each: occupancy %.2f, want 10", n)
 	}
 	b, s = fresh()
-	s.others, b.level.Mean = 8, 2
-	if n := b.waiting(s, at+knowTau); !near(n, 2+8/math.E) {
+	s.reportedExcess, b.othersLoad.Mean = 8, 2
+	if n := b.occupancy(s, at+reportDecaySeconds); !near(n, 2+8/math.E) {
 		t.Errorf("a report of 10 is %.2f after the fade time, want a third of it and the rest of the mean, 2", n)
 	}
 	_, s = fresh()
-	s.own = 4
-	if s.settle(at + lagTau); !near(s.ownLag, 4*(1-1/math.E)) {
-		t.Errorf("4 sends are %.2f at the time of the report, want the most of them", s.ownLag)
+	s.inFlight = 4
+	if s.updateLagged(at + reportLagSeconds); !near(s.laggedInFlight, 4*(1-1/math.E)) {
+		t.Errorf("4 sends are %.2f at the time of the report, want the most of them", s.laggedInFlight)
 	}
 	b, s = fresh()
-	s.room = 10
-	if b.plan(at + oldTau); !near(s.room, 10*math.E) {
-		t.Errorf("an occupancy of 10 that drew 'full' counts as %.2f later, want e times as much", s.room)
+	s.minFullOccupancy = 10
+	if b.refresh(at + historyDecaySeconds); !near(s.minFullOccupancy, 10*math.E) {
+		t.Errorf("an occupancy of 10 that drew 'full' counts as %.2f later, want e times as much", s.minFullOccupancy)
 	}
 }
 
@@ -972,10 +972,10 @@
 		want mode
 	}{{0, discard}, {0.9, discard}, {1.1, overload}} {
 		b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-		s := b.servers[1]
+		s := b.backends[1]
 		fix(s, t0, 500)
 		for range 3 {
-			s.update(t0.Seconds()+c.age, b)
+			s.updateMode(t0.Seconds()+c.age, b)
 		}
 		if s.mode != c.want {
 			t.Errorf("report %.1f s old: mode %d, want %d", c.age, s.mode, c.want)
@@ -1004,9 +1004,9 @@
 		first := func(id string, left time.Duration, repeat bool) Action {
 			return last(b.Handle(t0, &Event{Kind: EvRequest, ID: id, Class: "low", Remaining: left, ClientRetry: repeat}, nil))
 		}
-		fix(b.servers[1], t0, 0)
+		fix(b.backends[1], t0, 0)
 		first("earlier", 1200*time.Millisecond, false)
-		b.servers[1].own = 0
+		b.backends[1].inFlight = 0
 		if got := first("r", c.left, c.repeat); got.Kind != c.want || got.Wait.Round(time.Millisecond) != c.wait {
 			t.Errorf("%s: %+v, want kind %d with %v", c.name, got, c.want, c.wait)
 		}
@@ -1017,8 +1017,8 @@
 func TestFullFromAnAnsweringBackendIsNoFailure(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
 	send := ask(b, t0, "r", "once")
-	b.servers[1].lastOK = t0.Seconds() - 0.1
-	if outcome(b, t0, send, Full, Load{}); b.servers[1].Bad > 0 {
+	b.backends[1].lastOKAt = t0.Seconds() - 0.1
+	if outcome(b, t0, send, Full, Load{}); b.backends[1].Bad > 0 {
 		t.Error("blamed for being full")
 	}
 }
@@ -1031,8 +1031,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &server{Record: health.Record{Bad: 1}}
-		b.blame(100, s, health.Out)
+		s := &backend{Record: health.Record{Bad: 1}}
+		b.recordFailure(100, s, health.Out)
 		ends[s.Ejected] = true
 	}
 	if len(ends) < 4 {
@@ -1055,11 +1055,11 @@
 	if b.Handle(t0-time.Hour, &Event{Kind: EvOther}, nil); b.now != t0.Seconds() {
 		t.Errorf("the clock went back to %v", b.now)
 	}
-	due := span(b.tickAt)
+	due := toDuration(b.nextRefreshAt)
 	if out := b.Handle(due, &Event{Kind: EvOther}, nil); len(out) > 0 {
 		t.Errorf("the timer is still out, yet: %+v", out)
 	}
-	if out := b.Handle(due+span(2*tick), &Event{Kind: EvOther}, nil); len(out) != 1 || out[0].Kind != ActTimer {
+	if out := b.Handle(due+toDuration(2*refreshSeconds), &Event{Kind: EvOther}, nil); len(out) != 1 || out[0].Kind != ActTimer {
 		t.Errorf("the timer was lost, yet: %+v", out)
 	}
 }
@@ -1085,7 +1085,7 @@
 		want time.Duration
 	}{{0, 2 * time.Second}, {19, time.Second}} {
 		b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-		fix(b.servers[1], t0, c.n)
+		fix(b.backends[1], t0, c.n)
 		send := Action{}
 		for i := 0; send.Wait == 0 && i < 1000; i++ { // overload passes some
 			if a := ask(b, t0, strconv.Itoa(i), "top"); a.Kind == ActSend {
@@ -1101,9 +1101,9 @@
 // With no warm backend of its kind known, a cold one gets half of what others get: its kind may be slower.
 func TestColdBackendOfAnUnknownKind(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Kind: "k"}, Entry{ID: 2, Kind: "new", Launched: t0})
-	b.servers[1].served, b.picks = 60, 119
-	b.plan(b.planAt)
-	if got := b.servers[2].chance; math.Abs(got-0.25) > 0.01 {
+	b.backends[1].answers, b.pickCount = 60, 119
+	b.refresh(b.refreshedAt)
+	if got := b.backends[2].warmShare; math.Abs(got-0.25) > 0.01 {
 		t.Errorf("its share of the requests is %.2f, want half of a warm one's 60 of 120", got)
 	}
 }
@@ -1140,7 +1140,7 @@
 		b := fleet[rng.IntN(nodes)]
 		b.Handle(now, &Event{Kind: EvTimer, Token: "tick"}, nil)
 		if now >= crowded {
-			for _, s := range b.order {
+			for _, s := range b.sorted {
 				if s.ID != 99 {
 					fix(s, now, 100)
 				}
@@ -1175,10 +1175,10 @@
 func TestPassingShareFalls(t *testing.T) {
 	passed := func(n float64) (count int) {
 		b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-		b.total, b.lessers = 100, 100
+		b.requestCount, b.lowPriorityCount = 100, 100
 		for range 4000 {
-			fix(b.servers[1], t0, n)
-			if !b.diverts(t0.Seconds(), b.servers[1], true) {
+			fix(b.backends[1], t0, n)
+			if !b.diverts(t0.Seconds(), b.backends[1], true) {
 				count++
 			}
 		}
@@ -1188,7 +1188,7 @@
 	for _, c := range []struct{ n, want float64 }{
 		{6, 4000 * (1 - tune.Divert)}, // at H
 		{6 * (1 + tune.Ramp/2), 4000 * (1 - tune.Divert) / 2},
-		{18, 4000 * (1 - qMost)}, // some must, or no report would tell that it has emptied
+		{18, 4000 * (1 - maxQ)}, // some must, or no report would tell that it has emptied
 	} {
 		if got := float64(passed(c.n)); math.Abs(got-c.want) > 5*math.Sqrt(c.want) {
 			t.Errorf("of 4000, %v pass at an occupancy of %v; want about %.0f", got, c.n, c.want)
@@ -1199,12 +1199,12 @@
 // A backend that looks bad by what is long past is tried again, by one request at a time and seldom.
 func TestUnusedBackendIsTriedAgain(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
-	good, bad := b.servers[1], b.servers[2]
+	good, bad := b.backends[1], b.backends[2]
 	tried := 0
 	for i := range 3000 {
 		now := t0 + time.Duration(i)*10*time.Millisecond
 		fix(good, now, 0)
-		bad.latency, bad.occupancy, bad.others, bad.reportAt = 50000, 100000, 0, now.Seconds()
+		bad.latencySum, bad.occupancySum, bad.reportedExcess, bad.reportAt = 50000, 100000, 0, now.Seconds()
 		a := ask(b, now, fmt.Sprint("r", i), "top")
 		if a.Backend == 2 {
 			tried++
@@ -1219,11 +1219,11 @@
 
 func TestPlanLearnsPart(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-	s := b.servers[1]
-	s.ownLag, s.others = 5, 10
-	b.plan(b.planAt)
-	if want := 6.0 / (6 + 11); !near(b.part, want) {
-		t.Errorf("this node's part is %.2f, want %.2f", b.part, want)
+	s := b.backends[1]
+	s.laggedInFlight, s.reportedExcess = 5, 10
+	b.refresh(b.refreshedAt)
+	if want := 6.0 / (6 + 11); !near(b.trafficShare, want) {
+		t.Errorf("this node's part is %.2f, want %.2f", b.trafficShare, want)
 	}
 }
 
@@ -1231,7 +1231,7 @@
 // as slow ones, the lost kept it in overload while it stood idle, and requests were refused for that.
 func TestLostAttemptsAreNoCrowd(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-	s := b.servers[1]
+	s := b.backends[1]
 	type out struct {
 		send Action
 		at   time.Duration
@@ -1263,10 +1263,10 @@
 		}
 	}
 	now := (t0 + 10*time.Second).Seconds()
-	if n := b.waiting(s, now); n > 5 || s.mode != normal || refused > 0 {
+	if n := b.occupancy(s, now); n > 5 || s.mode != normal || refused > 0 {
 		t.Errorf("3 held in truth: %.1f believed, mode %d, %d refused", n, s.mode, refused)
 	}
-	if x := b.service(s); x > 0.04 {
+	if x := b.serviceTime(s); x > 0.04 {
 		t.Errorf("answers take 30 ms: service time believed %.3f s", x)
 	}
 }
@@ -1274,37 +1274,37 @@
 // What timed out may still be in work, but a report of a second later would show it.
 func TestTimedOutCountsUntilReportsTell(t *testing.T) {
 	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-	s := b.servers[1]
+	s := b.backends[1]
 	var sends []Action
 	for i := range 4 {
 		fix(s, t0, 1)
 		sends = append(sends, ask(b, t0, fmt.Sprint("r", i), "once"))
 	}
-	s.own = 4
+	s.inFlight = 4
 	for _, a := range sends {
 		outcome(b, t0+time.Second, a, TimedOut, Load{})
 	}
-	if n := b.waiting(s, t0.Seconds()+1); n < 4 {
+	if n := b.occupancy(s, t0.Seconds()+1); n < 4 {
 		t.Errorf("at the time-outs %.1f believed held, want the 4 that timed out among them", n)
 	}
-	s.others, s.reportAt = 1, t0.Seconds()+3
-	if n := b.waiting(s, t0.Seconds()+3); n > 1.5 {
+	s.reportedExcess, s.reportAt = 1, t0.Seconds()+3
+	if n := b.occupancy(s, t0.Seconds()+3); n > 1.5 {
 		t.Errorf("two seconds and a report of 1 later %.1f believed held", n)
 	}
 }
 
-// Where reports tell only what waits, what is out before a first report is not all a crowd: at a start, sound boxes with
-// two or three requests in work were taken for overloaded until their reports came.
+// Where reports tell only what waits, what is out before a first report is not all a crowd: at a start, sound boxes
+// with two or three requests in work were taken for overloaded until their reports came.
 func TestWhatIsOutBeforeAReportIsNoCrowd(t *testing.T) {
 	for _, only := range []bool{true, false} {
 		b := node(t, settings(func(s *Settings) { s.QueueOnly = only }), Entry{ID: 1, Zone: "a"})
-		s := b.servers[1]
-		s.own, s.ownLag, s.ownAt = 3, 3, t0.Seconds()
+		s := b.backends[1]
+		s.inFlight, s.laggedInFlight, s.laggedAt = 3, 3, t0.Seconds()
 		want := 3.0
 		if only {
 			want = 1.5
 		}
-		if got := b.waiting(s, t0.Seconds()); !near(got, want) {
+		if got := b.occupancy(s, t0.Seconds()); !near(got, want) {
 			t.Errorf("queue only %v: %v waiting before a report, want %v", only, got, want)
 		}
 		send := ask(b, t0, "r", "top")
@@ -1315,8 +1315,8 @@
 	}
 }
 
-// A cold backend clears a part of what a warm one of its kind does, and its H is that part of theirs: with the warm one's it
-// would be filled in the moment in which all nodes learn of it.
+// A cold backend clears a part of what a warm one of its kind does, and its H is that part of theirs: with the warm
+// one's it would be filled in the moment in which all nodes learn of it.
 func TestColdBackendHasItsPartOfH(t *testing.T) {
 	set := settings()
 	b := node(t, set, Entry{ID: 1, Zone: "a", Kind: "k"})
--- a/policy/state.go
+++ b/policy/state.go
@@ -9,123 +9,135 @@
 	"craneglade/internal/sites"
 )
 
+// mode is how much traffic a backend gets. Modes are ordered: a higher one gets less.
 type mode uint8
 
 const (
-	normal mode = iota
-	overload
-	discard
+	normal   mode = iota
+	overload      // a fraction of the requests is diverted
+	discard       // no request is sent
 )
 
+// class is a request class with its recent statistics.
 type class struct {
 	Class
-	index    int           // among the classes told of
-	requests float64       // decayed count,
-	over     float64       // and of those past their tenants' shares
-	took     decay.Moments // latencies of answers
-	out      []*attempt    // first attempts that may get a copy, in the order of the sends
-	least    float64       // least time left of a first try lately
-	lesser   bool          // worth less than the average for its work
-	near     decay.Tally   // latencies of answers that crossed no zone at a price
-	best     float64       // least mean of them
-	stay     float64       // part of the requests that stays in this zone while there is a backend for it
+	index            int           // in Balancer.classes; its length for a class that is not configured
+	requests         float64       // decayed count
+	overQuota        float64       // decayed count of those over their tenants' quotas
+	latency          decay.Moments // latencies of answers
+	hedgeable        []*attempt    // first attempts that may be hedged, in the order of the sends
+	minRemaining     float64       // lowest recent time to the deadline at the arrival of a first try
+	lowPriority      bool          // worth less than the average in relation to its latency
+	localLatency     decay.Tally   // latencies of answers that took no priced cross-zone send
+	bestLocalLatency float64       // lowest recent mean of them
+	localFraction    float64       // fraction of requests that stay in this zone if a backend there can take them
 }
 
+// tenant is a tenant with its recent request rate at this node.
 type tenant struct {
 	Tenant
-	count, rate float64 // requests since the last plan; requests a second lately
-	told        float64 // part of them that lies within the share, by what the nodes know together
+	count, rate float64 // requests since the last refresh; recent requests per second
+	withinQuota float64 // fraction of them within the quota, by the fleet's shared state; 0 when unknown
 }
 
+// attempt is one attempt of a request at a backend.
 type attempt struct {
-	server  *server
-	request *request
-	open    bool
-	called  bool    // off, or never to be
-	met     float64 // occupancy plus one that it met
-	at      float64 // when it was sent
-	stray   bool    // lost, by what its backend answered since
+	backend         *backend
+	request         *request
+	open            bool    // no outcome yet
+	noCancel        bool    // cancelled already, or never to be cancelled
+	occupancyAtSend float64 // of its backend, this attempt included
+	sentAt          float64
+	presumedLost    bool // its backend has answered a much later attempt
 }
 
+// request is a request without a final answer, or with attempts still open.
 type request struct {
-	id       string
-	class    *class
-	lesser   bool    // diverted first
-	needs    uint8   // protocols that its backend must speak
-	until    float64 // when the client gives up
-	aim      float64 // when its answer stops being worth anything
-	luck     float64 // whether zones that are used in part are for it
-	attempts []*attempt
-	first    attempt     // most requests have one, which needs no memory of its own
-	list     [1]*attempt // and neither does the list of it
-	open     int         // attempts without an outcome
-	final    bool        // the client has its answer; nothing more may be sent
-	mayRun   *server     // backend of the first attempt that may have run
-	by       float64     // when that was sent and its class's window: no keyed repeat may go out later; 0 before
-	avoid    *server     // the backend just tried: not twice in a row
+	id                string
+	class             *class
+	lowPriority       bool    // diverted before others
+	requiredProtocols uint8   // that its backend must speak
+	deadline          float64 // when the client gives up
+	usefulUntil       float64 // when an answer no longer has any worth
+	zoneDraw          float64 // random draw that decides whether it may use zones limited to a fraction of the requests
+	attempts          []*attempt
+	firstAttempt      attempt     // most requests have only one, which then needs no allocation
+	attemptsBuf       [1]*attempt // and neither does the slice
+	open              int         // attempts without an outcome
+	done              bool        // the client has its answer or has disconnected: nothing more is sent
+	mayHaveRun        *backend    // backend of the first attempt that may have run
+	retryBefore       float64     // end of Class.Window from the send of that attempt, for keyed retries; 0 before
+	avoid             *backend    // the backend tried last: not used twice in a row
 }
 
-type server struct {
+// backend is a listed backend with what this node knows of it.
+type backend struct {
 	Entry
 	launched      float64
-	wide          bool    // beyond the part of the fleet that this node works with
-	grace         float64 // drains, or the list came empty, but used until then
+	outsideSubset bool    // not in the subset of the fleet that this node works with
+	usableUntil   float64 // while it drains, or after the list came empty, it gets requests until then
 	mode          mode
-	own           float64    // this node's attempts in flight
-	flying        []*attempt // out, in the order of the sends; those that have ended are taken off later
-	ownLag, ownAt float64    // own at about the time of the latest report, and when that was brought up to date
-	sentAt        float64    // when something was last sent to it
-	ghosts        float64    // attempts that timed out here lately: no report shows their end yet
-	others        float64    // occupancy by reports beyond this node's own and the mean of all, smoothed
-	reportAt      float64
-	turned        float64 // requests that it has turned away since its last answer
-	full, fullAt  float64 // occupancy when it last did, and when that was
-	room          float64 // smallest occupancy that drew 'full', infinite before one did
-	slots, alike  float64 // most requests that it had in work at once, by its reports, and that any of its kind had
-	typical       float64 // service time of its kind
-	lastOK        float64
-	lostAt        float64         // when an attempt that others had overtaken timed out
-	work, base    float64         // reported time in work, smoothed, and the least that its kind's mean has been
-	health.Record                 // of the backend as a whole
-	classes       []health.Record // of each class there, as some fail where others work; nil before one failed
-	served        float64         // decayed count of answers; sends would also count what a crowded backend turns away
-	chance        float64         // while cold: part of this node's picks that a warm one of its kind serves
-
-	latency, occupancy float64 // decayed sums of latencies, and of the occupancies plus one that they were met at
+	inFlight      float64    // this node's attempts in flight
+	attempts      []*attempt // outstanding, in the order of the sends; ended ones are removed later
+
+	// inFlight with a delay, about as it was when the latest report was made, and when it was last brought up to date.
+	laggedInFlight, laggedAt float64
+
+	sentAt                float64 // time of the latest send
+	orphans               float64 // attempts that timed out recently and may still run: no report shows their end yet
+	reportedExcess        float64 // reported occupancy beyond laggedInFlight and othersLoad, smoothed
+	reportAt              float64 // -Inf before the first report where reports show the queue only
+	rejections            float64 // Full answers since the latest successful one
+	fullOccupancy, fullAt float64 // R at the latest Full answer, taken as the occupancy then, and its time
+	minFullOccupancy      float64 // lowest recent occupancy that drew Full; infinite before the first one
+
+	// Most requests recently in work at once, by this backend's reports and by those of any of its kind.
+	concurrency, kindConcurrency float64
+
+	kindServiceTime        float64
+	lastOKAt               float64
+	lossAt                 float64         // when an attempt that was presumed lost timed out
+	workTime, baseWorkTime float64         // reported service time, smoothed, and the lowest mean of its kind
+	health.Record                          // of the backend as a whole
+	classHealth            []health.Record // by class, as one class alone may fail; nil before a failure
+	answers                float64         // decayed count; unlike sends it leaves out rejected requests
+	warmShare              float64         // while cold: fraction of the picks that a warm one of its kind serves
+
+	latencySum, occupancySum float64 // decayed sums of the attempts' latencies and of their occupancyAtSend
 }
 
 // Balancer is the state of one node. It is not safe for concurrent use.
 type Balancer struct {
-	set      Settings
-	tune     Tuning
-	rng      *rand.Rand
-	classes  []*class
-	servers  map[uint32]*server
-	order    []*server // sorted by id
-	requests map[string]*request
-	tenants  []*tenant
-	tenant   map[string]*tenant
-	part     float64     // this node's part of all traffic
-	sharers  float64     // nodes that work with a backend, by their mean
-	born     float64     // when the first plan was made
-	worth    float64     // mean worth of a request lately
-	far      decay.Tally // latencies of answers from other zones, as parts of their class's in this one
-	sends    decay.Tally // attempts, and those of them that left the zone at a price
-	level    decay.Level // what others hold at a backend by their mean
-	retries  float64     // further attempts that the budget allows
-	now      float64     // latest time seen
-	planAt   float64
-	askAt    float64     // when to ask for the list again; 0: not wanted
-	tickAt   float64     // when the next plan is due
-	many     float64     // sharers as a multiple of those that are few
-	pace     pace.Pacer  // how fast sends may grow while some requests are refused
-	gates    sites.Gates // while sites are lost
-	flying   float64     // own attempts that are out,
-	drift    decay.Swing // how that moves,
-	swing    float64     // and so what others hold since their reports
-	out      []Action
-
-	aim, half      float64 // shortest told aim, and half the shortest told deadline; infinite when none was told
-	total, lessers float64 // decayed counts of requests, and of those that are diverted first
-	picks, span    float64 // decayed counts of draws, and of the seconds that they were counted in
+	cfg             Settings
+	tuning          Tuning
+	rng             *rand.Rand
+	classes         []*class
+	backends        map[uint32]*backend
+	sorted          []*backend // by id
+	requests        map[string]*request
+	tenants         []*tenant
+	tenantByName    map[string]*tenant
+	trafficShare    float64     // this node's share of all traffic
+	nodesPerBackend float64     // mean number of nodes that work with a backend
+	firstRefreshAt  float64     // 0 before the first refresh
+	meanWorth       float64     // recent mean worth of a request
+	remoteLatency   decay.Tally // latencies of answers from other zones as multiples of their class's local mean
+	sends           decay.Tally // count of attempts; the sum counts those that left the zone at a price
+	othersLoad      decay.Level // mean occupancy of a backend by the other nodes' requests
+	retryTokens     float64     // further attempts that the retry budget allows now
+	now             float64     // latest time seen
+	refreshedAt     float64
+	resubscribeAt   float64     // when to subscribe to the list again; 0: not needed
+	nextRefreshAt   float64     // when the timer is due
+	sharingFactor   float64     // nodesPerBackend as a multiple of Tuning.Steep, at least 1
+	pace            pace.Pacer  // limits the growth of sends while requests are refused
+	gates           sites.Gates // limits on zones and classes while sites are lost
+	inFlight        float64     // own attempts in flight at all backends, without those presumed lost
+	inFlightTrend   decay.Swing // inFlight against its recent mean
+	loadTrend       float64     // assumed change of the other nodes' load since the reports, a factor
+	actions         []Action
+
+	minAim, halfMinDeadline        float64 // shortest aim and half the shortest deadline; infinite if none is set
+	requestCount, lowPriorityCount float64 // decayed counts of all requests and of low-priority ones
+	pickCount, pickSeconds         float64 // decayed count of picks and the decayed time over which they were counted
 }
--- a/policy/tuning.go
+++ b/policy/tuning.go
@@ -2,8 +2,8 @@
 
 import "craneglade/internal/tuning"
 
-// Tuning are the figures that the laboratory varies.
+// Tuning holds the parameters of the policy that simulations vary.
 type Tuning = tuning.Figures
 
-// DefaultTuning are the figures in service.
+// DefaultTuning returns the parameters that nodes run with.
 func DefaultTuning() Tuning { return tuning.InService() }
--- a/policy/unreported_test.go
+++ b/policy/unreported_test.go
@@ -28,7 +28,7 @@
 		{"slow failures", true, Failed, 500 * time.Millisecond, 0, normal},
 	} {
 		b := node(t, settings(func(s *Settings) { s.NoReports = c.noReports }), Entry{ID: 1, Zone: "a"})
-		s := b.servers[1]
+		s := b.backends[1]
 		now := t0
 		answer := func(outcome Outcome, took time.Duration) {
 			now += 50 * time.Millisecond
@@ -43,9 +43,9 @@
 		for range 400 {
 			answer(c.outcome, c.took)
 		}
-		s.own, s.ownLag, s.ghosts = 0, 0, 0
-		s.update(now.Seconds(), b)
-		if n := b.waiting(s, now.Seconds()); n < c.held*0.9-0.1 || n > c.held*1.1+0.1 || s.mode != c.mode {
+		s.inFlight, s.laggedInFlight, s.orphans = 0, 0, 0
+		s.updateMode(now.Seconds(), b)
+		if n := b.occupancy(s, now.Seconds()); n < c.held*0.9-0.1 || n > c.held*1.1+0.1 || s.mode != c.mode {
 			t.Errorf("%s: %.2f held in mode %d, want about %.0f in %d", c.name, n, s.mode, c.held, c.mode)
 		}
 	}
@@ -109,8 +109,8 @@
 	}
 }
 
-// play lets requests come at a part of what the backends can serve, by the second, and returns the part of what could be
-// served in its last five seconds that was answered in time.
+// play lets requests come at a part of what the backends can serve, by the second, and returns the part of what could
+// be served in its last five seconds that was answered in time.
 func (f *crowdedFleet) play(load ...float64) float64 {
 	most := float64(len(f.free)*crowdedCores) / crowdedWork.Seconds()
 	for second, part := range load {
@@ -142,8 +142,8 @@
 	return float64(f.inTime) / (most * counted)
 }
 
-// Many nodes share backends that report nothing, and one attempt of each is a crowd. No node sees more than its own few:
-// what answers take has to tell it, or backends stay so full that they answer nearly nothing in time.
+// Many nodes share backends that report nothing, and one attempt of each is a crowd. No node sees more than its own
+// few: what answers take has to tell it, or backends stay so full that they answer nearly nothing in time.
 func TestManyNodesKeepAnswersInTimeWithoutReports(t *testing.T) {
 	const nodes, backends = 32, 12
 	var entries []Entry
--- a/policy/worth.go
+++ b/policy/worth.go
@@ -2,35 +2,37 @@
 
 import "cmp"
 
-// overShare draws whether a request lies past its tenant's share: the node takes its own part of the share,
-// and of what goes beyond it as many at random as there are too many.
-func (b *Balancer) overShare(name string) bool {
-	t := b.tenant[name]
-	if t == nil || b.set.OverShare >= 1 {
+// drawOverQuota counts a request of a tenant and draws whether it is over quota. Requests are within the quota with the
+// probability of the fleet's shared state, or else of the quota times this node's traffic share over the tenant's rate.
+func (b *Balancer) drawOverQuota(name string) bool {
+	t := b.tenantByName[name]
+	if t == nil || b.cfg.OverShare >= 1 {
 		return false
 	}
 	t.count++
-	return b.rng.Float64() > cmp.Or(t.told, t.QuotaPerS*b.part/t.rate)
+	return b.rng.Float64() > cmp.Or(t.withinQuota, t.QuotaPerS*b.trafficShare/t.rate)
 }
 
-// shares finds the lesser classes, those worth less than the average for their work. They are not ranked
-// further: the worst of them counts too.
-func (b *Balancer) shares(f float64) {
-	b.total, b.lessers = b.total*f, b.lessers*f
+// rankClasses marks the low-priority classes: those whose worth per second of latency is below the average. They are
+// not ranked among themselves, so the lowest of them counts like the others.
+func (b *Balancer) rankClasses(decay float64) {
+	b.requestCount, b.lowPriorityCount = b.requestCount*decay, b.lowPriorityCount*decay
 	var requests, worth, work float64
 	for _, c := range b.classes {
-		c.requests *= f
-		c.over *= f
-		c.took.Fade(f)
+		c.requests *= decay
+		c.overQuota *= decay
+		c.latency.Fade(decay)
 		requests += c.requests
 		worth += c.requests * c.Worth
-		work += c.requests * c.work()
+		work += c.requests * c.meanLatency()
 	}
-	b.worth = worth / max(requests, 1e-9)
+	b.meanWorth = worth / max(requests, 1e-9)
 	for _, c := range b.classes {
-		c.lesser = c.Worth*work < worth*c.work()
+		c.lowPriority = c.Worth*work < worth*c.meanLatency()
 	}
 }
 
-// work is the mean latency of a class, as a measure of what its requests cost.
-func (c *class) work() float64 { return (c.took.Sum + guess) / (c.took.N + 1) }
+// meanLatency returns the mean latency of a class, a measure of the work of its requests.
+func (c *class) meanLatency() float64 {
+	return (c.latency.Sum + defaultServiceSeconds) / (c.latency.N + 1)
+}
--- a/policy/zone.go
+++ b/policy/zone.go
@@ -2,55 +2,66 @@
 
 import "math"
 
-// What leaving the node's zone costs, against what it saves.
+// The price of attempts that leave the node's zone against what they save.
 
 const (
-	firmness = 5.0   // at even costs half of the requests cross, and where crossing saves nothing e to minus this
-	bestTau  = 600.0 // a class's best mean latency is forgotten over this
+	// Half of the requests leave the zone when price and gain are equal; about exp(-crossingSteepness) without a gain.
+	crossingSteepness = 5.0
+
+	bestLatencyDecaySeconds = 600.0 // of the lowest mean latency of a class
 )
 
-// priced tells whether a send to s leaves the node's zone at a price.
-func (b *Balancer) priced(s *server) bool { return b.set.CrossPrice > 0 && s.Zone != b.set.Zone }
+// crossesAtPrice reports whether an attempt at s leaves the node's zone and that has a price.
+func (b *Balancer) crossesAtPrice(s *backend) bool {
+	return b.cfg.CrossPrice > 0 && s.Zone != b.cfg.Zone
+}
 
-// zoned books what an answer took by where it came from. Answers of other zones are few, so that all classes of them
-// count together, each against what its class takes in this one.
-func (b *Balancer) zoned(s *server, c *class, took float64) {
-	if !b.priced(s) {
-		c.near.Add(took)
-	} else if c.near.N >= 1 {
-		b.far.Add(took * c.near.N / max(c.near.Sum, 1e-6))
+// recordZoneLatency counts a latency as local or remote. Answers from other zones are few, so those of all classes
+// count together, each as a multiple of its class's local mean.
+func (b *Balancer) recordZoneLatency(s *backend, c *class, took float64) {
+	if !b.crossesAtPrice(s) {
+		c.localLatency.Add(took)
+	} else if c.localLatency.N >= 1 {
+		b.remoteLatency.Add(took * c.localLatency.N / max(c.localLatency.Sum, 1e-6))
 	}
 }
 
-// stays tells which part of a class's requests is to stay in the node's zone. Latencies are taken as exponential: one
-// with a mean of l misses its aim with a chance of exp(-aim/l), and a request more adds l/best-1 parts of l to
-// everybody's (M/M/1). Crossing is worth it where that loses less there, by more than the price.
-func (b *Balancer) stays(c *class, dt float64) float64 {
-	if c.near.N < prior || b.worth <= 0 {
+// computeLocalFraction returns the fraction of a class's requests that stay in the node's zone. Latencies are taken as
+// exponential: with a mean of l an answer misses its aim with probability exp(-aim/l), and one more request adds a
+// fraction l/best-1 of l to the latencies of the others (M/M/1). Crossing pays if the other zone loses less by more
+// than the price.
+func (b *Balancer) computeLocalFraction(c *class, dt float64) float64 {
+	if c.localLatency.N < priorSamples || b.meanWorth <= 0 {
 		return 1
 	}
-	l := min(max(c.near.Sum/c.near.N, 1e-6), 1e6)
-	if c.best *= math.Exp(dt / bestTau); c.best == 0 || l < c.best {
-		c.best = l
+	latency := min(max(c.localLatency.Sum/c.localLatency.N, 1e-6), 1e6)
+	if c.bestLocalLatency *= math.Exp(dt / bestLatencyDecaySeconds); c.bestLocalLatency == 0 ||
+		latency < c.bestLocalLatency {
+		c.bestLocalLatency = latency
+	}
+	if b.cfg.CrossPrice <= 0 || math.IsInf(b.minAim, 1) || c.Worth <= 0 {
+		return 1 // without a price, an aim or a worth there is nothing to weigh
 	}
-	if b.set.CrossPrice <= 0 || math.IsInf(b.aim, 1) || c.Worth <= 0 {
-		return 1 // nothing known speaks for another zone
+	target := c.Aim.Seconds()
+	if target <= 0 {
+		target = b.minAim
 	}
-	aim := c.Aim.Seconds()
-	if aim <= 0 {
-		aim = b.aim
+	// Other zones are assumed to be at the lowest local latency until enough of their answers are known.
+	remoteRatio := min((b.remoteLatency.Sum+priorSamples*c.bestLocalLatency/latency)/
+		(b.remoteLatency.N+priorSamples), 1e6)
+	loss := func(latency float64) float64 {
+		return math.Exp(-target/latency) * (1 + target/latency*max(0, latency/c.bestLocalLatency-1))
 	}
-	far := min((b.far.Sum+prior*c.best/l)/(b.far.N+prior), 1e6) // an unknown zone is taken to be at its best
-	loss := func(l float64) float64 { return math.Exp(-aim/l) * (1 + aim/l*max(0, l/c.best-1)) }
-	price := b.set.CrossPrice * b.worth / c.Worth // as a part of the request's worth
-	return 1 / (1 + math.Exp(-firmness*(loss(l*far)+price-loss(l))/price))
+	price := b.cfg.CrossPrice * b.meanWorth / c.Worth // as a fraction of the request's worth
+	return 1 / (1 + math.Exp(-crossingSteepness*(loss(latency*remoteRatio)+price-loss(latency))/price))
 }
 
-// heal is for how long a backend goes without a request before one is sent to see how it does. Where few requests leave
-// the zone, one of another zone is not left out for what is believed of it.
-func (b *Balancer) heal(s *server) float64 {
-	wait := b.tune.Heal * b.sharers
-	if b.priced(s) {
+// probeInterval returns the seconds without a request after which a backend is sent one to renew its estimate. It is
+// longer for other zones if few requests leave this one: their backends then get few because of the price, not of a bad
+// estimate.
+func (b *Balancer) probeInterval(s *backend) float64 {
+	wait := b.tuning.Heal * b.nodesPerBackend
+	if b.crossesAtPrice(s) {
 		wait *= max(b.sends.N, 1) / max(b.sends.Sum, 1e-3)
 	}
 	return wait
--- a/policy/zone_test.go
+++ b/policy/zone_test.go
@@ -92,32 +92,33 @@
 
 func TestStayIsAPart(t *testing.T) {
 	b := node(t, settings(func(s *Settings) { s.CrossPrice = 0.08 }), Entry{ID: 1, Zone: "a"})
-	b.worth = 3
+	b.meanWorth = 3
 	c := b.classes[0]
 	for _, near := range []decay.Tally{{}, {Sum: 0, N: 100}, {Sum: 1e-9, N: 10}, {Sum: 50, N: 100}, {Sum: 1e9, N: 100}, {Sum: 1e300, N: 10}} {
 		for _, far := range []decay.Tally{{}, {Sum: 0, N: 50}, {Sum: 1e-9, N: 50}, {Sum: 1e300, N: 50}} {
-			c.near, b.far, c.best = near, far, 0
-			if got := b.stays(c, 0.25); !(got >= 0 && got <= 1) || math.IsNaN(got) {
+			c.localLatency, b.remoteLatency, c.bestLocalLatency = near, far, 0
+			if got := b.computeLocalFraction(c, 0.25); !(got >= 0 && got <= 1) || math.IsNaN(got) {
 				t.Errorf("near %v, far %v: %v stays", near, far, got)
 			}
 		}
 	}
-	c.near, b.far, c.best = decay.Tally{Sum: 50, N: 100}, decay.Tally{}, 0.1
-	b.set.CrossPrice = 0
-	if got := b.stays(c, 0.25); got != 1 {
+	c.localLatency, b.remoteLatency, c.bestLocalLatency = decay.Tally{Sum: 50, N: 100}, decay.Tally{}, 0.1
+	b.cfg.CrossPrice = 0
+	if got := b.computeLocalFraction(c, 0.25); got != 1 {
 		t.Errorf("with no price %v stays", got)
 	}
 }
 
-// A backend of another zone that gets little because of the price is not one that is left out for what is believed of it.
+// A backend of another zone that gets little because of the price is not one that is left out for what is believed of
+// it.
 func TestOtherZonesAreTriedAsRarelyAsRequestsCross(t *testing.T) {
 	b := node(t, settings(func(s *Settings) { s.CrossPrice = 0.08 }), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "b"})
 	b.sends = decay.Tally{Sum: 2, N: 100}
-	wait := b.tune.Heal * b.sharers
-	if got := b.heal(b.servers[1]); got != wait {
+	wait := b.tuning.Heal * b.nodesPerBackend
+	if got := b.probeInterval(b.backends[1]); got != wait {
 		t.Errorf("in the node's zone a backend is tried after %v s, want %v", got, wait)
 	}
-	if got := b.heal(b.servers[2]); !near(got, 50*wait) {
+	if got := b.probeInterval(b.backends[2]); !near(got, 50*wait) {
 		t.Errorf("in another zone a backend is tried after %v s, want %v", got, 50*wait)
 	}
 }
