--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -11,16 +11,16 @@
 // BenchmarkDecision is one request and its outcome at fleets of several sizes, as in docs/design/thresholds.md and
 // docs/design/fleet.md.
 func BenchmarkDecision(b *testing.B) {
-	for _, size := range []struct{ boxes, nodes int }{{12, 3}, {120, 3}, {60, 80}, {1000, 80},
+	for _, size := range []struct{ backends, nodes int }{{12, 3}, {120, 3}, {60, 80}, {1000, 80},
 		{1000, 3}, {10000, 3}, {10000, 80}, {10000, 300}, {10000, 5900}} {
-		boxes := size.boxes
-		b.Run(fmt.Sprintf("boxes=%d/nodes=%d", boxes, size.nodes), func(b *testing.B) {
+		backends := size.backends
+		b.Run(fmt.Sprintf("boxes=%d/nodes=%d", backends, size.nodes), func(b *testing.B) {
 			bal, err := policy.New(testSettings(size.nodes, false), 1)
 			if err != nil {
 				b.Fatal(err)
 			}
 			var list []policy.Entry
-			for i := range boxes {
+			for i := range backends {
 				list = append(list, policy.Entry{ID: uint32(i + 1), Hash: uint64(i) << 40, Zone: []string{"east", "west"}[i%2], Kind: "k"})
 			}
 			now := time.Hour
@@ -44,9 +44,9 @@
 // BenchmarkList is what a list costs the policy: all backends, and news of one. A whole list is of backends that are
 // known.
 func BenchmarkList(b *testing.B) {
-	for _, boxes := range []int{18, 200, 1000, 5000, 20000} {
+	for _, backends := range []int{18, 200, 1000, 5000, 20000} {
 		var list []policy.Entry
-		for i := range boxes {
+		for i := range backends {
 			list = append(list, policy.Entry{ID: uint32(i + 1), Hash: uint64(i) << 40, Zone: []string{"east", "west"}[i%2], Kind: "k"})
 		}
 		bal, err := policy.New(testSettings(300, false), 1)
@@ -58,7 +58,7 @@
 			kind    policy.ListKind
 			entries []policy.Entry
 		}{{"full", policy.ListFull, list}, {"delta", policy.ListDelta, list[:1]}} {
-			b.Run(fmt.Sprintf("%s/boxes=%d", kind.name, boxes), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%s/boxes=%d", kind.name, backends), func(b *testing.B) {
 				now := time.Hour
 				bal.Handle(now, &policy.Event{Kind: policy.EvList, List: policy.ListFull, Entries: list}, nil)
 				b.ReportAllocs()
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -11,18 +11,18 @@
 
 // coldFleet is some nodes over few backends, two of which start cold while traffic goes on, in virtual time.
 type coldFleet struct {
-	set   Settings
-	rng   *rand.Rand
-	nodes []*Balancer
-	due   coldAgenda
-	boxes map[uint32]*coldBox
-	seq   int
+	set      Settings
+	rng      *rand.Rand
+	nodes    []*Balancer
+	queue    coldEventQueue
+	backends map[uint32]*coldBackend
+	seq      int
 }
 
-type coldBox struct {
-	entry Entry
-	held  float64
-	sent  []float64 // moments, in seconds, of what was sent to it
+type coldBackend struct {
+	entry    Entry
+	inFlight float64
+	sentAt   []float64 // moments, in seconds, of what was sent to it
 }
 
 type coldEvent struct {
@@ -32,15 +32,15 @@
 	ev   Event
 }
 
-type coldAgenda []coldEvent
+type coldEventQueue []coldEvent
 
-func (a coldAgenda) Len() int { return len(a) }
-func (a coldAgenda) Less(i, j int) bool {
+func (a coldEventQueue) Len() int { return len(a) }
+func (a coldEventQueue) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
 }
-func (a coldAgenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *coldAgenda) Push(x any)   { *a = append(*a, x.(coldEvent)) }
-func (a *coldAgenda) Pop() any {
+func (a coldEventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *coldEventQueue) Push(x any)   { *a = append(*a, x.(coldEvent)) }
+func (a *coldEventQueue) Pop() any {
 	old := *a
 	x := old[len(old)-1]
 	*a = old[:len(old)-1]
@@ -55,11 +55,11 @@
 
 func (f *coldFleet) add(at float64, node int, ev Event) {
 	f.seq++
-	heap.Push(&f.due, coldEvent{at, f.seq, node, ev})
+	heap.Push(&f.queue, coldEvent{at, f.seq, node, ev})
 }
 
 // capacity is what a backend carries, in mean requests a second, at a moment of the play.
-func (f *coldFleet) capacity(b *coldBox, at float64) float64 {
+func (f *coldFleet) capacity(b *coldBackend, at float64) float64 {
 	ramp := 1.0
 	if b.entry.Launched > 0 {
 		age := at - (b.entry.Launched - t0).Seconds()
@@ -71,14 +71,14 @@
 // play runs nodes over warm backends and two cold ones at a part of what the warm ones carry; with replaced the warm
 // ones leave a second after the cold ones start. It returns the worst window: sends to a cold backend as a part of what
 // its budget of N allows, N + 2 x root of N + 2.
-func (f *coldFleet) play(nodes, warm int, load float64, replaced bool, end float64) (worst float64, sent int) {
-	f.boxes = map[uint32]*coldBox{}
-	var known []Entry
+func (f *coldFleet) play(nodes, warm int, loadFraction float64, replaced bool, end float64) (worst float64, sent int) {
+	f.backends = map[uint32]*coldBackend{}
+	var listed []Entry
 	for i := range warm + 2 {
-		b := &coldBox{entry: Entry{ID: uint32(i + 1), Hash: uint64(i+1) * 0x9e3779b97f4a7c15, Zone: "a", Kind: "k"}}
-		f.boxes[b.entry.ID] = b
+		b := &coldBackend{entry: Entry{ID: uint32(i + 1), Hash: uint64(i+1) * 0x9e3779b97f4a7c15, Zone: "a", Kind: "k"}}
+		f.backends[b.entry.ID] = b
 		if i < warm {
-			known = append(known, b.entry)
+			listed = append(listed, b.entry)
 		} else {
 			b.entry.Launched = t0 + toDuration(coldStart)
 		}
@@ -88,7 +88,7 @@
 		weight[i] = 0.2 + f.rng.ExpFloat64()
 		sum += weight[i]
 	}
-	rate := load * float64(warm) * coldCores / coldWork
+	rate := loadFraction * float64(warm) * coldCores / coldWork
 	for i := range nodes {
 		f.set.Nodes, f.set.Number = nodes, i
 		b, err := New(f.set, f.rng.Uint64())
@@ -96,22 +96,22 @@
 			panic(err)
 		}
 		f.nodes = append(f.nodes, b)
-		f.add(0, i, Event{Kind: EvList, List: ListCached, Entries: known})
+		f.add(0, i, Event{Kind: EvList, List: ListCached, Entries: listed})
 		f.add(f.rng.ExpFloat64()*sum/weight[i]/rate, i, Event{Kind: EvRequest})
-		told := coldStart + f.rng.Float64()*1.4
+		notifiedAt := coldStart + f.rng.Float64()*1.4
 		for id := warm + 1; id <= warm+2; id++ {
-			f.add(told, i, Event{Kind: EvList, List: ListDelta, Entries: []Entry{f.boxes[uint32(id)].entry}})
+			f.add(notifiedAt, i, Event{Kind: EvList, List: ListDelta, Entries: []Entry{f.backends[uint32(id)].entry}})
 		}
 		if replaced {
-			for _, e := range known {
+			for _, e := range listed {
 				e.State = Removed
-				f.add(told+1, i, Event{Kind: EvList, List: ListDelta, Entries: []Entry{e}})
+				f.add(notifiedAt+1, i, Event{Kind: EvList, List: ListDelta, Entries: []Entry{e}})
 			}
 		}
 	}
 	var out []Action
-	for n := 0; len(f.due) > 0; n++ {
-		e := heap.Pop(&f.due).(coldEvent)
+	for n := 0; len(f.queue) > 0; n++ {
+		e := heap.Pop(&f.queue).(coldEvent)
 		if e.at > end {
 			break
 		}
@@ -120,9 +120,9 @@
 			f.add(e.at+f.rng.ExpFloat64()*sum/weight[e.node]/rate, e.node, Event{Kind: EvRequest})
 		}
 		if e.ev.Kind == EvOutcome {
-			b := f.boxes[e.ev.Backend]
-			b.held--
-			e.ev.Load = Load{Known: true, Occupancy: b.held, Queue: max(0, b.held-coldCores)}
+			b := f.backends[e.ev.Backend]
+			b.inFlight--
+			e.ev.Load = Load{Known: true, Occupancy: b.inFlight, Queue: max(0, b.inFlight-coldCores)}
 		}
 		out = f.nodes[e.node].Handle(t0+toDuration(e.at), &e.ev, out[:0])
 		for _, a := range out {
@@ -130,10 +130,10 @@
 			case ActTimer:
 				f.add(max((a.At-t0).Seconds(), e.at+1e-6), e.node, Event{Kind: EvTimer, Token: a.Token})
 			case ActSend:
-				b := f.boxes[a.Backend]
-				b.sent = append(b.sent, e.at)
-				b.held++
-				took := coldWork * f.rng.ExpFloat64() * max(1, b.held/coldCores) * coldCores / coldWork / f.capacity(b, e.at)
+				b := f.backends[a.Backend]
+				b.sentAt = append(b.sentAt, e.at)
+				b.inFlight++
+				took := coldWork * f.rng.ExpFloat64() * max(1, b.inFlight/coldCores) * coldCores / coldWork / f.capacity(b, e.at)
 				ev := Event{Kind: EvOutcome, ID: a.ID, Backend: a.Backend, Attempt: 0, Took: toDuration(took), Finished: true}
 				if took > a.Wait.Seconds() {
 					ev.Took, ev.Outcome, ev.Finished = a.Wait, TimedOut, false
@@ -144,15 +144,15 @@
 	}
 	window := f.set.FallFor.Seconds()
 	for id := warm + 1; id <= warm+2; id++ {
-		b := f.boxes[uint32(id)]
-		sent += len(b.sent)
-		for from, to := 0, 0; to < len(b.sent); to++ { // each window that ends with a send
-			for b.sent[to]-b.sent[from] > window {
+		b := f.backends[uint32(id)]
+		sent += len(b.sentAt)
+		for from, to := 0, 0; to < len(b.sentAt); to++ { // each window that ends with a send
+			for b.sentAt[to]-b.sentAt[from] > window {
 				from++
 			}
 			// What the settings allow it then: its capacity grows evenly, so that the window's mean is that of its
 			// middle.
-			n := f.set.FallFactor * window * f.capacity(b, b.sent[to]-window/2)
+			n := f.set.FallFactor * window * f.capacity(b, b.sentAt[to]-window/2)
 			worst = max(worst, float64(to-from+1)/(n+2*math.Sqrt(n)+2))
 		}
 	}
--- a/policy/copy_test.go
+++ b/policy/copy_test.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// lossy returns a node of zone a that has learnt what a class takes, about 50 ms, with one more request out at backend
+// newLossyBalancer returns a node of zone a that has learnt what a class takes, about 50 ms, with one more request out at backend
 // 1, which lost another one lately. Backend 2 is of the same zone and 3 of another; both are free.
-func lossy(t *testing.T, class string, change func(*Settings)) (b *Balancer, lost Action, now time.Duration) {
+func newLossyBalancer(t *testing.T, class string, change func(*Settings)) (b *Balancer, lost Action, now time.Duration) {
 	t.Helper()
-	b = node(t, settings(func(s *Settings) {
+	b = newTestBalancer(t, settings(func(s *Settings) {
 		s.Copies = true
 		change(s)
 	}), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"}, Entry{ID: 3, Zone: "b"})
 	for now = t0; now < t0+time.Second; now += 20 * time.Millisecond {
-		outcome(b, now, ask(b, now, now.String(), class), OK, Load{Known: true})
+		endAttempt(b, now, sendRequest(b, now, now.String(), class), OK, Load{Known: true})
 	}
-	shut(b, 2, 3)
-	if lost = ask(b, now, "lost", class); lost.Kind != ActSend || lost.Backend != 1 {
+	ejectOnly(b, 2, 3)
+	if lost = sendRequest(b, now, "lost", class); lost.Kind != ActSend || lost.Backend != 1 {
 		t.Fatalf("%+v, want a send to 1", lost)
 	}
 	b.backends[1].lossAt = now.Seconds()
 	return b, lost, now
 }
 
-// shut leaves backends out, and opens all others.
-func shut(b *Balancer, ids ...uint32) {
+// ejectOnly leaves backends out, and opens all others.
+func ejectOnly(b *Balancer, ids ...uint32) {
 	for id, s := range b.backends {
 		if s.Ejected = 0; slices.Contains(ids, id) {
 			s.Ejected = 1e9
@@ -35,28 +35,28 @@
 	}
 }
 
-// overtake has backend 1 answer a request that it got after the others, and returns where copies go.
-func overtake(b *Balancer, now time.Duration, class string) (copies []Action) {
-	shut(b, 2, 3)
-	send := ask(b, now, fmt.Sprint("later", now), class)
-	shut(b)
+// answerLaterAttempt has backend 1 answer a request that it got after the others, and returns where copies go.
+func answerLaterAttempt(b *Balancer, now time.Duration, class string) (hedges []Action) {
+	ejectOnly(b, 2, 3)
+	send := sendRequest(b, now, fmt.Sprint("later", now), class)
+	ejectOnly(b)
 	for _, a := range b.Handle(now+50*time.Millisecond, &Event{Kind: EvOutcome, ID: send.ID, Backend: send.Backend,
 		Took: 50 * time.Millisecond, Outcome: OK, Finished: true, Load: Load{Known: true}}, nil) {
 		if a.Kind == ActSend {
-			copies = append(copies, a)
+			hedges = append(hedges, a)
 		}
 	}
-	return copies
+	return hedges
 }
 
-func TestWhatABackendLostGetsASecondCopy(t *testing.T) {
+func TestLostAttemptIsHedged(t *testing.T) {
 	const late = 600 * time.Millisecond
 	for _, c := range []struct {
 		name, class string
 		change      func(*Settings)
 		after       time.Duration
-		spoil       func(*Balancer)
-		copies      int
+		prepare     func(*Balancer)
+		wantHedges  int
 	}{
 		{"lost", "top", func(*Settings) {}, late, nil, 1},
 		{"keyed, in its zone", "key", func(*Settings) {}, late, nil, 1},
@@ -73,15 +73,15 @@
 			b.backends[2].reportAt, b.backends[3].reportAt = 1e6, 1e6
 		}, 0},
 	} {
-		b, lost, now := lossy(t, c.class, c.change)
-		if c.spoil != nil {
-			c.spoil(b)
+		b, lost, now := newLossyBalancer(t, c.class, c.change)
+		if c.prepare != nil {
+			c.prepare(b)
 		}
-		copies := overtake(b, now+c.after, c.class)
-		if len(copies) != c.copies {
-			t.Errorf("%s: %d copies, want %d", c.name, len(copies), c.copies)
+		hedges := answerLaterAttempt(b, now+c.after, c.class)
+		if len(hedges) != c.wantHedges {
+			t.Errorf("%s: %d copies, want %d", c.name, len(hedges), c.wantHedges)
 		}
-		for _, a := range copies {
+		for _, a := range hedges {
 			if a.ID != lost.ID || a.Backend == 1 || c.class == "key" && a.Backend != 2 {
 				t.Errorf("%s: a copy of %s to %d", c.name, a.ID, a.Backend)
 			}
@@ -92,35 +92,35 @@
 // A backend that has answered nothing at all since an attempt was sent shows as little as one that lost it. Where this
 // node is one of many and nothing else was due from it, its silence tells nothing: copies of all that was late were a
 // fifth of the work that 80 nodes gave 60 backends.
-func TestASilentBackendsAttemptGetsASecondCopy(t *testing.T) {
-	silent(t, 300, 1)
-	silent(t, 1, 0)
+func TestSilentBackendsAttemptIsHedged(t *testing.T) {
+	testSilentBackend(t, 300, 1)
+	testSilentBackend(t, 1, 0)
 }
 
-// silent wants so many copies where a backend has answered nothing since, and answered served requests lately before.
-func silent(t *testing.T, served float64, want int) {
+// testSilentBackend wants so many copies where a backend has answered nothing since, and answered served requests lately before.
+func testSilentBackend(t *testing.T, answers float64, wantHedges int) {
 	t.Helper()
-	b, lost, now := lossy(t, "top", func(*Settings) {})
-	b.backends[1].lossAt, b.backends[1].answers = 0, served
-	shut(b)
-	copies := 0
+	b, lost, now := newLossyBalancer(t, "top", func(*Settings) {})
+	b.backends[1].lossAt, b.backends[1].answers = 0, answers
+	ejectOnly(b)
+	hedges := 0
 	for at := now; at < now+time.Second; at += 20 * time.Millisecond {
 		for _, a := range b.Handle(at, &Event{Kind: EvTimer, Token: "tick"}, nil) {
 			if a.Kind == ActSend {
-				copies++
+				hedges++
 				if a.ID != lost.ID || a.Backend == 1 {
 					t.Errorf("a copy of %s to %d", a.ID, a.Backend)
 				}
 			}
 		}
 	}
-	if copies != want {
-		t.Errorf("%d copies, want %d", copies, want)
+	if hedges != wantHedges {
+		t.Errorf("%d copies, want %d", hedges, wantHedges)
 	}
 }
 
 // However its two attempts end, a request has one final answer, and what still runs then is called off.
-func TestTwoAttemptsGiveOneAnswer(t *testing.T) {
+func TestHedgedRequestHasOneAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		ends  []int // attempts in the order in which they end
@@ -133,25 +133,25 @@
 		{"both time out", []int{0, 1}, []Outcome{TimedOut, TimedOut}, 1},
 		{"the copy is turned away and the first breaks", []int{1, 0}, []Outcome{Full, Reset}, 1},
 	} {
-		b, lost, now := lossy(t, "top", func(s *Settings) { s.MaxAttempts = 2 })
-		copies := overtake(b, now+600*time.Millisecond, "top")
-		if len(copies) != 1 {
-			t.Fatalf("%s: %d copies", c.name, len(copies))
+		b, lost, now := newLossyBalancer(t, "top", func(s *Settings) { s.MaxAttempts = 2 })
+		hedges := answerLaterAttempt(b, now+600*time.Millisecond, "top")
+		if len(hedges) != 1 {
+			t.Fatalf("%s: %d copies", c.name, len(hedges))
 		}
-		servers, now := []uint32{lost.Backend, copies[0].Backend}, now+700*time.Millisecond
-		over := false
+		backends, now := []uint32{lost.Backend, hedges[0].Backend}, now+700*time.Millisecond
+		done := false
 		for i, n := range c.ends {
 			o := c.with[i]
 			served := o == OK
-			out := b.Handle(now, &Event{Kind: EvOutcome, ID: lost.ID, Attempt: n, Backend: servers[n], Took: 100 * time.Millisecond,
-				Outcome: o, Finished: served || over}, nil)
-			answers, called := 0, 0
+			out := b.Handle(now, &Event{Kind: EvOutcome, ID: lost.ID, Attempt: n, Backend: backends[n], Took: 100 * time.Millisecond,
+				Outcome: o, Finished: served || done}, nil)
+			answers, cancelled := 0, 0
 			for _, a := range out {
 				switch a.Kind {
 				case ActRefuse, ActFail:
 					answers++
 				case ActCancel:
-					called++
+					cancelled++
 				case ActSend:
 					t.Errorf("%s: sent after end %d", c.name, i)
 				}
@@ -159,10 +159,10 @@
 			if want := i == c.final && !served; (answers == 1) != want || answers > 1 {
 				t.Errorf("%s: %d answers at end %d", c.name, answers, i)
 			}
-			if want := served && i == 0; (called == 1) != want {
-				t.Errorf("%s: %d attempts called off at end %d", c.name, called, i)
+			if want := served && i == 0; (cancelled == 1) != want {
+				t.Errorf("%s: %d attempts called off at end %d", c.name, cancelled, i)
 			}
-			over = over || served || answers > 0
+			done = done || served || answers > 0
 		}
 		if b.requests[lost.ID] != nil {
 			t.Errorf("%s: the request is still kept", c.name)
@@ -172,33 +172,33 @@
 
 // An answer that has begun to reach its client is the only one: no copy follows, another attempt is called off, and its
 // own is not.
-func TestAnAnswerThatHasBegunStandsAlone(t *testing.T) {
-	b, lost, now := lossy(t, "top", func(*Settings) {})
-	begun := func(attempt int) (called []int) {
+func TestStartedResponseStopsHedging(t *testing.T) {
+	b, lost, now := newLossyBalancer(t, "top", func(*Settings) {})
+	responseStarts := func(attempt int) (cancelled []int) {
 		for _, a := range b.Handle(now, &Event{Kind: EvResponseStarted, ID: lost.ID, Attempt: attempt}, nil) {
 			if a.Kind == ActCancel {
-				called = append(called, a.Attempt)
+				cancelled = append(cancelled, a.Attempt)
 			}
 		}
-		return called
+		return cancelled
 	}
-	if called := begun(0); called != nil {
-		t.Errorf("%v called off, want nothing", called)
+	if cancelled := responseStarts(0); cancelled != nil {
+		t.Errorf("%v called off, want nothing", cancelled)
 	}
-	if copies := overtake(b, now+600*time.Millisecond, "top"); copies != nil {
-		t.Errorf("a copy to %d behind an answer that has begun", copies[0].Backend)
+	if hedges := answerLaterAttempt(b, now+600*time.Millisecond, "top"); hedges != nil {
+		t.Errorf("a copy to %d behind an answer that has begun", hedges[0].Backend)
 	}
 
-	b, lost, now = lossy(t, "top", func(*Settings) {})
-	copies := overtake(b, now+600*time.Millisecond, "top")
-	if len(copies) != 1 {
-		t.Fatalf("%d copies", len(copies))
+	b, lost, now = newLossyBalancer(t, "top", func(*Settings) {})
+	hedges := answerLaterAttempt(b, now+600*time.Millisecond, "top")
+	if len(hedges) != 1 {
+		t.Fatalf("%d copies", len(hedges))
 	}
-	if called := begun(1); !slices.Equal(called, []int{0}) {
-		t.Errorf("%v called off, want the first", called)
+	if cancelled := responseStarts(1); !slices.Equal(cancelled, []int{0}) {
+		t.Errorf("%v called off, want the first", cancelled)
 	}
 	for i, o := range []Outcome{Canceled, OK} {
-		for _, a := range b.Handle(now+time.Second, &Event{Kind: EvOutcome, ID: lost.ID, Attempt: i, Backend: []uint32{1, copies[0].Backend}[i],
+		for _, a := range b.Handle(now+time.Second, &Event{Kind: EvOutcome, ID: lost.ID, Attempt: i, Backend: []uint32{1, hedges[0].Backend}[i],
 			Took: time.Second, Outcome: o, Finished: true}, nil) {
 			if a.Kind != ActTimer && a.Kind != ActLog {
 				t.Errorf("%+v after attempt %d ended", a, i)
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -7,17 +7,17 @@
 
 // A third of the fleet told to drain at once, with successors seconds away: what all nodes stop using in the same
 // instant is missing. A box goes on serving for a part of its grace, and only where this node is sure when it was told.
-func TestADrainingBackendServesForAPartOfItsGrace(t *testing.T) {
+func TestDrainingBackendServesPartOfGrace(t *testing.T) {
 	const grace = 2 * time.Second
 	leaving := Entry{ID: 1, Zone: "a", State: Draining}
 	for _, c := range []struct {
-		name   string
-		ask    bool     // the list is asked for: what is told may have counted as told before
-		served bool     // it has answered this process, which so was there before the list changed
-		list   ListKind // how it is told
-		again  bool     // and told once more, later
-		after  time.Duration
-		sent   bool
+		name        string
+		mustAsk     bool     // the list is asked for: what is told may have counted as told before
+		hasAnswered bool     // it has answered this process, which so was there before the list changed
+		list        ListKind // how it is told
+		repeated    bool     // and told once more, later
+		after       time.Duration
+		sent        bool
 	}{
 		{"soon after", false, true, ListDelta, false, 100 * time.Millisecond, true},
 		{"late in its grace", false, true, ListDelta, false, 1300 * time.Millisecond, false},
@@ -27,15 +27,15 @@
 		{"a whole list, whose news may be old", false, true, ListFull, false, 100 * time.Millisecond, false},
 		{"told twice: the second telling begins no new grace", false, true, ListDelta, true, 1100 * time.Millisecond, false},
 	} {
-		b := node(t, settings(func(s *Settings) { s.DrainGrace, s.MustAsk = grace, c.ask }), Entry{ID: 1, Zone: "a"})
-		if c.served {
-			outcome(b, t0, ask(b, t0, "first", "top"), OK, Load{Known: true})
+		b := newTestBalancer(t, settings(func(s *Settings) { s.DrainGrace, s.MustAsk = grace, c.mustAsk }), Entry{ID: 1, Zone: "a"})
+		if c.hasAnswered {
+			endAttempt(b, t0, sendRequest(b, t0, "first", "top"), OK, Load{Known: true})
 		}
 		b.Handle(t0, &Event{Kind: EvList, List: c.list, Entries: []Entry{leaving}}, nil)
-		if c.again {
+		if c.repeated {
 			b.Handle(t0+time.Second, &Event{Kind: EvList, List: c.list, Entries: []Entry{leaving}}, nil)
 		}
-		if got := ask(b, t0+c.after, "second", "top").Kind == ActSend; got != c.sent {
+		if got := sendRequest(b, t0+c.after, "second", "top").Kind == ActSend; got != c.sent {
 			t.Errorf("%s: sent %v, want %v", c.name, got, c.sent)
 		}
 	}
--- a/policy/drive_test.go
+++ b/policy/drive_test.go
@@ -14,9 +14,9 @@
 
 const ms = time.Millisecond
 
-func testSettings(nodes int, ask bool) policy.Settings {
+func testSettings(nodes int, mustAsk bool) policy.Settings {
 	return policy.Settings{
-		Zone: "east", Nodes: nodes, MustAsk: ask, MustAskIn: 10 * time.Second,
+		Zone: "east", Nodes: nodes, MustAsk: mustAsk, MustAskIn: 10 * time.Second,
 		Classes: []policy.Class{
 			{Name: "read", Aim: 400 * ms, Deadline: time.Second, Worth: 10, Effect: policy.Safe},
 			{Name: "put", Aim: 300 * ms, Deadline: time.Second, Worth: 1, Effect: policy.Keyed,
@@ -35,93 +35,93 @@
 // The drive plays a small world against real balancers and checks the four rules by its own books, which
 // share no code with the policy.
 
-type happening struct {
+type scheduledEvent struct {
 	at   time.Duration
 	seq  int
 	node int
 	ev   policy.Event
 }
 
-type agenda []happening
+type eventQueue []scheduledEvent
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(happening)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(scheduledEvent)) }
+func (a *eventQueue) Pop() any {
 	old := *a
 	x := old[len(old)-1]
 	*a = old[:len(old)-1]
 	return x
 }
 
-type tried struct {
-	server policy.Entry
-	at     time.Duration
-	open   bool
-	ran    bool // may have run
+type attemptState struct {
+	server     policy.Entry
+	at         time.Duration
+	open       bool
+	mayHaveRun bool // may have run
 }
 
-type ask struct {
-	class    policy.Class
-	until    time.Duration
-	attempts []tried
-	answers  int
-	gone     bool
+type requestState struct {
+	class        policy.Class
+	deadline     time.Duration
+	attempts     []attemptState
+	answers      int
+	disconnected bool
 }
 
-type box struct {
+type testBackend struct {
 	policy.Entry
-	held    int
-	broken  int // 0 sound, 1 errors, 2 silent, 3 no connection
-	sends   []time.Duration
-	drained []time.Duration // per node: when it was told that this one drains or left, 0 when not
+	inFlight  int
+	failure   int // 0 sound, 1 errors, 2 silent, 3 no connection
+	sentAt    []time.Duration
+	drainedAt []time.Duration // per node: when it was told that this one drains or left, 0 when not
 }
 
-type world struct {
-	t      *testing.T
-	rng    *rand.Rand
-	set    policy.Settings
-	nodes  []*policy.Balancer
-	boxes  map[uint32]*box
-	ids    []uint32
-	asks   []map[string]*ask
-	todo   agenda
-	seq    int
-	record []policy.Action
-	sent   int
-	copies int // sent while another attempt of the request was out
-	faults int
+type simulation struct {
+	t          *testing.T
+	rng        *rand.Rand
+	set        policy.Settings
+	nodes      []*policy.Balancer
+	backends   map[uint32]*testBackend
+	ids        []uint32
+	requests   []map[string]*requestState
+	queue      eventQueue
+	seq        int
+	actions    []policy.Action
+	sent       int
+	hedges     int // sent while another attempt of the request was out
+	violations int
 }
 
-func (w *world) fault(format string, args ...any) {
-	w.faults++
-	if w.faults < 10 {
+func (w *simulation) violation(format string, args ...any) {
+	w.violations++
+	if w.violations < 10 {
 		w.t.Errorf(format, args...)
 	}
 }
 
-func (w *world) add(at time.Duration, node int, ev policy.Event) {
+func (w *simulation) schedule(at time.Duration, node int, ev policy.Event) {
 	w.seq++
-	heap.Push(&w.todo, happening{at, w.seq, node, ev})
+	heap.Push(&w.queue, scheduledEvent{at, w.seq, node, ev})
 }
 
-func (w *world) tell(at time.Duration, node int, kind policy.ListKind, entries ...policy.Entry) {
-	w.add(at, node, policy.Event{Kind: policy.EvList, List: kind, Entries: entries})
+func (w *simulation) sendList(at time.Duration, node int, kind policy.ListKind, entries ...policy.Entry) {
+	w.schedule(at, node, policy.Event{Kind: policy.EvList, List: kind, Entries: entries})
 }
 
-// drive runs nodes against servers at the given requests a second for each node.
-func drive(t *testing.T, seed uint64, nodes, servers int, rate float64, length time.Duration) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), boxes: map[uint32]*box{},
+// simulate runs nodes against servers at the given requests a second for each node.
+func simulate(t *testing.T, seed uint64, nodes, backends int, rate float64, length time.Duration) *simulation {
+	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), backends: map[uint32]*testBackend{},
 		set: testSettings(nodes, seed%2 == 0)}
 	w.set.Copies = seed%3 > 0
 	start := time.Hour
 	var list []policy.Entry
-	for i := 0; i < servers; i++ {
+	for i := 0; i < backends; i++ {
 		e := policy.Entry{ID: uint32(100 + i*7), Zone: []string{"east", "west"}[i%2], Cell: int64(i % 4), Kind: "k"}
-		w.boxes[e.ID] = &box{Entry: e, drained: make([]time.Duration, nodes)}
+		w.backends[e.ID] = &testBackend{Entry: e, drainedAt: make([]time.Duration, nodes)}
 		w.ids = append(w.ids, e.ID)
 		list = append(list, e)
 	}
@@ -131,8 +131,8 @@
 			t.Fatal(err)
 		}
 		w.nodes = append(w.nodes, b)
-		w.asks = append(w.asks, map[string]*ask{})
-		w.tell(start, n, policy.ListCached, list...)
+		w.requests = append(w.requests, map[string]*requestState{})
+		w.sendList(start, n, policy.ListCached, list...)
 		at, i := start, 0
 		for at < start+length {
 			at += time.Duration(w.rng.ExpFloat64() / rate * float64(time.Second))
@@ -143,9 +143,9 @@
 				left = 0
 			}
 			id := fmt.Sprintf("r%d-%d", n, i)
-			w.add(at, n, policy.Event{Kind: policy.EvRequest, ID: id, Class: c.Name, Remaining: left, ClientRetry: w.rng.IntN(4) == 0})
+			w.schedule(at, n, policy.Event{Kind: policy.EvRequest, ID: id, Class: c.Name, Remaining: left, ClientRetry: w.rng.IntN(4) == 0})
 			if w.rng.IntN(50) == 0 {
-				w.add(at+time.Duration(w.rng.Int64N(int64(300*ms))), n, policy.Event{Kind: policy.EvDisconnected, ID: id})
+				w.schedule(at+time.Duration(w.rng.Int64N(int64(300*ms))), n, policy.Event{Kind: policy.EvDisconnected, ID: id})
 			}
 		}
 	}
@@ -154,62 +154,62 @@
 		id := w.ids[w.rng.IntN(len(w.ids))]
 		switch w.rng.IntN(4) {
 		case 0:
-			w.boxes[id].broken = w.rng.IntN(4)
+			w.backends[id].failure = w.rng.IntN(4)
 		case 1:
-			old := w.boxes[id].Entry
+			old := w.backends[id].Entry
 			old.State = policy.Draining
 			fresh := old
 			fresh.ID, fresh.State, fresh.Launched = uint32(10000+len(w.ids)), policy.Active, at
-			w.boxes[fresh.ID] = &box{Entry: fresh, drained: make([]time.Duration, nodes)}
+			w.backends[fresh.ID] = &testBackend{Entry: fresh, drainedAt: make([]time.Duration, nodes)}
 			w.ids = append(w.ids, fresh.ID)
 			for n := range w.nodes {
 				late := at + time.Duration(w.rng.Int64N(int64(time.Second)))
-				w.tell(late, n, policy.ListDelta, old, fresh)
+				w.sendList(late, n, policy.ListDelta, old, fresh)
 				old.State = policy.Removed
-				w.tell(late+time.Second, n, policy.ListDelta, old)
+				w.sendList(late+time.Second, n, policy.ListDelta, old)
 				old.State = policy.Draining
 			}
 		case 2:
 			for n := range w.nodes {
-				w.tell(at, n, policy.ListFailed)
+				w.sendList(at, n, policy.ListFailed)
 			}
 		}
 	}
 	var out []policy.Action
-	for len(w.todo) > 0 {
-		h := heap.Pop(&w.todo).(happening)
+	for len(w.queue) > 0 {
+		h := heap.Pop(&w.queue).(scheduledEvent)
 		if h.at > start+length+5*time.Second {
 			break
 		}
-		w.before(&h)
+		w.recordEvent(&h)
 		out = w.nodes[h.node].Handle(h.at, &h.ev, out[:0])
 		for _, a := range out {
-			w.act(h.at, h.node, a)
+			w.apply(h.at, h.node, a)
 		}
-		w.record = append(w.record, out...)
+		w.actions = append(w.actions, out...)
 	}
-	for n, asks := range w.asks {
+	for n, asks := range w.requests {
 		for id, a := range asks {
-			if a.answers == 0 && !a.gone {
-				w.fault("rule 1: node %d never answered %s", n, id)
+			if a.answers == 0 && !a.disconnected {
+				w.violation("rule 1: node %d never answered %s", n, id)
 			}
 		}
 	}
 	return w
 }
 
-// before books what the node is about to hear.
-func (w *world) before(h *happening) {
-	asks := w.asks[h.node]
+// recordEvent books what the node is about to hear.
+func (w *simulation) recordEvent(h *scheduledEvent) {
+	asks := w.requests[h.node]
 	switch ev := &h.ev; ev.Kind {
 	case policy.EvRequest:
 		for _, c := range w.set.Classes {
 			if c.Name == ev.Class {
-				asks[ev.ID] = &ask{class: c, until: h.at + ev.Remaining}
+				asks[ev.ID] = &requestState{class: c, deadline: h.at + ev.Remaining}
 			}
 		}
 	case policy.EvDisconnected:
-		asks[ev.ID].gone = true
+		asks[ev.ID].disconnected = true
 	case policy.EvOutcome:
 		a := asks[ev.ID]
 		if ev.Attempt >= len(a.attempts) || !a.attempts[ev.Attempt].open {
@@ -217,99 +217,99 @@
 		}
 		tr := &a.attempts[ev.Attempt]
 		tr.open = false
-		w.boxes[ev.Backend].held--
-		tr.ran = ev.Outcome != policy.Full && ev.Outcome != policy.ConnectFailed && ev.Outcome != policy.NeverSent
+		w.backends[ev.Backend].inFlight--
+		tr.mayHaveRun = ev.Outcome != policy.Full && ev.Outcome != policy.ConnectFailed && ev.Outcome != policy.NeverSent
 		if ev.Outcome == policy.OK && a.answers == 0 {
 			a.answers++
 		}
-		ev.Finished = a.answers > 0 || a.gone
+		ev.Finished = a.answers > 0 || a.disconnected
 	case policy.EvList:
 		for _, e := range ev.Entries {
-			b := w.boxes[e.ID]
+			b := w.backends[e.ID]
 			if e.State == policy.Active {
-				b.drained[h.node] = 0
-			} else if b.drained[h.node] == 0 {
-				b.drained[h.node] = h.at
+				b.drainedAt[h.node] = 0
+			} else if b.drainedAt[h.node] == 0 {
+				b.drainedAt[h.node] = h.at
 			}
 		}
 	}
 }
 
-// act carries out an action and checks it.
-func (w *world) act(now time.Duration, node int, act policy.Action) {
+// apply carries out an action and checks it.
+func (w *simulation) apply(now time.Duration, node int, act policy.Action) {
 	if act.Kind == policy.ActTimer {
-		w.add(max(act.At, now+1), node, policy.Event{Kind: policy.EvTimer, Token: act.Token})
+		w.schedule(max(act.At, now+1), node, policy.Event{Kind: policy.EvTimer, Token: act.Token})
 		return
 	}
-	a := w.asks[node][act.ID]
+	a := w.requests[node][act.ID]
 	switch act.Kind {
 	case policy.ActSend:
 		w.send(now, node, a, act)
 	case policy.ActRefuse, policy.ActFail:
-		if a.answers++; a.answers > 1 || a.gone {
-			w.fault("rule 1: %s answered %d times (gone %v)", act.ID, a.answers, a.gone)
+		if a.answers++; a.answers > 1 || a.disconnected {
+			w.violation("rule 1: %s answered %d times (gone %v)", act.ID, a.answers, a.disconnected)
 		}
-		if now > a.until+20*ms {
-			w.fault("rule 1: %s answered %v after its client left", act.ID, now-a.until)
+		if now > a.deadline+20*ms {
+			w.violation("rule 1: %s answered %v after its client left", act.ID, now-a.deadline)
 		}
 		if act.Kind == policy.ActRefuse && a.class.Effect != policy.Safe &&
 			!(a.class.Effect == policy.Keyed && a.class.Group == policy.GroupAll) {
 			for _, tr := range a.attempts {
-				if tr.ran || tr.open {
-					w.fault("rule 2: %s (%s) refused though it may have run", act.ID, a.class.Name)
+				if tr.mayHaveRun || tr.open {
+					w.violation("rule 2: %s (%s) refused though it may have run", act.ID, a.class.Name)
 				}
 			}
 		}
 	}
 }
 
-func (w *world) send(now time.Duration, node int, a *ask, act policy.Action) {
+func (w *simulation) send(now time.Duration, node int, a *requestState, act policy.Action) {
 	w.sent++
-	b := w.boxes[act.Backend]
-	if a.answers > 0 || a.gone {
-		w.fault("rule 1: %s sent after its final answer", act.ID)
+	b := w.backends[act.Backend]
+	if a.answers > 0 || a.disconnected {
+		w.violation("rule 1: %s sent after its final answer", act.ID)
 	}
-	if d := b.drained[node]; d > 0 && now > d+w.set.DrainGrace {
-		w.fault("rule 3: %s sent to %d, told to drain %v ago", act.ID, act.Backend, now-d)
+	if d := b.drainedAt[node]; d > 0 && now > d+w.set.DrainGrace {
+		w.violation("rule 3: %s sent to %d, told to drain %v ago", act.ID, act.Backend, now-d)
 	}
 	if len(a.attempts) >= w.set.MaxAttempts {
-		w.fault("%s: attempt %d of %d", act.ID, len(a.attempts)+1, w.set.MaxAttempts)
+		w.violation("%s: attempt %d of %d", act.ID, len(a.attempts)+1, w.set.MaxAttempts)
 	}
-	for _, tr := range a.attempts {
-		if tr.open {
+	for _, previous := range a.attempts {
+		if previous.open {
 			if !w.set.Copies || a.class.Effect == policy.Unsafe {
-				w.fault("rule 2: %s has two attempts out", act.ID)
+				w.violation("rule 2: %s has two attempts out", act.ID)
 			}
-			w.copies++
+			w.hedges++
 		}
-		if !tr.ran && !tr.open {
+		if !previous.mayHaveRun && !previous.open {
 			continue
 		}
 		c := a.class
 		switch {
 		case c.Effect == policy.Unsafe:
-			w.fault("rule 2: unsafe %s sent again", act.ID)
-		case c.Effect == policy.Keyed && now > tr.at+c.Window:
-			w.fault("rule 2: %s sent again %v after an attempt, window %v", act.ID, now-tr.at, c.Window)
-		case c.Effect == policy.Keyed && c.Group == policy.GroupZone && tr.server.Zone != b.Zone:
-			w.fault("rule 2: %s sent again to another zone", act.ID)
-		case c.Effect == policy.Keyed && c.Group == policy.GroupCell && tr.server.Cell != b.Cell:
-			w.fault("rule 2: %s sent again to another cell", act.ID)
+			w.violation("rule 2: unsafe %s sent again", act.ID)
+		case c.Effect == policy.Keyed && now > previous.at+c.Window:
+			w.violation("rule 2: %s sent again %v after an attempt, window %v", act.ID, now-previous.at, c.Window)
+		case c.Effect == policy.Keyed && c.Group == policy.GroupZone && previous.server.Zone != b.Zone:
+			w.violation("rule 2: %s sent again to another zone", act.ID)
+		case c.Effect == policy.Keyed && c.Group == policy.GroupCell && previous.server.Cell != b.Cell:
+			w.violation("rule 2: %s sent again to another cell", act.ID)
 		}
 	}
-	a.attempts = append(a.attempts, tried{server: b.Entry, at: now, open: true})
-	b.held++
-	b.sends = append(b.sends, now)
+	a.attempts = append(a.attempts, attemptState{server: b.Entry, at: now, open: true})
+	b.inFlight++
+	b.sentAt = append(b.sentAt, now)
 
-	outcome, took := policy.OK, time.Duration(float64(8*ms)*w.rng.ExpFloat64()*float64(4+b.held))
+	outcome, took := policy.OK, time.Duration(float64(8*ms)*w.rng.ExpFloat64()*float64(4+b.inFlight))
 	switch {
-	case b.broken == 1 || w.rng.IntN(200) == 0:
+	case b.failure == 1 || w.rng.IntN(200) == 0:
 		outcome, took = policy.Failed, 2*ms
-	case b.broken == 2:
+	case b.failure == 2:
 		took = time.Hour
-	case b.broken == 3:
+	case b.failure == 3:
 		outcome, took = policy.ConnectFailed, 100*ms
-	case b.held > 20:
+	case b.inFlight > 20:
 		outcome, took = policy.Full, ms
 	case w.rng.IntN(25) == 0 && b.ID%2 == 0: // lost without a word
 		took = time.Hour
@@ -318,7 +318,7 @@
 	case w.rng.IntN(500) == 0:
 		outcome, took = policy.NeverSent, 0
 	}
-	limit := a.until - now
+	limit := a.deadline - now
 	if act.Wait > 0 {
 		limit = min(limit, act.Wait)
 	}
@@ -328,7 +328,7 @@
 	ev := policy.Event{Kind: policy.EvOutcome, ID: act.ID, Backend: act.Backend, Attempt: len(a.attempts) - 1,
 		Took: took, Outcome: outcome}
 	if outcome == policy.OK {
-		ev.Load = policy.Load{Known: true, Queue: float64(max(0, b.held-4)), Occupancy: float64(b.held)}
+		ev.Load = policy.Load{Known: true, Queue: float64(max(0, b.inFlight-4)), Occupancy: float64(b.inFlight)}
 		switch w.rng.IntN(40) {
 		case 0: // an absurd report
 			odd := []float64{math.NaN(), math.Inf(1), -1e300, 1e300}
@@ -337,28 +337,28 @@
 			ev.Load.Occupancy, ev.Load.ServiceSeconds = -1, took.Seconds()
 		}
 	}
-	w.add(now+took, node, ev)
+	w.schedule(now+took, node, ev)
 	if w.rng.IntN(50) == 0 {
-		w.add(now+took+ms, node, ev) // the same outcome once more
+		w.schedule(now+took+ms, node, ev) // the same outcome once more
 	}
 }
 
-func TestRulesHoldInRandomDrives(t *testing.T) {
+func TestRulesHoldInRandomRuns(t *testing.T) {
 	copies := 0
 	for seed := uint64(1); seed <= 12; seed++ {
 		nodes, rate := []int{1, 2, 3, 40}[seed%4], []float64{20, 120, 500}[seed%3]
 		if nodes > 3 {
 			rate /= 20
 		}
-		w := drive(t, seed, nodes, 6, rate, 20*time.Second)
+		w := simulate(t, seed, nodes, 6, rate, 20*time.Second)
 		if w.sent < 300 {
 			t.Errorf("seed %d: only %d attempts: the drive tests nothing", seed, w.sent)
 		}
 		w.checkCold()
-		if !w.set.Copies && w.copies > 0 {
-			t.Errorf("seed %d: %d second copies where none are allowed", seed, w.copies)
+		if !w.set.Copies && w.hedges > 0 {
+			t.Errorf("seed %d: %d second copies where none are allowed", seed, w.hedges)
 		}
-		copies += w.copies
+		copies += w.hedges
 	}
 	if copies < 50 {
 		t.Errorf("only %d second copies: the drives test none of it", copies)
@@ -367,16 +367,16 @@
 
 // checkCold checks rule 4 from the sends alone. A box of this world works off about 125 attempts a second
 // once warm; all nodes together must stay under the stated multiple of what a cold one can do.
-func (w *world) checkCold() {
+func (w *simulation) checkCold() {
 	const warm = 125.0
 	for _, id := range w.ids {
-		b := w.boxes[id]
+		b := w.backends[id]
 		if b.Launched == 0 {
 			continue
 		}
-		for i, first := range b.sends {
+		for i, first := range b.sentAt {
 			n := 0
-			for _, at := range b.sends[i:] {
+			for _, at := range b.sentAt[i:] {
 				if at > first+w.set.FallFor {
 					break
 				}
@@ -385,7 +385,7 @@
 			age := (first + w.set.FallFor - b.Launched).Seconds()
 			share := math.Min(1, w.set.ColdShare+(1-w.set.ColdShare)*age/w.set.ColdFor.Seconds())
 			if limit := w.set.FallFactor * share * warm * w.set.FallFor.Seconds(); float64(n) > limit {
-				w.fault("rule 4: %d attempts in a window at %d, %.1f s old; at most %.0f", n, id, age, limit)
+				w.violation("rule 4: %d attempts in a window at %d, %.1f s old; at most %.0f", n, id, age, limit)
 				break
 			}
 		}
@@ -393,12 +393,12 @@
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	a := drive(t, 5, 2, 6, 120, 5*time.Second)
-	b := drive(t, 5, 2, 6, 120, 5*time.Second)
-	if len(a.record) < 1000 {
-		t.Fatalf("only %d actions", len(a.record))
+	a := simulate(t, 5, 2, 6, 120, 5*time.Second)
+	b := simulate(t, 5, 2, 6, 120, 5*time.Second)
+	if len(a.actions) < 1000 {
+		t.Fatalf("only %d actions", len(a.actions))
 	}
-	if !reflect.DeepEqual(a.record, b.record) {
+	if !reflect.DeepEqual(a.actions, b.actions) {
 		t.Error("two runs of the same events differ")
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -9,25 +9,25 @@
 	"craneglade/internal/subset"
 )
 
-// many is a node of 80 over 60 backends in three zones, and its backends.
-func many(t *testing.T, change ...func(*Settings)) (*Balancer, []*backend) {
+// newFleetBalancer is a node of 80 over 60 backends in three zones, and its backends.
+func newFleetBalancer(t *testing.T, change ...func(*Settings)) (*Balancer, []*backend) {
 	t.Helper()
 	var entries []Entry
 	for i := range 60 {
 		entries = append(entries, Entry{ID: uint32(i + 1), Hash: subset.Hash(fmt.Sprint(i)), Zone: string("abc"[i%3]), Kind: "k"})
 	}
 	change = append([]func(*Settings){func(s *Settings) { s.Nodes, s.Number, s.Copies = 80, 5, true }}, change...)
-	b := node(t, settings(change...), entries...)
+	b := newTestBalancer(t, settings(change...), entries...)
 	return b, b.sorted
 }
 
 // A node with one request in ten seconds hears of nothing in between: that is no sign of anything.
-func TestARequestInTenSeconds(t *testing.T) {
-	b, all := many(t)
+func TestSparseTrafficIsNoSignOfLoss(t *testing.T) {
+	b, backends := newFleetBalancer(t)
 	now, sends := t0, 0
 	for i := range 60 {
 		now += 10 * time.Second
-		send := ask(b, now, fmt.Sprint("r", i), "top")
+		send := sendRequest(b, now, fmt.Sprint("r", i), "top")
 		if send.Kind != ActSend {
 			t.Fatalf("request %d at an idle fleet: %v", i, send.Kind)
 		}
@@ -40,12 +40,12 @@
 			}
 		}
 		now += 300 * time.Millisecond
-		outcome(b, now, send, OK, Load{Known: true, Queue: 0, Occupancy: 1})
+		endAttempt(b, now, send, OK, Load{Known: true, Queue: 0, Occupancy: 1})
 	}
 	if sends != 60 {
 		t.Errorf("%d sends for 60 requests: what was only unheard of was taken for lost", sends)
 	}
-	for _, s := range all {
+	for _, s := range backends {
 		if s.Bad > 0 || s.Ejected > now.Seconds() {
 			t.Errorf("backend %d is held to be bad (%.2f)", s.ID, s.Bad)
 		}
@@ -54,13 +54,13 @@
 
 // A keyed request that may have run goes again to its group only, also where the node's part has one backend of that
 // zone that is any good: beyond the part, but never beyond the group.
-func TestAKeyedRepeatLeavesThePartNotItsGroup(t *testing.T) {
+func TestKeyedRetryLeavesSubsetNotGroup(t *testing.T) {
 	for _, window := range []time.Duration{time.Second, 40 * time.Millisecond} {
-		b, all := many(t, func(s *Settings) { s.Classes[2].Window = window })
+		b, backends := newFleetBalancer(t, func(s *Settings) { s.Classes[2].Window = window })
 		now := t0 + time.Minute
 		first := uint32(0)
-		for _, s := range all {
-			fix(s, now, 0)
+		for _, s := range backends {
+			setEstimate(s, now, 0)
 			s.answers = 17
 			if s.Zone == "a" && !s.outsideSubset && first == 0 {
 				first = s.ID
@@ -69,51 +69,51 @@
 			}
 		}
 		b.retryTokens = 10
-		send := ask(b, now, "k", "key")
+		send := sendRequest(b, now, "k", "key")
 		if send.Backend != first {
 			t.Fatalf("sent to %d, want the one of its part in order, %d", send.Backend, first)
 		}
-		again := outcome(b, now+50*time.Millisecond, send, Failed, Load{Known: true})
+		retry := endAttempt(b, now+50*time.Millisecond, send, Failed, Load{Known: true})
 		if window < 50*time.Millisecond {
-			if again.Kind == ActSend || again.Kind == ActRefuse {
-				t.Errorf("after its window it ends with %v: it may have run", again.Kind)
+			if retry.Kind == ActSend || retry.Kind == ActRefuse {
+				t.Errorf("after its window it ends with %v: it may have run", retry.Kind)
 			}
 			continue
 		}
-		if again.Kind != ActSend || again.Backend == first || b.backends[again.Backend].Zone != "a" {
-			t.Errorf("it goes on with %+v, want another backend of zone a", again)
+		if retry.Kind != ActSend || retry.Backend == first || b.backends[retry.Backend].Zone != "a" {
+			t.Errorf("it goes on with %+v, want another backend of zone a", retry)
 		}
 	}
 }
 
 // A backend whose connections are all taken turns away what comes on a new one, though nothing waits there, and answers
 // what comes on one that is kept. It is not broken: it is left alone for a moment after each, and then used again.
-func TestABackendWithAFullTableIsNeitherEjectedNorHammered(t *testing.T) {
-	b, all := many(t)
+func TestFullConnectionTableIsNeitherEjectedNorFlooded(t *testing.T) {
+	b, backends := newFleetBalancer(t)
 	now := t0 + time.Minute
 	var full *backend
-	part, _ := divided(b)
-	for _, s := range all {
-		fix(s, now, 0)
+	inSubset, _ := splitSubset(b)
+	for _, s := range backends {
+		setEstimate(s, now, 0)
 		s.answers = 17
 		if !s.outsideSubset && full == nil {
 			full = s
 		}
 	}
-	got := func(from, to time.Duration, turned int) (n int) { // so many of three are turned away
+	play := func(from, to time.Duration, rejected int) (n int) { // so many of three are turned away
 		for at := from; at < to; at += 50 * time.Millisecond {
-			send := ask(b, at, fmt.Sprint("r", at), "low")
+			send := sendRequest(b, at, fmt.Sprint("r", at), "low")
 			for tries := 0; send.Kind == ActSend && tries < 3; tries++ {
 				send.Attempt = tries
 				if send.Backend != full.ID {
-					outcome(b, at, send, OK, Load{Known: true, Occupancy: 1})
+					endAttempt(b, at, send, OK, Load{Known: true, Occupancy: 1})
 					break
 				}
 				o := OK
-				if n++; n%3 < turned {
+				if n++; n%3 < rejected {
 					o = Full
 				}
-				if send = outcome(b, at, send, o, Load{Known: true, Occupancy: 1}); full.Ejected > at.Seconds() {
+				if send = endAttempt(b, at, send, o, Load{Known: true, Occupancy: 1}); full.Ejected > at.Seconds() {
 					t.Fatalf("it counts as broken after %d requests: %.2f", n, full.Bad)
 				}
 			}
@@ -121,29 +121,29 @@
 		}
 		return n
 	}
-	turned := got(now, now+10*time.Second, 2)
-	if fair := 200 / len(part); turned == 0 || turned > 2*fair {
-		t.Errorf("%d of 200 requests went to a backend that turns most away, a fair share is %d", turned, fair)
+	rejected := play(now, now+10*time.Second, 2)
+	if fair := 200 / len(inSubset); rejected == 0 || rejected > 2*fair {
+		t.Errorf("%d of 200 requests went to a backend that turns most away, a fair share is %d", rejected, fair)
 	}
-	if n := got(now+10*time.Second, now+30*time.Second, 0); n < 400/2/len(part) {
+	if n := play(now+10*time.Second, now+30*time.Second, 0); n < 400/2/len(inSubset) {
 		t.Errorf("%d of 400 requests are sent there once its table has room again", n)
 	}
 }
 
 // A cold backend that this node has heard nothing of is believed to hold its part of what the others do: taken for as
 // crowded as a warm one it would be in overload from its start, and empty.
-func TestAColdBackendIsNotBelievedAsCrowdedAsAWarmOne(t *testing.T) {
-	b, all := many(t)
+func TestColdBackendOccupancyIsScaled(t *testing.T) {
+	b, backends := newFleetBalancer(t)
 	now := t0 + time.Minute
-	for _, s := range all {
-		fix(s, now, 0)
+	for _, s := range backends {
+		setEstimate(s, now, 0)
 	}
 	b.othersLoad.Mean = 4.8 // of 20 that a warm one may hold here, in 10 of which it is in overload
 	var cold []*backend
-	for _, s := range all[:20] {
+	for _, s := range backends[:20] {
 		cold = append(cold, s)
 	}
-	tell(b, now, cold, Active, now)
+	sendDelta(b, now, cold, Active, now)
 	for _, x := range b.Snapshot(now + 300*time.Millisecond) {
 		if warm := x.Ramp == 1; warm && x.Held < 4.5 || !warm && (x.Held > 4.8*x.Ramp+0.01 || x.Held <= 0) {
 			t.Errorf("backend %d, at %.2f of its capacity, is believed to hold %.2f", x.ID, x.Ramp, x.Held)
@@ -152,7 +152,7 @@
 }
 
 // Settings that make no sense get one line; a number outside the tier is taken as it is, and has a part like any other.
-func TestNumbersOutsideTheTier(t *testing.T) {
+func TestNodeNumberOutOfRange(t *testing.T) {
 	if _, err := New(settings(func(s *Settings) { s.Nodes = 0 }), 1); err == nil || err.Error() != "policy: Nodes: 0 is below 1" {
 		t.Errorf("no nodes: %v", err)
 	}
@@ -160,19 +160,19 @@
 		t.Error("a negative number is taken")
 	}
 	for _, number := range []int{79, 80, 5000} {
-		b, _ := many(t, func(s *Settings) { s.Number = number })
-		if part, _ := divided(b); len(part) != 6 {
-			t.Errorf("node %d of 80 has a part of %d, want 6: 4 at home and one of each other zone", number, len(part))
+		b, _ := newFleetBalancer(t, func(s *Settings) { s.Number = number })
+		if inSubset, _ := splitSubset(b); len(inSubset) != 6 {
+			t.Errorf("node %d of 80 has a part of %d, want 6: 4 at home and one of each other zone", number, len(inSubset))
 		}
 	}
 }
 
 // What the nodes know together: a tenant's share is what this node was told, and a backend that the others find broken
 // gets nothing for a while, unless it has answered here a moment ago.
-func TestWhatTheFleetKnows(t *testing.T) {
+func TestSharedState(t *testing.T) {
 	set := Settings{Nodes: 4, MaxAttempts: 2, Classes: []Class{{Name: "c", Effect: Safe}},
 		Tenants: []Tenant{{"greedy", 40}}, OverShare: 0.2}
-	over := func(sh *SharedState) int {
+	countOverQuota := func(sh *SharedState) int {
 		b, err := New(set, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -187,10 +187,10 @@
 		}
 		return n
 	}
-	if n := over(&SharedState{WithinQuota: map[string]float64{"greedy": 0.3}}); n < 600 || n > 800 {
+	if n := countOverQuota(&SharedState{WithinQuota: map[string]float64{"greedy": 0.3}}); n < 600 || n > 800 {
 		t.Errorf("%d of 1000 past a share of three tenths, want about 700", n)
 	}
-	if n := over(&SharedState{WithinQuota: map[string]float64{"greedy": 1e-9}}); n < 990 {
+	if n := countOverQuota(&SharedState{WithinQuota: map[string]float64{"greedy": 1e-9}}); n < 990 {
 		t.Errorf("%d of 1000 past no share at all", n)
 	}
 	b, err := New(set, 1)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -36,8 +36,8 @@
 
 const t0 = 100 * time.Second
 
-// node returns a balancer that knows the given backends, all warm unless they say otherwise.
-func node(t *testing.T, set Settings, entries ...Entry) *Balancer {
+// newTestBalancer returns a balancer that knows the given backends, all warm unless they say otherwise.
+func newTestBalancer(t *testing.T, set Settings, entries ...Entry) *Balancer {
 	t.Helper()
 	b, err := New(set, 1)
 	if err != nil {
@@ -47,18 +47,18 @@
 	return b
 }
 
-func ask(b *Balancer, now time.Duration, id, class string) Action {
+func sendRequest(b *Balancer, now time.Duration, id, class string) Action {
 	out := b.Handle(now, &Event{Kind: EvRequest, ID: id, Class: class, Remaining: 2 * time.Second}, nil)
-	return last(out)
+	return lastAction(out)
 }
 
-func outcome(b *Balancer, now time.Duration, send Action, o Outcome, load Load) Action {
+func endAttempt(b *Balancer, now time.Duration, send Action, o Outcome, load Load) Action {
 	out := b.Handle(now, &Event{Kind: EvOutcome, ID: send.ID, Backend: send.Backend, Attempt: send.Attempt,
 		Took: 50 * time.Millisecond, Outcome: o, Finished: o == OK, Load: load}, nil)
-	return last(out)
+	return lastAction(out)
 }
 
-func last(out []Action) Action {
+func lastAction(out []Action) Action {
 	for i := len(out) - 1; i >= 0; i-- {
 		if out[i].Kind != ActLog && out[i].Kind != ActTimer {
 			return out[i]
@@ -67,14 +67,14 @@
 	return Action{Kind: ActLog}
 }
 
-// fix gives a backend a known service time of 50 ms and a fresh report of n. R is then 1 s / 50 ms = 20.
-func fix(s *backend, now time.Duration, n float64) {
+// setEstimate gives a backend a known service time of 50 ms and a fresh report of n. R is then 1 s / 50 ms = 20.
+func setEstimate(s *backend, now time.Duration, n float64) {
 	s.latencySum, s.occupancySum, s.kindServiceTime = 5000, 100000, 0.05
 	s.inFlight, s.laggedInFlight, s.laggedAt = 0, 0, now.Seconds()
 	s.reportedExcess, s.reportAt = n, now.Seconds()
 }
 
-func TestModes(t *testing.T) {
+func TestModeTransitions(t *testing.T) {
 	r := 20.0
 	set := settings()
 	set.Classes = set.Classes[:2]
@@ -99,9 +99,9 @@
 		{"discard to overload under H", discard, below(h), overload},
 		{"discard straight to normal under L", discard, below(l), normal},
 	} {
-		b := node(t, set, Entry{ID: 1, Zone: "a"})
+		b := newTestBalancer(t, set, Entry{ID: 1, Zone: "a"})
 		s := b.backends[1]
-		fix(s, t0, c.n)
+		setEstimate(s, t0, c.n)
 		s.mode = c.from
 		s.updateMode(t0.Seconds(), b)
 		if s.mode != c.want {
@@ -110,15 +110,15 @@
 	}
 }
 
-func TestAgedDiscardFallsToOverload(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
+func TestDiscardEndsWhenReportIsStale(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
-	clear := 1.0 // R at its service time: 20 held at 50 ms
+	drainSeconds := 1.0 // R at its service time: 20 held at 50 ms
 	for _, c := range []struct {
 		age  float64
 		want mode
-	}{{clear - 0.01, discard}, {clear + 0.01, overload}} {
-		fix(s, t0, 500) // so high that fading does not end the discard
+	}{{drainSeconds - 0.01, discard}, {drainSeconds + 0.01, overload}} {
+		setEstimate(s, t0, 500) // so high that fading does not end the discard
 		s.mode = discard
 		now := t0.Seconds() + c.age
 		s.updateMode(now, b)
@@ -133,22 +133,22 @@
 	// A new report decides afresh.
 	s.inFlight = 1
 	b.requests["x"] = &request{id: "x", class: &class{}, attempts: []*attempt{{backend: s, open: true, occupancyAtSend: 1}}, open: 1, done: true}
-	outcome(b, t0+2*time.Second, Action{ID: "x", Backend: 1}, Failed, Load{Known: true, Queue: 500})
+	endAttempt(b, t0+2*time.Second, Action{ID: "x", Backend: 1}, Failed, Load{Known: true, Queue: 500})
 	if s.mode != discard {
 		t.Errorf("after a new report above R: mode %d, want discard", s.mode)
 	}
 }
 
-func TestDiscardGetsNothing(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-	fix(b.backends[1], t0, 500)
-	if a := ask(b, t0, "r", "top"); a.Kind != ActRefuse || a.Wait <= 0 || a.Wait > time.Second {
+func TestDiscardedBackendGetsNoRequests(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
+	setEstimate(b.backends[1], t0, 500)
+	if a := sendRequest(b, t0, "r", "top"); a.Kind != ActRefuse || a.Wait <= 0 || a.Wait > time.Second {
 		t.Errorf("got %+v, want a refusal with a retry-after", a)
 	}
 }
 
-func TestOverloadDivertsLesserClassesFirst(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
+func TestOverloadDivertsLowPriorityFirst(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
 	sent := map[string]int{}
 	for i := 0; i < 400; i++ {
@@ -158,8 +158,8 @@
 			b.refresh(now.Seconds())
 			sent = map[string]int{}
 		}
-		fix(s, now, 7) // between H (6: 0.3 of the aim) and R (20)
-		if a := ask(b, now, string(rune(1000+i)), name); a.Kind == ActSend {
+		setEstimate(s, now, 7) // between H (6: 0.3 of the aim) and R (20)
+		if a := sendRequest(b, now, string(rune(1000+i)), name); a.Kind == ActSend {
 			sent[name]++
 		}
 	}
@@ -169,21 +169,21 @@
 	}
 }
 
-func TestDivertedRequestsTakeANormalBackend(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
-	over, calm := b.backends[1], b.backends[2]
-	to := map[uint32]int{}
+func TestDivertedRequestsGoToNormalBackend(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
+	overloaded, inNormal := b.backends[1], b.backends[2]
+	counts := map[uint32]int{}
 	for i := 0; i < 200; i++ {
-		fix(over, t0, 8)
-		fix(calm, t0, 5)
-		to[ask(b, t0, string(rune(1000+i)), "low").Backend]++
+		setEstimate(overloaded, t0, 8)
+		setEstimate(inNormal, t0, 5)
+		counts[sendRequest(b, t0, string(rune(1000+i)), "low").Backend]++
 	}
-	if to[1]+to[2] != 200 || to[2] < 150 {
-		t.Errorf("200 requests, a backend in overload and a normal one: %v", to)
+	if counts[1]+counts[2] != 200 || counts[2] < 150 {
+		t.Errorf("200 requests, a backend in overload and a normal one: %v", counts)
 	}
 }
 
-func TestR(t *testing.T) {
+func TestThresholdR(t *testing.T) {
 	now := t0
 	for _, c := range []struct {
 		name     string
@@ -200,14 +200,14 @@
 		set := settings(func(s *Settings) {
 			s.Classes = []Class{{Name: "top", Deadline: c.deadline, Worth: 1}}
 		})
-		b := node(t, set, Entry{ID: 1, Zone: "a"})
+		b := newTestBalancer(t, set, Entry{ID: 1, Zone: "a"})
 		s := b.backends[1]
-		fix(s, now, 0)
+		setEstimate(s, now, 0)
 		if c.full >= 0 {
-			send := ask(b, now, "r", "top")
-			fix(s, now, c.full)
+			send := sendRequest(b, now, "r", "top")
+			setEstimate(s, now, c.full)
 			s.inFlight = 1
-			outcome(b, now, send, Full, Load{})
+			endAttempt(b, now, send, Full, Load{})
 		}
 		if r := b.thresholdR(s); math.Abs(r-c.want) > 0.5 && r != c.want {
 			t.Errorf("%s: R %v, want %v", c.name, r, c.want)
@@ -217,36 +217,36 @@
 
 // A full backend answers at once and holds nothing of ours: without the floor it would look best.
 func TestFullCountsAsReportOfR(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
-	fix(s, t0, 7)
-	send := ask(b, t0, "r", "top")
-	outcome(b, t0, send, Full, Load{Known: true, Queue: 1})
+	setEstimate(s, t0, 7)
+	send := sendRequest(b, t0, "r", "top")
+	endAttempt(b, t0, send, Full, Load{Known: true, Queue: 1})
 	if s.mode == normal {
 		t.Fatalf("mode %d after a full answer with an old report, want it out of normal", s.mode)
 	}
-	fix(s, t0+time.Second, 0)
+	setEstimate(s, t0+time.Second, 0)
 	if s.updateMode(t0.Seconds()+1, b); s.mode != normal {
 		t.Errorf("mode %d a second later, want normal: it can have cleared by then", s.mode)
 	}
 }
 
 // Fast errors and an empty queue must not attract traffic.
-func TestFailingBackendIsEjectedAndComesBackByTrickle(t *testing.T) {
+func TestFailingBackendIsEjectedThenProbed(t *testing.T) {
 	for _, o := range []Outcome{Failed, ConnectFailed, Reset} {
-		b := node(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
+		b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
 		bad := 0
 		for i := 0; i < 200; i++ {
 			now := t0 + time.Duration(i)*time.Millisecond
-			send := ask(b, now, string(rune(1000+i)), "once")
+			send := sendRequest(b, now, string(rune(1000+i)), "once")
 			if send.Kind != ActSend {
 				continue
 			}
 			if send.Backend == 1 {
 				bad++
-				outcome(b, now, send, o, Load{Known: true})
+				endAttempt(b, now, send, o, Load{Known: true})
 			} else {
-				outcome(b, now, send, OK, Load{Known: true, Queue: 0})
+				endAttempt(b, now, send, OK, Load{Known: true, Queue: 0})
 			}
 		}
 		if bad > 5 {
@@ -259,7 +259,7 @@
 		first := s.Ejected
 		for i := 0; i < 50; i++ { // after the ejection: one at a time
 			now := time.Duration((first+0.01)*float64(time.Second)) + time.Duration(i)*time.Millisecond
-			ask(b, now, string(rune(2000+i)), "top")
+			sendRequest(b, now, string(rune(2000+i)), "top")
 		}
 		if s.inFlight > 1 {
 			t.Errorf("outcome %d: %v attempts out at a backend on trial", o, s.inFlight)
@@ -273,9 +273,9 @@
 
 // A backend may fail every request of one class and answer all others: only that class is kept from it. Ejected whole,
 // the rest of what it could do was missing while other backends filled up.
-func TestAClassThatFailsIsKeptFromItsBackend(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
-	sick, failed := true, 0
+func TestFailingClassIsEjectedAlone(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
+	failing, failed := true, 0
 	to := map[string]map[uint32]int{"once": {}, "low": {}}
 	play := func(from, n int) {
 		for i := from; i < from+n; i++ {
@@ -283,16 +283,16 @@
 			if i%50 == 0 {
 				b.Handle(now, &Event{Kind: EvTimer, Token: "tick"}, nil)
 			}
-			send := ask(b, now, fmt.Sprint("r", i), class)
+			send := sendRequest(b, now, fmt.Sprint("r", i), class)
 			if send.Kind != ActSend {
 				t.Fatalf("request %d is not sent", i)
 			}
 			to[class][send.Backend]++
 			o := OK
-			if sick && class == "once" && send.Backend == 1 {
+			if failing && class == "once" && send.Backend == 1 {
 				o, failed = Failed, failed+1
 			}
-			outcome(b, now, send, o, Load{Known: true})
+			endAttempt(b, now, send, o, Load{Known: true})
 		}
 	}
 	play(0, 2000) // 10 s
@@ -305,7 +305,7 @@
 	if s := b.backends[1]; s.Trial || s.Ejected > 0 {
 		t.Error("the backend was ejected whole")
 	}
-	sick = false
+	failing = false
 	play(2000, 4000) // 20 s, by when the longest wait is over
 	clear(to["once"])
 	play(6000, 400)
@@ -316,11 +316,11 @@
 
 // Connections that break now and then, at all backends alike, tell of no backend that is out. Ejected for them, sound
 // ones were missing while others filled up.
-func TestScatteredResetsEjectNobody(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
+func TestScatteredResetsDoNotEject(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
 	for i := range 2000 {
 		now := t0 + time.Duration(i)*10*time.Millisecond
-		send := ask(b, now, fmt.Sprint("r", i), "once")
+		send := sendRequest(b, now, fmt.Sprint("r", i), "once")
 		if send.Kind != ActSend {
 			t.Fatalf("request %d is not sent", i)
 		}
@@ -328,7 +328,7 @@
 		if i%20 < 4 { // four in a row among twenty
 			o = Reset
 		}
-		outcome(b, now, send, o, Load{Known: true})
+		endAttempt(b, now, send, o, Load{Known: true})
 	}
 	for _, s := range b.sorted {
 		if s.Ejections > 0 || s.Ejected > 0 {
@@ -338,11 +338,11 @@
 }
 
 // What was in flight when a backend was ejected may yet be answered: it is not out, and back at once.
-func TestAnswersInFlightLiftAnEjection(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
+func TestAnswersInFlightEndEjection(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	var sent []Action
 	for i := range 20 {
-		if send := ask(b, t0, fmt.Sprint("r", i), "once"); send.Kind == ActSend {
+		if send := sendRequest(b, t0, fmt.Sprint("r", i), "once"); send.Kind == ActSend {
 			sent = append(sent, send)
 		}
 	}
@@ -351,7 +351,7 @@
 		b.recordFailure(t0.Seconds(), s, health.Out)
 	}
 	for _, send := range sent[:2] {
-		outcome(b, t0+20*time.Millisecond, send, OK, Load{Known: true})
+		endAttempt(b, t0+20*time.Millisecond, send, OK, Load{Known: true})
 	}
 	if now := t0.Seconds() + 0.02; now < s.Ejected || s.Trial {
 		t.Errorf("ejected for %.2f s more, trial %v, want it back", s.Ejected-now, s.Trial)
@@ -360,35 +360,35 @@
 
 // A few slow requests with nothing waiting make a backend's service time look long. H must not fall below what it
 // was seen to have in work at once, or the node refuses what an idle core would take, and never learns better.
-func TestOnsetIsNotBelowWhatIsInWork(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
+func TestThresholdHNotBelowConcurrency(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
 	s.latencySum, s.occupancySum, s.kindServiceTime = 100, 100, 1 // H by the aim alone is below 1
 	if h := b.thresholdH(s, b.thresholdR(s)); h != minH {
 		t.Fatalf("H %.2f with no report, want its least", h)
 	}
-	outcome(b, t0, ask(b, t0, "r", "once"), OK, Load{Known: true, Queue: 3, Occupancy: 7})
+	endAttempt(b, t0, sendRequest(b, t0, "r", "once"), OK, Load{Known: true, Queue: 3, Occupancy: 7})
 	if h, r := b.thresholdH(s, b.thresholdR(s)), b.thresholdR(s); h != 4 || r <= h {
 		t.Errorf("H %.2f and R %.2f with 4 requests in work, want H at 4 and R beyond", h, r)
 	}
-	outcome(b, t0, ask(b, t0, "s", "once"), OK, Load{Known: true, Queue: 3, Occupancy: -1})
-	outcome(b, t0, ask(b, t0, "t", "once"), OK, Load{Known: true, Queue: -1, Occupancy: 9})
+	endAttempt(b, t0, sendRequest(b, t0, "s", "once"), OK, Load{Known: true, Queue: 3, Occupancy: -1})
+	endAttempt(b, t0, sendRequest(b, t0, "t", "once"), OK, Load{Known: true, Queue: -1, Occupancy: 9})
 	if s.concurrency != 4 {
 		t.Errorf("%v in work by reports that do not tell, want 4 still", s.concurrency)
 	}
 }
 
 // A time-out alone is no failure: a crowded backend still answers others.
-func TestTimeOutsBlameOnlySilentBackends(t *testing.T) {
+func TestTimeoutIsFailureOnlyOfSilentBackend(t *testing.T) {
 	for _, c := range []struct {
 		lastOK float64
 		want   bool
 	}{{t0.Seconds() - 0.2, false}, {t0.Seconds() - 1.5, true}} {
-		b := node(t, settings(), Entry{ID: 1, Zone: "a"})
+		b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 		s := b.backends[1]
-		send := ask(b, t0, "r", "once")
+		send := sendRequest(b, t0, "r", "once")
 		s.lastOKAt = c.lastOK
-		outcome(b, t0, send, TimedOut, Load{})
+		endAttempt(b, t0, send, TimedOut, Load{})
 		if got := s.Bad > 0; got != c.want {
 			t.Errorf("last answer at %v: blamed %v, want %v", c.lastOK, got, c.want)
 		}
@@ -396,17 +396,17 @@
 }
 
 // A draining backend turns all away until the list tells of it.
-func TestFullAndSilentIsEjected(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
+func TestSilentBackendThatRejectsIsEjected(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
 	s.lastOKAt = t0.Seconds() - 1.5
 	for i := 0; i < 3; i++ {
 		s.fullOccupancy, s.mode = 0, normal
-		send := ask(b, t0, string(rune(1000+i)), "once")
+		send := sendRequest(b, t0, string(rune(1000+i)), "once")
 		if send.Kind != ActSend {
 			t.Fatalf("attempt %d: got %+v", i, send)
 		}
-		outcome(b, t0, send, Full, Load{})
+		endAttempt(b, t0, send, Full, Load{})
 	}
 	if s.Ejected <= t0.Seconds() {
 		t.Error("not ejected after turning all away")
@@ -414,53 +414,53 @@
 }
 
 // A backend that has gone silent, and so keeps what it was sent, must lose weight long before time-outs are due.
-func TestSilenceLosesWeight(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
-	quiet, calm := b.backends[1], b.backends[2]
-	to := map[uint32]int{}
+func TestUnansweredAttemptsLowerWeight(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
+	silent, answering := b.backends[1], b.backends[2]
+	counts := map[uint32]int{}
 	for i := 0; i < 100; i++ {
-		fix(quiet, t0, 0)
-		fix(calm, t0, 1)
-		quiet.inFlight = 2
-		to[ask(b, t0, string(rune(1000+i)), "low").Backend]++
+		setEstimate(silent, t0, 0)
+		setEstimate(answering, t0, 1)
+		silent.inFlight = 2
+		counts[sendRequest(b, t0, string(rune(1000+i)), "low").Backend]++
 	}
-	if to[1] > 10 {
-		t.Errorf("%d of 100 requests went to a backend that owes two answers", to[1])
+	if counts[1] > 10 {
+		t.Errorf("%d of 100 requests went to a backend that owes two answers", counts[1])
 	}
 }
 
 // Nodes with few attempts out each must not meet on the same backends: an own attempt stands for one of each node.
-func TestOwnAttemptsStandForAllNodesInTheSplit(t *testing.T) {
-	b := node(t, settings(func(s *Settings) { s.Nodes = 8 }), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
-	tried, idle := b.backends[1], b.backends[2]
-	to := map[uint32]int{}
+func TestOwnAttemptsWeighForAllNodes(t *testing.T) {
+	b := newTestBalancer(t, settings(func(s *Settings) { s.Nodes = 8 }), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
+	used, unused := b.backends[1], b.backends[2]
+	counts := map[uint32]int{}
 	for i := 0; i < 200; i++ {
-		fix(tried, t0, 3)
-		fix(idle, t0, 5) // by reports alone the other one is well ahead
-		tried.inFlight = 1
-		to[ask(b, t0, string(rune(1000+i)), "low").Backend]++
+		setEstimate(used, t0, 3)
+		setEstimate(unused, t0, 5) // by reports alone the other one is well ahead
+		used.inFlight = 1
+		counts[sendRequest(b, t0, string(rune(1000+i)), "low").Backend]++
 	}
-	if to[1] >= to[2] {
-		t.Errorf("%d of 200 went to the backend that this node, and so perhaps each of 8, has used", to[1])
+	if counts[1] >= counts[2] {
+		t.Errorf("%d of 200 went to the backend that this node, and so perhaps each of 8, has used", counts[1])
 	}
 }
 
 // A backend that fills up answers its first requests fast; that must not make it look fast.
-func TestServiceTimeGoesByTheOccupancyMet(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
+func TestServiceTimeUsesOccupancyAtSend(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
-	fix(s, t0, 0)
-	first := ask(b, t0, "r0", "top")
+	setEstimate(s, t0, 0)
+	first := sendRequest(b, t0, "r0", "top")
 	for i := 0; i < 6; i++ {
-		ask(b, t0, string(rune(1000+i)), "top")
+		sendRequest(b, t0, string(rune(1000+i)), "top")
 	}
-	outcome(b, t0+50*time.Millisecond, first, OK, Load{})
+	endAttempt(b, t0+50*time.Millisecond, first, OK, Load{})
 	if met := s.occupancySum - 100000; math.Abs(s.latencySum-5000.05) > 1e-6 || met != 1 {
 		t.Errorf("50 ms against an occupancy plus one of %v, want 1: it met none", met)
 	}
 }
 
-func TestFurtherAttempts(t *testing.T) {
+func TestRetryRules(t *testing.T) {
 	two := []Entry{{ID: 1, Zone: "a"}, {ID: 2, Zone: "b"}}
 	for _, c := range []struct {
 		class string
@@ -473,9 +473,9 @@
 		{"once", Full, ActSend}, {"once", Failed, ActFail}, {"once", TimedOut, ActFail},
 		{"once", Reset, ActFail}, {"once", Canceled, ActFail}, {"unheard-of", Failed, ActFail},
 	} {
-		b := node(t, settings(), two...)
-		send := ask(b, t0, "r", c.class)
-		next := outcome(b, t0+50*time.Millisecond, send, c.o, Load{})
+		b := newTestBalancer(t, settings(), two...)
+		send := sendRequest(b, t0, "r", c.class)
+		next := endAttempt(b, t0+50*time.Millisecond, send, c.o, Load{})
 		if next.Kind != c.want {
 			t.Errorf("%s after outcome %d: action %d, want %d", c.class, c.o, next.Kind, c.want)
 		}
@@ -485,52 +485,52 @@
 	}
 }
 
-func TestRetriesKeepToTheirBudget(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"}, Entry{ID: 3, Zone: "a"})
-	again := 0
+func TestRetryBudget(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"}, Entry{ID: 3, Zone: "a"})
+	retries := 0
 	for i := 0; i < 300; i++ {
 		for _, s := range b.sorted {
-			fix(s, t0, 0)
+			setEstimate(s, t0, 0)
 			s.Bad, s.Ejected = 0, 0
 		}
-		send := ask(b, t0, string(rune(1000+i)), "top")
+		send := sendRequest(b, t0, string(rune(1000+i)), "top")
 		for n := 0; send.Kind == ActSend; n++ {
 			if n > 0 {
-				again++
+				retries++
 			}
 			send.Attempt = n
-			send = outcome(b, t0, send, Failed, Load{})
+			send = endAttempt(b, t0, send, Failed, Load{})
 		}
 	}
-	if most := maxRetryTokens + 300*retriesPerRequest; again == 0 || float64(again) > most {
-		t.Errorf("%d further attempts for 300 requests, want at most %v", again, most)
+	if limit := maxRetryTokens + 300*retriesPerRequest; retries == 0 || float64(retries) > limit {
+		t.Errorf("%d further attempts for 300 requests, want at most %v", retries, limit)
 	}
 }
 
-func TestNothingIsHeld(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
+func TestUnservableRequestIsRefusedAtOnce(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	out := b.Handle(t0, &Event{Kind: EvRequest, ID: "late", Class: "top"}, nil)
 	if len(out) != 1 || out[0].Kind != ActRefuse {
 		t.Errorf("a request with no time left: %+v, want a refusal", out)
 	}
-	b = node(t, settings())
-	if a := ask(b, t0, "r", "once"); a.Kind != ActRefuse {
+	b = newTestBalancer(t, settings())
+	if a := sendRequest(b, t0, "r", "once"); a.Kind != ActRefuse {
 		t.Errorf("no backend known: %+v, want a refusal", a)
 	}
 }
 
-func TestGoneCancelsAndLateEventsChangeNothing(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-	send := ask(b, t0, "r", "top")
+func TestDisconnectCancelsAndLateEventsAreIgnored(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
+	send := sendRequest(b, t0, "r", "top")
 	out := b.Handle(t0, &Event{Kind: EvDisconnected, ID: "r"}, nil)
 	if len(out) != 1 || out[0].Kind != ActCancel || out[0].Attempt != 0 {
 		t.Errorf("gone: %+v, want a cancel", out)
 	}
-	outcome(b, t0, send, Canceled, Load{})
+	endAttempt(b, t0, send, Canceled, Load{})
 	if n := len(b.requests); n != 0 {
 		t.Errorf("%d requests remembered after the last outcome", n)
 	}
-	own := b.backends[1].inFlight
+	inFlight := b.backends[1].inFlight
 	for _, ev := range []Event{
 		{Kind: EvDisconnected, ID: "r"}, {Kind: EvDisconnected, ID: "unknown"},
 		{Kind: EvOutcome, ID: "r", Backend: 1}, {Kind: EvOutcome, ID: "unknown", Backend: 9, Attempt: -1},
@@ -540,7 +540,7 @@
 			t.Errorf("%+v: %+v, want nothing", ev, out)
 		}
 	}
-	if b.backends[1].inFlight != own {
+	if b.backends[1].inFlight != inFlight {
 		t.Error("a doubled outcome changed the count of attempts")
 	}
 }
@@ -549,16 +549,16 @@
 	sendable := func(b *Balancer, now time.Duration) map[uint32]bool {
 		got := map[uint32]bool{}
 		for i := 0; i < 60; i++ {
-			send := ask(b, now, now.String()+string(rune(1000+i)), "low")
+			send := sendRequest(b, now, now.String()+string(rune(1000+i)), "low")
 			if send.Kind == ActSend {
 				got[send.Backend] = true
-				outcome(b, now, send, OK, Load{Known: true, Queue: 1})
+				endAttempt(b, now, send, OK, Load{Known: true, Queue: 1})
 			}
 		}
 		return got
 	}
 	e := func(id uint32, s State) Entry { return Entry{ID: id, Zone: "a", State: s} }
-	b := node(t, settings(), e(1, Active), e(2, Active))
+	b := newTestBalancer(t, settings(), e(1, Active), e(2, Active))
 	b.Handle(t0, &Event{Kind: EvList, List: ListDelta, Entries: []Entry{e(1, Draining)}}, nil)
 	if got := sendable(b, t0); got[1] || !got[2] {
 		t.Errorf("1 drains: sent to %v", got)
@@ -585,17 +585,17 @@
 }
 
 // An empty list must not bring back what drains.
-func TestEmptyListKeepsDrains(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a", State: Draining})
+func TestEmptyListDoesNotRestoreDraining(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a", State: Draining})
 	b.Handle(t0, &Event{Kind: EvList, List: ListFull}, nil)
-	if a := ask(b, t0+time.Millisecond, "r", "top"); a.Kind != ActRefuse {
+	if a := sendRequest(b, t0+time.Millisecond, "r", "top"); a.Kind != ActRefuse {
 		t.Errorf("got %+v, want a refusal", a)
 	}
 }
 
 // One timer is out at a time, whatever timers come in.
 func TestTimersDoNotMultiply(t *testing.T) {
-	b := node(t, settings())
+	b := newTestBalancer(t, settings())
 	n := 0
 	for i := 1; i <= 100; i++ {
 		n += len(b.Handle(t0+time.Duration(i)*10*time.Millisecond, &Event{Kind: EvTimer, Token: "odd"}, nil))
@@ -605,14 +605,14 @@
 	}
 }
 
-func TestLostListIsAskedForAgain(t *testing.T) {
+func TestSubscribesAgainAfterListLoss(t *testing.T) {
 	set := settings(func(s *Settings) { s.MustAsk, s.MustAskIn = true, 800*time.Millisecond })
 	b, err := New(set, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	out := b.Handle(t0, &Event{Kind: EvList, List: ListCached, Entries: []Entry{{ID: 1}}}, nil)
-	if last(out).Kind != ActSubscribe {
+	if lastAction(out).Kind != ActSubscribe {
 		t.Fatalf("at the start: %+v, want a subscription", out)
 	}
 	now := t0
@@ -634,7 +634,7 @@
 // A cold backend gets no more than its ramp's part of what a warm one gets, bursts included.
 func TestColdBackendIsRamped(t *testing.T) {
 	warm := []Entry{{ID: 1, Zone: "a", Kind: "k"}, {ID: 2, Zone: "a", Kind: "k"}}
-	b := node(t, settings(), warm...)
+	b := newTestBalancer(t, settings(), warm...)
 	run := func(from time.Duration, n int) map[uint32]int {
 		to := map[uint32]int{}
 		for i := 0; i < n; i++ {
@@ -642,9 +642,9 @@
 			if i%25 == 0 {
 				b.Handle(now, &Event{Kind: EvTimer, Token: "tick"}, nil)
 			}
-			send := ask(b, now, now.String(), "low")
+			send := sendRequest(b, now, now.String(), "low")
 			to[send.Backend]++
-			outcome(b, now+5*time.Millisecond, send, OK, Load{Known: true, Queue: 1})
+			endAttempt(b, now+5*time.Millisecond, send, OK, Load{Known: true, Queue: 1})
 		}
 		return to
 	}
@@ -664,9 +664,9 @@
 
 // What goes beyond a tenant's share is worth little: it is diverted first, and only it.
 // An idle cold backend beside crowded warm ones draws everybody; its budget must hold whatever the weights.
-func TestColdBudgetHoldsBesideCrowdedBackends(t *testing.T) {
+func TestColdBudgetBesideOverloadedBackends(t *testing.T) {
 	set := settings()
-	b := node(t, set, Entry{ID: 1, Zone: "a", Kind: "k"}, Entry{ID: 2, Zone: "a", Kind: "k"})
+	b := newTestBalancer(t, set, Entry{ID: 1, Zone: "a", Kind: "k"}, Entry{ID: 2, Zone: "a", Kind: "k"})
 	now, n, got := t0, 0, 0
 	step := func() Action {
 		now += 10 * time.Millisecond
@@ -674,11 +674,11 @@
 			b.Handle(now, &Event{Kind: EvTimer, Token: "tick"}, nil)
 		}
 		for _, id := range []uint32{1, 2} {
-			fix(b.backends[id], now, 15)
+			setEstimate(b.backends[id], now, 15)
 			b.backends[id].mode = normal
 		}
-		send := ask(b, now, now.String(), "low")
-		outcome(b, now, send, OK, Load{})
+		send := sendRequest(b, now, now.String(), "low")
+		endAttempt(b, now, send, OK, Load{})
 		return send
 	}
 	for range 1000 {
@@ -692,14 +692,14 @@
 		}
 	}
 	// At most its ramp's part (0.4 in the end) of a warm one's 100, times half of FallFactor, and some chance.
-	if most := int(100*0.4*set.FallFactor/2) + 15; got == 0 || got > most {
-		t.Errorf("%d of 200 requests in 2 s went to the cold backend, at most %d wanted", got, most)
+	if limit := int(100*0.4*set.FallFactor/2) + 15; got == 0 || got > limit {
+		t.Errorf("%d of 200 requests in 2 s went to the cold backend, at most %d wanted", got, limit)
 	}
 }
 
 // Where only the waiting are told, an own attempt must not count as one of each node: with 145 nodes, two
 // attempts once held an idle backend far above H, and a quiet fleet refused 38%.
-func TestReportsOfTheQueueAloneAreTheOccupancy(t *testing.T) {
+func TestQueueOnlyReportsGiveOccupancy(t *testing.T) {
 	for _, c := range []struct {
 		load  Load
 		least float64
@@ -710,12 +710,12 @@
 		{Load{Known: true, Queue: 0, Occupancy: 3}, 2.9, 3.1},
 		{Load{Known: true, Queue: -1, Occupancy: 3}, 2.9, 3.1},
 	} {
-		b := node(t, settings(func(s *Settings) { s.Nodes = 145 }), Entry{ID: 1, Zone: "a"})
+		b := newTestBalancer(t, settings(func(s *Settings) { s.Nodes = 145 }), Entry{ID: 1, Zone: "a"})
 		s := b.backends[1]
 		for now := t0; now < t0+40*time.Second; now += 250 * time.Millisecond {
-			send := ask(b, now, now.String(), "once")
+			send := sendRequest(b, now, now.String(), "once")
 			s.inFlight, s.laggedInFlight, s.laggedAt = 2, 2, now.Seconds()
-			outcome(b, now, send, OK, c.load)
+			endAttempt(b, now, send, OK, c.load)
 		}
 		s.inFlight, s.fullOccupancy = 2, 0
 		if n := b.occupancy(s, s.reportAt); n < c.least || n > c.most {
@@ -725,17 +725,17 @@
 }
 
 // A whole fleet once choked with empty queues: what was in work, ten times as slow as usual, was told by nobody else.
-func TestTimeInWorkTellsOfACrowd(t *testing.T) {
+func TestServiceTimeShowsContention(t *testing.T) {
 	for _, c := range []struct {
-		work float64
-		want mode
+		serviceTime float64
+		want        mode
 	}{{0.05, normal}, {0.2, normal}, {4, overload}} {
-		b := node(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a", Launched: t0})
-		report := func(now time.Duration, id uint32, work float64) {
+		b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a", Launched: t0})
+		report := func(now time.Duration, id uint32, serviceTime float64) {
 			s := b.backends[id]
 			send := Action{ID: now.String()}
 			b.requests[send.ID] = &request{id: send.ID, class: b.classes[0], open: 1, attempts: []*attempt{{backend: s, open: true, occupancyAtSend: 1}}}
-			outcome(b, now, send, OK, Load{Known: true, Occupancy: -1, ServiceSeconds: work})
+			endAttempt(b, now, send, OK, Load{Known: true, Occupancy: -1, ServiceSeconds: serviceTime})
 			b.Handle(now, &Event{Kind: EvTimer, Token: "tick"}, nil)
 		}
 		now := t0
@@ -745,12 +745,12 @@
 		}
 		for range 100 {
 			now += 250 * time.Millisecond
-			report(now, 1, c.work)
+			report(now, 1, c.serviceTime)
 		}
 		s := b.backends[1]
-		fix(s, now, s.reportedExcess)
+		setEstimate(s, now, s.reportedExcess)
 		if s.updateMode(now.Seconds(), b); s.mode != c.want {
-			t.Errorf("time in work %.2f s after 0.05: mode %d with %.1f held, want %d", c.work, s.mode, s.reportedExcess, c.want)
+			t.Errorf("time in work %.2f s after 0.05: mode %d with %.1f held, want %d", c.serviceTime, s.mode, s.reportedExcess, c.want)
 		}
 		if n := b.backends[2].reportedExcess; n > 0.1 {
 			t.Errorf("a cold backend counts as crowded by %.1f", n)
@@ -758,12 +758,12 @@
 	}
 }
 
-func TestRequestsPastAShareAreLesser(t *testing.T) {
+func TestOverQuotaDraw(t *testing.T) {
 	set := settings(func(s *Settings) {
 		s.Nodes, s.OverShare = 1, 0.2
 		s.Tenants = []Tenant{{"big", 100}, {"small", 100}}
 	})
-	b := node(t, set, Entry{ID: 1, Zone: "a"})
+	b := newTestBalancer(t, set, Entry{ID: 1, Zone: "a"})
 	over := map[string]int{}
 	for i := 0; i < 2000; i++ { // 200 a second of big, 50 of small
 		now := t0 + time.Duration(i)*4*time.Millisecond
@@ -785,9 +785,9 @@
 
 // A backend that started anew under its old id is cold, and what was learnt of it is void.
 func TestRestartUnderTheSameID(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	b.backends[1].Ejected = 1e9
-	out := ask(b, t0, "r", "once")
+	out := sendRequest(b, t0, "r", "once")
 	if out.Kind != ActRefuse {
 		t.Fatalf("ejected, yet %+v", out)
 	}
@@ -797,14 +797,14 @@
 		t.Errorf("ramp %v after a restart, want 0.25", b.capacityFraction(b.backends[1], now.Seconds()))
 	}
 	b.Handle(now+2*time.Second, &Event{Kind: EvTimer, Token: "tick"}, nil)
-	if out := ask(b, now+2*time.Second, "s", "once"); out.Kind != ActSend {
+	if out := sendRequest(b, now+2*time.Second, "s", "once"); out.Kind != ActSend {
 		t.Errorf("after a restart: %+v, want a send", out)
 	}
 }
 
 // A new backend is judged by its kind until it has shown enough itself.
-func TestServiceTimeStartsFromTheKind(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Kind: "slow"}, Entry{ID: 2, Kind: "fast"}, Entry{ID: 3, Kind: "slow"})
+func TestServiceTimeStartsFromKind(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Kind: "slow"}, Entry{ID: 2, Kind: "fast"}, Entry{ID: 3, Kind: "slow"})
 	b.backends[1].latencySum, b.backends[1].occupancySum = 400, 1000
 	b.backends[2].latencySum, b.backends[2].occupancySum = 50, 1000
 	b.refresh(t0.Seconds() + 0.25)
@@ -814,23 +814,23 @@
 }
 
 // A time-out cuts the latency short and its work may run on.
-func TestTimeOutCountsDoubleAndStaysHeld(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
+func TestTimeoutCountsDoubleAndStaysInOccupancy(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
-	fix(s, t0, 0)
-	outcome(b, t0, ask(b, t0, "r", "once"), TimedOut, Load{})
+	setEstimate(s, t0, 0)
+	endAttempt(b, t0, sendRequest(b, t0, "r", "once"), TimedOut, Load{})
 	if took := s.latencySum - 5000; math.Abs(took-0.1) > 1e-6 || b.occupancy(s, t0.Seconds()) != 1 {
 		t.Errorf("latency %v after a wait of 0.05, occupancy %v; want 0.1 and 1", took, b.occupancy(s, t0.Seconds()))
 	}
 }
 
-func TestOwnZoneIsPreferred(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "b"})
+func TestLocalZoneIsPreferred(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "b"})
 	to := map[uint32]int{}
 	for i := 0; i < 300; i++ {
-		fix(b.backends[1], t0, 1)
-		fix(b.backends[2], t0, 1)
-		to[ask(b, t0, string(rune(1000+i)), "top").Backend]++
+		setEstimate(b.backends[1], t0, 1)
+		setEstimate(b.backends[2], t0, 1)
+		to[sendRequest(b, t0, string(rune(1000+i)), "top").Backend]++
 	}
 	if to[1] < 150 || to[2] < 60 {
 		t.Errorf("300 requests over alike backends, own zone and another: %v, want about 180 and 120", to)
@@ -838,7 +838,7 @@
 }
 
 // Nodes that lose the list together must not ask again together.
-func TestAskingAgainIsJittered(t *testing.T) {
+func TestResubscribeIsJittered(t *testing.T) {
 	seen := map[float64]bool{}
 	for seed := uint64(1); seed <= 5; seed++ {
 		b, err := New(settings(), seed)
@@ -854,22 +854,22 @@
 }
 
 // Impossible values must not poison what the node knows.
-func TestImpossibleValues(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
+func TestInvalidReportValues(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
 	for i, l := range []Load{{true, math.NaN(), 1, 0}, {true, math.Inf(1), 1, 0}, {true, -5, -5, 0},
 		{true, 1e300, -1, 1e300}, {true, 1, -1, math.NaN()}, {true, 1, -1, -3}, {true, 1, -1, math.Inf(1)}} {
 		for j := 0; j < 4; j++ {
-			send := ask(b, t0-time.Duration(i)*time.Hour, string(rune(1000+10*i+j)), "top") // the clock steps back
+			send := sendRequest(b, t0-time.Duration(i)*time.Hour, string(rune(1000+10*i+j)), "top") // the clock steps back
 			b.Handle(t0, &Event{Kind: EvOutcome, ID: send.ID, Backend: send.Backend, Took: -time.Hour, Load: l,
 				Finished: true}, nil)
 		}
 	}
-	if send := ask(b, t0+time.Second, "r", "top"); send.Kind != ActSend || send.Wait != 2*time.Second {
+	if send := sendRequest(b, t0+time.Second, "r", "top"); send.Kind != ActSend || send.Wait != 2*time.Second {
 		t.Errorf("after impossible values: %+v, want a send for two seconds", send)
 	}
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestValidate(t *testing.T) {
 	for key, spoil := range map[string]func(*Settings){
 		"Classes":     func(s *Settings) { s.Classes = nil },
 		"Name":        func(s *Settings) { s.Classes[0].Name = "" },
@@ -904,7 +904,7 @@
 
 // The package stays small: at most 1,200 lines of code, declarations included, and no line wider than 120 columns.
 // Blank lines and lines that hold only a comment are not code.
-func TestModuleKeepsToItsSize(t *testing.T) {
+func TestPackageSize(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
@@ -932,48 +932,50 @@
 	}
 }
 
-func near(got, want float64) bool { return math.Abs(got-want) <= 0.01*math.Max(1, math.Abs(want)) }
+func approxEqual(got, want float64) bool {
+	return math.Abs(got-want) <= 0.01*math.Max(1, math.Abs(want))
+}
 
 // What a node holds true between two reports, by the clock alone.
-func TestEstimatesAge(t *testing.T) {
+func TestEstimatesDecay(t *testing.T) {
 	fresh := func() (*Balancer, *backend) {
-		b := node(t, settings(), Entry{ID: 1, Zone: "a"})
+		b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 		s := b.backends[1]
-		fix(s, t0, 0)
+		setEstimate(s, t0, 0)
 		return b, s
 	}
 	at := t0.Seconds()
 	b, s := fresh()
 	s.fullOccupancy, s.fullAt = 20, at
-	if n := b.occupancy(s, at+0.5); !near(n, 10) {
+	if n := b.occupancy(s, at+0.5); !approxEqual(n, 10) {
 		t.Errorf("half a second after 'full' at 20 and 50 ms each: occupancy %.2f, want 10", n)
 	}
 	b, s = fresh()
 	s.reportedExcess, b.othersLoad.Mean = 8, 2
-	if n := b.occupancy(s, at+reportDecaySeconds); !near(n, 2+8/math.E) {
+	if n := b.occupancy(s, at+reportDecaySeconds); !approxEqual(n, 2+8/math.E) {
 		t.Errorf("a report of 10 is %.2f after the fade time, want a third of it and the rest of the mean, 2", n)
 	}
 	_, s = fresh()
 	s.inFlight = 4
-	if s.updateLagged(at + reportLagSeconds); !near(s.laggedInFlight, 4*(1-1/math.E)) {
+	if s.updateLagged(at + reportLagSeconds); !approxEqual(s.laggedInFlight, 4*(1-1/math.E)) {
 		t.Errorf("4 sends are %.2f at the time of the report, want the most of them", s.laggedInFlight)
 	}
 	b, s = fresh()
 	s.minFullOccupancy = 10
-	if b.refresh(at + historyDecaySeconds); !near(s.minFullOccupancy, 10*math.E) {
+	if b.refresh(at + historyDecaySeconds); !approxEqual(s.minFullOccupancy, 10*math.E) {
 		t.Errorf("an occupancy of 10 that drew 'full' counts as %.2f later, want e times as much", s.minFullOccupancy)
 	}
 }
 
 // An aged discard has no report to go by; the old one must not lead straight back into it.
-func TestAgedDiscardWaitsForANewReport(t *testing.T) {
+func TestStaleDiscardWaitsForNewReport(t *testing.T) {
 	for _, c := range []struct {
 		age  float64 // R clears in 1 s
 		want mode
 	}{{0, discard}, {0.9, discard}, {1.1, overload}} {
-		b := node(t, settings(), Entry{ID: 1, Zone: "a"})
+		b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 		s := b.backends[1]
-		fix(s, t0, 500)
+		setEstimate(s, t0, 500)
 		for range 3 {
 			s.updateMode(t0.Seconds()+c.age, b)
 		}
@@ -985,7 +987,7 @@
 
 // A client's last tries get what is left of its deadline. Those past the aim were once served like any other, and
 // kept a crowded fleet from answering first tries in time.
-func TestRepeatsPastTheirAimAreRefused(t *testing.T) {
+func TestLateClientRetryIsRefused(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		repeat bool
@@ -1000,11 +1002,11 @@
 		{"repeat that is 1.5 s old", true, 500 * time.Millisecond, 0, ActRefuse, time.Second},
 		{"the same where late answers have worth", true, 500 * time.Millisecond, 0.5, ActSend, 500 * time.Millisecond},
 	} {
-		b := node(t, settings(func(s *Settings) { s.Classes[1].LateWorth = c.late }), Entry{ID: 1, Zone: "a"})
+		b := newTestBalancer(t, settings(func(s *Settings) { s.Classes[1].LateWorth = c.late }), Entry{ID: 1, Zone: "a"})
 		first := func(id string, left time.Duration, repeat bool) Action {
-			return last(b.Handle(t0, &Event{Kind: EvRequest, ID: id, Class: "low", Remaining: left, ClientRetry: repeat}, nil))
+			return lastAction(b.Handle(t0, &Event{Kind: EvRequest, ID: id, Class: "low", Remaining: left, ClientRetry: repeat}, nil))
 		}
-		fix(b.backends[1], t0, 0)
+		setEstimate(b.backends[1], t0, 0)
 		first("earlier", 1200*time.Millisecond, false)
 		b.backends[1].inFlight = 0
 		if got := first("r", c.left, c.repeat); got.Kind != c.want || got.Wait.Round(time.Millisecond) != c.wait {
@@ -1014,11 +1016,11 @@
 }
 
 // A full backend that still answers others is crowded, not broken.
-func TestFullFromAnAnsweringBackendIsNoFailure(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-	send := ask(b, t0, "r", "once")
+func TestFullFromAnsweringBackendIsNoFailure(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
+	send := sendRequest(b, t0, "r", "once")
 	b.backends[1].lastOKAt = t0.Seconds() - 0.1
-	if outcome(b, t0, send, Full, Load{}); b.backends[1].Bad > 0 {
+	if endAttempt(b, t0, send, Full, Load{}); b.backends[1].Bad > 0 {
 		t.Error("blamed for being full")
 	}
 }
@@ -1040,9 +1042,9 @@
 	}
 }
 
-func TestRepeatedEventsChangeNothing(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-	ask(b, t0, "r", "low")
+func TestDuplicateEventsAreIgnored(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
+	sendRequest(b, t0, "r", "low")
 	if out := b.Handle(t0, &Event{Kind: EvRequest, ID: "r", Class: "low", Remaining: time.Second}, nil); len(out) > 0 {
 		t.Errorf("a request told twice: %+v", out)
 	}
@@ -1065,13 +1067,13 @@
 }
 
 // Work for an answer that has lost its worth is waste.
-func TestNoFurtherAttemptPastTheAim(t *testing.T) {
+func TestNoRetryAfterLatencyTarget(t *testing.T) {
 	for _, c := range []struct {
 		after time.Duration
 		want  ActionKind
 	}{{500 * time.Millisecond, ActSend}, {1100 * time.Millisecond, ActRefuse}} {
-		b := node(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
-		if got := outcome(b, t0+c.after, ask(b, t0, "r", "low"), Failed, Load{}); got.Kind != c.want {
+		b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
+		if got := endAttempt(b, t0+c.after, sendRequest(b, t0, "r", "low"), Failed, Load{}); got.Kind != c.want {
 			t.Errorf("after %v of an aim of 1 s: %+v", c.after, got)
 		}
 	}
@@ -1079,16 +1081,16 @@
 
 // Ended at its aim, a request draws a client's retry that is worth nothing; where it mostly waits, its place is
 // worth more than its late answer.
-func TestHowLongAnAttemptRuns(t *testing.T) {
+func TestAttemptTimeout(t *testing.T) {
 	for _, c := range []struct {
 		n    float64
 		want time.Duration
 	}{{0, 2 * time.Second}, {19, time.Second}} {
-		b := node(t, settings(), Entry{ID: 1, Zone: "a"})
-		fix(b.backends[1], t0, c.n)
+		b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
+		setEstimate(b.backends[1], t0, c.n)
 		send := Action{}
 		for i := 0; send.Wait == 0 && i < 1000; i++ { // overload passes some
-			if a := ask(b, t0, strconv.Itoa(i), "top"); a.Kind == ActSend {
+			if a := sendRequest(b, t0, strconv.Itoa(i), "top"); a.Kind == ActSend {
 				send = a
 			}
 		}
@@ -1099,8 +1101,8 @@
 }
 
 // With no warm backend of its kind known, a cold one gets half of what others get: its kind may be slower.
-func TestColdBackendOfAnUnknownKind(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Kind: "k"}, Entry{ID: 2, Kind: "new", Launched: t0})
+func TestColdBackendOfUnknownKind(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Kind: "k"}, Entry{ID: 2, Kind: "new", Launched: t0})
 	b.backends[1].answers, b.pickCount = 60, 119
 	b.refresh(b.refreshedAt)
 	if got := b.backends[2].warmShare; math.Abs(got-0.25) > 0.01 {
@@ -1110,13 +1112,13 @@
 
 // Budgets that every node begins at the same start must not come due together: hundreds of nodes that each save
 // up to one whole request once pushed a backend over 17 s after its start.
-func TestColdBudgetsOfManyNodesAreOneBudget(t *testing.T) {
-	const nodes, servers = 200, 20
+func TestColdBudgetsOfManyNodesDoNotBurst(t *testing.T) {
+	const nodes, backends = 200, 20
 	set := settings(func(s *Settings) { s.Nodes, s.ColdFor = nodes, 20*time.Second })
 	rng := rand.New(rand.NewPCG(3, 3))
 	var fleet []*Balancer
 	var entries []Entry
-	for i := range servers {
+	for i := range backends {
 		entries = append(entries, Entry{ID: uint32(i + 1), Kind: "k", Hash: subset.Hash(fmt.Sprint(i))})
 	}
 	for i := range nodes {
@@ -1129,7 +1131,7 @@
 	// warm ones are all in discard, so that the cold one is all there is.
 	var cold []time.Duration
 	start := t0 + 10*time.Second
-	crowded := start + 8*time.Second
+	overloadedFrom := start + 8*time.Second
 	for now := t0; now < start+20*time.Second; now += 5 * time.Millisecond {
 		if now == start {
 			for _, b := range fleet {
@@ -1139,18 +1141,18 @@
 		}
 		b := fleet[rng.IntN(nodes)]
 		b.Handle(now, &Event{Kind: EvTimer, Token: "tick"}, nil)
-		if now >= crowded {
+		if now >= overloadedFrom {
 			for _, s := range b.sorted {
 				if s.ID != 99 {
-					fix(s, now, 100)
+					setEstimate(s, now, 100)
 				}
 			}
 		}
-		if send := ask(b, now, now.String(), "low"); send.Kind == ActSend {
+		if send := sendRequest(b, now, now.String(), "low"); send.Kind == ActSend {
 			if send.Backend == 99 {
 				cold = append(cold, now)
 			}
-			outcome(b, now, send, OK, Load{})
+			endAttempt(b, now, send, OK, Load{})
 		}
 	}
 	if len(cold) < 20 {
@@ -1165,19 +1167,19 @@
 		}
 		ramp := set.ColdShare + (1-set.ColdShare)*(at-start).Seconds()/20
 		// What a warm one serves is what it can do here; the slack is for chance.
-		if most := set.FallFactor*ramp*10*set.FallFor.Seconds() + 5; float64(n) > most {
-			t.Errorf("%v after its start: %d sends in %v from all nodes, at most %.0f", at-start, n, set.FallFor, most)
+		if limit := set.FallFactor*ramp*10*set.FallFor.Seconds() + 5; float64(n) > limit {
+			t.Errorf("%v after its start: %d sends in %v from all nodes, at most %.0f", at-start, n, set.FallFor, limit)
 		}
 	}
 }
 
 // However much is offered, what passes a backend in overload must fall as it fills.
 func TestPassingShareFalls(t *testing.T) {
-	passed := func(n float64) (count int) {
-		b := node(t, settings(), Entry{ID: 1, Zone: "a"})
+	countPassed := func(n float64) (count int) {
+		b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 		b.requestCount, b.lowPriorityCount = 100, 100
 		for range 4000 {
-			fix(b.backends[1], t0, n)
+			setEstimate(b.backends[1], t0, n)
 			if !b.diverts(t0.Seconds(), b.backends[1], true) {
 				count++
 			}
@@ -1190,7 +1192,7 @@
 		{6 * (1 + tune.Ramp/2), 4000 * (1 - tune.Divert) / 2},
 		{18, 4000 * (1 - maxQ)}, // some must, or no report would tell that it has emptied
 	} {
-		if got := float64(passed(c.n)); math.Abs(got-c.want) > 5*math.Sqrt(c.want) {
+		if got := float64(countPassed(c.n)); math.Abs(got-c.want) > 5*math.Sqrt(c.want) {
 			t.Errorf("of 4000, %v pass at an occupancy of %v; want about %.0f", got, c.n, c.want)
 		}
 	}
@@ -1198,18 +1200,18 @@
 
 // A backend that looks bad by what is long past is tried again, by one request at a time and seldom.
 func TestUnusedBackendIsTriedAgain(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
 	good, bad := b.backends[1], b.backends[2]
 	tried := 0
 	for i := range 3000 {
 		now := t0 + time.Duration(i)*10*time.Millisecond
-		fix(good, now, 0)
+		setEstimate(good, now, 0)
 		bad.latencySum, bad.occupancySum, bad.reportedExcess, bad.reportAt = 50000, 100000, 0, now.Seconds()
-		a := ask(b, now, fmt.Sprint("r", i), "top")
+		a := sendRequest(b, now, fmt.Sprint("r", i), "top")
 		if a.Backend == 2 {
 			tried++
 		}
-		outcome(b, now, a, OK, Load{})
+		endAttempt(b, now, a, OK, Load{})
 	}
 	// Two nodes: each tries after twice Heal, 6 s.
 	if tried < 4 || tried > 5 {
@@ -1217,12 +1219,12 @@
 	}
 }
 
-func TestPlanLearnsPart(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
+func TestRefreshEstimatesTrafficShare(t *testing.T) {
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
 	s.laggedInFlight, s.reportedExcess = 5, 10
 	b.refresh(b.refreshedAt)
-	if want := 6.0 / (6 + 11); !near(b.trafficShare, want) {
+	if want := 6.0 / (6 + 11); !approxEqual(b.trafficShare, want) {
 		t.Errorf("this node's part is %.2f, want %.2f", b.trafficShare, want)
 	}
 }
@@ -1230,18 +1232,18 @@
 // A backend that loses a tenth of its requests without a word has room. Counted as held until they timed out, and then
 // as slow ones, the lost kept it in overload while it stood idle, and requests were refused for that.
 func TestLostAttemptsAreNoCrowd(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
-	type out struct {
+	type pending struct {
 		send Action
 		at   time.Duration
 		lost bool
 	}
-	var open []out
+	var open []pending
 	refused := 0
 	for i := range 1000 {
 		now := t0 + time.Duration(i)*10*time.Millisecond
-		keep := open[:0]
+		remaining := open[:0]
 		for _, o := range open {
 			ev := Event{Kind: EvOutcome, ID: o.send.ID, Backend: 1, Attempt: o.send.Attempt, Took: now - o.at}
 			switch {
@@ -1250,14 +1252,14 @@
 			case !o.lost && ev.Took >= 30*time.Millisecond:
 				ev.Outcome, ev.Finished, ev.Load = OK, true, Load{Known: true, Occupancy: 3, Queue: 0}
 			default:
-				keep = append(keep, o)
+				remaining = append(remaining, o)
 				continue
 			}
 			b.Handle(now, &ev, nil)
 		}
-		open = keep
-		if a := ask(b, now, fmt.Sprint("r", i), "once"); a.Kind == ActSend {
-			open = append(open, out{a, now, i%10 == 9})
+		open = remaining
+		if a := sendRequest(b, now, fmt.Sprint("r", i), "once"); a.Kind == ActSend {
+			open = append(open, pending{a, now, i%10 == 9})
 		} else {
 			refused++
 		}
@@ -1273,16 +1275,16 @@
 
 // What timed out may still be in work, but a report of a second later would show it.
 func TestTimedOutCountsUntilReportsTell(t *testing.T) {
-	b := node(t, settings(), Entry{ID: 1, Zone: "a"})
+	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
 	var sends []Action
 	for i := range 4 {
-		fix(s, t0, 1)
-		sends = append(sends, ask(b, t0, fmt.Sprint("r", i), "once"))
+		setEstimate(s, t0, 1)
+		sends = append(sends, sendRequest(b, t0, fmt.Sprint("r", i), "once"))
 	}
 	s.inFlight = 4
 	for _, a := range sends {
-		outcome(b, t0+time.Second, a, TimedOut, Load{})
+		endAttempt(b, t0+time.Second, a, TimedOut, Load{})
 	}
 	if n := b.occupancy(s, t0.Seconds()+1); n < 4 {
 		t.Errorf("at the time-outs %.1f believed held, want the 4 that timed out among them", n)
@@ -1297,18 +1299,18 @@
 // with two or three requests in work were taken for overloaded until their reports came.
 func TestWhatIsOutBeforeAReportIsNoCrowd(t *testing.T) {
 	for _, only := range []bool{true, false} {
-		b := node(t, settings(func(s *Settings) { s.QueueOnly = only }), Entry{ID: 1, Zone: "a"})
+		b := newTestBalancer(t, settings(func(s *Settings) { s.QueueOnly = only }), Entry{ID: 1, Zone: "a"})
 		s := b.backends[1]
 		s.inFlight, s.laggedInFlight, s.laggedAt = 3, 3, t0.Seconds()
 		want := 3.0
 		if only {
 			want = 1.5
 		}
-		if got := b.occupancy(s, t0.Seconds()); !near(got, want) {
+		if got := b.occupancy(s, t0.Seconds()); !approxEqual(got, want) {
 			t.Errorf("queue only %v: %v waiting before a report, want %v", only, got, want)
 		}
-		send := ask(b, t0, "r", "top")
-		outcome(b, t0, send, OK, Load{Known: true, Queue: 0, Occupancy: -1})
+		send := sendRequest(b, t0, "r", "top")
+		endAttempt(b, t0, send, OK, Load{Known: true, Queue: 0, Occupancy: -1})
 		if math.IsInf(s.reportAt, -1) {
 			t.Errorf("queue only %v: a report was not taken in", only)
 		}
@@ -1319,10 +1321,10 @@
 // one's it would be filled in the moment in which all nodes learn of it.
 func TestColdBackendHasItsPartOfH(t *testing.T) {
 	set := settings()
-	b := node(t, set, Entry{ID: 1, Zone: "a", Kind: "k"})
+	b := newTestBalancer(t, set, Entry{ID: 1, Zone: "a", Kind: "k"})
 	for i := range 200 { // its kind answers in a time that leaves H well over its floor
 		now := t0 + time.Duration(i)*20*time.Millisecond
-		outcome(b, now+2*time.Millisecond, ask(b, now, now.String(), "low"), OK, Load{Known: true, Queue: 1, Occupancy: 1})
+		endAttempt(b, now+2*time.Millisecond, sendRequest(b, now, now.String(), "low"), OK, Load{Known: true, Queue: 1, Occupancy: 1})
 	}
 	start := t0 + 4*time.Second
 	b.Handle(start, &Event{Kind: EvList, List: ListDelta, Entries: []Entry{{ID: 2, Zone: "a", Kind: "k", Launched: start}}}, nil)
--- a/policy/unreported_test.go
+++ b/policy/unreported_test.go
@@ -13,13 +13,13 @@
 
 // Where no backend reports its load, answers that take many times as long as at their best tell of a crowd. Where
 // backends do report, or the attempt failed, the time of an attempt is no report.
-func TestAnswersTellOfACrowdWhereNoReportsDo(t *testing.T) {
+func TestLatencyShowsOverloadWithoutReports(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		noReports bool
 		outcome   Outcome
 		took      time.Duration
-		held      float64 // by others, about
+		occupancy float64 // by others, about
 		mode      mode
 	}{
 		{"quick answers", true, OK, 25 * time.Millisecond, 0, normal},
@@ -27,12 +27,12 @@
 		{"slow answers where backends report", false, OK, 500 * time.Millisecond, 0, normal},
 		{"slow failures", true, Failed, 500 * time.Millisecond, 0, normal},
 	} {
-		b := node(t, settings(func(s *Settings) { s.NoReports = c.noReports }), Entry{ID: 1, Zone: "a"})
+		b := newTestBalancer(t, settings(func(s *Settings) { s.NoReports = c.noReports }), Entry{ID: 1, Zone: "a"})
 		s := b.backends[1]
 		now := t0
 		answer := func(outcome Outcome, took time.Duration) {
 			now += 50 * time.Millisecond
-			if send := ask(b, now, now.String(), "top"); send.Kind == ActSend { // and is not refused
+			if send := sendRequest(b, now, now.String(), "top"); send.Kind == ActSend { // and is not refused
 				b.Handle(now, &Event{Kind: EvOutcome, ID: send.ID, Took: took, Outcome: outcome, Finished: true}, nil)
 			}
 			b.Handle(now, &Event{Kind: EvTimer, Token: "tick"}, nil)
@@ -45,20 +45,20 @@
 		}
 		s.inFlight, s.laggedInFlight, s.orphans = 0, 0, 0
 		s.updateMode(now.Seconds(), b)
-		if n := b.occupancy(s, now.Seconds()); n < c.held*0.9-0.1 || n > c.held*1.1+0.1 || s.mode != c.mode {
-			t.Errorf("%s: %.2f held in mode %d, want about %.0f in %d", c.name, n, s.mode, c.held, c.mode)
+		if n := b.occupancy(s, now.Seconds()); n < c.occupancy*0.9-0.1 || n > c.occupancy*1.1+0.1 || s.mode != c.mode {
+			t.Errorf("%s: %.2f held in mode %d, want about %.0f in %d", c.name, n, s.mode, c.occupancy, c.mode)
 		}
 	}
 }
 
-// crowdedFleet is a fleet of nodes that share backends which report nothing. Each backend serves in turn.
-type crowdedFleet struct {
-	nodes  []*Balancer
-	free   [][]time.Duration // by backend and core: when it has served what it took
-	due    []dueEvent        // a heap by time
-	number int               // of events so far, which puts those of one moment in order
-	random *rand.Rand
-	inTime int // answers within the aim
+// overloadedFleet is a fleet of nodes that share backends which report nothing. Each backend serves in turn.
+type overloadedFleet struct {
+	nodes     []*Balancer
+	busyUntil [][]time.Duration // by backend and core: when it has served what it took
+	queue     []dueEvent        // a heap by time
+	number    int               // of events so far, which puts those of one moment in order
+	random    *rand.Rand
+	inTime    int // answers within the aim
 }
 
 type dueEvent struct {
@@ -68,61 +68,61 @@
 	event  Event
 }
 
-func (f *crowdedFleet) Len() int      { return len(f.due) }
-func (f *crowdedFleet) Swap(i, j int) { f.due[i], f.due[j] = f.due[j], f.due[i] }
-func (f *crowdedFleet) Push(x any)    { f.due = append(f.due, x.(dueEvent)) }
-func (f *crowdedFleet) Less(i, j int) bool {
-	return f.due[i].at < f.due[j].at || f.due[i].at == f.due[j].at && f.due[i].number < f.due[j].number
+func (f *overloadedFleet) Len() int      { return len(f.queue) }
+func (f *overloadedFleet) Swap(i, j int) { f.queue[i], f.queue[j] = f.queue[j], f.queue[i] }
+func (f *overloadedFleet) Push(x any)    { f.queue = append(f.queue, x.(dueEvent)) }
+func (f *overloadedFleet) Less(i, j int) bool {
+	return f.queue[i].at < f.queue[j].at || f.queue[i].at == f.queue[j].at && f.queue[i].number < f.queue[j].number
 }
-func (f *crowdedFleet) Pop() any {
-	x := f.due[len(f.due)-1]
-	f.due = f.due[:len(f.due)-1]
+func (f *overloadedFleet) Pop() any {
+	x := f.queue[len(f.queue)-1]
+	f.queue = f.queue[:len(f.queue)-1]
 	return x
 }
 
-func (f *crowdedFleet) add(at time.Duration, node int, event Event) {
+func (f *overloadedFleet) add(at time.Duration, node int, event Event) {
 	f.number++
 	heap.Push(f, dueEvent{at, f.number, node, event})
 }
 
 const (
-	crowdedWork     = 25 * time.Millisecond // mean work of a request
-	crowdedCores    = 2
-	crowdedAim      = 190 * time.Millisecond
-	crowdedDeadline = 440 * time.Millisecond
-	crowdedStart    = 50 * 365 * 24 * time.Hour // as on a clock that counts from long ago
+	overloadedMeanWork = 25 * time.Millisecond // mean work of a request
+	overloadedCores    = 2
+	overloadedAim      = 190 * time.Millisecond
+	overloadedDeadline = 440 * time.Millisecond
+	overloadedStart    = 50 * 365 * 24 * time.Hour // as on a clock that counts from long ago
 )
 
 // send has a backend take an attempt. It serves it also where its node no longer waits.
-func (f *crowdedFleet) send(now time.Duration, node int, send Action) {
-	cores := f.free[send.Backend]
+func (f *overloadedFleet) send(now time.Duration, node int, send Action) {
+	cores := f.busyUntil[send.Backend]
 	core := slices.Index(cores, slices.Min(cores))
-	work := time.Duration(float64(crowdedWork) * (0.5 + f.random.Float64()))
+	work := time.Duration(float64(overloadedMeanWork) * (0.5 + f.random.Float64()))
 	cores[core] = max(now, cores[core]) + work
 	end, outcome := cores[core], OK
 	if end > now+send.Wait {
 		end, outcome = now+send.Wait, TimedOut
 	}
 	f.add(end, node, Event{Kind: EvOutcome, ID: send.ID, Backend: send.Backend, Took: end - now, Outcome: outcome, Finished: true})
-	if outcome == OK && end-now <= crowdedAim {
+	if outcome == OK && end-now <= overloadedAim {
 		f.inTime++
 	}
 }
 
 // play lets requests come at a part of what the backends can serve, by the second, and returns the part of what could
 // be served in its last five seconds that was answered in time.
-func (f *crowdedFleet) play(load ...float64) float64 {
-	most := float64(len(f.free)*crowdedCores) / crowdedWork.Seconds()
-	for second, part := range load {
-		n := int(part * most)
+func (f *overloadedFleet) play(load ...float64) float64 {
+	capacity := float64(len(f.busyUntil)*overloadedCores) / overloadedMeanWork.Seconds()
+	for second, fraction := range load {
+		n := int(fraction * capacity)
 		for i := range n {
-			at := crowdedStart + time.Duration(float64(time.Second)*(float64(second)+float64(i)/float64(n)))
-			f.add(at, f.random.IntN(len(f.nodes)), Event{Kind: EvRequest, ID: fmt.Sprint(second, "-", i), Class: "only", Remaining: crowdedDeadline})
+			at := overloadedStart + time.Duration(float64(time.Second)*(float64(second)+float64(i)/float64(n)))
+			f.add(at, f.random.IntN(len(f.nodes)), Event{Kind: EvRequest, ID: fmt.Sprint(second, "-", i), Class: "only", Remaining: overloadedDeadline})
 		}
 	}
 	const counted = 5
-	end := crowdedStart + time.Duration(len(load))*time.Second
-	for len(f.due) > 0 {
+	end := overloadedStart + time.Duration(len(load))*time.Second
+	for len(f.queue) > 0 {
 		next := heap.Pop(f).(dueEvent)
 		if next.at > end {
 			break
@@ -139,30 +139,30 @@
 			}
 		}
 	}
-	return float64(f.inTime) / (most * counted)
+	return float64(f.inTime) / (capacity * counted)
 }
 
 // Many nodes share backends that report nothing, and one attempt of each is a crowd. No node sees more than its own
 // few: what answers take has to tell it, or backends stay so full that they answer nearly nothing in time.
-func TestManyNodesKeepAnswersInTimeWithoutReports(t *testing.T) {
+func TestManyNodesAnswerInTimeWithoutReports(t *testing.T) {
 	const nodes, backends = 32, 12
 	var entries []Entry
 	for i := range backends {
 		entries = append(entries, Entry{ID: uint32(i), Hash: subset.Hash(fmt.Sprint(i)), Kind: "k"})
 	}
-	f := &crowdedFleet{random: rand.New(rand.NewPCG(1, 2))}
+	f := &overloadedFleet{random: rand.New(rand.NewPCG(1, 2))}
 	for range backends {
-		f.free = append(f.free, make([]time.Duration, crowdedCores))
+		f.busyUntil = append(f.busyUntil, make([]time.Duration, overloadedCores))
 	}
 	for number := range nodes {
 		b, err := New(Settings{Nodes: nodes, Number: number, NoReports: true, MaxAttempts: 4, Cancel: true,
-			Classes: []Class{{Name: "only", Aim: crowdedAim, Deadline: crowdedDeadline, Worth: 4, LateWorth: 0.1}}}, uint64(number))
+			Classes: []Class{{Name: "only", Aim: overloadedAim, Deadline: overloadedDeadline, Worth: 4, LateWorth: 0.1}}}, uint64(number))
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.nodes = append(f.nodes, b)
-		f.add(crowdedStart, number, Event{Kind: EvList, List: ListFull, Entries: entries})
-		f.add(crowdedStart, number, Event{Kind: EvTimer, Token: "tick"})
+		f.add(overloadedStart, number, Event{Kind: EvList, List: ListFull, Entries: entries})
+		f.add(overloadedStart, number, Event{Kind: EvTimer, Token: "tick"})
 	}
 	quiet, burst := 0.6, 1.5
 	if got := f.play(quiet, quiet, quiet, quiet, quiet, burst, burst, burst, burst, burst, burst, burst, burst); got < 0.8 {
