--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -8,7 +8,7 @@
 	"craneglade/policy"
 )
 
-// BenchmarkDecision is one request and its outcome at fleets of several sizes, as in docs/design/thresholds.md and
+// BenchmarkDecision measures one request and its outcome in fleets of several sizes: see docs/design/thresholds.md and
 // docs/design/fleet.md.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []struct{ backends, nodes int }{{12, 3}, {120, 3}, {60, 80}, {1000, 80},
@@ -41,8 +41,7 @@
 	}
 }
 
-// BenchmarkList is what a list costs the policy: all backends, and news of one. A whole list is of backends that are
-// known.
+// BenchmarkList measures list updates: a full list of backends that are all known, and a delta of one.
 func BenchmarkList(b *testing.B) {
 	for _, backends := range []int{18, 200, 1000, 5000, 20000} {
 		var list []policy.Entry
@@ -71,7 +70,7 @@
 	}
 }
 
-// BenchmarkTenants is one request and its outcome of the last of so many tenants with shares.
+// BenchmarkTenants measures one request and its outcome with many tenants that have quotas.
 func BenchmarkTenants(b *testing.B) {
 	for _, tenants := range []int{4, 100, 1000, 10000, 100000, 1500000} {
 		b.Run(fmt.Sprint("tenants=", tenants), func(b *testing.B) {
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// coldFleet is some nodes over few backends, two of which start cold while traffic goes on, in virtual time.
+// coldFleet simulates nodes and a few backends in virtual time; two of the backends start cold under traffic.
 type coldFleet struct {
 	set      Settings
 	rng      *rand.Rand
@@ -22,7 +22,7 @@
 type coldBackend struct {
 	entry    Entry
 	inFlight float64
-	sentAt   []float64 // moments, in seconds, of what was sent to it
+	sentAt   []float64 // times of the attempts sent to it, in seconds
 }
 
 type coldEvent struct {
@@ -49,8 +49,8 @@
 
 const (
 	coldCores = 4.0
-	coldWork  = 0.05 // core seconds of a mean request
-	coldStart = 8.0  // when the cold ones start, in seconds of the play
+	coldWork  = 0.05 // core seconds per request on average
+	coldStart = 8.0  // when the cold ones start, in seconds
 )
 
 func (f *coldFleet) add(at float64, node int, ev Event) {
@@ -58,7 +58,7 @@
 	heap.Push(&f.queue, coldEvent{at, f.seq, node, ev})
 }
 
-// capacity is what a backend carries, in mean requests a second, at a moment of the play.
+// capacity returns the average requests per second that a backend can serve at a given time.
 func (f *coldFleet) capacity(b *coldBackend, at float64) float64 {
 	ramp := 1.0
 	if b.entry.Launched > 0 {
@@ -68,9 +68,9 @@
 	return ramp * coldCores / coldWork
 }
 
-// play runs nodes over warm backends and two cold ones at a part of what the warm ones carry; with replaced the warm
-// ones leave a second after the cold ones start. It returns the worst window: sends to a cold backend as a part of what
-// its budget of N allows, N + 2 x root of N + 2.
+// play simulates nodes with warm backends and two cold ones, at a load that is a fraction of the warm ones' capacity.
+// With replaced, the warm ones are removed a second after the cold ones start. It returns the highest number of sends
+// to a cold backend in a window, as a fraction of its budget: N + 2 x root of N + 2 for an allowed mean of N.
 func (f *coldFleet) play(nodes, warm int, loadFraction float64, replaced bool, end float64) (worst float64, sent int) {
 	f.backends = map[uint32]*coldBackend{}
 	var listed []Entry
@@ -84,7 +84,7 @@
 		}
 	}
 	weight, sum := make([]float64, nodes), 0.0
-	for i := range weight { // uneven: some get several times the mean
+	for i := range weight { // uneven: some nodes get several times the mean traffic
 		weight[i] = 0.2 + f.rng.ExpFloat64()
 		sum += weight[i]
 	}
@@ -150,8 +150,8 @@
 			for b.sentAt[to]-b.sentAt[from] > window {
 				from++
 			}
-			// What the settings allow it then: its capacity grows evenly, so that the window's mean is that of its
-			// middle.
+			// The number that the settings allow. The capacity grows evenly, so its mean over the window is that at the
+			// middle of the window.
 			n := f.set.FallFactor * window * f.capacity(b, b.sentAt[to]-window/2)
 			worst = max(worst, float64(to-from+1)/(n+2*math.Sqrt(n)+2))
 		}
@@ -159,8 +159,8 @@
 	return worst, sent
 }
 
-// The sum of what all nodes send to a cold backend stays within its budget in every window, however many they are,
-// uneven their traffic and different the moments at which they hear of it.
+// All nodes together stay within the budget of a cold backend in every window, whatever their number, however uneven
+// their traffic, and although they learn of it at different times.
 func TestTheColdBudgetHoldsForTheSumOfAllNodes(t *testing.T) {
 	t.Parallel()
 	for _, set := range []struct {
@@ -172,7 +172,7 @@
 		{0.25, 3, 14 * time.Second, 1800 * time.Millisecond},
 	} {
 		for _, nodes := range []int{3, 20, 30} {
-			for _, warm := range []int{-2, 2, 8} { // below 0: they are replaced by the cold ones
+			for _, warm := range []int{-2, 2, 8} { // negative: they are replaced by the cold ones
 				replaced := warm < 0
 				warm = max(warm, -warm)
 				name := fmt.Sprintf("%d nodes, %d warm (replaced %v), multiple %v", nodes, warm, replaced, set.factor)
@@ -193,7 +193,7 @@
 						t.Errorf("%.2f times the budget was sent at the worst moment", worst)
 					}
 					if sent == 0 {
-						t.Error("no cold backend was sent anything: that shows nothing")
+						t.Error("no cold backend was sent a request: nothing is tested")
 					}
 				})
 			}
--- a/policy/copy_test.go
+++ b/policy/copy_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// newLossyBalancer returns a node of zone a that has learnt what a class takes, about 50 ms, with one more request out at backend
-// 1, which lost another one lately. Backend 2 is of the same zone and 3 of another; both are free.
+// newLossyBalancer returns a balancer of zone a that has measured a class's latency of about 50 ms, and one request in
+// flight at backend 1, which recently lost another one. Backend 2 is in the same zone and 3 in another; both are idle.
 func newLossyBalancer(t *testing.T, class string, change func(*Settings)) (b *Balancer, lost Action, now time.Duration) {
 	t.Helper()
 	b = newTestBalancer(t, settings(func(s *Settings) {
@@ -26,7 +26,7 @@
 	return b, lost, now
 }
 
-// ejectOnly leaves backends out, and opens all others.
+// ejectOnly ejects the given backends and ends the ejection of all others.
 func ejectOnly(b *Balancer, ids ...uint32) {
 	for id, s := range b.backends {
 		if s.Ejected = 0; slices.Contains(ids, id) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// answerLaterAttempt has backend 1 answer a request that it got after the others, and returns where copies go.
+// answerLaterAttempt sends one more request to backend 1, has it answered, and returns the hedges sent then.
 func answerLaterAttempt(b *Balancer, now time.Duration, class string) (hedges []Action) {
 	ejectOnly(b, 2, 3)
 	send := sendRequest(b, now, fmt.Sprint("later", now), class)
@@ -60,13 +60,13 @@
 	}{
 		{"lost", "top", func(*Settings) {}, late, nil, 1},
 		{"keyed, in its zone", "key", func(*Settings) {}, late, nil, 1},
-		{"must run once", "once", func(*Settings) {}, late, nil, 0},
-		{"not allowed", "top", func(s *Settings) { s.Copies = false }, late, nil, 0},
-		{"out for too short a time", "top", func(*Settings) {}, 5 * time.Millisecond, nil, 0},
+		{"unsafe class", "once", func(*Settings) {}, late, nil, 0},
+		{"hedging not allowed", "top", func(s *Settings) { s.Copies = false }, late, nil, 0},
+		{"in flight for too short a time", "top", func(*Settings) {}, 5 * time.Millisecond, nil, 0},
 		{"its window is over", "key", func(s *Settings) { s.Classes[2].Window = late }, late, nil, 0},
 		{"the only attempt allowed", "top", func(s *Settings) { s.MaxAttempts = 1 }, late, nil, 0},
 		{"a backend that loses nothing", "top", func(*Settings) {}, late, func(b *Balancer) { b.backends[1].lossAt = 0 }, 0},
-		{"no budget", "top", func(*Settings) {}, late, func(b *Balancer) { b.retryTokens = 0 }, 0},
+		{"no retry tokens", "top", func(*Settings) {}, late, func(b *Balancer) { b.retryTokens = 0 }, 0},
 		{"others in overload", "top", func(*Settings) {}, late, func(b *Balancer) {
 			b.backends[2].minFullOccupancy, b.backends[3].minFullOccupancy = 0.1, 0.1
 			b.backends[2].reportedExcess, b.backends[3].reportedExcess = 50, 50
@@ -79,25 +79,25 @@
 		}
 		hedges := answerLaterAttempt(b, now+c.after, c.class)
 		if len(hedges) != c.wantHedges {
-			t.Errorf("%s: %d copies, want %d", c.name, len(hedges), c.wantHedges)
+			t.Errorf("%s: %d hedges, want %d", c.name, len(hedges), c.wantHedges)
 		}
 		for _, a := range hedges {
 			if a.ID != lost.ID || a.Backend == 1 || c.class == "key" && a.Backend != 2 {
-				t.Errorf("%s: a copy of %s to %d", c.name, a.ID, a.Backend)
+				t.Errorf("%s: a hedge of %s to %d", c.name, a.ID, a.Backend)
 			}
 		}
 	}
 }
 
-// A backend that has answered nothing at all since an attempt was sent shows as little as one that lost it. Where this
-// node is one of many and nothing else was due from it, its silence tells nothing: copies of all that was late were a
-// fifth of the work that 80 nodes gave 60 backends.
+// An attempt is hedged if its backend has answered nothing since the send. But if this node is one of many and no other
+// answer was due from the backend, its silence is no evidence: hedges of all late attempts were a fifth of the work
+// that 80 nodes sent to 60 backends.
 func TestSilentBackendsAttemptIsHedged(t *testing.T) {
 	testSilentBackend(t, 300, 1)
 	testSilentBackend(t, 1, 0)
 }
 
-// testSilentBackend wants so many copies where a backend has answered nothing since, and answered served requests lately before.
+// testSilentBackend checks the number of hedges if a backend has answered nothing since the send, and answers before.
 func testSilentBackend(t *testing.T, answers float64, wantHedges int) {
 	t.Helper()
 	b, lost, now := newLossyBalancer(t, "top", func(*Settings) {})
@@ -109,17 +109,17 @@
 			if a.Kind == ActSend {
 				hedges++
 				if a.ID != lost.ID || a.Backend == 1 {
-					t.Errorf("a copy of %s to %d", a.ID, a.Backend)
+					t.Errorf("a hedge of %s to %d", a.ID, a.Backend)
 				}
 			}
 		}
 	}
 	if hedges != wantHedges {
-		t.Errorf("%d copies, want %d", hedges, wantHedges)
+		t.Errorf("%d hedges, want %d", hedges, wantHedges)
 	}
 }
 
-// However its two attempts end, a request has one final answer, and what still runs then is called off.
+// However its two attempts end, a request has one final answer, and an attempt still in flight then is cancelled.
 func TestHedgedRequestHasOneAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -127,16 +127,16 @@
 		with  []Outcome
 		final int // which of the ends gives the final answer
 	}{
-		{"the copy is answered", []int{1, 0}, []Outcome{OK, Canceled}, 0},
+		{"the hedge is answered", []int{1, 0}, []Outcome{OK, Canceled}, 0},
 		{"the first is answered after all", []int{0, 1}, []Outcome{OK, Canceled}, 0},
-		{"the copy fails, then the first is answered", []int{1, 0}, []Outcome{Failed, OK}, 1},
+		{"the hedge fails, then the first is answered", []int{1, 0}, []Outcome{Failed, OK}, 1},
 		{"both time out", []int{0, 1}, []Outcome{TimedOut, TimedOut}, 1},
-		{"the copy is turned away and the first breaks", []int{1, 0}, []Outcome{Full, Reset}, 1},
+		{"the hedge is rejected and the first is reset", []int{1, 0}, []Outcome{Full, Reset}, 1},
 	} {
 		b, lost, now := newLossyBalancer(t, "top", func(s *Settings) { s.MaxAttempts = 2 })
 		hedges := answerLaterAttempt(b, now+600*time.Millisecond, "top")
 		if len(hedges) != 1 {
-			t.Fatalf("%s: %d copies", c.name, len(hedges))
+			t.Fatalf("%s: %d hedges", c.name, len(hedges))
 		}
 		backends, now := []uint32{lost.Backend, hedges[0].Backend}, now+700*time.Millisecond
 		done := false
@@ -160,7 +160,7 @@
 				t.Errorf("%s: %d answers at end %d", c.name, answers, i)
 			}
 			if want := served && i == 0; (cancelled == 1) != want {
-				t.Errorf("%s: %d attempts called off at end %d", c.name, cancelled, i)
+				t.Errorf("%s: %d attempts cancelled at end %d", c.name, cancelled, i)
 			}
 			done = done || served || answers > 0
 		}
@@ -170,8 +170,8 @@
 	}
 }
 
-// An answer that has begun to reach its client is the only one: no copy follows, another attempt is called off, and its
-// own is not.
+// Once the client has started to receive a response, no hedge follows, another attempt is cancelled, and the one that
+// responds is not.
 func TestStartedResponseStopsHedging(t *testing.T) {
 	b, lost, now := newLossyBalancer(t, "top", func(*Settings) {})
 	responseStarts := func(attempt int) (cancelled []int) {
@@ -183,19 +183,19 @@
 		return cancelled
 	}
 	if cancelled := responseStarts(0); cancelled != nil {
-		t.Errorf("%v called off, want nothing", cancelled)
+		t.Errorf("%v cancelled, want none", cancelled)
 	}
 	if hedges := answerLaterAttempt(b, now+600*time.Millisecond, "top"); hedges != nil {
-		t.Errorf("a copy to %d behind an answer that has begun", hedges[0].Backend)
+		t.Errorf("a hedge to %d after the response has started", hedges[0].Backend)
 	}
 
 	b, lost, now = newLossyBalancer(t, "top", func(*Settings) {})
 	hedges := answerLaterAttempt(b, now+600*time.Millisecond, "top")
 	if len(hedges) != 1 {
-		t.Fatalf("%d copies", len(hedges))
+		t.Fatalf("%d hedges", len(hedges))
 	}
 	if cancelled := responseStarts(1); !slices.Equal(cancelled, []int{0}) {
-		t.Errorf("%v called off, want the first", cancelled)
+		t.Errorf("%v cancelled, want the first", cancelled)
 	}
 	for i, o := range []Outcome{Canceled, OK} {
 		for _, a := range b.Handle(now+time.Second, &Event{Kind: EvOutcome, ID: lost.ID, Attempt: i, Backend: []uint32{1, hedges[0].Backend}[i],
--- a/policy/drive_test.go
+++ b/policy/drive_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// The drive plays a small world against real balancers and checks the four rules by its own books, which
-// share no code with the policy.
+// The simulation runs real balancers against simulated backends and clients and checks the four rules by its own
+// accounting, which shares no code with the policy.
 
 type scheduledEvent struct {
 	at   time.Duration
@@ -61,7 +61,7 @@
 	server     policy.Entry
 	at         time.Duration
 	open       bool
-	mayHaveRun bool // may have run
+	mayHaveRun bool
 }
 
 type requestState struct {
@@ -75,9 +75,9 @@
 type testBackend struct {
 	policy.Entry
 	inFlight  int
-	failure   int // 0 sound, 1 errors, 2 silent, 3 no connection
+	failure   int // 0 none, 1 errors, 2 no answers, 3 no connection
 	sentAt    []time.Duration
-	drainedAt []time.Duration // per node: when it was told that this one drains or left, 0 when not
+	drainedAt []time.Duration // per node: when it was notified that this one drains or is removed; 0: not
 }
 
 type simulation struct {
@@ -92,7 +92,7 @@
 	seq        int
 	actions    []policy.Action
 	sent       int
-	hedges     int // sent while another attempt of the request was out
+	hedges     int // attempts sent while another one of the request was in flight
 	violations int
 }
 
@@ -112,7 +112,7 @@
 	w.schedule(at, node, policy.Event{Kind: policy.EvList, List: kind, Entries: entries})
 }
 
-// simulate runs nodes against servers at the given requests a second for each node.
+// simulate runs nodes against backends, with rate requests per second at each node.
 func simulate(t *testing.T, seed uint64, nodes, backends int, rate float64, length time.Duration) *simulation {
 	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), backends: map[uint32]*testBackend{},
 		set: testSettings(nodes, seed%2 == 0)}
@@ -149,7 +149,7 @@
 			}
 		}
 	}
-	// What goes wrong: breakages, drains with successors, cold restarts, lost lists.
+	// Faults: failing backends, drains with cold successors, lost lists.
 	for at := start + time.Second; at < start+length; at += 2 * time.Second {
 		id := w.ids[w.rng.IntN(len(w.ids))]
 		switch w.rng.IntN(4) {
@@ -191,14 +191,14 @@
 	for n, asks := range w.requests {
 		for id, a := range asks {
 			if a.answers == 0 && !a.disconnected {
-				w.violation("rule 1: node %d never answered %s", n, id)
+				w.violation("rule 1: node %d: no answer to %s", n, id)
 			}
 		}
 	}
 	return w
 }
 
-// recordEvent books what the node is about to hear.
+// recordEvent records an event that a node is about to handle.
 func (w *simulation) recordEvent(h *scheduledEvent) {
 	asks := w.requests[h.node]
 	switch ev := &h.ev; ev.Kind {
@@ -213,7 +213,7 @@
 	case policy.EvOutcome:
 		a := asks[ev.ID]
 		if ev.Attempt >= len(a.attempts) || !a.attempts[ev.Attempt].open {
-			return // a doubled outcome, thrown in on purpose
+			return // an outcome repeated on purpose
 		}
 		tr := &a.attempts[ev.Attempt]
 		tr.open = false
@@ -247,10 +247,10 @@
 		w.send(now, node, a, act)
 	case policy.ActRefuse, policy.ActFail:
 		if a.answers++; a.answers > 1 || a.disconnected {
-			w.violation("rule 1: %s answered %d times (gone %v)", act.ID, a.answers, a.disconnected)
+			w.violation("rule 1: %s answered %d times (client disconnected: %v)", act.ID, a.answers, a.disconnected)
 		}
 		if now > a.deadline+20*ms {
-			w.violation("rule 1: %s answered %v after its client left", act.ID, now-a.deadline)
+			w.violation("rule 1: %s answered %v after its client's deadline", act.ID, now-a.deadline)
 		}
 		if act.Kind == policy.ActRefuse && a.class.Effect != policy.Safe &&
 			!(a.class.Effect == policy.Keyed && a.class.Group == policy.GroupAll) {
@@ -270,7 +270,7 @@
 		w.violation("rule 1: %s sent after its final answer", act.ID)
 	}
 	if d := b.drainedAt[node]; d > 0 && now > d+w.set.DrainGrace {
-		w.violation("rule 3: %s sent to %d, told to drain %v ago", act.ID, act.Backend, now-d)
+		w.violation("rule 3: %s sent to %d, which started to drain %v ago", act.ID, act.Backend, now-d)
 	}
 	if len(a.attempts) >= w.set.MaxAttempts {
 		w.violation("%s: attempt %d of %d", act.ID, len(a.attempts)+1, w.set.MaxAttempts)
@@ -278,7 +278,7 @@
 	for _, previous := range a.attempts {
 		if previous.open {
 			if !w.set.Copies || a.class.Effect == policy.Unsafe {
-				w.violation("rule 2: %s has two attempts out", act.ID)
+				w.violation("rule 2: %s has two attempts in flight", act.ID)
 			}
 			w.hedges++
 		}
@@ -311,7 +311,7 @@
 		outcome, took = policy.ConnectFailed, 100*ms
 	case b.inFlight > 20:
 		outcome, took = policy.Full, ms
-	case w.rng.IntN(25) == 0 && b.ID%2 == 0: // lost without a word
+	case w.rng.IntN(25) == 0 && b.ID%2 == 0: // lost silently
 		took = time.Hour
 	case w.rng.IntN(300) == 0:
 		outcome, took = policy.Reset, 5*ms
@@ -330,16 +330,16 @@
 	if outcome == policy.OK {
 		ev.Load = policy.Load{Known: true, Queue: float64(max(0, b.inFlight-4)), Occupancy: float64(b.inFlight)}
 		switch w.rng.IntN(40) {
-		case 0: // an absurd report
+		case 0: // an invalid report
 			odd := []float64{math.NaN(), math.Inf(1), -1e300, 1e300}
 			ev.Load.Queue, ev.Load.Occupancy, ev.Load.ServiceSeconds = odd[w.rng.IntN(4)], odd[w.rng.IntN(4)], odd[w.rng.IntN(4)]
-		case 1: // only the queue and the time in work
+		case 1: // only the queue and the service time
 			ev.Load.Occupancy, ev.Load.ServiceSeconds = -1, took.Seconds()
 		}
 	}
 	w.schedule(now+took, node, ev)
 	if w.rng.IntN(50) == 0 {
-		w.schedule(now+took+ms, node, ev) // the same outcome once more
+		w.schedule(now+took+ms, node, ev) // the same outcome again
 	}
 }
 
@@ -352,21 +352,21 @@
 		}
 		w := simulate(t, seed, nodes, 6, rate, 20*time.Second)
 		if w.sent < 300 {
-			t.Errorf("seed %d: only %d attempts: the drive tests nothing", seed, w.sent)
+			t.Errorf("seed %d: only %d attempts, want at least 300", seed, w.sent)
 		}
 		w.checkCold()
 		if !w.set.Copies && w.hedges > 0 {
-			t.Errorf("seed %d: %d second copies where none are allowed", seed, w.hedges)
+			t.Errorf("seed %d: %d hedges, which are not allowed", seed, w.hedges)
 		}
 		copies += w.hedges
 	}
 	if copies < 50 {
-		t.Errorf("only %d second copies: the drives test none of it", copies)
+		t.Errorf("only %d hedges in all runs, want at least 50", copies)
 	}
 }
 
-// checkCold checks rule 4 from the sends alone. A box of this world works off about 125 attempts a second
-// once warm; all nodes together must stay under the stated multiple of what a cold one can do.
+// checkCold checks rule 4 by the sends alone. A warm simulated backend completes about 125 attempts per second; all
+// nodes together must stay below FallFactor times the capacity of a cold one.
 func (w *simulation) checkCold() {
 	const warm = 125.0
 	for _, id := range w.ids {
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"craneglade/policy"
 )
 
-// A node feeds its balancer what happens and carries out what it answers.
+// A node passes events to its balancer and carries out the actions that it returns.
 func Example() {
 	b, err := policy.New(policy.Settings{
 		Zone: "north", Nodes: 2, MaxAttempts: 3, DrainGrace: time.Second,
--- a/policy/paper_test.go
+++ b/policy/paper_test.go
@@ -8,10 +8,10 @@
 	"craneglade/internal/kit/chain"
 )
 
-// The mode rule is the paper's, but that discard ends one request later: at fewer than H, where the paper's ends at H.
-// A box that is an M/M/1 queue with exact and immediate reports (load 1.2, service 5 ms, R = 100) is driven through it,
-// with the four settings of the paper's Table 1; shares of the modes and times until normal are those of the exact
-// solution, within four standard errors of the run.
+// The mode transitions are those of the paper, except that discard ends at less than H, where the paper's ends at H.
+// Simulated with an M/M/1 queue with exact and immediate reports (load 1.2, service 5 ms, R = 100) and the four
+// settings of the paper's Table 1, the fractions of time in each mode and the times until normal agree with the exact
+// solution within four standard errors.
 func TestModeRuleIsThePapers(t *testing.T) {
 	const lambda, mu, r = 1.2, 1.0, 100
 	for i, x := range []struct {
@@ -32,7 +32,7 @@
 		n, m := 0, normal
 		var spent [3]float64
 		for begun := false; cycles.n < 20000; {
-			up := lambda // what q and discard keep from the box changes nothing at it: thinned here
+			up := lambda // diverted and discarded requests never reach the queue: the arrivals are thinned
 			switch m {
 			case overload:
 				up *= 1 - x.q
@@ -54,7 +54,7 @@
 			if before != normal || m == normal {
 				continue
 			}
-			if begun { // the next onset: a cycle is over
+			if begun { // the next onset ends a cycle
 				returns.add(spent[overload] + spent[discard])
 				cycles.add(spent[normal] + spent[overload] + spent[discard])
 				for k := range over {
@@ -72,7 +72,7 @@
 		check("return", returns.of(), returns.error(), want.Return)
 		check("cycle", cycles.of(), cycles.error(), want.Cycle)
 		for k, name := range []string{"normal", "overload", "discard"} {
-			// A ratio of means; the cycles are alike and independent.
+			// A ratio of means over independent, identically distributed cycles.
 			share := over[k].of() / cycles.of()
 			check(name, share, over[k].ratioError(&cycles, share), want.P[k])
 		}
@@ -82,7 +82,7 @@
 	}
 }
 
-// mean is one of independent figures; all are kept for the error of a ratio.
+// mean is the mean of independent samples, which are kept for the standard error of a ratio.
 type mean struct {
 	n   int
 	sum float64
--- a/policy/part_test.go
+++ b/policy/part_test.go
@@ -8,30 +8,30 @@
 	"craneglade/internal/subset"
 )
 
-// A node of 80 works with a part of 60 backends. Where that is of no use its requests go to others; where it is
-// crowded, they don't: all nodes' parts are then, and connections to strangers made a crowd of every backend
-// (docs/fleet-test.md).
+// One of 80 nodes works with a subset of 60 backends. If no backend of the subset is usable its requests go to others.
+// If the subset is overloaded they don't: those of all nodes are then, and connections to backends outside the subsets
+// overloaded every backend (docs/fleet-test.md).
 func TestUnusableSubsetFallsBackToFleet(t *testing.T) {
 	now := t0 + time.Minute
 	for _, c := range []struct {
 		name       string
-		prepare    func(b *Balancer, inSubset, others []*backend) // to the part, or to both
-		maxUnsent  int                                            // of 100 requests that go unsent
-		subsetOnly bool                                           // what is beyond the part must get nothing
+		prepare    func(b *Balancer, inSubset, others []*backend) // changes the subset or both
+		maxUnsent  int                                            // of 100 requests
+		subsetOnly bool                                           // no backend outside the subset may get a request
 	}{
-		{"crowded", func(_ *Balancer, inSubset, _ []*backend) { overloadAll(inSubset, now) }, 100, true},
+		{"overloaded", func(_ *Balancer, inSubset, _ []*backend) { overloadAll(inSubset, now) }, 100, true},
 		{"ejected", func(_ *Balancer, inSubset, _ []*backend) {
 			for _, s := range inSubset {
 				s.Ejected = now.Seconds() + 60
 			}
 		}, 0, false},
-		{"crowded but for one, which is ejected", func(_ *Balancer, inSubset, _ []*backend) {
+		{"overloaded but for one, which is ejected", func(_ *Balancer, inSubset, _ []*backend) {
 			overloadAll(inSubset[1:], now)
 			inSubset[0].Ejected = now.Seconds() + 60
 		}, 100, true},
-		{"gone", func(b *Balancer, inSubset, _ []*backend) { sendDelta(b, now, inSubset, Removed, 0) }, 0, false},
+		{"removed", func(b *Balancer, inSubset, _ []*backend) { sendDelta(b, now, inSubset, Removed, 0) }, 0, false},
 		{"cold", func(b *Balancer, inSubset, _ []*backend) { sendDelta(b, now, inSubset, Active, now) }, 0, false},
-		{"crowded, and all others cold", func(b *Balancer, inSubset, others []*backend) {
+		{"overloaded, and all others cold", func(b *Balancer, inSubset, others []*backend) {
 			sendDelta(b, now, others, Active, now)
 			overloadAll(inSubset, now)
 		}, 100, true},
@@ -43,13 +43,13 @@
 		b := newTestBalancer(t, settings(func(s *Settings) { s.Nodes, s.Number = 80, 5 }), entries...)
 		inSubset, others := splitSubset(b)
 		if len(inSubset) != 9 {
-			t.Fatalf("a part of %d, want 9 of 60", len(inSubset))
+			t.Fatalf("a subset of %d, want 9 of 60", len(inSubset))
 		}
 		for _, s := range b.sorted {
 			setEstimate(s, now, 0)
 			s.answers = 60
 		}
-		b.pickCount, b.refreshedAt = 100, now.Seconds() // so that a cold backend's part of them is far from nothing
+		b.pickCount, b.refreshedAt = 100, now.Seconds() // so that a cold backend gets a clear fraction of them
 		outside := map[uint32]bool{}
 		for _, s := range others {
 			outside[s.ID] = true
@@ -63,15 +63,15 @@
 				continue
 			}
 			if c.subsetOnly && outside[send.Backend] {
-				t.Errorf("%s: a backend beyond the part was sent a request", c.name)
+				t.Errorf("%s: a backend outside the subset was sent a request", c.name)
 			}
 			endAttempt(b, now, send, OK, Load{Known: true})
 		}
 		if unsent > c.maxUnsent {
 			t.Errorf("%s: %d of 100 requests are not sent", c.name, unsent)
 		}
-		if again, _ := splitSubset(b); c.name == "gone" && len(again) != 8 {
-			t.Errorf("%s: a part of %d afterwards, want it filled up to 8 of 51", c.name, len(again))
+		if again, _ := splitSubset(b); c.name == "removed" && len(again) != 8 {
+			t.Errorf("%s: a subset of %d afterwards, want it filled up to 8 of 51", c.name, len(again))
 		}
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -36,7 +36,7 @@
 
 const t0 = 100 * time.Second
 
-// newTestBalancer returns a balancer that knows the given backends, all warm unless they say otherwise.
+// newTestBalancer returns a balancer with the given backends; those without a Launched time are warm.
 func newTestBalancer(t *testing.T, set Settings, entries ...Entry) *Balancer {
 	t.Helper()
 	b, err := New(set, 1)
@@ -67,7 +67,7 @@
 	return Action{Kind: ActLog}
 }
 
-// setEstimate gives a backend a known service time of 50 ms and a fresh report of n. R is then 1 s / 50 ms = 20.
+// setEstimate sets a backend's service time to 50 ms and its reported occupancy to n. R is then 1 s / 50 ms = 20.
 func setEstimate(s *backend, now time.Duration, n float64) {
 	s.latencySum, s.occupancySum, s.kindServiceTime = 5000, 100000, 0.05
 	s.inFlight, s.laggedInFlight, s.laggedAt = 0, 0, now.Seconds()
@@ -113,12 +113,12 @@
 func TestDiscardEndsWhenReportIsStale(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
-	drainSeconds := 1.0 // R at its service time: 20 held at 50 ms
+	drainSeconds := 1.0 // of R requests: 20 at 50 ms each
 	for _, c := range []struct {
 		age  float64
 		want mode
 	}{{drainSeconds - 0.01, discard}, {drainSeconds + 0.01, overload}} {
-		setEstimate(s, t0, 500) // so high that fading does not end the discard
+		setEstimate(s, t0, 500) // so high that its decay alone does not end discard
 		s.mode = discard
 		now := t0.Seconds() + c.age
 		s.updateMode(now, b)
@@ -127,10 +127,10 @@
 		}
 		s.updateMode(now, b)
 		if s.mode != c.want {
-			t.Errorf("report %.2f s old: mode %d at a second look, want %d", c.age, s.mode, c.want)
+			t.Errorf("report %.2f s old: mode %d after a second update, want %d", c.age, s.mode, c.want)
 		}
 	}
-	// A new report decides afresh.
+	// A new report above R brings discard back.
 	s.inFlight = 1
 	b.requests["x"] = &request{id: "x", class: &class{}, attempts: []*attempt{{backend: s, open: true, occupancyAtSend: 1}}, open: 1, done: true}
 	endAttempt(b, t0+2*time.Second, Action{ID: "x", Backend: 1}, Failed, Load{Known: true, Queue: 500})
@@ -163,7 +163,8 @@
 			sent[name]++
 		}
 	}
-	// At 7/6 H the share that passes is a third of all, and none of the lesser ones, whose part is still being learnt.
+	// At 7/6 H a third of all requests passes, and none of the low-priority ones. Their fraction is still being
+	// measured.
 	if sent["low"] > 0 || sent["top"] < 30 || sent["top"] > 70 {
 		t.Errorf("100 of each through a backend in overload: %v sent", sent)
 	}
@@ -188,14 +189,14 @@
 	for _, c := range []struct {
 		name     string
 		deadline time.Duration
-		full     float64 // occupancy beside the one that is turned away
+		full     float64 // occupancy without the rejected request
 		want     float64
 	}{
 		{"half the deadline over the service time", 2 * time.Second, -1, 20},
-		{"capped where full was met", 2 * time.Second, 9, 9 + 1},
-		{"no deadline told: the occupancy that drew full", 0, 9, 9 + 1},
-		{"no deadline told, nothing full yet", 0, -1, math.Inf(1)},
-		{"full with nothing waiting is a drain, no limit", 2 * time.Second, 0, 20},
+		{"capped at the occupancy that drew Full", 2 * time.Second, 9, 9 + 1},
+		{"no deadline: the occupancy that drew Full", 0, 9, 9 + 1},
+		{"no deadline, no Full yet", 0, -1, math.Inf(1)},
+		{"Full with nothing waiting is a drain, not a limit", 2 * time.Second, 0, 20},
 	} {
 		set := settings(func(s *Settings) {
 			s.Classes = []Class{{Name: "top", Deadline: c.deadline, Worth: 1}}
@@ -215,7 +216,7 @@
 	}
 }
 
-// A full backend answers at once and holds nothing of ours: without the floor it would look best.
+// A full backend rejects at once, so no attempt stays in flight there: without counting R it would look best.
 func TestFullCountsAsReportOfR(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
@@ -223,11 +224,11 @@
 	send := sendRequest(b, t0, "r", "top")
 	endAttempt(b, t0, send, Full, Load{Known: true, Queue: 1})
 	if s.mode == normal {
-		t.Fatalf("mode %d after a full answer with an old report, want it out of normal", s.mode)
+		t.Fatalf("mode %d after a Full answer with an old report, want overload or discard", s.mode)
 	}
 	setEstimate(s, t0+time.Second, 0)
 	if s.updateMode(t0.Seconds()+1, b); s.mode != normal {
-		t.Errorf("mode %d a second later, want normal: it can have cleared by then", s.mode)
+		t.Errorf("mode %d a second later, want normal: its queue may be empty by then", s.mode)
 	}
 }
 
@@ -253,16 +254,16 @@
 			t.Errorf("outcome %d: %d of 200 requests went to the failing backend", o, bad)
 		}
 		s := b.backends[1]
-		for n := 0; s.Ejected == 0 && n < 3; n++ { // chance may have kept it from a third failure
+		for n := 0; s.Ejected == 0 && n < 3; n++ { // it may not have been drawn for a third failure
 			b.recordFailure(t0.Seconds()+0.2, s, health.Out)
 		}
 		first := s.Ejected
-		for i := 0; i < 50; i++ { // after the ejection: one at a time
+		for i := 0; i < 50; i++ { // after the ejection: one attempt at a time
 			now := time.Duration((first+0.01)*float64(time.Second)) + time.Duration(i)*time.Millisecond
 			sendRequest(b, now, string(rune(2000+i)), "top")
 		}
 		if s.inFlight > 1 {
-			t.Errorf("outcome %d: %v attempts out at a backend on trial", o, s.inFlight)
+			t.Errorf("outcome %d: %v attempts in flight at a backend on trial", o, s.inFlight)
 		}
 		b.recordFailure(first+0.1, s, health.Out)
 		if wait := s.Ejected - first - 0.1; wait < 1.4 {
@@ -271,8 +272,8 @@
 	}
 }
 
-// A backend may fail every request of one class and answer all others: only that class is kept from it. Ejected whole,
-// the rest of what it could do was missing while other backends filled up.
+// A backend that fails every request of one class and answers all others is ejected for that class only. Ejected as a
+// whole, its capacity for the other classes was missing while other backends filled up.
 func TestFailingClassIsEjectedAlone(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
 	failing, failed := true, 0
@@ -297,16 +298,16 @@
 	}
 	play(0, 2000) // 10 s
 	if failed < 3 || failed > 12 {
-		t.Errorf("%d of 1000 requests were sent where their class fails, want it tried now and then", failed)
+		t.Errorf("%d of 1000 requests were sent to the backend that fails their class, want 3 to 12", failed)
 	}
 	if n := to["low"][1]; n < 300 {
 		t.Errorf("the backend got %d of 1000 requests of a class that it answers", n)
 	}
 	if s := b.backends[1]; s.Trial || s.Ejected > 0 {
-		t.Error("the backend was ejected whole")
+		t.Error("the backend was ejected for all classes")
 	}
 	failing = false
-	play(2000, 4000) // 20 s, by when the longest wait is over
+	play(2000, 4000) // 20 s, longer than the longest ejection
 	clear(to["once"])
 	play(6000, 400)
 	if n := to["once"][1]; n < 60 {
@@ -314,8 +315,8 @@
 	}
 }
 
-// Connections that break now and then, at all backends alike, tell of no backend that is out. Ejected for them, sound
-// ones were missing while others filled up.
+// Connection resets now and then, at all backends alike, must eject no backend. Ejections for them took the capacity of
+// healthy backends while others filled up.
 func TestScatteredResetsDoNotEject(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
 	for i := range 2000 {
@@ -337,7 +338,7 @@
 	}
 }
 
-// What was in flight when a backend was ejected may yet be answered: it is not out, and back at once.
+// Attempts in flight when a backend is ejected may still be answered: that ends the ejection at once.
 func TestAnswersInFlightEndEjection(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	var sent []Action
@@ -354,18 +355,18 @@
 		endAttempt(b, t0+20*time.Millisecond, send, OK, Load{Known: true})
 	}
 	if now := t0.Seconds() + 0.02; now < s.Ejected || s.Trial {
-		t.Errorf("ejected for %.2f s more, trial %v, want it back", s.Ejected-now, s.Trial)
+		t.Errorf("ejected for %.2f s more, trial %v, want the ejection ended", s.Ejected-now, s.Trial)
 	}
 }
 
-// A few slow requests with nothing waiting make a backend's service time look long. H must not fall below what it
-// was seen to have in work at once, or the node refuses what an idle core would take, and never learns better.
+// A few slow requests with nothing waiting make a backend's service time look long. H must not fall below the number of
+// requests it had in work at once, or the node refuses requests for idle cores and never measures a shorter time.
 func TestThresholdHNotBelowConcurrency(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
-	s.latencySum, s.occupancySum, s.kindServiceTime = 100, 100, 1 // H by the aim alone is below 1
+	s.latencySum, s.occupancySum, s.kindServiceTime = 100, 100, 1 // H by the latency target alone is below 1
 	if h := b.thresholdH(s, b.thresholdR(s)); h != minH {
-		t.Fatalf("H %.2f with no report, want its least", h)
+		t.Fatalf("H %.2f with no report, want minH", h)
 	}
 	endAttempt(b, t0, sendRequest(b, t0, "r", "once"), OK, Load{Known: true, Queue: 3, Occupancy: 7})
 	if h, r := b.thresholdH(s, b.thresholdR(s)), b.thresholdR(s); h != 4 || r <= h {
@@ -374,11 +375,11 @@
 	endAttempt(b, t0, sendRequest(b, t0, "s", "once"), OK, Load{Known: true, Queue: 3, Occupancy: -1})
 	endAttempt(b, t0, sendRequest(b, t0, "t", "once"), OK, Load{Known: true, Queue: -1, Occupancy: 9})
 	if s.concurrency != 4 {
-		t.Errorf("%v in work by reports that do not tell, want 4 still", s.concurrency)
+		t.Errorf("%v in work after reports without the number in work, want 4 still", s.concurrency)
 	}
 }
 
-// A time-out alone is no failure: a crowded backend still answers others.
+// A time-out alone is no failure: an overloaded backend still answers other requests.
 func TestTimeoutIsFailureOnlyOfSilentBackend(t *testing.T) {
 	for _, c := range []struct {
 		lastOK float64
@@ -390,12 +391,12 @@
 		s.lastOKAt = c.lastOK
 		endAttempt(b, t0, send, TimedOut, Load{})
 		if got := s.Bad > 0; got != c.want {
-			t.Errorf("last answer at %v: blamed %v, want %v", c.lastOK, got, c.want)
+			t.Errorf("last answer at %v: counted as a failure: %v, want %v", c.lastOK, got, c.want)
 		}
 	}
 }
 
-// A draining backend turns all away until the list tells of it.
+// A draining backend rejects everything until the list shows that it drains.
 func TestSilentBackendThatRejectsIsEjected(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
@@ -409,11 +410,11 @@
 		endAttempt(b, t0, send, Full, Load{})
 	}
 	if s.Ejected <= t0.Seconds() {
-		t.Error("not ejected after turning all away")
+		t.Error("not ejected after rejecting all requests")
 	}
 }
 
-// A backend that has gone silent, and so keeps what it was sent, must lose weight long before time-outs are due.
+// A backend that stops answering must lose weight long before its attempts time out.
 func TestUnansweredAttemptsLowerWeight(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
 	silent, answering := b.backends[1], b.backends[2]
@@ -425,27 +426,27 @@
 		counts[sendRequest(b, t0, string(rune(1000+i)), "low").Backend]++
 	}
 	if counts[1] > 10 {
-		t.Errorf("%d of 100 requests went to a backend that owes two answers", counts[1])
+		t.Errorf("%d of 100 requests went to a backend with two unanswered attempts", counts[1])
 	}
 }
 
-// Nodes with few attempts out each must not meet on the same backends: an own attempt stands for one of each node.
+// Nodes with few attempts each must not all pick the same backends, so an own attempt counts as one of each node.
 func TestOwnAttemptsWeighForAllNodes(t *testing.T) {
 	b := newTestBalancer(t, settings(func(s *Settings) { s.Nodes = 8 }), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
 	used, unused := b.backends[1], b.backends[2]
 	counts := map[uint32]int{}
 	for i := 0; i < 200; i++ {
 		setEstimate(used, t0, 3)
-		setEstimate(unused, t0, 5) // by reports alone the other one is well ahead
+		setEstimate(unused, t0, 5) // by reports alone the used one is preferred
 		used.inFlight = 1
 		counts[sendRequest(b, t0, string(rune(1000+i)), "low").Backend]++
 	}
 	if counts[1] >= counts[2] {
-		t.Errorf("%d of 200 went to the backend that this node, and so perhaps each of 8, has used", counts[1])
+		t.Errorf("%d of 200 went to the backend that this node, and so perhaps each of 8, has an attempt at", counts[1])
 	}
 }
 
-// A backend that fills up answers its first requests fast; that must not make it look fast.
+// A backend that fills up answers its first requests quickly, which must not make it look fast.
 func TestServiceTimeUsesOccupancyAtSend(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
@@ -456,7 +457,7 @@
 	}
 	endAttempt(b, t0+50*time.Millisecond, first, OK, Load{})
 	if met := s.occupancySum - 100000; math.Abs(s.latencySum-5000.05) > 1e-6 || met != 1 {
-		t.Errorf("50 ms against an occupancy plus one of %v, want 1: it met none", met)
+		t.Errorf("50 ms counted against an occupancy of %v, want 1: the attempt alone", met)
 	}
 }
 
@@ -503,7 +504,7 @@
 		}
 	}
 	if limit := maxRetryTokens + 300*retriesPerRequest; retries == 0 || float64(retries) > limit {
-		t.Errorf("%d further attempts for 300 requests, want at most %v", retries, limit)
+		t.Errorf("%d retries for 300 requests, want at most %v", retries, limit)
 	}
 }
 
@@ -524,11 +525,11 @@
 	send := sendRequest(b, t0, "r", "top")
 	out := b.Handle(t0, &Event{Kind: EvDisconnected, ID: "r"}, nil)
 	if len(out) != 1 || out[0].Kind != ActCancel || out[0].Attempt != 0 {
-		t.Errorf("gone: %+v, want a cancel", out)
+		t.Errorf("client disconnected: %+v, want a cancel", out)
 	}
 	endAttempt(b, t0, send, Canceled, Load{})
 	if n := len(b.requests); n != 0 {
-		t.Errorf("%d requests remembered after the last outcome", n)
+		t.Errorf("%d requests kept after the last outcome", n)
 	}
 	inFlight := b.backends[1].inFlight
 	for _, ev := range []Event{
@@ -541,7 +542,7 @@
 		}
 	}
 	if b.backends[1].inFlight != inFlight {
-		t.Error("a doubled outcome changed the count of attempts")
+		t.Error("a repeated outcome changed the number of attempts in flight")
 	}
 }
 
@@ -576,15 +577,15 @@
 		t.Errorf("an empty list: %+v, want a fetch", out)
 	}
 	if got := sendable(b, t0+500*time.Millisecond); !got[3] {
-		t.Error("an empty list emptied the fleet inside the grace")
+		t.Error("an empty list removed the backends before part of the grace was over")
 	}
 	b.Handle(t0+600*time.Millisecond, &Event{Kind: EvList, List: ListFull}, nil)
 	if got := sendable(b, t0+1001*time.Millisecond); got[3] {
-		t.Error("sent past the grace to a backend that left")
+		t.Error("sent to a backend after the grace")
 	}
 }
 
-// An empty list must not bring back what drains.
+// An empty list must not make draining backends usable again.
 func TestEmptyListDoesNotRestoreDraining(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a", State: Draining})
 	b.Handle(t0, &Event{Kind: EvList, List: ListFull}, nil)
@@ -593,7 +594,7 @@
 	}
 }
 
-// One timer is out at a time, whatever timers come in.
+// Only one timer is pending at a time, whatever timer events arrive.
 func TestTimersDoNotMultiply(t *testing.T) {
 	b := newTestBalancer(t, settings())
 	n := 0
@@ -625,13 +626,13 @@
 				asked = asked || a.Kind == ActSubscribe
 			}
 			if now > from+set.MustAskIn {
-				t.Fatalf("loss %d: not asked for %v", i, now-from)
+				t.Fatalf("loss %d: no subscription for %v", i, now-from)
 			}
 		}
 	}
 }
 
-// A cold backend gets no more than its ramp's part of what a warm one gets, bursts included.
+// A cold backend gets no more than its capacity's fraction of what a warm one gets, bursts included.
 func TestColdBackendIsRamped(t *testing.T) {
 	warm := []Entry{{ID: 1, Zone: "a", Kind: "k"}, {ID: 2, Zone: "a", Kind: "k"}}
 	b := newTestBalancer(t, settings(), warm...)
@@ -653,7 +654,7 @@
 	b.Handle(start, &Event{Kind: EvList, List: ListDelta,
 		Entries: []Entry{{ID: 3, Zone: "a", Kind: "k", Launched: start}}}, nil)
 	if got := run(start, 200)[3]; got == 0 || got > 60 {
-		t.Errorf("%d of 200 requests in 2 s went to a cold backend; a warm one gets 100, the ramp is 0.25 to 0.4,"+
+		t.Errorf("%d of 200 requests in 2 s went to a cold backend; a warm one gets 100, its capacity is 0.25 to 0.4,"+
 			" and half of FallFactor 1.5", got)
 	}
 	run(start+2*time.Second, 1000)
@@ -662,8 +663,8 @@
 	}
 }
 
-// What goes beyond a tenant's share is worth little: it is diverted first, and only it.
-// An idle cold backend beside crowded warm ones draws everybody; its budget must hold whatever the weights.
+// An idle cold backend beside overloaded warm ones would attract all requests; its budget must hold whatever the
+// weights.
 func TestColdBudgetBesideOverloadedBackends(t *testing.T) {
 	set := settings()
 	b := newTestBalancer(t, set, Entry{ID: 1, Zone: "a", Kind: "k"}, Entry{ID: 2, Zone: "a", Kind: "k"})
@@ -691,14 +692,14 @@
 			got++
 		}
 	}
-	// At most its ramp's part (0.4 in the end) of a warm one's 100, times half of FallFactor, and some chance.
+	// At most its capacity's fraction (0.4 in the end) of a warm one's 100, times half of FallFactor, and some noise.
 	if limit := int(100*0.4*set.FallFactor/2) + 15; got == 0 || got > limit {
 		t.Errorf("%d of 200 requests in 2 s went to the cold backend, at most %d wanted", got, limit)
 	}
 }
 
-// Where only the waiting are told, an own attempt must not count as one of each node: with 145 nodes, two
-// attempts once held an idle backend far above H, and a quiet fleet refused 38%.
+// If reports hold the queue only, an own attempt must not count as one of each node: with 145 nodes, two attempts kept
+// an idle backend far above H, and a fleet with little traffic refused 38% of it.
 func TestQueueOnlyReportsGiveOccupancy(t *testing.T) {
 	for _, c := range []struct {
 		load  Load
@@ -724,7 +725,8 @@
 	}
 }
 
-// A whole fleet once choked with empty queues: what was in work, ten times as slow as usual, was told by nobody else.
+// Backends can be overloaded with empty queues, by requests in work that take ten times as long as normal. Only the
+// reported service time shows that.
 func TestServiceTimeShowsContention(t *testing.T) {
 	for _, c := range []struct {
 		serviceTime float64
@@ -741,7 +743,7 @@
 		now := t0
 		for ; now < t0+9*time.Second; now += 250 * time.Millisecond {
 			report(now, 1, 0.05)
-			report(now, 2, 1) // cold: slow without being crowded
+			report(now, 2, 1) // cold: slow without being overloaded
 		}
 		for range 100 {
 			now += 250 * time.Millisecond
@@ -750,14 +752,16 @@
 		s := b.backends[1]
 		setEstimate(s, now, s.reportedExcess)
 		if s.updateMode(now.Seconds(), b); s.mode != c.want {
-			t.Errorf("time in work %.2f s after 0.05: mode %d with %.1f held, want %d", c.serviceTime, s.mode, s.reportedExcess, c.want)
+			t.Errorf("service time %.2f s after 0.05: mode %d with an occupancy of %.1f, want %d", c.serviceTime, s.mode,
+				s.reportedExcess, c.want)
 		}
 		if n := b.backends[2].reportedExcess; n > 0.1 {
-			t.Errorf("a cold backend counts as crowded by %.1f", n)
+			t.Errorf("a cold backend counts as overloaded by %.1f", n)
 		}
 	}
 }
 
+// Requests over a tenant's quota are worth little: only they are marked, to be diverted first.
 func TestOverQuotaDraw(t *testing.T) {
 	set := settings(func(s *Settings) {
 		s.Nodes, s.OverShare = 1, 0.2
@@ -779,22 +783,22 @@
 		}
 	}
 	if over["big"] < 300 || over["big"] > 500 || over["small"] > 0 || b.drawOverQuota("unheard-of") {
-		t.Errorf("past their share: %v of 800 at twice the share and 200 at half of it", over)
+		t.Errorf("over quota: %v of 800 at twice the quota and 200 at half of it", over)
 	}
 }
 
-// A backend that started anew under its old id is cold, and what was learnt of it is void.
+// A backend that restarts under its old id is cold, and starts without the state of the old process.
 func TestRestartUnderTheSameID(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	b.backends[1].Ejected = 1e9
 	out := sendRequest(b, t0, "r", "once")
 	if out.Kind != ActRefuse {
-		t.Fatalf("ejected, yet %+v", out)
+		t.Fatalf("ejected, but got %+v", out)
 	}
 	now := t0 + time.Second
 	b.Handle(now, &Event{Kind: EvList, List: ListDelta, Entries: []Entry{{ID: 1, Zone: "a", Launched: now}}}, nil)
 	if b.capacityFraction(b.backends[1], now.Seconds()) != 0.25 {
-		t.Errorf("ramp %v after a restart, want 0.25", b.capacityFraction(b.backends[1], now.Seconds()))
+		t.Errorf("capacity fraction %v after a restart, want 0.25", b.capacityFraction(b.backends[1], now.Seconds()))
 	}
 	b.Handle(now+2*time.Second, &Event{Kind: EvTimer, Token: "tick"}, nil)
 	if out := sendRequest(b, now+2*time.Second, "s", "once"); out.Kind != ActSend {
@@ -802,7 +806,7 @@
 	}
 }
 
-// A new backend is judged by its kind until it has shown enough itself.
+// A new backend has the service time of its kind until it has enough answers of its own.
 func TestServiceTimeStartsFromKind(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Kind: "slow"}, Entry{ID: 2, Kind: "fast"}, Entry{ID: 3, Kind: "slow"})
 	b.backends[1].latencySum, b.backends[1].occupancySum = 400, 1000
@@ -813,7 +817,7 @@
 	}
 }
 
-// A time-out cuts the latency short and its work may run on.
+// A timed-out attempt would have taken longer, and may still run at the backend.
 func TestTimeoutCountsDoubleAndStaysInOccupancy(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
@@ -833,11 +837,11 @@
 		to[sendRequest(b, t0, string(rune(1000+i)), "top").Backend]++
 	}
 	if to[1] < 150 || to[2] < 60 {
-		t.Errorf("300 requests over alike backends, own zone and another: %v, want about 180 and 120", to)
+		t.Errorf("300 requests over equal backends, local zone and another: %v, want about 180 and 120", to)
 	}
 }
 
-// Nodes that lose the list together must not ask again together.
+// Nodes that lose the list at the same time must not subscribe again at the same time.
 func TestResubscribeIsJittered(t *testing.T) {
 	seen := map[float64]bool{}
 	for seed := uint64(1); seed <= 5; seed++ {
@@ -849,23 +853,23 @@
 		seen[b.resubscribeAt] = true
 	}
 	if len(seen) < 5 {
-		t.Errorf("five nodes ask at %d different times", len(seen))
+		t.Errorf("five nodes subscribe at %d different times, want 5", len(seen))
 	}
 }
 
-// Impossible values must not poison what the node knows.
+// Invalid values in reports must not corrupt the node's estimates.
 func TestInvalidReportValues(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
 	for i, l := range []Load{{true, math.NaN(), 1, 0}, {true, math.Inf(1), 1, 0}, {true, -5, -5, 0},
 		{true, 1e300, -1, 1e300}, {true, 1, -1, math.NaN()}, {true, 1, -1, -3}, {true, 1, -1, math.Inf(1)}} {
 		for j := 0; j < 4; j++ {
-			send := sendRequest(b, t0-time.Duration(i)*time.Hour, string(rune(1000+10*i+j)), "top") // the clock steps back
+			send := sendRequest(b, t0-time.Duration(i)*time.Hour, string(rune(1000+10*i+j)), "top") // clock steps back
 			b.Handle(t0, &Event{Kind: EvOutcome, ID: send.ID, Backend: send.Backend, Took: -time.Hour, Load: l,
 				Finished: true}, nil)
 		}
 	}
 	if send := sendRequest(b, t0+time.Second, "r", "top"); send.Kind != ActSend || send.Wait != 2*time.Second {
-		t.Errorf("after impossible values: %+v, want a send for two seconds", send)
+		t.Errorf("after invalid values: %+v, want a send for two seconds", send)
 	}
 }
 
@@ -936,7 +940,7 @@
 	return math.Abs(got-want) <= 0.01*math.Max(1, math.Abs(want))
 }
 
-// What a node holds true between two reports, by the clock alone.
+// Estimates decay with time between two reports.
 func TestEstimatesDecay(t *testing.T) {
 	fresh := func() (*Balancer, *backend) {
 		b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
@@ -948,29 +952,29 @@
 	b, s := fresh()
 	s.fullOccupancy, s.fullAt = 20, at
 	if n := b.occupancy(s, at+0.5); !approxEqual(n, 10) {
-		t.Errorf("half a second after 'full' at 20 and 50 ms each: occupancy %.2f, want 10", n)
+		t.Errorf("half a second after Full at 20, at 50 ms each: occupancy %.2f, want 10", n)
 	}
 	b, s = fresh()
 	s.reportedExcess, b.othersLoad.Mean = 8, 2
 	if n := b.occupancy(s, at+reportDecaySeconds); !approxEqual(n, 2+8/math.E) {
-		t.Errorf("a report of 10 is %.2f after the fade time, want a third of it and the rest of the mean, 2", n)
+		t.Errorf("a report of 10 is %.2f after the decay time, want the mean of 2 and 8/e of the excess", n)
 	}
 	_, s = fresh()
 	s.inFlight = 4
 	if s.updateLagged(at + reportLagSeconds); !approxEqual(s.laggedInFlight, 4*(1-1/math.E)) {
-		t.Errorf("4 sends are %.2f at the time of the report, want the most of them", s.laggedInFlight)
+		t.Errorf("4 sends count as %.2f at the time of the report, want 4(1-1/e)", s.laggedInFlight)
 	}
 	b, s = fresh()
 	s.minFullOccupancy = 10
 	if b.refresh(at + historyDecaySeconds); !approxEqual(s.minFullOccupancy, 10*math.E) {
-		t.Errorf("an occupancy of 10 that drew 'full' counts as %.2f later, want e times as much", s.minFullOccupancy)
+		t.Errorf("an occupancy of 10 that drew Full counts as %.2f later, want e times as much", s.minFullOccupancy)
 	}
 }
 
-// An aged discard has no report to go by; the old one must not lead straight back into it.
+// When discard ends because the report is stale, that report must not bring discard back.
 func TestStaleDiscardWaitsForNewReport(t *testing.T) {
 	for _, c := range []struct {
-		age  float64 // R clears in 1 s
+		age  float64 // the backend completes R requests in 1 s
 		want mode
 	}{{0, discard}, {0.9, discard}, {1.1, overload}} {
 		b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
@@ -985,8 +989,8 @@
 	}
 }
 
-// A client's last tries get what is left of its deadline. Those past the aim were once served like any other, and
-// kept a crowded fleet from answering first tries in time.
+// A client's last retries get the rest of its deadline. Served after the latency target of the first try, they kept an
+// overloaded fleet from answering first tries in time.
 func TestLateClientRetryIsRefused(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -997,10 +1001,10 @@
 		wait   time.Duration
 	}{
 		{"first try", false, 900 * time.Millisecond, 0, ActSend, 900 * time.Millisecond},
-		{"repeat with a full try", true, 1200 * time.Millisecond, 0, ActSend, 1200 * time.Millisecond},
-		{"repeat that is 0.9 s old", true, 1100 * time.Millisecond, 0, ActSend, 1100 * time.Millisecond},
-		{"repeat that is 1.5 s old", true, 500 * time.Millisecond, 0, ActRefuse, time.Second},
-		{"the same where late answers have worth", true, 500 * time.Millisecond, 0.5, ActSend, 500 * time.Millisecond},
+		{"retry with as much time", true, 1200 * time.Millisecond, 0, ActSend, 1200 * time.Millisecond},
+		{"retry that is 0.9 s old", true, 1100 * time.Millisecond, 0, ActSend, 1100 * time.Millisecond},
+		{"retry that is 1.5 s old", true, 500 * time.Millisecond, 0, ActRefuse, time.Second},
+		{"the same if late answers have worth", true, 500 * time.Millisecond, 0.5, ActSend, 500 * time.Millisecond},
 	} {
 		b := newTestBalancer(t, settings(func(s *Settings) { s.Classes[1].LateWorth = c.late }), Entry{ID: 1, Zone: "a"})
 		first := func(id string, left time.Duration, repeat bool) Action {
@@ -1015,17 +1019,17 @@
 	}
 }
 
-// A full backend that still answers others is crowded, not broken.
+// A full backend that still answers other requests is overloaded, not failing.
 func TestFullFromAnsweringBackendIsNoFailure(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	send := sendRequest(b, t0, "r", "once")
 	b.backends[1].lastOKAt = t0.Seconds() - 0.1
 	if endAttempt(b, t0, send, Full, Load{}); b.backends[1].Bad > 0 {
-		t.Error("blamed for being full")
+		t.Error("a Full answer counted as a failure")
 	}
 }
 
-// Nodes must not all come back to a backend at the same instant.
+// Nodes must not all return to a backend at the same instant.
 func TestEjectionsAreJittered(t *testing.T) {
 	ends := map[float64]bool{}
 	for seed := uint64(1); seed < 5; seed++ {
@@ -1046,27 +1050,27 @@
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	sendRequest(b, t0, "r", "low")
 	if out := b.Handle(t0, &Event{Kind: EvRequest, ID: "r", Class: "low", Remaining: time.Second}, nil); len(out) > 0 {
-		t.Errorf("a request told twice: %+v", out)
+		t.Errorf("a repeated request: %+v", out)
 	}
 	if out := b.Handle(t0, &Event{Kind: EvDisconnected, ID: "r"}, nil); len(out) != 1 || out[0].Kind != ActCancel {
-		t.Errorf("gone: %+v", out)
+		t.Errorf("client disconnected: %+v", out)
 	}
 	if out := b.Handle(t0, &Event{Kind: EvDisconnected, ID: "r"}, nil); len(out) > 0 {
-		t.Errorf("gone twice: %+v", out)
+		t.Errorf("client disconnected twice: %+v", out)
 	}
 	if b.Handle(t0-time.Hour, &Event{Kind: EvOther}, nil); b.now != t0.Seconds() {
 		t.Errorf("the clock went back to %v", b.now)
 	}
 	due := toDuration(b.nextRefreshAt)
 	if out := b.Handle(due, &Event{Kind: EvOther}, nil); len(out) > 0 {
-		t.Errorf("the timer is still out, yet: %+v", out)
+		t.Errorf("the timer is still pending, but: %+v", out)
 	}
 	if out := b.Handle(due+toDuration(2*refreshSeconds), &Event{Kind: EvOther}, nil); len(out) != 1 || out[0].Kind != ActTimer {
-		t.Errorf("the timer was lost, yet: %+v", out)
+		t.Errorf("the timer was lost, but: %+v", out)
 	}
 }
 
-// Work for an answer that has lost its worth is waste.
+// A retry for an answer that comes too late to have any worth is wasted work.
 func TestNoRetryAfterLatencyTarget(t *testing.T) {
 	for _, c := range []struct {
 		after time.Duration
@@ -1074,13 +1078,13 @@
 	}{{500 * time.Millisecond, ActSend}, {1100 * time.Millisecond, ActRefuse}} {
 		b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
 		if got := endAttempt(b, t0+c.after, sendRequest(b, t0, "r", "low"), Failed, Load{}); got.Kind != c.want {
-			t.Errorf("after %v of an aim of 1 s: %+v", c.after, got)
+			t.Errorf("after %v with a latency target of 1 s: %+v", c.after, got)
 		}
 	}
 }
 
-// Ended at its aim, a request draws a client's retry that is worth nothing; where it mostly waits, its place is
-// worth more than its late answer.
+// An attempt that timed out at the latency target would draw a client's retry that is worth nothing. In overload it
+// mostly waits, and its place in the queue is worth more than its late answer.
 func TestAttemptTimeout(t *testing.T) {
 	for _, c := range []struct {
 		n    float64
@@ -1089,29 +1093,29 @@
 		b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 		setEstimate(b.backends[1], t0, c.n)
 		send := Action{}
-		for i := 0; send.Wait == 0 && i < 1000; i++ { // overload passes some
+		for i := 0; send.Wait == 0 && i < 1000; i++ { // in overload some pass
 			if a := sendRequest(b, t0, strconv.Itoa(i), "top"); a.Kind == ActSend {
 				send = a
 			}
 		}
 		if send.Wait != c.want {
-			t.Errorf("occupancy %.0f: attempt runs %v, want %v", c.n, send.Wait, c.want)
+			t.Errorf("occupancy %.0f: time-out %v, want %v", c.n, send.Wait, c.want)
 		}
 	}
 }
 
-// With no warm backend of its kind known, a cold one gets half of what others get: its kind may be slower.
+// Without a warm backend of its kind, a cold one gets half of the share of others: its kind may be slower.
 func TestColdBackendOfUnknownKind(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Kind: "k"}, Entry{ID: 2, Kind: "new", Launched: t0})
 	b.backends[1].answers, b.pickCount = 60, 119
 	b.refresh(b.refreshedAt)
 	if got := b.backends[2].warmShare; math.Abs(got-0.25) > 0.01 {
-		t.Errorf("its share of the requests is %.2f, want half of a warm one's 60 of 120", got)
+		t.Errorf("its fraction of the requests is %.2f, want half of a warm one's 60 of 120", got)
 	}
 }
 
-// Budgets that every node begins at the same start must not come due together: hundreds of nodes that each save
-// up to one whole request once pushed a backend over 17 s after its start.
+// The nodes' budgets for a cold backend start together and must not be spent together: hundreds of nodes that each
+// saved up one whole request overloaded a backend 17 s after its start.
 func TestColdBudgetsOfManyNodesDoNotBurst(t *testing.T) {
 	const nodes, backends = 200, 20
 	set := settings(func(s *Settings) { s.Nodes, s.ColdFor = nodes, 20*time.Second })
@@ -1127,8 +1131,8 @@
 		b.Handle(t0, &Event{Kind: EvList, List: ListFull, Entries: entries}, nil)
 		fleet = append(fleet, b)
 	}
-	// Each node has one request a second, each warm backend ten, all answered at once. From crowded on, the
-	// warm ones are all in discard, so that the cold one is all there is.
+	// Each node has one request a second, each warm backend ten, all answered at once. From overloadedFrom on all warm
+	// ones are in discard, so that only the cold one is left.
 	var cold []time.Duration
 	start := t0 + 10*time.Second
 	overloadedFrom := start + 8*time.Second
@@ -1166,14 +1170,14 @@
 			}
 		}
 		ramp := set.ColdShare + (1-set.ColdShare)*(at-start).Seconds()/20
-		// What a warm one serves is what it can do here; the slack is for chance.
+		// The served rate of a warm one is taken as its capacity; 5 more are allowed for noise.
 		if limit := set.FallFactor*ramp*10*set.FallFor.Seconds() + 5; float64(n) > limit {
 			t.Errorf("%v after its start: %d sends in %v from all nodes, at most %.0f", at-start, n, set.FallFor, limit)
 		}
 	}
 }
 
-// However much is offered, what passes a backend in overload must fall as it fills.
+// Whatever the load, the fraction of requests that pass a backend in overload must fall as it fills.
 func TestPassingShareFalls(t *testing.T) {
 	countPassed := func(n float64) (count int) {
 		b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
@@ -1190,7 +1194,7 @@
 	for _, c := range []struct{ n, want float64 }{
 		{6, 4000 * (1 - tune.Divert)}, // at H
 		{6 * (1 + tune.Ramp/2), 4000 * (1 - tune.Divert) / 2},
-		{18, 4000 * (1 - maxQ)}, // some must, or no report would tell that it has emptied
+		{18, 4000 * (1 - maxQ)}, // some must pass, or no report would show that its queue is empty
 	} {
 		if got := float64(countPassed(c.n)); math.Abs(got-c.want) > 5*math.Sqrt(c.want) {
 			t.Errorf("of 4000, %v pass at an occupancy of %v; want about %.0f", got, c.n, c.want)
@@ -1198,7 +1202,7 @@
 	}
 }
 
-// A backend that looks bad by what is long past is tried again, by one request at a time and seldom.
+// A backend that looks slow by an old estimate is tried again, with one request at a time and rarely.
 func TestUnusedBackendIsTriedAgain(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
 	good, bad := b.backends[1], b.backends[2]
@@ -1213,9 +1217,9 @@
 		}
 		endAttempt(b, now, a, OK, Load{})
 	}
-	// Two nodes: each tries after twice Heal, 6 s.
+	// Two nodes: each tries after 2 times Tuning.Heal, 6 s.
 	if tried < 4 || tried > 5 {
-		t.Errorf("in 30 s the backend that is believed ten times slower got %d requests, want 4 or 5", tried)
+		t.Errorf("in 30 s the backend that is estimated ten times slower got %d requests, want 4 or 5", tried)
 	}
 }
 
@@ -1225,12 +1229,12 @@
 	s.laggedInFlight, s.reportedExcess = 5, 10
 	b.refresh(b.refreshedAt)
 	if want := 6.0 / (6 + 11); !approxEqual(b.trafficShare, want) {
-		t.Errorf("this node's part is %.2f, want %.2f", b.trafficShare, want)
+		t.Errorf("this node's traffic share is %.2f, want %.2f", b.trafficShare, want)
 	}
 }
 
-// A backend that loses a tenth of its requests without a word has room. Counted as held until they timed out, and then
-// as slow ones, the lost kept it in overload while it stood idle, and requests were refused for that.
+// A backend that silently loses a tenth of its requests still has capacity. Counted in its occupancy until they timed
+// out, and then as slow ones, the lost requests kept it in overload while it was idle, and others were refused.
 func TestLostAttemptsAreNoCrowd(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
@@ -1266,14 +1270,14 @@
 	}
 	now := (t0 + 10*time.Second).Seconds()
 	if n := b.occupancy(s, now); n > 5 || s.mode != normal || refused > 0 {
-		t.Errorf("3 held in truth: %.1f believed, mode %d, %d refused", n, s.mode, refused)
+		t.Errorf("occupancy 3: estimated %.1f, mode %d, %d refused", n, s.mode, refused)
 	}
 	if x := b.serviceTime(s); x > 0.04 {
-		t.Errorf("answers take 30 ms: service time believed %.3f s", x)
+		t.Errorf("answers take 30 ms: service time estimated %.3f s", x)
 	}
 }
 
-// What timed out may still be in work, but a report of a second later would show it.
+// A timed-out attempt may still run at its backend, but a report a second later would show it.
 func TestTimedOutCountsUntilReportsTell(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
@@ -1287,16 +1291,16 @@
 		endAttempt(b, t0+time.Second, a, TimedOut, Load{})
 	}
 	if n := b.occupancy(s, t0.Seconds()+1); n < 4 {
-		t.Errorf("at the time-outs %.1f believed held, want the 4 that timed out among them", n)
+		t.Errorf("at the time-outs the estimated occupancy is %.1f, want the 4 that timed out in it", n)
 	}
 	s.reportedExcess, s.reportAt = 1, t0.Seconds()+3
 	if n := b.occupancy(s, t0.Seconds()+3); n > 1.5 {
-		t.Errorf("two seconds and a report of 1 later %.1f believed held", n)
+		t.Errorf("two seconds and a report of 1 later the estimated occupancy is %.1f", n)
 	}
 }
 
-// Where reports tell only what waits, what is out before a first report is not all a crowd: at a start, sound boxes
-// with two or three requests in work were taken for overloaded until their reports came.
+// If reports hold the queue only, attempts in flight before the first report must not all count as waiting: at a start,
+// healthy backends with two or three requests in work were taken for overloaded until their reports came.
 func TestWhatIsOutBeforeAReportIsNoCrowd(t *testing.T) {
 	for _, only := range []bool{true, false} {
 		b := newTestBalancer(t, settings(func(s *Settings) { s.QueueOnly = only }), Entry{ID: 1, Zone: "a"})
@@ -1312,17 +1316,17 @@
 		send := sendRequest(b, t0, "r", "top")
 		endAttempt(b, t0, send, OK, Load{Known: true, Queue: 0, Occupancy: -1})
 		if math.IsInf(s.reportAt, -1) {
-			t.Errorf("queue only %v: a report was not taken in", only)
+			t.Errorf("queue only %v: a report was ignored", only)
 		}
 	}
 }
 
-// A cold backend clears a part of what a warm one of its kind does, and its H is that part of theirs: with the warm
-// one's it would be filled in the moment in which all nodes learn of it.
+// A cold backend has a fraction of the capacity of a warm one of its kind, and so the same fraction of its H: with the
+// full H it would be filled the moment all nodes learn of it.
 func TestColdBackendHasItsPartOfH(t *testing.T) {
 	set := settings()
 	b := newTestBalancer(t, set, Entry{ID: 1, Zone: "a", Kind: "k"})
-	for i := range 200 { // its kind answers in a time that leaves H well over its floor
+	for i := range 200 { // answers so fast that H is well above its lower bound
 		now := t0 + time.Duration(i)*20*time.Millisecond
 		endAttempt(b, now+2*time.Millisecond, sendRequest(b, now, now.String(), "low"), OK, Load{Known: true, Queue: 1, Occupancy: 1})
 	}
@@ -1334,7 +1338,7 @@
 	}
 	warm, cold := at(0)
 	if want := max(minH, set.ColdShare*warm.H); set.ColdShare*warm.H <= minH || math.Abs(cold.H-want) > 0.05*want {
-		t.Errorf("H of a cold backend is %.2f, want %.2f, the cold part of %.2f", cold.H, want, warm.H)
+		t.Errorf("H of a cold backend is %.2f, want %.2f, the cold fraction of %.2f", cold.H, want, warm.H)
 	}
 	b.Handle(start+set.ColdFor, &Event{Kind: EvTimer, Token: "tick"}, nil)
 	if warm, cold = at(set.ColdFor); math.Abs(cold.H-warm.H) > 0.2*warm.H {
--- a/policy/sites_test.go
+++ b/policy/sites_test.go
@@ -8,12 +8,12 @@
 	"craneglade/internal/sites"
 )
 
-// newTwoZoneBalancer is a node of zone a with two backends there and two in b.
+// newTwoZoneBalancer returns a balancer of zone a with two backends there and two in zone b.
 func newTwoZoneBalancer(t *testing.T) *Balancer {
 	return newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"}, Entry{ID: 3, Zone: "b"}, Entry{ID: 4, Zone: "b"})
 }
 
-// playRequests plays requests, fifty a second, that are answered at once, and counts sends by zone and refusals.
+// playRequests handles fifty requests per second that are answered at once, and counts sends by zone and refusals.
 func playRequests(b *Balancer, from time.Duration, seconds float64, class string) (inA, inB, refused int) {
 	for i := range int(50 * seconds) {
 		now := from + time.Duration(i)*20*time.Millisecond
@@ -32,8 +32,8 @@
 	return inA, inB, refused
 }
 
-// A closed zone gets nothing, not even a further attempt; a limited one no more than its rate; and once the orders are
-// over all is as it was.
+// A closed zone gets no request, not even a retry, and a limited one no more than its rate. Without limits both zones
+// are used as before.
 func TestZoneLimits(t *testing.T) {
 	b := newTwoZoneBalancer(t)
 	limitZones := func(at time.Duration, zones map[string]sites.Zone) {
@@ -48,7 +48,7 @@
 	}
 	send := sendRequest(b, t0+16*time.Second, "again", "top")
 	if act := endAttempt(b, t0+16*time.Second+10*time.Millisecond, send, ConnectFailed, Load{}); act.Kind != ActSend || act.Backend > 2 {
-		t.Errorf("the further attempt: %+v", act)
+		t.Errorf("the retry: %+v", act)
 	}
 	limitZones(t0+20*time.Second, map[string]sites.Zone{"a": {Part: 0, Rate: -1}, "b": {Part: 1, Rate: 10}})
 	if inA, inB, refused := playRequests(b, t0+20*time.Second, 5, "top"); inA > 0 || inB < 45 || inB > 56 || refused != 250-inB {
@@ -56,26 +56,26 @@
 	}
 	limitZones(t0+30*time.Second, nil)
 	if inA, inB, refused := playRequests(b, t0+30*time.Second, 5, "top"); inA == 0 || inB == 0 || refused > 0 {
-		t.Errorf("after it: %d to a, %d to b, %d refused", inA, inB, refused)
+		t.Errorf("without limits: %d to a, %d to b, %d refused", inA, inB, refused)
 	}
 }
 
-// What is not admitted is refused at once, by class, and nothing else is.
+// Requests that are not admitted are refused at once, by class, and no others are.
 func TestClassAdmission(t *testing.T) {
 	b := newTwoZoneBalancer(t)
 	b.Handle(t0, &Event{Kind: EvSites, Admit: map[string][2]float64{"top": {0, 0}, "once": {0.5, 0}}}, nil)
 	if act := sendRequest(b, t0, "one", "top"); act.Kind != ActRefuse || act.Wait <= 0 {
-		t.Errorf("%+v, want a refusal that says when to come back", act)
+		t.Errorf("%+v, want a refusal with a retry-after", act)
 	}
 	if _, _, refused := playRequests(b, t0+time.Second, 10, "once"); refused < 200 || refused > 300 {
-		t.Errorf("%d of 500 are refused, and half were to be", refused)
+		t.Errorf("%d of 500 are refused, want about half", refused)
 	}
 	if _, _, refused := playRequests(b, t0+20*time.Second, 5, "key"); refused > 0 {
 		t.Errorf("%d of another class are refused", refused)
 	}
 }
 
-// Demand is what is asked, from the first second on.
+// Demand is the request rate, right from the first second.
 func TestDemand(t *testing.T) {
 	b := newTwoZoneBalancer(t)
 	b.Handle(t0, &Event{Kind: EvTimer, Token: "tick"}, nil)
--- a/policy/unreported_test.go
+++ b/policy/unreported_test.go
@@ -11,20 +11,20 @@
 	"craneglade/internal/subset"
 )
 
-// Where no backend reports its load, answers that take many times as long as at their best tell of a crowd. Where
-// backends do report, or the attempt failed, the time of an attempt is no report.
+// If backends report no load, latencies many times the lowest ones show an overload. If they do report, or the attempt
+// failed, its latency is not used for that.
 func TestLatencyShowsOverloadWithoutReports(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		noReports bool
 		outcome   Outcome
 		took      time.Duration
-		occupancy float64 // by others, about
+		occupancy float64 // by the other nodes, about
 		mode      mode
 	}{
 		{"quick answers", true, OK, 25 * time.Millisecond, 0, normal},
 		{"slow answers", true, OK, 500 * time.Millisecond, 19, overload},
-		{"slow answers where backends report", false, OK, 500 * time.Millisecond, 0, normal},
+		{"slow answers from backends that report", false, OK, 500 * time.Millisecond, 0, normal},
 		{"slow failures", true, Failed, 500 * time.Millisecond, 0, normal},
 	} {
 		b := newTestBalancer(t, settings(func(s *Settings) { s.NoReports = c.noReports }), Entry{ID: 1, Zone: "a"})
@@ -32,7 +32,7 @@
 		now := t0
 		answer := func(outcome Outcome, took time.Duration) {
 			now += 50 * time.Millisecond
-			if send := sendRequest(b, now, now.String(), "top"); send.Kind == ActSend { // and is not refused
+			if send := sendRequest(b, now, now.String(), "top"); send.Kind == ActSend { // not refused
 				b.Handle(now, &Event{Kind: EvOutcome, ID: send.ID, Took: took, Outcome: outcome, Finished: true}, nil)
 			}
 			b.Handle(now, &Event{Kind: EvTimer, Token: "tick"}, nil)
@@ -46,19 +46,19 @@
 		s.inFlight, s.laggedInFlight, s.orphans = 0, 0, 0
 		s.updateMode(now.Seconds(), b)
 		if n := b.occupancy(s, now.Seconds()); n < c.occupancy*0.9-0.1 || n > c.occupancy*1.1+0.1 || s.mode != c.mode {
-			t.Errorf("%s: %.2f held in mode %d, want about %.0f in %d", c.name, n, s.mode, c.occupancy, c.mode)
+			t.Errorf("%s: occupancy %.2f in mode %d, want about %.0f in %d", c.name, n, s.mode, c.occupancy, c.mode)
 		}
 	}
 }
 
-// overloadedFleet is a fleet of nodes that share backends which report nothing. Each backend serves in turn.
+// overloadedFleet simulates nodes that share backends without load reports. Each backend serves in order of arrival.
 type overloadedFleet struct {
 	nodes     []*Balancer
-	busyUntil [][]time.Duration // by backend and core: when it has served what it took
+	busyUntil [][]time.Duration // by backend and core: when its work is done
 	queue     []dueEvent        // a heap by time
-	number    int               // of events so far, which puts those of one moment in order
+	number    int               // of events so far; orders those of the same time
 	random    *rand.Rand
-	inTime    int // answers within the aim
+	inTime    int // answers within the latency target
 }
 
 type dueEvent struct {
@@ -86,14 +86,14 @@
 }
 
 const (
-	overloadedMeanWork = 25 * time.Millisecond // mean work of a request
+	overloadedMeanWork = 25 * time.Millisecond // mean service time of a request
 	overloadedCores    = 2
 	overloadedAim      = 190 * time.Millisecond
 	overloadedDeadline = 440 * time.Millisecond
-	overloadedStart    = 50 * 365 * 24 * time.Hour // as on a clock that counts from long ago
+	overloadedStart    = 50 * 365 * 24 * time.Hour // as with a clock that started long ago
 )
 
-// send has a backend take an attempt. It serves it also where its node no longer waits.
+// send has a backend serve an attempt, even if its node no longer waits for it.
 func (f *overloadedFleet) send(now time.Duration, node int, send Action) {
 	cores := f.busyUntil[send.Backend]
 	core := slices.Index(cores, slices.Min(cores))
@@ -109,8 +109,8 @@
 	}
 }
 
-// play lets requests come at a part of what the backends can serve, by the second, and returns the part of what could
-// be served in its last five seconds that was answered in time.
+// play simulates one second for each load, a fraction of the backends' capacity. It returns the answers in time of the
+// last five seconds as a fraction of the capacity.
 func (f *overloadedFleet) play(load ...float64) float64 {
 	capacity := float64(len(f.busyUntil)*overloadedCores) / overloadedMeanWork.Seconds()
 	for second, fraction := range load {
@@ -142,8 +142,8 @@
 	return float64(f.inTime) / (capacity * counted)
 }
 
-// Many nodes share backends that report nothing, and one attempt of each is a crowd. No node sees more than its own
-// few: what answers take has to tell it, or backends stay so full that they answer nearly nothing in time.
+// If many nodes share backends that report no load, one attempt of each node overloads them, and each node sees only
+// its own few. It has to go by latencies, or backends stay so full that almost no answer is in time.
 func TestManyNodesAnswerInTimeWithoutReports(t *testing.T) {
 	const nodes, backends = 32, 12
 	var entries []Entry
@@ -166,6 +166,6 @@
 	}
 	quiet, burst := 0.6, 1.5
 	if got := f.play(quiet, quiet, quiet, quiet, quiet, burst, burst, burst, burst, burst, burst, burst, burst); got < 0.8 {
-		t.Errorf("under a burst %.2f of what could be served is answered in time", got)
+		t.Errorf("under a burst %.2f of the capacity is answered in time", got)
 	}
 }
--- a/policy/zone_test.go
+++ b/policy/zone_test.go
@@ -9,9 +9,9 @@
 	"craneglade/internal/decay"
 )
 
-// playZones plays a node of zone a, with two backends in a and four in b, for 20 s at 40 requests a second, on classes with
-// an aim of 1 s. A backend answers after its time in work, which grows with what it holds beyond 4. It returns the part
-// of the class's requests that were sent out of the zone in the second half.
+// playZones simulates a node of zone a, with two backends in a and four in b, for 20 s at 40 requests per second of
+// classes with a latency target of 1 s. The latency of a backend grows with its requests in flight beyond 4. It
+// returns, by class, the fraction of requests that were sent to the other zone in the second half.
 func playZones(t *testing.T, price float64, classes []string, localLatency, remoteLatency time.Duration) map[string]float64 {
 	t.Helper()
 	set := settings(func(s *Settings) { s.CrossPrice = price })
@@ -75,18 +75,19 @@
 	const ms = time.Millisecond
 	low, both := []string{"low"}, []string{"top", "low"}
 	if got := playZones(t, 0, low, 100*ms, 100*ms)["low"]; got < 0.5 {
-		t.Errorf("with no price %.2f of the requests cross, want most: there are twice as many backends", got)
+		t.Errorf("without a price %.2f of the requests leave the zone, want most: the other has twice as many backends", got)
 	}
 	if got := playZones(t, 0.08, low, 100*ms, 100*ms)["low"]; got > 0.03 {
-		t.Errorf("with a price %.2f of the requests cross for nothing", got)
+		t.Errorf("with a price %.2f of the requests leave the zone without a gain", got)
 	}
 	if got := playZones(t, 0.08, low, 1500*ms, 100*ms)["low"]; got < 0.5 {
-		t.Errorf("only %.2f of the requests leave a zone whose answers miss their aim", got)
+		t.Errorf("only %.2f of the requests leave a zone whose answers miss their latency target", got)
 	}
-	// What is worth ten times as much crosses for a smaller gain.
+	// Requests worth ten times as much leave the zone for a smaller gain.
 	got := playZones(t, 0.05, both, 350*ms, 100*ms)
 	if got["top"] < got["low"]+0.2 {
-		t.Errorf("of the dear class %.2f cross and of the cheap one %.2f: the dear one should cross first", got["top"], got["low"])
+		t.Errorf("%.2f of the class with the higher worth leave the zone and %.2f of the other, want 0.2 more",
+			got["top"], got["low"])
 	}
 }
 
@@ -98,27 +99,27 @@
 		for _, far := range []decay.Tally{{}, {Sum: 0, N: 50}, {Sum: 1e-9, N: 50}, {Sum: 1e300, N: 50}} {
 			c.localLatency, b.remoteLatency, c.bestLocalLatency = near, far, 0
 			if got := b.computeLocalFraction(c, 0.25); !(got >= 0 && got <= 1) || math.IsNaN(got) {
-				t.Errorf("near %v, far %v: %v stays", near, far, got)
+				t.Errorf("local %v, remote %v: local fraction %v", near, far, got)
 			}
 		}
 	}
 	c.localLatency, b.remoteLatency, c.bestLocalLatency = decay.Tally{Sum: 50, N: 100}, decay.Tally{}, 0.1
 	b.cfg.CrossPrice = 0
 	if got := b.computeLocalFraction(c, 0.25); got != 1 {
-		t.Errorf("with no price %v stays", got)
+		t.Errorf("without a price: local fraction %v, want 1", got)
 	}
 }
 
-// A backend of another zone that gets little because of the price is not one that is left out for what is believed of
-// it.
+// A backend of another zone that gets few requests because of the price must not be probed as if they were few because
+// of a bad estimate.
 func TestRemoteZoneProbeInterval(t *testing.T) {
 	b := newTestBalancer(t, settings(func(s *Settings) { s.CrossPrice = 0.08 }), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "b"})
 	b.sends = decay.Tally{Sum: 2, N: 100}
 	wait := b.tuning.Heal * b.nodesPerBackend
 	if got := b.probeInterval(b.backends[1]); got != wait {
-		t.Errorf("in the node's zone a backend is tried after %v s, want %v", got, wait)
+		t.Errorf("in the node's zone a backend is probed after %v s, want %v", got, wait)
 	}
 	if got := b.probeInterval(b.backends[2]); !approxEqual(got, 50*wait) {
-		t.Errorf("in another zone a backend is tried after %v s, want %v", got, 50*wait)
+		t.Errorf("in another zone a backend is probed after %v s, want %v", got, 50*wait)
 	}
 }
