--- a/policy/api.go
+++ b/policy/api.go
@@ -185,7 +185,7 @@
 	Backend           uint32                // EvOutcome
 	Attempt           int                   // EvOutcome, EvResponseStarted: from 0 in the order of the sends
 	Took              time.Duration         // EvOutcome: since the send
-	Finished          bool                  // EvOutcome: the client has its final answer or is gone
+	Finished          bool                  // EvOutcome: the client has its final answer or has disconnected
 	Outcome           Outcome               // EvOutcome
 	Load              Load                  // EvOutcome
 	List              ListKind              // EvList
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -172,7 +172,7 @@
 		{0.25, 3, 14 * time.Second, 1800 * time.Millisecond},
 	} {
 		for _, nodes := range []int{3, 20, 30} {
-			for _, warm := range []int{-2, 2, 8} { // negative: they are replaced by the cold ones
+			for _, warm := range []int{-2, 2, 8} { // below 0: the warm ones are replaced by the cold ones
 				replaced := warm < 0
 				warm = max(warm, -warm)
 				name := fmt.Sprintf("%d nodes, %d warm (replaced %v), multiple %v", nodes, warm, replaced, set.factor)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -138,7 +138,7 @@
 	for _, s := range backends {
 		setEstimate(s, now, 0)
 	}
-	b.othersLoad.Mean = 4.8 // below H of a warm backend, 6 here, and far above that of a cold one
+	b.othersLoad.Mean = 4.8 // below H of a warm backend (6, with R at 20), above that of a cold one
 	var cold []*backend
 	for _, s := range backends[:20] {
 		cold = append(cold, s)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -256,7 +256,7 @@
 		b.do(Action{Kind: ActFail, ID: r.id}) // a refusal would promise that it has not run
 		return
 	}
-	wait := b.cfg.RetryAfter.Seconds() // after the aim no retry can be in time; before it queues may shorten enough
+	wait := b.cfg.RetryAfter.Seconds() // after the aim no retry can be in time; before it part of a queue may clear
 	if now < r.usefulUntil {
 		wait = min(wait, b.minAim/4)
 	}
@@ -348,8 +348,7 @@
 		s.concurrency = max(s.concurrency, h-q) // requests in work
 	}
 	if known && n < math.MaxInt32 { // false for NaN
-		// The mean moves by this report at its own pace; the estimate for this backend moves by othersDecaySeconds
-		// only.
+		// The report moves the mean over all backends too, but this backend's estimate only by othersDecaySeconds.
 		estimate := b.othersLoad.Mean*b.capacityFraction(s, now) + s.reportedExcess
 		b.othersLoad.Add(now, max(0, n-s.laggedInFlight), meanLoadDecaySeconds/b.nodesPerBackend, minSamples)
 		s.reportedExcess = estimate - b.othersLoad.Mean*b.capacityFraction(s, now) +
@@ -387,7 +386,8 @@
 			b.recordFailure(now, s, health.Memory)
 			break
 		}
-		// The true latency is longer than the time-out, so it counts double.
+		// The true latency is longer, so the time-out counts double: counted once, it would make a slow backend look
+		// only as slow as the time-out.
 		b.recordLatency(s, r, a, 2*took)
 		s.orphans++ // it may still run at the backend, until the next reports show otherwise
 		// A slow backend still answers some requests; one that answered none meanwhile has failed.
@@ -669,8 +669,8 @@
 		}
 	}
 	fleetServiceTime := (all.latency + priorSamples*defaultServiceSeconds) / (all.occupancy + priorSamples)
-	own, others := 1.0, float64(b.cfg.Nodes-1)       // what this node and the others have in flight
-	each := float64(b.cfg.Nodes) / b.nodesPerBackend // backends in the fleet per backend in the subset
+	own, others := 1.0, float64(b.cfg.Nodes-1)             // what this node and the others have in flight
+	fleetRatio := float64(b.cfg.Nodes) / b.nodesPerBackend // backends in the fleet per backend in the subset
 	for _, s := range b.sorted {
 		k := kinds[s.Kind]
 		s.kindServiceTime, s.kindConcurrency =
@@ -680,7 +680,7 @@
 		}
 		own += s.laggedInFlight
 		if !s.outsideSubset {
-			others += max(0, b.othersLoad.Mean*b.capacityFraction(s, now)+s.reportedExcess) * each
+			others += max(0, b.othersLoad.Mean*b.capacityFraction(s, now)+s.reportedExcess) * fleetRatio
 		}
 		s.warmShare = b.pickSeconds / s.kindServiceTime / b.nodesPerBackend // one at a time, if no backend is warm
 		if k.warm > 0 {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -702,9 +702,9 @@
 // an idle backend far above H, and a fleet with little traffic refused 38% of it.
 func TestQueueOnlyReportsGiveOccupancy(t *testing.T) {
 	for _, c := range []struct {
-		load  Load
-		least float64
-		most  float64
+		load         Load
+		minOccupancy float64
+		maxOccupancy float64
 	}{
 		{Load{Known: true, Queue: 0, Occupancy: -1}, 0, 0.1},
 		{Load{Known: true, Queue: 12, Occupancy: -1}, 11.9, 12.1},
@@ -719,8 +719,8 @@
 			endAttempt(b, now, send, OK, c.load)
 		}
 		s.inFlight, s.fullOccupancy = 2, 0
-		if n := b.occupancy(s, s.reportAt); n < c.least || n > c.most {
-			t.Errorf("report %+v: occupancy %.2f, want %.1f to %.1f", c.load, n, c.least, c.most)
+		if n := b.occupancy(s, s.reportAt); n < c.minOccupancy || n > c.maxOccupancy {
+			t.Errorf("report %+v: occupancy %.2f, want %.1f to %.1f", c.load, n, c.minOccupancy, c.maxOccupancy)
 		}
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -106,7 +106,8 @@
 	latencySum, occupancySum float64 // decayed sums of the attempts' latencies and of their occupancyAtSend
 }
 
-// Balancer is the state of one node. It is not safe for concurrent use.
+// Balancer is the state of one node. It is not safe for concurrent use. Its times are seconds, those of events and
+// actions time.Duration, on the clock that the caller gives to Handle.
 type Balancer struct {
 	cfg             Settings
 	tuning          Tuning
