--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -166,32 +166,32 @@
 	}
 	for i := range l.Backends {
 		s := &l.Backends[i]
-		x := policy.Entry{Place: subset.Hash(s.ID), Zone: s.Zone, Cell: s.Cell, Kind: s.Kind}
+		x := policy.Entry{Hash: subset.Hash(s.ID), Zone: s.Zone, Cell: s.Cell, Kind: s.Kind}
 		if s.RPC != "" {
-			x.Speaks = SpeaksRPC
+			x.Protocols = SpeaksRPC
 		}
 		switch s.State {
 		case "Ready":
 		case "Gone":
-			x.State = policy.Left
+			x.State = policy.Removed
 		default: // Terminating or an unknown state: no new requests for either
-			x.State = policy.Leaving
+			x.State = policy.Draining
 		}
 		b := e.byID[s.ID]
 		if b != nil && (b.Addr != s.Addr && s.Addr != "" || b.RPC != s.RPC && s.RPC != "") {
 			// Another address means another process, even with the same start time.
-			entries = append(entries, policy.Entry{ID: b.Number, State: policy.Left})
+			entries = append(entries, policy.Entry{ID: b.Number, State: policy.Removed})
 			e.remove(b)
 			b = nil
 		}
 		switch {
-		case b == nil && x.State == policy.Left:
+		case b == nil && x.State == policy.Removed:
 			continue
 		case b == nil:
 			for _, o := range e.listed.at(s.Addr) {
 				if !seen[o.ID] {
 					// Its process must have ended: its address now belongs to the new one.
-					entries = append(entries, policy.Entry{ID: o.Number, State: policy.Left})
+					entries = append(entries, policy.Entry{ID: o.Number, State: policy.Removed})
 					e.remove(o)
 				}
 			}
@@ -214,16 +214,16 @@
 		case policy.Active:
 			b.removed = false
 			b.ResumeWrites()
-		case policy.Leaving:
+		case policy.Draining:
 			e.drain(b)
 			if l.AfterOutage { // its grace may be over
-				x.State = policy.Left
+				x.State = policy.Removed
 			}
-		case policy.Left:
+		case policy.Removed:
 			e.remove(b)
 		}
 		e.listed.update(b)
-		if l.AfterOutage && x.State == policy.Left {
+		if l.AfterOutage && x.State == policy.Removed {
 			b.StopWritesAt(time.Now())
 		}
 		entries = append(entries, x)
--- a/internal/httpcarrier/carrier.go
+++ b/internal/httpcarrier/carrier.go
@@ -110,7 +110,7 @@
 	defer cancel()
 	r, ok := a.Request.Payload.(*message.Request)
 	if !ok {
-		return engine.Result{Outcome: policy.Moot} // a request of another protocol: never sent
+		return engine.Result{Outcome: policy.NeverSent} // a request of another protocol: never sent
 	}
 	b := n.pool.backend(a.Backend)
 	answersBefore := b.answers.Load()
@@ -141,7 +141,7 @@
 	*fresh = *fresh || c == nil && !errors.Is(err, errNoDescriptor) || c != nil && c.idleFor == 0
 	switch {
 	case errors.Is(err, errNoDescriptor), errors.Is(err, reach.ErrStopped), sock.IsLocalFailure(err), err != nil && errors.Is(context.Cause(until), errRepeatWindow):
-		return engine.Result{Outcome: policy.Moot}, false // not a failure of the backend
+		return engine.Result{Outcome: policy.NeverSent}, false // not a failure of the backend
 	case err != nil && context.Cause(ctx) == nil, errors.Is(context.Cause(ctx), errTimeout):
 		return engine.Result{Outcome: policy.ConnectFailed}, false
 	case err != nil:
@@ -152,18 +152,18 @@
 	if err != nil {
 		n.pool.put(c)
 		n.log.Warn("can't encode request", "err", err)
-		return engine.Result{Outcome: policy.Moot}, false
+		return engine.Result{Outcome: policy.NeverSent}, false
 	}
 	// Since the attempt was decided on, the client may have disconnected, or the backend's drain grace or the time for repeats
 	// may have ended.
 	if ctx.Err() != nil || !a.MayStart() {
 		n.pool.put(c)
-		return engine.Result{Outcome: policy.Moot}, false
+		return engine.Result{Outcome: policy.NeverSent}, false
 	}
 	p := r.Body
 	if p != nil && p.Tier == bodies.Once && !p.Started.CompareAndSwap(false, true) {
 		n.pool.put(c)
-		return engine.Result{Outcome: policy.Moot}, false // the body is not stored, and an earlier attempt has started to send it
+		return engine.Result{Outcome: policy.NeverSent}, false // the body is not stored, and an earlier attempt has started to send it
 	}
 	stopCancel := context.AfterFunc(ctx, func() { c.Close() })
 	if !a.WriteDeadline.IsZero() {
@@ -180,7 +180,7 @@
 			if errors.Is(err, message.ErrClient) {
 				a.Abort(message.BodyTruncated(err))
 			}
-			return engine.Result{Outcome: policy.Moot}, false
+			return engine.Result{Outcome: policy.NeverSent}, false
 		}
 	}
 	var resp *http.Response
--- a/internal/rpccarrier/carrier.go
+++ b/internal/rpccarrier/carrier.go
@@ -115,7 +115,7 @@
 	defer cancel()
 	c, ok := a.Request.Payload.(*Call)
 	if !ok || a.Backend.RPC == "" {
-		return engine.Result{Outcome: policy.Moot}
+		return engine.Result{Outcome: policy.NeverSent}
 	}
 	notSent := func() engine.Result { // the result for a call that was not written completely
 		if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, errTimeout) {
@@ -125,7 +125,7 @@
 	}
 	l, err := n.acquire(ctx, a.Backend)
 	if errors.Is(err, errNoDescriptor) || err != nil && !a.MayStart() {
-		return engine.Result{Outcome: policy.Moot}
+		return engine.Result{Outcome: policy.NeverSent}
 	} else if err != nil {
 		return notSent()
 	}
@@ -138,7 +138,7 @@
 	// disconnected.
 	if !a.MayStart() {
 		<-l.writing
-		return engine.Result{Outcome: policy.Moot}
+		return engine.Result{Outcome: policy.NeverSent}
 	}
 	if ctx.Err() != nil {
 		<-l.writing
@@ -154,7 +154,7 @@
 	if err != nil {
 		<-l.writing
 		n.cfg.Log.Warn("can't encode call", "err", err)
-		return engine.Result{Outcome: policy.Moot}
+		return engine.Result{Outcome: policy.NeverSent}
 	}
 	id, answer, receivedBefore, ok := l.register()
 	if !ok {
--- a/internal/shared/bridge.go
+++ b/internal/shared/bridge.go
@@ -23,10 +23,10 @@
 // Event returns the view as an event of the policy. The function numberOf returns the policy's number of a backend; false
 // for one that it does not know.
 func (v *View) Event(numberOf func(judgement.Key) (uint32, bool)) *policy.Event {
-	s := &policy.Shared{Within: v.QuotaFractions}
+	s := &policy.SharedState{WithinQuota: v.QuotaFractions}
 	for _, k := range v.Ejected {
 		if n, known := numberOf(k); known {
-			s.Out = append(s.Out, n)
+			s.Ejected = append(s.Ejected, n)
 		}
 	}
 	return &policy.Event{Kind: policy.EvShared, Shared: s}
