--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -62,13 +62,13 @@
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", batch, err)
 		}
-		if (m.Kind == wire.Round) == open {
+		if (m.Kind == wire.BatchStart) == open {
 			return fmt.Errorf("batch %d: message out of place", batch)
 		}
 		switch m.Kind {
-		case wire.Round:
+		case wire.BatchStart:
 			open, batch, h.now, h.reply = true, m.Batch, m.Now, h.reply[:0]
-		case wire.Turn:
+		case wire.BatchEnd:
 			open = false
 			if _, err := out.Write(wire.AppendDone(h.reply, batch)); err != nil {
 				return err
@@ -112,7 +112,7 @@
 func (h *host) guard(who int64, decide func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply = wire.AppendGiveIn(h.reply, who, fmt.Sprint(p))
+			h.reply = wire.AppendFault(h.reply, who, fmt.Sprint(p))
 		}
 	}()
 	decide()
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -130,13 +130,13 @@
 			refused = strings.Join(parts, ", ")
 		}
 		why := s.Why
-		if s.Halted != "" {
-			why += "; it stands still: " + s.Halted
+		if s.HaltReason != "" {
+			why += "; it stands still: " + s.HaltReason
 		}
-		if s.HeldFor > 0 {
-			why += fmt.Sprintf("; held out for %.1f s more, after %d losses", s.HeldFor, s.Losses)
+		if s.HoldSeconds > 0 {
+			why += fmt.Sprintf("; held out for %.1f s more, after %d losses", s.HoldSeconds, s.Losses)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.1fs\t%.0f%%\t%.1f/s\t%.1f/s\t%.1f/s\t%s\t%s\n", cmp.Or(s.Site, "(no site)"), s.Standing, s.Since, 100*s.Part, s.Own, s.Moved, s.Full, refused, cmp.Or(why, "-"))
+		fmt.Fprintf(w, "%s\t%s\t%.1fs\t%.0f%%\t%.1f/s\t%.1f/s\t%.1f/s\t%s\t%s\n", cmp.Or(s.Site, "(no site)"), s.State, s.SecondsInState, 100*s.Fraction, s.Own, s.Moved, s.Limit, refused, cmp.Or(why, "-"))
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	cases, err := p.Work(mix, c.Times)
+	cases, err := p.Evaluate(mix, c.Times)
 	if err != nil {
 		return exit{ExitUsage, err}
 	}
@@ -75,14 +75,14 @@
 }
 
 // mix is what the load is made of.
-func (c siteLossCmd) mix() ([]sites.Mixed, error) {
+func (c siteLossCmd) mix() ([]sites.KindShare, error) {
 	if c.Counts != "" {
 		return askedFor(c.Counts)
 	}
 	if len(c.Class) == 0 {
-		return []sites.Mixed{{Kind: sites.Kind{Class: "requests", Worth: 1, Work: 1}, Share: 1}}, nil
+		return []sites.KindShare{{Kind: sites.Kind{Class: "requests", Utility: 1, Work: 1}, Share: 1}}, nil
 	}
-	var out []sites.Mixed
+	var out []sites.KindShare
 	for _, text := range c.Class {
 		name, figures, ok := strings.Cut(text, "=")
 		var v []float64
@@ -98,13 +98,13 @@
 		if len(v) == 3 {
 			work = v[2]
 		}
-		out = append(out, sites.Mixed{Kind: sites.Kind{Class: name, Worth: v[1], Work: work}, Share: v[0] * work})
+		out = append(out, sites.KindShare{Kind: sites.Kind{Class: name, Utility: v[1], Work: work}, Share: v[0] * work})
 	}
 	return out, nil
 }
 
 // askedFor reads what a node is asked for.
-func askedFor(path string) ([]sites.Mixed, error) {
+func askedFor(path string) ([]sites.KindShare, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, exit{ExitUsage, err}
@@ -117,10 +117,10 @@
 		if json.Unmarshal(in.Bytes(), &s) != nil || len(s.Asked) == 0 {
 			continue
 		}
-		var out []sites.Mixed
+		var out []sites.KindShare
 		for _, d := range s.Asked {
-			out = append(out, sites.Mixed{Kind: sites.Kind{Class: d.Class, Worth: d.Worth, Work: d.Work}, Share: (d.Rate - d.Over) * d.Work},
-				sites.Mixed{Kind: sites.Kind{Class: d.Class, Over: true, Worth: d.Worth * d.OverWorth, Work: d.Work}, Share: d.Over * d.Work})
+			out = append(out, sites.KindShare{Kind: sites.Kind{Class: d.Class, Utility: d.Worth, Work: d.Work}, Share: (d.Rate - d.Over) * d.Work},
+				sites.KindShare{Kind: sites.Kind{Class: d.Class, OverQuota: true, Utility: d.Worth * d.OverWorth, Work: d.Work}, Share: d.Over * d.Work})
 		}
 		return out, nil
 	}
@@ -142,10 +142,10 @@
 	var parts []string
 	for _, k := range c.Kinds {
 		name := k.Class
-		if k.Over {
+		if k.OverQuota {
 			name += " past shares"
 		}
-		parts = append(parts, fmt.Sprintf("%s %.0f%%", name, math.Max(1, 100*k.Part)))
+		parts = append(parts, fmt.Sprintf("%s %.0f%%", name, math.Max(1, 100*k.Fraction)))
 	}
 	if len(parts) == 0 {
 		return "-"
@@ -169,15 +169,15 @@
 	fmt.Fprintln(w)
 	for i := range cases {
 		x := &cases[i]
-		fmt.Fprintf(w, "%s\t%.1f/s\t%.1f/s\t%s\t%s", named(x), x.Carried, x.Refused, kindsRefused(x), fits(x.Fits))
+		fmt.Fprintf(w, "%s\t%.1f/s\t%.1f/s\t%s\t%s", named(x), x.Carried, x.Refused, kindsRefused(x), fits(x.MaxLoadFactor))
 		for _, s := range x.Sites {
 			switch {
-			case s.Full == 0:
+			case s.Limit == 0:
 				fmt.Fprint(w, "\tlost")
 			case s.Moved > 0:
-				fmt.Fprintf(w, "\t%.1f + %.1f of %.1f", s.Own, s.Moved, s.Full)
+				fmt.Fprintf(w, "\t%.1f + %.1f of %.1f", s.Own, s.Moved, s.Limit)
 			default:
-				fmt.Fprintf(w, "\t%.1f of %.1f", s.Own, s.Full)
+				fmt.Fprintf(w, "\t%.1f of %.1f", s.Own, s.Limit)
 			}
 		}
 		fmt.Fprintln(w)
@@ -195,7 +195,7 @@
 	most := 1.0
 	for _, c := range cases {
 		for _, s := range c.Sites {
-			most = max(most, s.Own+s.Moved, s.Full)
+			most = max(most, s.Own+s.Moved, s.Limit)
 		}
 	}
 	for i := range cases {
@@ -208,14 +208,14 @@
 		}
 		for _, s := range c.Sites {
 			bar(s.Site, s.Own+s.Moved, map[bool]string{false: "3b6ea5", true: "c8862a"}[s.Moved > 0])
-			bar("may", s.Full, "d0d5da")
+			bar("may", s.Limit, "d0d5da")
 		}
 		bar("refused", c.Refused, "a33b3b")
 		var svg strings.Builder
 		if err := g.Render(charts.SVG, &svg); err != nil {
 			return fmt.Errorf("chart: %w", err)
 		}
-		rows = append(rows, row{named(c), fmt.Sprintf("%.1f", c.Carried), fmt.Sprintf("%.1f", c.Refused), kindsRefused(c), fits(c.Fits), template.HTML(svg.String())})
+		rows = append(rows, row{named(c), fmt.Sprintf("%.1f", c.Carried), fmt.Sprintf("%.1f", c.Refused), kindsRefused(c), fits(c.MaxLoadFactor), template.HTML(svg.String())})
 	}
 	return planTemplate.Execute(w, map[string]any{"Times": times, "Rows": rows})
 }
--- a/internal/decay/decay.go
+++ b/internal/decay/decay.go
@@ -3,59 +3,59 @@
 
 import "math"
 
-// Tally is a sum and the count behind it, both of which fade. Its zero value is empty.
-type Tally struct{ Sum, N float64 }
+// Mean is a sum and the count behind it, both of which fade. Its zero value is empty.
+type Mean struct{ Sum, N float64 }
 
 // Add counts x once.
-func (t *Tally) Add(x float64) { t.Sum, t.N = t.Sum+x, t.N+1 }
+func (t *Mean) Add(x float64) { t.Sum, t.N = t.Sum+x, t.N+1 }
 
-// Fade leaves the part f of both.
-func (t *Tally) Fade(f float64) { t.Sum, t.N = t.Sum*f, t.N*f }
+// Decay leaves the part f of both.
+func (t *Mean) Decay(f float64) { t.Sum, t.N = t.Sum*f, t.N*f }
 
 // Moments are a Tally with the sum of the squares. Its zero value is empty.
 type Moments struct {
-	Tally
+	Mean
 	squares float64
 }
 
 // Add counts x once.
 func (m *Moments) Add(x float64) {
-	m.Tally.Add(x)
+	m.Mean.Add(x)
 	m.squares += x * x
 }
 
-// Fade leaves the part f of all.
-func (m *Moments) Fade(f float64) {
-	m.Tally.Fade(f)
+// Decay leaves the part f of all.
+func (m *Moments) Decay(f float64) {
+	m.Mean.Decay(f)
 	m.squares *= f
 }
 
-// Beyond is the value so many standard deviations above the mean; 0 where fewer than one was counted.
-func (m *Moments) Beyond(deviations float64) float64 {
+// MeanPlus is the value so many standard deviations above the mean; 0 where fewer than one was counted.
+func (m *Moments) MeanPlus(deviations float64) float64 {
 	mean := m.Sum / max(m.N, 1)
 	return mean + deviations*math.Sqrt(max(0, m.squares/max(m.N, 1)-mean*mean))
 }
 
-// Level is the mean of what came lately. Its zero value is a level of 0 that nothing told of.
-type Level struct {
+// EWMA is the mean of what came lately. Its zero value is a level of 0 that nothing told of.
+type EWMA struct {
 	Mean float64
 	n    float64 // values behind it, decayed
 	at   float64
 }
 
 // Add takes in x. Values count for about tau, and prior values of 0 stand before the first, which would else be all.
-func (l *Level) Add(now, x, tau, prior float64) {
+func (l *EWMA) Add(now, x, tau, prior float64) {
 	l.n = l.n*math.Exp((l.at-now)/tau) + 1
 	l.at = now
 	l.Mean += (x - l.Mean) / (l.n + prior)
 }
 
-// Swing tells by how much a count stands over or under what it was lately. Its zero value starts from 0.
-type Swing struct{ mean, at float64 }
+// Trend tells by how much a count stands over or under what it was lately. Its zero value starts from 0.
+type Trend struct{ mean, at float64 }
 
-// Of is n over its mean of the last tau, within 1/most and most. Where it is near 0, one more is chance and tells nothing;
+// Ratio is n over its mean of the last tau, within 1/most and most. Where it is near 0, one more is chance and tells nothing;
 // prior is added to the mean so that small counts swing little.
-func (s *Swing) Of(now, n, tau, prior, most float64) float64 {
+func (s *Trend) Ratio(now, n, tau, prior, most float64) float64 {
 	s.mean += (n - s.mean) * (1 - math.Exp((s.at-now)/tau))
 	s.at = now
 	beyond := math.Copysign(max(0, math.Abs(n-s.mean)-1/(1+s.mean)), n-s.mean)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -186,7 +186,7 @@
 	members     *membership.Fleet // nil for the list alone
 	memberTimer *time.Timer
 
-	sites *siting.Link // nil where they are not watched
+	sites *siting.Adapter // nil where they are not watched
 
 	sharer     Sharer        // nil for a node that shares nothing
 	until      time.Duration // what the module was told of it last counts until then
@@ -346,7 +346,7 @@
 		e.sharer.Outcome(a.Backend.key, res.Outcome)
 	}
 	if e.sites != nil {
-		e.sites.Ended(now, a.Backend.Number, res.Outcome, now-a.sent)
+		e.sites.RecordOutcome(now, a.Backend.Number, res.Outcome, now-a.sent)
 	}
 	e.handle(now, &policy.Event{Kind: policy.EvOutcome, ID: r.ID, Server: a.Backend.Number, Attempt: a.index,
 		Took: now - a.sent, Last: r.answered.Load(), Outcome: res.Outcome, Load: res.Load})
@@ -448,8 +448,8 @@
 	r.attempts = append(r.attempts, a)
 	r.open++
 	if e.sites != nil {
-		e.sites.Sent(now, act.Server)
-		if e.sharer != nil && a.Backend != nil && e.sites.Node.Crosses(a.Backend.Zone) {
+		e.sites.RecordSend(now, act.Server)
+		if e.sharer != nil && a.Backend != nil && e.sites.Node.IsOverflow(a.Backend.Zone) {
 			e.sharer.Crossed(a.Backend.Zone)
 		}
 	}
--- a/internal/engine/sharer.go
+++ b/internal/engine/sharer.go
@@ -45,8 +45,8 @@
 	v := e.sharer.View()
 	e.until = v.Until
 	if e.sites != nil {
-		e.sites.Node.Shares(v.Cross)
-		e.sites.Node.Heard(v.Nodes)
+		e.sites.Node.SetHeadroomShares(v.Cross)
+		e.sites.Node.SetLiveNodes(v.Nodes)
 	}
 	numbers := make(map[judgement.Key]uint32, len(v.Out))
 	if len(v.Out) > 0 {
--- a/internal/engine/sites.go
+++ b/internal/engine/sites.go
@@ -7,7 +7,7 @@
 
 // Watch has the engine watch how sites stand, and the module follow what that asks for. StepSites is to be called every
 // siting.Every.
-func (e *Engine) Watch(l *siting.Link) {
+func (e *Engine) Watch(l *siting.Adapter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sites = l
@@ -19,12 +19,12 @@
 	if e.sites == nil {
 		return
 	}
-	all := make([]sites.Box, 0, e.listed.size)
+	all := make([]sites.Backend, 0, e.listed.size)
 	for b := range e.listed.all {
-		all = append(all, sites.Box{ID: b.Number, Site: b.Zone, Ready: b.stop.Load() == nil,
+		all = append(all, sites.Backend{ID: b.Number, Site: b.Zone, Ready: b.stop.Load() == nil,
 			Launched: b.launch.Seconds()})
 	}
-	e.sites.Listed(e.clock.Now(), all)
+	e.sites.ApplyList(e.clock.Now(), all)
 }
 
 // StepSites brings the sites' standing up to the time. It returns the backends to which a connection is to be tried, for
@@ -52,7 +52,7 @@
 func (e *Engine) Probed(b *Backend, up bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.sites.Probed(e.clock.Now(), b.Number, up)
+	e.sites.RecordProbe(e.clock.Now(), b.Number, up)
 }
 
 // Sites tells how each site stands, and whether the node holds itself cut off; nothing where they are not watched.
@@ -62,7 +62,7 @@
 	if e.sites == nil {
 		return nil, false
 	}
-	return e.sites.Node.Reports(e.clock.Now().Seconds()), e.sites.Node.Alone()
+	return e.sites.Node.Reports(e.clock.Now().Seconds()), e.sites.Node.Isolated()
 }
 
 // Demand is what clients lately ask for, by class.
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -6,12 +6,12 @@
 import "math"
 
 const (
-	ejectAt = 0.5  // what failed more than this part lately is left out
-	badMost = 0.6  // and no more is remembered: two answers bring it back
-	First   = 1.0  // for this long at first, doubled each time,
-	most    = 8.0  // up to this
-	Memory  = 10.0 // attempts over which failures are remembered, where each tells as little as an answer,
-	Out     = 4.0  // and where each tells that nobody is there
+	ejectAt                  = 0.5  // what failed more than this part lately is left out
+	badMost                  = 0.6  // and no more is remembered: two answers bring it back
+	FirstEjectionSeconds     = 1.0  // for this long at first, doubled each time,
+	most                     = 8.0  // up to this
+	DecayAttempts            = 10.0 // attempts over which failures are remembered, where each tells as little as an answer,
+	UnreachableDecayAttempts = 4.0  // and where each tells that nobody is there
 )
 
 // Record is of one backend, or of one class at it. Its zero value has seen nothing.
@@ -30,14 +30,14 @@
 		return false
 	}
 	r.Ejections++
-	r.Ejected = now + min(most, First*math.Pow(2, float64(r.Ejections-1)))*(0.75+0.5*luck())
+	r.Ejected = now + min(most, FirstEjectionSeconds*math.Pow(2, float64(r.Ejections-1)))*(0.75+0.5*luck())
 	r.Trial = true
 	return true
 }
 
 // Answered books an answer, and tells whether it ends a time of being left out, as one of what was on its way may.
 func (r *Record) Answered(now float64) bool {
-	r.Bad *= 1 - 1/Memory
+	r.Bad *= 1 - 1/DecayAttempts
 	if !r.Trial || r.Bad >= ejectAt {
 		return false
 	}
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -9,18 +9,18 @@
 func TestEjection(t *testing.T) {
 	var r Record
 	now, n := 10.0, 0
-	for !r.Failed(now, Out, even) {
+	for !r.Failed(now, UnreachableDecayAttempts, even) {
 		n++
 	}
-	if n != 2 || r.Ejected != now+First || !r.Trial {
+	if n != 2 || r.Ejected != now+FirstEjectionSeconds || !r.Trial {
 		t.Fatalf("out after %d failures, until %.2f", n+1, r.Ejected)
 	}
-	if r.Failed(now+0.5, Out, even) {
+	if r.Failed(now+0.5, UnreachableDecayAttempts, even) {
 		t.Error("what is out was left out again")
 	}
 	for _, want := range []float64{2, 4, 8, 8} {
 		now = r.Ejected
-		if !r.Failed(now, Out, even) || r.Ejected != now+want {
+		if !r.Failed(now, UnreachableDecayAttempts, even) || r.Ejected != now+want {
 			t.Errorf("at the next trial it is out for %.2f, want %.0f", r.Ejected-now, want)
 		}
 	}
@@ -36,7 +36,7 @@
 func TestSomeFailuresAreNoEjection(t *testing.T) {
 	var r Record
 	for i := range 1000 {
-		if i%3 == 0 && r.Failed(float64(i), Memory, even) {
+		if i%3 == 0 && r.Failed(float64(i), DecayAttempts, even) {
 			t.Fatalf("out after %d attempts, %.2f bad", i, r.Bad)
 		} else if i%3 > 0 {
 			r.Answered(float64(i))
--- a/internal/kit/lab/node.go
+++ b/internal/kit/lab/node.go
@@ -39,7 +39,7 @@
 	timeout  time.Duration   // for a connection to a box
 	shared   *shared.Replica // nil where nothing is shared
 	keys     map[judgement.Key]uint32
-	sites    *siting.Link // nil where sites are not watched
+	sites    *siting.Adapter // nil where sites are not watched
 }
 
 // pool are a node's idle connections to one box: since when each has rested, the latest last.
@@ -260,8 +260,8 @@
 	n.flying = append(n.flying, a)
 	w.after(a.wait, func() { a.giveUp(policy.TimedOut) })
 	if n.sites != nil {
-		n.sites.Sent(epoch+w.now, act.Server)
-		if n.shared != nil && n.sites.Node.Crosses(b.plan.Site) {
+		n.sites.RecordSend(epoch+w.now, act.Server)
+		if n.shared != nil && n.sites.Node.IsOverflow(b.plan.Site) {
 			n.shared.Crossed(epoch+w.now, b.plan.Site)
 		}
 	}
@@ -434,7 +434,7 @@
 		}
 	}
 	if n.sites != nil {
-		n.sites.Ended(epoch+n.w.now, uint32(n.w.number[a.box.plan.ID]+1), o, n.w.now-a.sent)
+		n.sites.RecordOutcome(epoch+n.w.now, uint32(n.w.number[a.box.plan.ID]+1), o, n.w.now-a.sent)
 	}
 	n.handle(&policy.Event{Kind: policy.EvOutcome, ID: r.id, Server: uint32(n.w.number[a.box.plan.ID] + 1), Attempt: a.index,
 		Took: n.w.now - a.sent, Last: r.answered, Outcome: o, Load: a.load})
--- a/internal/kit/lab/share.go
+++ b/internal/kit/lab/share.go
@@ -146,8 +146,8 @@
 		}
 	}
 	if n.sites != nil {
-		n.sites.Node.Shares(v.Cross)
-		n.sites.Node.Heard(v.Nodes)
+		n.sites.Node.SetHeadroomShares(v.Cross)
+		n.sites.Node.SetLiveNodes(v.Nodes)
 	}
 	n.handle(v.Event(func(k judgement.Key) (uint32, bool) { x, ok := n.keys[k]; return x, ok }))
 }
--- a/internal/kit/lab/site.go
+++ b/internal/kit/lab/site.go
@@ -33,7 +33,7 @@
 		return
 	}
 	n.sites = siting.New(set, o.Plan)
-	n.every(n.life, siting.Every, func() {
+	n.every(n.life, siting.StepInterval, func() {
 		ev, probe := n.sites.Step(epoch+n.w.now, n.bal)
 		if ev != nil {
 			n.handle(ev)
@@ -54,12 +54,12 @@
 	if n.sites == nil {
 		return
 	}
-	var all []sites.Box
+	var all []sites.Backend
 	for _, id := range slices.Sorted(maps.Keys(n.known)) {
 		e := n.known[id]
-		all = append(all, sites.Box{ID: id, Site: e.Zone, Ready: e.State == policy.Active, Launched: e.Launched.Seconds()})
+		all = append(all, sites.Backend{ID: id, Site: e.Zone, Ready: e.State == policy.Active, Launched: e.Launched.Seconds()})
 	}
-	n.sites.Listed(epoch+n.w.now, all)
+	n.sites.ApplyList(epoch+n.w.now, all)
 }
 
 // probe opens a connection to a box, and keeps it for requests where it comes up.
@@ -67,7 +67,7 @@
 	w, b, life := n.w, n.w.boxes[id-1], n.life
 	tell := func(up bool) {
 		if n.up && n.life == life {
-			n.sites.Probed(epoch+w.now, id, up)
+			n.sites.RecordProbe(epoch+w.now, id, up)
 		}
 	}
 	if b.silent || w.apart(n.Site, b.plan.Site) {
--- a/internal/node/sites.go
+++ b/internal/node/sites.go
@@ -23,7 +23,7 @@
 	n.wg.Go(func() {
 		var probes sync.WaitGroup
 		defer probes.Wait()
-		timing.Every(ctx, siting.Every, func() {
+		timing.Every(ctx, siting.StepInterval, func() {
 			boxes, notes := n.engine.StepSites()
 			for _, x := range notes {
 				n.log.Info(x.Text, x.Args...)
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -48,11 +48,11 @@
 	p.growth, p.sends, p.asks, p.went = growth, 0, 0, 0
 }
 
-// Sent counts a send of any kind.
-func (p *Pacer) Sent() { p.sends++ }
+// CountSend counts a send of any kind.
+func (p *Pacer) CountSend() { p.sends++ }
 
-// Asked counts a request's first try, and whether it is sent.
-func (p *Pacer) Asked(sent bool) {
+// CountRequest counts a request's first try, and whether it is sent.
+func (p *Pacer) CountRequest(sent bool) {
 	p.asks++
 	if sent {
 		p.went++
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -27,9 +27,9 @@
 		}
 		asked++
 		goes := c.rng.Float64() >= refused && c.Allows(c.now, lesser)
-		c.Asked(goes)
+		c.CountRequest(goes)
 		if goes {
-			c.Sent()
+			c.CountSend()
 			sent++
 		}
 	}
@@ -112,10 +112,10 @@
 		}
 		lesser := i % 2
 		goes := c.Allows(c.now, lesser == 1)
-		c.Asked(goes)
+		c.CountRequest(goes)
 		asked[lesser]++
 		if goes {
-			c.Sent()
+			c.CountSend()
 			sent[lesser]++
 		}
 	}
@@ -152,9 +152,9 @@
 				continue
 			}
 			goes := rng.Float64() >= q && (!paced || p.Allows(now, false))
-			p.Asked(goes)
+			p.CountRequest(goes)
 			if goes {
-				p.Sent()
+				p.CountSend()
 				held++
 			}
 		}
--- a/internal/settings/sites.go
+++ b/internal/settings/sites.go
@@ -49,7 +49,7 @@
 // check makes the plan and says what is wrong with it.
 func (s *Sites) check(keys *tomlfile.Keys) error {
 	if !keys.Has("sites.full") {
-		s.Full = sites.Usual
+		s.Full = sites.DefaultMaxUtilization
 	}
 	if len(s.Sites) == 0 {
 		for _, k := range []string{"full", "refuse"} {
@@ -62,15 +62,15 @@
 	if keys.Has("sites.watch") && !s.Watch {
 		return keys.Problem("sites.watch", "a plan needs it: leave it out, or take [[sites.site]] away")
 	}
-	p := &sites.Plan{Full: s.Full, Refuse: s.Refuse}
+	p := &sites.Plan{MaxUtilization: s.Full, RefuseFirst: s.Refuse}
 	for _, x := range s.Sites {
-		site := sites.Site{Name: x.Name, Capacity: x.Capacity, Boxes: x.Boxes, Nodes: x.Nodes, Load: x.Load, Reserve: x.Reserve}
+		site := sites.Site{Name: x.Name, Capacity: x.Capacity, Backends: x.Boxes, Nodes: x.Nodes, Load: x.Load, Reserve: x.Reserve}
 		for _, w := range x.To {
-			site.To = append(site.To, sites.Way(w))
+			site.Overflow = append(site.Overflow, sites.OverflowTarget(w))
 		}
 		p.Sites = append(p.Sites, site)
 	}
-	if err := p.Check(); err != nil {
+	if err := p.Validate(); err != nil {
 		var wrong *sites.Problem
 		if errors.As(err, &wrong) {
 			return keys.Problem("sites."+wrong.Key, "%s", wrong.Text)
--- a/internal/sites/divide.go
+++ b/internal/sites/divide.go
@@ -35,7 +35,7 @@
 		Refused: make([]float64, kinds), Asked: make([]float64, kinds)}
 	whole := 0.0
 	for i, s := range p.Sites {
-		d.Full[i] = s.Capacity * p.Full * min(1, max(0, states[i].Part))
+		d.Full[i] = s.Capacity * p.MaxUtilization * min(1, max(0, states[i].Part))
 		whole += d.Full[i]
 		d.Moves, d.Most = append(d.Moves, make([]float64, n)), append(d.Most, make([]float64, n))
 	}
@@ -120,18 +120,18 @@
 }
 
 // ways are a site's ways to those that carry load of their own, as the plan has them, else by room.
-func (p *Plan) ways(from int, states []State, room []float64) (ways []Way) {
-	for _, w := range p.Sites[from].To {
+func (p *Plan) ways(from int, states []State, room []float64) (ways []OverflowTarget) {
+	for _, w := range p.Sites[from].Overflow {
 		if !states[p.index(w.Site)].Short {
 			ways = append(ways, w)
 		}
 	}
-	if len(p.Sites[from].To) > 0 {
+	if len(p.Sites[from].Overflow) > 0 {
 		return ways
 	}
 	for to, s := range p.Sites {
 		if to != from && !states[to].Short && room[to] > 0 {
-			ways = append(ways, Way{Site: s.Name, Part: room[to]})
+			ways = append(ways, OverflowTarget{Site: s.Name, Part: room[to]})
 		}
 	}
 	return ways
--- a/internal/sites/gates.go
+++ b/internal/sites/gates.go
@@ -2,9 +2,9 @@
 
 import "math/rand/v2"
 
-// Gates carry Orders out request by request: which zones a request may go to, and whether it is admitted. The zero value
+// Limiter carry Orders out request by request: which zones a request may go to, and whether it is admitted. The zero value
 // lets everything through.
-type Gates struct {
+type Limiter struct {
 	zones map[string]*gate
 	admit map[string][2]float64
 }
@@ -18,7 +18,7 @@
 const burst = 0.25
 
 // Set has the gates follow other orders. What a zone may be sent at once goes on.
-func (g *Gates) Set(now float64, zones map[string]Zone, admit map[string][2]float64) {
+func (g *Limiter) Set(now float64, zones map[string]Zone, admit map[string][2]float64) {
 	was := g.zones
 	g.zones, g.admit = make(map[string]*gate, len(zones)), admit
 	for name, z := range zones {
@@ -30,7 +30,7 @@
 }
 
 // Draw is a request's luck, by which Open decides each time alike. Nothing is drawn while no zone is closed or limited.
-func (g *Gates) Draw(rng *rand.Rand) float64 {
+func (g *Limiter) Draw(rng *rand.Rand) float64 {
 	if len(g.zones) == 0 {
 		return 0
 	}
@@ -38,7 +38,7 @@
 }
 
 // Admits tells whether a request is among the part of its class that is admitted.
-func (g *Gates) Admits(class string, over bool, rng *rand.Rand) bool {
+func (g *Limiter) Admits(class string, over bool, rng *rand.Rand) bool {
 	a, told := g.admit[class]
 	part := a[0]
 	if over {
@@ -47,8 +47,8 @@
 	return !told || part >= 1 || rng.Float64() < part
 }
 
-// Open tells whether a request of some luck may go to a zone now.
-func (g *Gates) Open(now float64, zone string, luck float64) bool {
+// Allows tells whether a request of some luck may go to a zone now.
+func (g *Limiter) Allows(now float64, zone string, luck float64) bool {
 	z := g.zones[zone]
 	if z == nil {
 		return true
@@ -57,11 +57,11 @@
 		z.left = min(1+burst*z.Rate, z.left+z.Rate*(now-z.at))
 		z.at = now
 	}
-	return luck < z.Part && (z.Rate < 0 || z.left >= 1)
+	return luck < z.Fraction && (z.Rate < 0 || z.left >= 1)
 }
 
-// Sent counts a send to a zone.
-func (g *Gates) Sent(zone string) {
+// CountSend counts a send to a zone.
+func (g *Limiter) CountSend(zone string) {
 	if z := g.zones[zone]; z != nil {
 		z.left--
 	}
--- a/internal/sites/node.go
+++ b/internal/sites/node.go
@@ -10,18 +10,18 @@
 
 // Config is what a Node is made from.
 type Config struct {
-	Plan      *Plan // checked; nil for no plan: sites are watched, and load that loses its site goes where there is room
-	Home      string
-	Classes   []Class
-	OverShare float64 // worth of a request past its tenant's share, as a part of the usual
-	ColdShare float64 // part of its capacity that a box has at its start, and
-	ColdFor   float64 // until when that grows, seconds
+	Plan             *Plan // checked; nil for no plan: sites are watched, and load that loses its site goes where there is room
+	Home             string
+	Classes          []Class
+	OverQuotaUtility float64 // worth of a request past its tenant's share, as a part of the usual
+	ColdShare        float64 // part of its capacity that a box has at its start, and
+	ColdFor          float64 // until when that grows, seconds
 }
 
 // Class is one class of requests.
 type Class struct {
-	Name  string
-	Worth float64
+	Name    string
+	Utility float64
 }
 
 // Demand is what this node's clients ask for of one class.
@@ -34,8 +34,8 @@
 
 // Zone is how a site is to be used from here.
 type Zone struct {
-	Part float64 // of the requests that may go there
-	Rate float64 // of those, a second at most; below 0 for any number
+	Fraction float64 // of the requests that may go there
+	Rate     float64 // of those, a second at most; below 0 for any number
 }
 
 // Orders are what the decision module is to follow, until the next ones. Where every site serves they are empty.
@@ -71,17 +71,19 @@
 // NewNode returns a node that knows no box.
 func NewNode(cfg Config) *Node { return &Node{cfg: cfg, watch: NewWatch(), said: map[string]bool{}} }
 
-// Listed sets the boxes that there are.
-func (n *Node) Listed(now float64, boxes []Box) { n.watch.Listed(now, boxes) }
+// ApplyList sets the boxes that there are.
+func (n *Node) ApplyList(now float64, boxes []Backend) { n.watch.Listed(now, boxes) }
 
-// Sent notes that an attempt at a box begins.
-func (n *Node) Sent(now float64, id uint32) { n.watch.Sent(now, id) }
+// RecordSend notes that an attempt at a box begins.
+func (n *Node) RecordSend(now float64, id uint32) { n.watch.Sent(now, id) }
 
-// Ended notes what became of an attempt that took so many seconds.
-func (n *Node) Ended(now float64, id uint32, r Result, took float64) { n.watch.Ended(now, id, r, took) }
+// RecordOutcome notes what became of an attempt that took so many seconds.
+func (n *Node) RecordOutcome(now float64, id uint32, r Outcome, took float64) {
+	n.watch.Ended(now, id, r, took)
+}
 
-// Probed notes whether a connection that Orders asked for came up.
-func (n *Node) Probed(now float64, id uint32, up bool) {
+// RecordProbe notes whether a connection that Orders asked for came up.
+func (n *Node) RecordProbe(now float64, id uint32, up bool) {
 	n.changed(n.watch.Probed(now, id, up))
 }
 
@@ -95,12 +97,12 @@
 	}
 }
 
-// Shares tells which part of what lost sites' load may bring to each site is this node's. Where nobody says it is an equal part
+// SetHeadroomShares tells which part of what lost sites' load may bring to each site is this node's. Where nobody says it is an equal part
 // among the nodes of the lost site, as the plan counts them.
-func (n *Node) Shares(parts map[string]float64) { n.shares = parts }
+func (n *Node) SetHeadroomShares(parts map[string]float64) { n.shares = parts }
 
-// Heard tells how many nodes of each site are surely there, by what they say themselves; nil where nodes do not talk.
-func (n *Node) Heard(nodes map[string]int) { n.heard = nodes }
+// SetLiveNodes tells how many nodes of each site are surely there, by what they say themselves; nil where nodes do not talk.
+func (n *Node) SetLiveNodes(nodes map[string]int) { n.heard = nodes }
 
 // comes tells whether what a site's clients ask for may come to others: not where the site is lost from here and nothing tells
 // that it is lost, as then it may be the links, and each side has its own clients. The list tells by taking its boxes off, and
@@ -109,8 +111,8 @@
 	return n.watch.Part(site) == 1 || site == n.cfg.Home || n.watch.Gone(site) || n.heard[site] > 0
 }
 
-// Crosses tells whether what goes to a site from here is load of a lost one.
-func (n *Node) Crosses(site string) bool { return n.short && site != n.cfg.Home }
+// IsOverflow tells whether what goes to a site from here is load of a lost one.
+func (n *Node) IsOverflow(site string) bool { return n.short && site != n.cfg.Home }
 
 // Step brings all up to the time, with what this node's clients ask for, and returns what is to be followed.
 func (n *Node) Step(now float64, demand []Demand) Orders {
@@ -145,7 +147,7 @@
 	o.Zones = map[string]Zone{}
 	for _, name := range n.watch.names() {
 		if part := n.watch.Part(name); part < 1 {
-			o.Zones[name] = Zone{Part: part, Rate: -1}
+			o.Zones[name] = Zone{Fraction: part, Rate: -1}
 		}
 	}
 	if n.cfg.Plan != nil {
@@ -186,7 +188,7 @@
 	o.Admit = map[string][2]float64{}
 	for i, k := range n.kinds {
 		a := o.Admit[k.Class]
-		if k.Over {
+		if k.OverQuota {
 			a[1] = d.Admit[home][i]
 		} else {
 			a[0] = d.Admit[home][i]
@@ -206,7 +208,7 @@
 		if part, told := n.shares[s.Name]; told {
 			rate = min(d.Room[to]*part, d.Most[home][to])
 		}
-		o.Zones[s.Name] = Zone{Part: 1, Rate: rate}
+		o.Zones[s.Name] = Zone{Fraction: 1, Rate: rate}
 	}
 }
 
@@ -226,7 +228,7 @@
 			sum += cold.Ramp(b.Launched, n.now, n.cfg.ColdShare, n.cfg.ColdFor)
 		}
 	}
-	return min(1, sum/float64(s.Boxes))
+	return min(1, sum/float64(s.Backends))
 }
 
 // demand works out what all sites' clients ask for: this one's from what this node is asked, the others' by the plan's
@@ -239,13 +241,13 @@
 	for _, d := range all {
 		worth := 0.0
 		if i := slices.IndexFunc(n.cfg.Classes, func(c Class) bool { return c.Name == d.Class }); i >= 0 {
-			worth = n.cfg.Classes[i].Worth
+			worth = n.cfg.Classes[i].Utility
 		}
 		work := 1.0
 		if mean > 0 && d.Work > 0 {
 			work = d.Work / mean
 		}
-		n.kinds = append(n.kinds, Kind{d.Class, false, worth, work}, Kind{d.Class, true, worth * n.cfg.OverShare, work})
+		n.kinds = append(n.kinds, Kind{d.Class, false, worth, work}, Kind{d.Class, true, worth * n.cfg.OverQuotaUtility, work})
 		here = append(here, max(0, d.Rate-d.Over)*work, min(d.Over, d.Rate)*work)
 	}
 	total, home := sum(here), p.index(n.cfg.Home)
@@ -294,18 +296,18 @@
 
 // Report is how a node sees one site.
 type Report struct {
-	Site     string             `json:"site"`
-	Standing string             `json:"standing"`
-	Since    float64            `json:"seconds"`
-	Why      string             `json:"why,omitempty"`
-	Part     float64            `json:"part"` // of its usual load that it gets from here
-	Halted   string             `json:"halted,omitempty"`
-	HeldFor  float64            `json:"held_for_seconds,omitempty"`
-	Losses   int                `json:"losses_in_a_row,omitempty"`
-	Own      float64            `json:"own,omitempty"` // mean requests a second, by the plan: of its own clients,
-	Moved    float64            `json:"moved,omitempty"`
-	Full     float64            `json:"full,omitempty"`
-	Refused  map[string]float64 `json:"refused,omitempty"` // by class: part of its clients' requests
+	Site           string             `json:"site"`
+	State          string             `json:"standing"`
+	SecondsInState float64            `json:"seconds"`
+	Why            string             `json:"why,omitempty"`
+	Fraction       float64            `json:"part"` // of its usual load that it gets from here
+	HaltReason     string             `json:"halted,omitempty"`
+	HoldSeconds    float64            `json:"held_for_seconds,omitempty"`
+	Losses         int                `json:"losses_in_a_row,omitempty"`
+	Own            float64            `json:"own,omitempty"` // mean requests a second, by the plan: of its own clients,
+	Moved          float64            `json:"moved,omitempty"`
+	Limit          float64            `json:"full,omitempty"`
+	Refused        map[string]float64 `json:"refused,omitempty"` // by class: part of its clients' requests
 }
 
 // Reports tells how each site stands.
@@ -313,14 +315,14 @@
 	now = max(now, n.now)
 	for _, name := range n.watch.names() {
 		s := n.watch.sites[name]
-		r := Report{Site: name, Standing: s.standing.String(), Since: now - s.since, Why: s.why, Part: n.watch.Part(name), Halted: s.halted,
-			Losses: s.losses, HeldFor: max(0, s.held-now)}
+		r := Report{Site: name, State: s.standing.String(), SecondsInState: now - s.since, Why: s.why, Fraction: n.watch.Part(name), HaltReason: s.halted,
+			Losses: s.losses, HoldSeconds: max(0, s.held-now)}
 		if s.standing == Serving {
 			r.Losses = 0
 		}
 		if d := n.last; d != nil {
 			if i := n.cfg.Plan.index(name); i >= 0 {
-				r.Own, r.Moved, r.Full = d.Own[i], d.Moved[i], d.Full[i]
+				r.Own, r.Moved, r.Limit = d.Own[i], d.Moved[i], d.Full[i]
 				r.Refused = n.refused(i)
 			}
 		}
@@ -346,8 +348,8 @@
 	return refused
 }
 
-// Alone tells whether the node holds itself cut off from every site.
-func (n *Node) Alone() bool { return n.alone }
+// Isolated tells whether the node holds itself cut off from every site.
+func (n *Node) Isolated() bool { return n.alone }
 
 // String is a short form for tests and logs.
 func (c Change) String() string { return fmt.Sprintf("%s: %v to %v (%s)", c.Site, c.From, c.To, c.Why) }
--- a/internal/sites/node_test.go
+++ b/internal/sites/node_test.go
@@ -9,12 +9,12 @@
 )
 
 func watching(p *Plan, home string) *Node {
-	n := NewNode(Config{Plan: p, Home: home, Classes: []Class{{"save", 10}, {"quote", 2}}, OverShare: 0.2, ColdShare: 0.5, ColdFor: 10})
-	var boxes []Box
+	n := NewNode(Config{Plan: p, Home: home, Classes: []Class{{"save", 10}, {"quote", 2}}, OverQuotaUtility: 0.2, ColdShare: 0.5, ColdFor: 10})
+	var boxes []Backend
 	for i := range 24 {
-		boxes = append(boxes, Box{ID: uint32(i + 1), Site: []string{"tacoma", "everett", "olympia"}[i%3], Ready: true})
+		boxes = append(boxes, Backend{ID: uint32(i + 1), Site: []string{"tacoma", "everett", "olympia"}[i%3], Ready: true})
 	}
-	n.Listed(0, boxes)
+	n.ApplyList(0, boxes)
 	return n
 }
 
@@ -24,15 +24,15 @@
 	for _, b := range n.watch.order {
 		for _, s := range sites {
 			if b.Site == s {
-				n.Sent(at, b.ID)
-				n.Ended(at+0.5, b.ID, Silent, 0.5)
+				n.RecordSend(at, b.ID)
+				n.RecordOutcome(at+0.5, b.ID, TimedOut, 0.5)
 			}
 		}
 	}
 	n.Step(at+0.5, nil)
 	for _, x := range []float64{1.5, 1.6} {
 		for _, id := range n.Step(at+x, nil).Probe {
-			n.Probed(at+x, id, false)
+			n.RecordProbe(at+x, id, false)
 		}
 	}
 	n.Step(at+1.6, nil)
@@ -61,16 +61,16 @@
 func TestOrdersOfALoss(t *testing.T) {
 	here := watching(three(), "tacoma")
 	now := lose(t, here, 10, "tacoma")
-	here.Heard(map[string]int{"tacoma": 4})
+	here.SetLiveNodes(map[string]int{"tacoma": 4})
 	o := here.Step(now+0.1, busy)
-	if z := o.Zones["tacoma"]; z.Part != 0 {
+	if z := o.Zones["tacoma"]; z.Fraction != 0 {
 		t.Errorf("the lost site: %+v", z)
 	}
 	// 80 a second here, 60 x 80/60 there: 90 each can carry, of which their own clients ask for all but what is refused.
 	room := 0.0
 	for _, s := range []string{"everett", "olympia"} {
 		z := o.Zones[s]
-		if z.Part != 1 || z.Rate <= 0 {
+		if z.Fraction != 1 || z.Rate <= 0 {
 			t.Errorf("%s: %+v", s, z)
 		}
 		room += 4 * z.Rate
@@ -83,7 +83,7 @@
 	}
 	there := watching(three(), "everett")
 	now = lose(t, there, 10, "tacoma")
-	if o := there.Step(now+0.1, busy); len(o.Zones) != 1 || o.Zones["tacoma"].Part != 0 {
+	if o := there.Step(now+0.1, busy); len(o.Zones) != 1 || o.Zones["tacoma"].Fraction != 0 {
 		t.Errorf("elsewhere: %+v", o.Zones)
 	}
 }
@@ -94,20 +94,20 @@
 	n := watching(three(), "tacoma")
 	now := lose(t, n, 10, "everett", "olympia")
 	full := map[string][2]float64{"save": {1, 1}, "quote": {1, 1}}
-	if o := n.Step(now+0.1, busy); o.Zones["everett"].Part != 0 || !maps.Equal(o.Admit, full) {
+	if o := n.Step(now+0.1, busy); o.Zones["everett"].Fraction != 0 || !maps.Equal(o.Admit, full) {
 		t.Errorf("%+v", o)
 	}
-	n.Heard(map[string]int{"everett": 3})
+	n.SetLiveNodes(map[string]int{"everett": 3})
 	if o := n.Step(now+0.2, busy); o.Admit["quote"][0] >= 1 {
 		t.Errorf("with everett's nodes there: %+v", o.Admit)
 	}
-	n.Heard(nil)
-	var boxes []Box
+	n.SetLiveNodes(nil)
+	var boxes []Backend
 	for _, b := range n.watch.order {
 		b.Ready = b.Site == "tacoma"
-		boxes = append(boxes, b.Box)
+		boxes = append(boxes, b.Backend)
 	}
-	n.Listed(now+0.3, boxes)
+	n.ApplyList(now+0.3, boxes)
 	if o := n.Step(now+0.4, busy); o.Admit["quote"][0] >= 1 {
 		t.Errorf("with the others off the list: %+v", o.Admit)
 	}
@@ -116,19 +116,19 @@
 // A node that is told its own part of what may go to a site keeps to that, and to what its way takes.
 func TestOwnPartsOfARoom(t *testing.T) {
 	p := three()
-	p.Sites[0].To = []Way{{"everett", 0.5, 4}, {"olympia", 0.5, 0}}
+	p.Sites[0].Overflow = []OverflowTarget{{"everett", 0.5, 4}, {"olympia", 0.5, 0}}
 	n := watching(p, "tacoma")
-	if n.Crosses("everett") {
+	if n.IsOverflow("everett") {
 		t.Error("load crosses in peace")
 	}
 	now := lose(t, n, 10, "tacoma")
 	before := n.Step(now+0.1, busy)
-	n.Shares(map[string]float64{"everett": 0.5, "olympia": 0.5})
+	n.SetHeadroomShares(map[string]float64{"everett": 0.5, "olympia": 0.5})
 	o := n.Step(now+0.2, busy)
 	if o.Zones["everett"].Rate != 4 || math.Abs(o.Zones["olympia"].Rate-2*before.Zones["olympia"].Rate) > 0.5 {
 		t.Errorf("%+v, and an equal part is %+v", o.Zones, before.Zones)
 	}
-	if !n.Crosses("everett") || n.Crosses("tacoma") {
+	if !n.IsOverflow("everett") || n.IsOverflow("tacoma") {
 		t.Error("what goes to another site is not the lost one's load, or what goes home is")
 	}
 }
@@ -137,8 +137,8 @@
 func TestANodeThatIsCutOff(t *testing.T) {
 	n := watching(three(), "tacoma")
 	now := lose(t, n, 10, "tacoma", "everett", "olympia")
-	if o := n.Step(now+0.1, busy); len(o.Zones)+len(o.Admit) > 0 || !n.Alone() {
-		t.Errorf("%+v, alone %v", o, n.Alone())
+	if o := n.Step(now+0.1, busy); len(o.Zones)+len(o.Admit) > 0 || !n.Isolated() {
+		t.Errorf("%+v, alone %v", o, n.Isolated())
 	}
 	said := 0
 	for _, x := range n.Notes() {
@@ -154,15 +154,15 @@
 // Half-cold boxes carry half: capacity is what is on the list and warm.
 func TestCapacityFollowsTheList(t *testing.T) {
 	n := watching(three(), "tacoma")
-	boxes := []Box{}
+	boxes := []Backend{}
 	for _, b := range n.watch.order {
 		b.Launched = 19.9
 		if b.Site == "olympia" && b.ID > 12 {
 			continue // half of them are not there
 		}
-		boxes = append(boxes, b.Box)
+		boxes = append(boxes, b.Backend)
 	}
-	n.Listed(20, boxes)
+	n.ApplyList(20, boxes)
 	if got := n.there(n.cfg.Plan.Sites[1]); got > 0.51 {
 		t.Errorf("cold: %.2f of its capacity", got)
 	}
@@ -197,21 +197,21 @@
 // Gates hold parts and rates, draw the same for one request each time, and let all through without orders.
 func TestGates(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	var g Gates
-	if !g.Open(1, "a", g.Draw(rng)) || !g.Admits("x", true, rng) {
+	var g Limiter
+	if !g.Allows(1, "a", g.Draw(rng)) || !g.Admits("x", true, rng) {
 		t.Error("closed without orders")
 	}
-	g.Set(10, map[string]Zone{"a": {Part: 0.25, Rate: -1}, "b": {Part: 1, Rate: 8}}, map[string][2]float64{"x": {1, 0.5}, "y": {0, 0}})
+	g.Set(10, map[string]Zone{"a": {Fraction: 0.25, Rate: -1}, "b": {Fraction: 1, Rate: 8}}, map[string][2]float64{"x": {1, 0.5}, "y": {0, 0}})
 	open, admitted := 0, 0
 	for range 4000 {
 		luck := g.Draw(rng)
-		if g.Open(10, "a", luck) {
+		if g.Allows(10, "a", luck) {
 			open++
 		}
 		if g.Admits("x", true, rng) {
 			admitted++
 		}
-		if !g.Admits("x", false, rng) || g.Admits("y", false, rng) || !g.Admits("z", false, rng) || !g.Open(10, "c", luck) {
+		if !g.Admits("x", false, rng) || g.Admits("y", false, rng) || !g.Admits("z", false, rng) || !g.Allows(10, "c", luck) {
 			t.Fatal("a class or a zone is not as it was told")
 		}
 	}
@@ -222,10 +222,10 @@
 	for i := range 1000 { // ten seconds
 		now := 10 + float64(i)/100
 		if i%50 == 0 {
-			g.Set(now, map[string]Zone{"b": {Part: 1, Rate: 8}}, nil) // the same once more gives nothing anew
+			g.Set(now, map[string]Zone{"b": {Fraction: 1, Rate: 8}}, nil) // the same once more gives nothing anew
 		}
-		if g.Open(now, "b", 0.5) {
-			g.Sent("b")
+		if g.Allows(now, "b", 0.5) {
+			g.CountSend("b")
 			sent++
 		}
 	}
--- a/internal/sites/plan_test.go
+++ b/internal/sites/plan_test.go
@@ -12,9 +12,9 @@
 
 // three is a plan of three alike sites.
 func three() *Plan {
-	p := &Plan{Full: 0.9}
+	p := &Plan{MaxUtilization: 0.9}
 	for _, name := range []string{"tacoma", "everett", "olympia"} {
-		p.Sites = append(p.Sites, Site{Name: name, Capacity: 100, Boxes: 8, Nodes: 4, Load: 60})
+		p.Sites = append(p.Sites, Site{Name: name, Capacity: 100, Backends: 8, Nodes: 4, Load: 60})
 	}
 	return p
 }
@@ -25,27 +25,27 @@
 		of   func(p *Plan)
 	}{
 		{"", func(*Plan) {}},
-		{"", func(p *Plan) { p.Sites[0].To = []Way{{"everett", 0.7, 0}, {"olympia", 0.3, 20}} }},
+		{"", func(p *Plan) { p.Sites[0].Overflow = []OverflowTarget{{"everett", 0.7, 0}, {"olympia", 0.3, 20}} }},
 		{"site: there are 1", func(p *Plan) { p.Sites = p.Sites[:1] }},
-		{"full: 1.2", func(p *Plan) { p.Full = 1.2 }},
-		{"full: NaN", func(p *Plan) { p.Full = math.NaN() }},
-		{"refuse: \"a\"", func(p *Plan) { p.Refuse = []string{"a", "a"} }},
+		{"full: 1.2", func(p *Plan) { p.MaxUtilization = 1.2 }},
+		{"full: NaN", func(p *Plan) { p.MaxUtilization = math.NaN() }},
+		{"refuse: \"a\"", func(p *Plan) { p.RefuseFirst = []string{"a", "a"} }},
 		{"site[1].name: \"tacoma\"", func(p *Plan) { p.Sites[1].Name = "tacoma" }},
 		{"site[2].capacity", func(p *Plan) { p.Sites[2].Capacity = 0 }},
-		{"site[0].boxes", func(p *Plan) { p.Sites[0].Boxes = 0 }},
+		{"site[0].boxes", func(p *Plan) { p.Sites[0].Backends = 0 }},
 		{"site[0].nodes", func(p *Plan) { p.Sites[0].Nodes = 0 }},
 		{"site[0].load", func(p *Plan) { p.Sites[0].Load = -1 }},
 		{"site[0].reserve", func(p *Plan) { p.Sites[0].Reserve = 1 }},
-		{"site[0].to[0].site: \"seattle\"", func(p *Plan) { p.Sites[0].To = []Way{{"seattle", 1, 0}} }},
-		{"site[0].to[0].site: a site's load", func(p *Plan) { p.Sites[0].To = []Way{{"tacoma", 1, 0}} }},
-		{"site[0].to[1].site: \"everett\" is there twice", func(p *Plan) { p.Sites[0].To = []Way{{"everett", 0.5, 0}, {"everett", 0.5, 0}} }},
-		{"site[0].to[0].part", func(p *Plan) { p.Sites[0].To = []Way{{"everett", 0, 0}} }},
-		{"site[0].to[0].most", func(p *Plan) { p.Sites[0].To = []Way{{"everett", 1, -3}} }},
-		{"site[0].to: the parts add up to 0.800", func(p *Plan) { p.Sites[0].To = []Way{{"everett", 0.8, 0}} }},
+		{"site[0].to[0].site: \"seattle\"", func(p *Plan) { p.Sites[0].Overflow = []OverflowTarget{{"seattle", 1, 0}} }},
+		{"site[0].to[0].site: a site's load", func(p *Plan) { p.Sites[0].Overflow = []OverflowTarget{{"tacoma", 1, 0}} }},
+		{"site[0].to[1].site: \"everett\" is there twice", func(p *Plan) { p.Sites[0].Overflow = []OverflowTarget{{"everett", 0.5, 0}, {"everett", 0.5, 0}} }},
+		{"site[0].to[0].part", func(p *Plan) { p.Sites[0].Overflow = []OverflowTarget{{"everett", 0, 0}} }},
+		{"site[0].to[0].most", func(p *Plan) { p.Sites[0].Overflow = []OverflowTarget{{"everett", 1, -3}} }},
+		{"site[0].to: the parts add up to 0.800", func(p *Plan) { p.Sites[0].Overflow = []OverflowTarget{{"everett", 0.8, 0}} }},
 	} {
 		p := three()
 		c.of(p)
-		err := p.Check()
+		err := p.Validate()
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.HasPrefix(err.Error(), c.want)) {
 			t.Errorf("%v, want %q", err, c.want)
 		}
@@ -63,7 +63,7 @@
 	names := func(order []int) (out []string) {
 		for _, i := range order {
 			n := kinds[i].Class
-			if kinds[i].Over {
+			if kinds[i].OverQuota {
 				n += "+"
 			}
 			out = append(out, n)
@@ -74,7 +74,7 @@
 	if got := names(p.Order(kinds)); !slices.Equal(got, []string{"look+", "quote+", "save+", "look", "quote", "save"}) {
 		t.Errorf("by worth: %v", got)
 	}
-	p.Refuse = []string{"save", "quote"}
+	p.RefuseFirst = []string{"save", "quote"}
 	if got := names(p.Order(kinds)); !slices.Equal(got, []string{"save+", "save", "quote+", "quote", "look+", "look"}) {
 		t.Errorf("as the plan names them: %v", got)
 	}
@@ -83,7 +83,7 @@
 // A lost site's load goes by the plan's parts, up to what each takes, and the rest by the other ways.
 func TestDivideByParts(t *testing.T) {
 	p := three()
-	p.Sites[0].To = []Way{{"everett", 0.7, 20}, {"olympia", 0.3, 0}}
+	p.Sites[0].Overflow = []OverflowTarget{{"everett", 0.7, 20}, {"olympia", 0.3, 0}}
 	asked := [][]float64{{40}, {50}, {50}}
 	d := p.Divide([]State{{Short: true}, {Part: 1}, {Part: 1}}, asked, []int{0})
 	if d.Moves[0][1] != 20 || d.Moves[0][2] != 20 || d.Own[0] != 0 || d.Refused[0] != 0 {
@@ -121,20 +121,20 @@
 	n := rapid.IntRange(2, 5).Draw(t, "sites")
 	kinds := rapid.IntRange(1, 6).Draw(t, "kinds")
 	amount := rapid.Float64Range(0, 200)
-	p := &Plan{Full: rapid.Float64Range(0.5, 1).Draw(t, "full")}
+	p := &Plan{MaxUtilization: rapid.Float64Range(0.5, 1).Draw(t, "full")}
 	var states []State
 	var asked [][]float64
 	for i := range n {
-		s := Site{Name: string(rune('a' + i)), Capacity: rapid.Float64Range(1, 300).Draw(t, "capacity"), Boxes: 1, Nodes: 1,
+		s := Site{Name: string(rune('a' + i)), Capacity: rapid.Float64Range(1, 300).Draw(t, "capacity"), Backends: 1, Nodes: 1,
 			Reserve: rapid.SampledFrom([]float64{0, 0, 0.3, 0.7}).Draw(t, "reserve")}
 		if rapid.Bool().Draw(t, "ways") {
 			for j := range n {
 				if j != i && rapid.Bool().Draw(t, "way") {
-					s.To = append(s.To, Way{string(rune('a' + j)), 0, rapid.SampledFrom([]float64{0, 0, 15}).Draw(t, "most")})
+					s.Overflow = append(s.Overflow, OverflowTarget{string(rune('a' + j)), 0, rapid.SampledFrom([]float64{0, 0, 15}).Draw(t, "most")})
 				}
 			}
-			for k := range s.To {
-				s.To[k].Part = 1 / float64(len(s.To))
+			for k := range s.Overflow {
+				s.Overflow[k].Part = 1 / float64(len(s.Overflow))
 			}
 		}
 		p.Sites = append(p.Sites, s)
@@ -161,7 +161,7 @@
 func TestDivideHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, states, asked, order := drawn(t)
-		if err := p.Check(); err != nil {
+		if err := p.Validate(); err != nil {
 			t.Fatal(err)
 		}
 		d := p.Divide(states, asked, order)
@@ -174,11 +174,11 @@
 			if d.Moved[i] > d.Room[i]+eps {
 				t.Fatalf("%s: %.3f moved there, with room for %.3f", s.Name, d.Moved[i], d.Room[i])
 			}
-			if d.Moved[i] > 0 && (states[i].Short || d.Own[i]+d.Moved[i] > s.Capacity*p.Full+eps || s.Reserve*s.Capacity+d.Moved[i] > s.Capacity*p.Full+eps) {
+			if d.Moved[i] > 0 && (states[i].Short || d.Own[i]+d.Moved[i] > s.Capacity*p.MaxUtilization+eps || s.Reserve*s.Capacity+d.Moved[i] > s.Capacity*p.MaxUtilization+eps) {
 				t.Fatalf("%s: %.3f moved to it beside %.3f of its own, a capacity of %.3f and a reserve of %.2f", s.Name, d.Moved[i], d.Own[i], s.Capacity, s.Reserve)
 			}
 			for to, x := range d.Moves[i] {
-				if x > d.Most[i][to]+eps || x > 0 && len(s.To) > 0 && !slices.ContainsFunc(s.To, func(w Way) bool { return w.Site == p.Sites[to].Name }) {
+				if x > d.Most[i][to]+eps || x > 0 && len(s.Overflow) > 0 && !slices.ContainsFunc(s.Overflow, func(w OverflowTarget) bool { return w.Site == p.Sites[to].Name }) {
 					t.Fatalf("%s to %s: %.3f moved, at most %.3f", s.Name, p.Sites[to].Name, x, d.Most[i][to])
 				}
 			}
--- a/internal/sites/watch.go
+++ b/internal/sites/watch.go
@@ -18,15 +18,15 @@
 
 func (s Standing) String() string { return [...]string{"serving", "in doubt", "lost", "returning"}[s] }
 
-// Result is what became of an attempt, as far as it tells whether anybody is there.
-type Result uint8
+// Outcome is what became of an attempt, as far as it tells whether anybody is there.
+type Outcome uint8
 
 const (
-	Answered Result = iota // something came back, whatever it says
-	Nobody                 // no connection came up
-	Silent                 // nothing came back in time
-	Broken                 // the connection broke
-	Nothing                // it was given up, or never made: it tells nothing
+	Answered      Outcome = iota // something came back, whatever it says
+	ConnectFailed                // no connection came up
+	TimedOut                     // nothing came back in time
+	Reset                        // the connection broke
+	Inconclusive                 // it was given up, or never made: it tells nothing
 )
 
 // The rules by which a site's standing changes. What they cost and how often they err is in docs/design/site-loss.md.
@@ -54,8 +54,8 @@
 // steps are the parts of its load that a returning site gets.
 var steps = []float64{0.2, 0.5, 1}
 
-// Box is one box as the list has it.
-type Box struct {
+// Backend is one box as the list has it.
+type Backend struct {
 	ID       uint32
 	Site     string
 	Ready    bool    // it may be sent something new
@@ -70,7 +70,7 @@
 }
 
 type watched struct {
-	Box
+	Backend
 	open   int
 	owes   float64 // since when it owes an answer; below 0 where it owes none
 	failed float64 // when it first failed since its last answer; below 0 where it has not
@@ -128,7 +128,7 @@
 func (w *Watch) at(now float64) { w.now = max(w.now, now) }
 
 // Listed sets the boxes that there are.
-func (w *Watch) Listed(now float64, boxes []Box) {
+func (w *Watch) Listed(now float64, boxes []Backend) {
 	w.at(now)
 	old := w.boxes
 	w.boxes, w.order = make(map[uint32]*watched, len(boxes)), w.order[:0]
@@ -137,7 +137,7 @@
 		if x == nil || x.Launched != b.Launched {
 			x = &watched{owes: -1, failed: -1}
 		}
-		x.Box = b
+		x.Backend = b
 		w.boxes[b.ID] = x
 		w.order = append(w.order, x)
 		if w.sites[b.Site] == nil {
@@ -161,7 +161,7 @@
 }
 
 // Ended notes what became of an attempt, that took so long.
-func (w *Watch) Ended(now float64, id uint32, r Result, took float64) {
+func (w *Watch) Ended(now float64, id uint32, r Outcome, took float64) {
 	w.at(now)
 	b := w.boxes[id]
 	if b == nil {
@@ -178,8 +178,8 @@
 		s.answered, s.unreach = w.now, 0
 		s.good++
 		s.typical += (took - s.typical) / typicalN
-	case Nobody, Silent, Broken:
-		if r == Nobody {
+	case ConnectFailed, TimedOut, Reset:
+		if r == ConnectFailed {
 			s.nobody(id)
 		}
 		if b.failed < 0 { // what was sent just before a site went was due just after
--- a/internal/sites/watch_test.go
+++ b/internal/sites/watch_test.go
@@ -12,7 +12,7 @@
 	w       *Watch
 	rng     *rand.Rand
 	now     float64
-	boxes   []Box
+	boxes   []Backend
 	dead    map[uint32]bool
 	rate    float64
 	part    bool    // sends follow Part
@@ -29,19 +29,19 @@
 	id   uint32
 	sent float64
 	end  float64
-	r    Result
+	r    Outcome
 }
 
 func newPlay(t *testing.T, rate float64) *play {
 	p := &play{t: t, w: NewWatch(), rng: rand.New(rand.NewPCG(1, 2)), now: 1000, dead: map[uint32]bool{}, rate: rate, part: true, took: 0.1}
 	for i := range 24 {
-		p.boxes = append(p.boxes, Box{ID: uint32(i + 1), Site: []string{"tacoma", "everett", "olympia"}[i%3], Ready: true})
+		p.boxes = append(p.boxes, Backend{ID: uint32(i + 1), Site: []string{"tacoma", "everett", "olympia"}[i%3], Ready: true})
 	}
 	p.w.Listed(p.now, p.boxes)
 	return p
 }
 
-func (p *play) of(site string, f func(*Box)) {
+func (p *play) of(site string, f func(*Backend)) {
 	for i := range p.boxes {
 		if p.boxes[i].Site == site {
 			f(&p.boxes[i])
@@ -49,9 +49,9 @@
 	}
 }
 
-func (p *play) kill(site string) { p.of(site, func(b *Box) { p.dead[b.ID] = true }) }
+func (p *play) kill(site string) { p.of(site, func(b *Backend) { p.dead[b.ID] = true }) }
 func (p *play) revive(site string) {
-	p.of(site, func(b *Box) { delete(p.dead, b.ID) })
+	p.of(site, func(b *Backend) { delete(p.dead, b.ID) })
 }
 
 func (p *play) run(seconds float64) {
@@ -61,10 +61,10 @@
 			if b := &p.boxes[p.rng.IntN(len(p.boxes))]; b.Ready && (!p.part || p.rng.Float64() < p.w.Part(b.Site)) {
 				f := flight{b.ID, p.now, p.now + p.took, Answered}
 				if p.rng.Float64() < p.late {
-					f.end, f.r = p.now+0.4, Silent
+					f.end, f.r = p.now+0.4, TimedOut
 				}
 				if p.dead[b.ID] {
-					f.end, f.r = p.now+0.5, Silent
+					f.end, f.r = p.now+0.5, TimedOut
 					p.lostIn++
 				}
 				p.w.Sent(p.now, b.ID)
@@ -78,7 +78,7 @@
 				continue
 			}
 			if f.r == Answered && p.dead[f.id] {
-				f.r = Silent // it died under it
+				f.r = TimedOut // it died under it
 			}
 			p.w.Ended(p.now, f.id, f.r, f.end-f.sent)
 		}
@@ -232,11 +232,11 @@
 func TestTheListTakesASiteAway(t *testing.T) {
 	p := newPlay(t, 0)
 	p.run(1)
-	p.of("tacoma", func(b *Box) { b.Ready = false })
+	p.of("tacoma", func(b *Backend) { b.Ready = false })
 	p.w.Listed(p.now, p.boxes)
 	p.run(0.5)
 	p.want("tacoma", Lost)
-	p.of("tacoma", func(b *Box) { b.Ready, b.Launched = true, p.now })
+	p.of("tacoma", func(b *Backend) { b.Ready, b.Launched = true, p.now })
 	p.w.Listed(p.now, p.boxes)
 	p.run(1)
 	p.want("tacoma", Returning)
@@ -245,14 +245,14 @@
 // A node that hears of two boxes only asks the others by connections.
 func TestFewRequestsAreEnough(t *testing.T) {
 	w := NewWatch()
-	var boxes []Box
+	var boxes []Backend
 	for id := range uint32(8) {
-		boxes = append(boxes, Box{ID: id + 1, Site: "a", Ready: true})
+		boxes = append(boxes, Backend{ID: id + 1, Site: "a", Ready: true})
 	}
 	w.Listed(0, boxes)
 	for _, id := range []uint32{1, 2} {
 		w.Sent(10, id)
-		w.Ended(10.5, id, Silent, 0.5)
+		w.Ended(10.5, id, TimedOut, 0.5)
 	}
 	now := 10.5
 	for ; now < 13 && w.Of("a") != Lost; now += 0.1 {
@@ -268,7 +268,7 @@
 	v.Listed(0, boxes)
 	for _, id := range []uint32{1, 2} {
 		v.Sent(10, id)
-		v.Ended(10.5, id, Silent, 0.5)
+		v.Ended(10.5, id, TimedOut, 0.5)
 	}
 	for now := 10.5; now < 14; now += 0.1 {
 		_, probe := v.Look(now)
@@ -298,9 +298,9 @@
 // A site of one box is lost with it, and a site that was never there is not.
 func TestSmallSites(t *testing.T) {
 	w := NewWatch()
-	w.Listed(0, []Box{{ID: 1, Site: "a", Ready: true}, {ID: 2, Site: "b"}})
+	w.Listed(0, []Backend{{ID: 1, Site: "a", Ready: true}, {ID: 2, Site: "b"}})
 	w.Sent(10, 1)
-	w.Ended(10.5, 1, Silent, 0.5)
+	w.Ended(10.5, 1, TimedOut, 0.5)
 	changes, probe := w.Look(10.9)
 	if len(probe) == 0 || len(changes) > 0 && changes[0].To == Lost {
 		t.Fatalf("%v, asked %v: no connection was tried", changes, probe)
--- a/internal/sites/work.go
+++ b/internal/sites/work.go
@@ -7,19 +7,19 @@
 
 // Case is a plan worked through for one loss.
 type Case struct {
-	Lost    []string      `json:"lost"` // none: a usual day
-	Carried float64       `json:"carried"`
-	Refused float64       `json:"refused"` // mean requests a second
-	Kinds   []KindRefused `json:"refused_by_kind,omitempty"`
-	Sites   []SiteLoad    `json:"sites"`
-	Fits    float64       `json:"fits_times"` // at so many times the load nothing has to be refused yet
+	Lost          []string      `json:"lost"` // none: a usual day
+	Carried       float64       `json:"carried"`
+	Refused       float64       `json:"refused"` // mean requests a second
+	Kinds         []KindRefused `json:"refused_by_kind,omitempty"`
+	Sites         []SiteLoad    `json:"sites"`
+	MaxLoadFactor float64       `json:"fits_times"` // at so many times the load nothing has to be refused yet
 }
 
 // KindRefused is what is refused of one kind.
 type KindRefused struct {
-	Class string  `json:"class"`
-	Over  bool    `json:"past_share"`
-	Part  float64 `json:"part"` // of what is asked
+	Class     string  `json:"class"`
+	OverQuota bool    `json:"past_share"`
+	Fraction  float64 `json:"part"` // of what is asked
 }
 
 // SiteLoad is what one site carries.
@@ -27,12 +27,12 @@
 	Site  string  `json:"site"`
 	Own   float64 `json:"own"`
 	Moved float64 `json:"moved"`
-	Full  float64 `json:"full"` // what it may be filled to
+	Limit float64 `json:"full"` // what it may be filled to
 }
 
-// Work works the plan through: a usual day, the loss of each site and, where there are more than two, of each pair. The
+// Evaluate works the plan through: a usual day, the loss of each site and, where there are more than two, of each pair. The
 // load is so many times the plan's, its kinds those of the mix; Share is a kind's part of the load.
-func (p *Plan) Work(mix []Mixed, times float64) ([]Case, error) {
+func (p *Plan) Evaluate(mix []KindShare, times float64) ([]Case, error) {
 	var kinds []Kind
 	var shares []float64
 	total := 0.0
@@ -62,10 +62,10 @@
 			}
 		}
 		d := p.Divide(states, asked, order)
-		c.Carried, c.Refused, c.Fits = sum(d.Own)+sum(d.Moved), sum(d.Refused), p.Fits(states, asked, order)
+		c.Carried, c.Refused, c.MaxLoadFactor = sum(d.Own)+sum(d.Moved), sum(d.Refused), p.Fits(states, asked, order)
 		for _, k := range order {
 			if d.Asked[k] > 0 && d.Refused[k] > 1e-9*d.Asked[k] {
-				c.Kinds = append(c.Kinds, KindRefused{kinds[k].Class, kinds[k].Over, d.Refused[k] / d.Asked[k]})
+				c.Kinds = append(c.Kinds, KindRefused{kinds[k].Class, kinds[k].OverQuota, d.Refused[k] / d.Asked[k]})
 			}
 		}
 		for i, s := range p.Sites {
@@ -85,8 +85,8 @@
 	return out, nil
 }
 
-// Mixed is a kind with its part of the load.
-type Mixed struct {
+// KindShare is a kind with its part of the load.
+type KindShare struct {
 	Kind
 	Share float64
 }
--- a/internal/siting/siting.go
+++ b/internal/siting/siting.go
@@ -9,52 +9,56 @@
 	"craneglade/policy"
 )
 
-// Every is how often Step is to be called.
-const Every = 100 * time.Millisecond
+// StepInterval is how often Step is to be called.
+const StepInterval = 100 * time.Millisecond
 
-// Link is one node's. Nothing of it is safe for concurrent use.
-type Link struct {
+// Adapter is one node's. Nothing of it is safe for concurrent use.
+type Adapter struct {
 	Node   *sites.Node
 	orders bool // the module follows some now
 }
 
 // New returns the link of a node that knows no box yet. A nil plan is none.
-func New(set *policy.Settings, plan *sites.Plan) *Link {
-	cfg := sites.Config{Plan: plan, Home: set.Zone, OverShare: set.OverShare, ColdShare: set.ColdShare, ColdFor: set.ColdFor.Seconds()}
+func New(set *policy.Settings, plan *sites.Plan) *Adapter {
+	cfg := sites.Config{Plan: plan, Home: set.Zone, OverQuotaUtility: set.OverShare, ColdShare: set.ColdShare, ColdFor: set.ColdFor.Seconds()}
 	for _, c := range set.Classes {
-		cfg.Classes = append(cfg.Classes, sites.Class{Name: c.Name, Worth: c.Worth})
+		cfg.Classes = append(cfg.Classes, sites.Class{Name: c.Name, Utility: c.Worth})
 	}
-	return &Link{Node: sites.NewNode(cfg)}
+	return &Adapter{Node: sites.NewNode(cfg)}
 }
 
-// Listed sets the boxes that there are.
-func (l *Link) Listed(now time.Duration, boxes []sites.Box) { l.Node.Listed(now.Seconds(), boxes) }
+// ApplyList sets the boxes that there are.
+func (l *Adapter) ApplyList(now time.Duration, boxes []sites.Backend) {
+	l.Node.ApplyList(now.Seconds(), boxes)
+}
 
-// Sent notes that an attempt at a box begins.
-func (l *Link) Sent(now time.Duration, id uint32) { l.Node.Sent(now.Seconds(), id) }
+// RecordSend notes that an attempt at a box begins.
+func (l *Adapter) RecordSend(now time.Duration, id uint32) { l.Node.RecordSend(now.Seconds(), id) }
 
-// Ended notes what became of an attempt.
-func (l *Link) Ended(now time.Duration, id uint32, o policy.Outcome, took time.Duration) {
-	r := sites.Nothing
+// RecordOutcome notes what became of an attempt.
+func (l *Adapter) RecordOutcome(now time.Duration, id uint32, o policy.Outcome, took time.Duration) {
+	r := sites.Inconclusive
 	switch o {
 	case policy.OK, policy.Failed, policy.Full:
 		r = sites.Answered
 	case policy.ConnectFailed:
-		r = sites.Nobody
+		r = sites.ConnectFailed
 	case policy.TimedOut:
-		r = sites.Silent
+		r = sites.TimedOut
 	case policy.Reset:
-		r = sites.Broken
+		r = sites.Reset
 	}
-	l.Node.Ended(now.Seconds(), id, r, took.Seconds())
+	l.Node.RecordOutcome(now.Seconds(), id, r, took.Seconds())
 }
 
-// Probed notes whether a connection that Step asked for came up.
-func (l *Link) Probed(now time.Duration, id uint32, up bool) { l.Node.Probed(now.Seconds(), id, up) }
+// RecordProbe notes whether a connection that Step asked for came up.
+func (l *Adapter) RecordProbe(now time.Duration, id uint32, up bool) {
+	l.Node.RecordProbe(now.Seconds(), id, up)
+}
 
 // Step brings all up to the time. It returns what the module is to be handed, nil for nothing, and the boxes to which a
 // connection is to be tried.
-func (l *Link) Step(now time.Duration, bal *policy.Balancer) (*policy.Event, []uint32) {
+func (l *Adapter) Step(now time.Duration, bal *policy.Balancer) (*policy.Event, []uint32) {
 	o := l.Node.Step(now.Seconds(), bal.Demand())
 	some := len(o.Zones) > 0 || len(o.Admit) > 0
 	if !some && !l.orders {
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -18,12 +18,12 @@
 // golden is the golden section, 2/(1+sqrt 5).
 const golden = 0.6180339887498949
 
-// Sharers is how many nodes each backend should serve at least. A node's traffic is uneven: the sum over twelve nodes
+// MinNodesPerBackend is how many nodes each backend should serve at least. A node's traffic is uneven: the sum over twelve nodes
 // has less than a third of one's deviation, which what is believed of single backends evens out.
-const Sharers = 12
+const MinNodesPerBackend = 12
 
-// Least is what a part at home never falls below: fewer would leave no choice, and a second try nowhere to go.
-const Least = 4
+// MinBackends is what a part at home never falls below: fewer would leave no choice, and a second try nowhere to go.
+const MinBackends = 4
 
 // away is the part of what a node takes at home that it takes of another zone: some, so that its own zone's loss leaves
 // it others, and few, as each backend more is heard of more seldom and costs a connection.
@@ -44,17 +44,17 @@
 // of another zone's. Where crossing is dear a zone's backends serve its own nodes only, one of so many parts of all as
 // there are zones, and each of these has to take more of them. A node without a zone is at home in all.
 func (n Node) Size(zone string, backends, zones int) int {
-	if n.Nodes <= Sharers {
+	if n.Nodes <= MinNodesPerBackend {
 		return backends
 	}
-	weight, least := 1.0, float64(Least)
+	weight, least := 1.0, float64(MinBackends)
 	switch {
 	case zone == n.Zone:
 		weight += float64(zones-1) * min(1, max(0, n.CrossPrice)/dear)
 	case n.Zone != "":
 		weight, least = away, 1
 	}
-	part := math.Ceil(float64(backends) * Sharers * weight / float64(n.Nodes))
+	part := math.Ceil(float64(backends) * MinNodesPerBackend * weight / float64(n.Nodes))
 	return int(min(float64(backends), max(least, part)))
 }
 
@@ -70,9 +70,9 @@
 	return h
 }
 
-// Part tells for each of n backends whether it is in a node's part, by its zone and the Hash of its id; and how many
+// Of tells for each of n backends whether it is in a node's part, by its zone and the Hash of its id; and how many
 // nodes share a backend, by their mean.
-func Part(n int, backend func(i int) (zone string, hash uint64), node Node) (in []bool, sharers float64) {
+func Of(n int, backend func(i int) (zone string, hash uint64), node Node) (in []bool, sharers float64) {
 	type members struct {
 		index  []int
 		hashes []uint64
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -9,7 +9,7 @@
 // part is the places of a node's part among n backends of one zone.
 func part(t *testing.T, ids []string, number, nodes int) []string {
 	t.Helper()
-	in, _ := Part(len(ids), func(i int) (string, uint64) { return "a", Hash(ids[i]) }, Node{Number: number, Nodes: nodes})
+	in, _ := Of(len(ids), func(i int) (string, uint64) { return "a", Hash(ids[i]) }, Node{Number: number, Nodes: nodes})
 	var out []string
 	for i, id := range ids {
 		if in[i] {
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -2,8 +2,8 @@
 // docs/design/thresholds.md.
 package tuning
 
-// Figures are one choice of them.
-type Figures struct {
+// Parameters are one choice of them.
+type Parameters struct {
 	AimPart  float64 // H is at most what a backend clears in this part of the shortest aim
 	Divert   float64 // q, the part of all requests that a backend in overload diverts, at its H
 	Ramp     float64 // q is at its most at 1 + Ramp times H
@@ -13,7 +13,7 @@
 	Heal     float64 // after so many seconds, for each node that shares it, a backend that got nothing is tried again
 }
 
-// InService are those that nodes go by.
-func InService() Figures {
-	return Figures{AimPart: 0.30, Divert: 0.50, Ramp: 0.5, Steep: 5, Overtake: 3, Heal: 3}
+// Default are those that nodes go by.
+func Default() Parameters {
+	return Parameters{AimPart: 0.30, Divert: 0.50, Ramp: 0.5, Steep: 5, Overtake: 3, Heal: 3}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -21,11 +21,11 @@
 type Kind uint8
 
 const (
-	Round    Kind = iota // a batch starts: Now and Batch
-	Turn                 // the batch ends
-	Create               // an instance starts: Instance, Seed and Settings
-	PowerOff             // an instance was killed: Instance
-	Event                // something happened at an instance: Instance and Event
+	BatchStart Kind = iota // a batch starts: Now and Batch
+	BatchEnd               // the batch ends
+	Create                 // an instance starts: Instance, Seed and Settings
+	PowerOff               // an instance was killed: Instance
+	Event                  // something happened at an instance: Instance and Event
 )
 
 // Message is one decoded line. The Decoder that filled it reuses it.
@@ -69,9 +69,9 @@
 	m.Event = policy.Event{}
 	switch d.name {
 	case "round":
-		m.Kind, m.Now, m.Batch = Round, d.seconds(0, "clock_s", true), d.integer(1, "round")
+		m.Kind, m.Now, m.Batch = BatchStart, d.seconds(0, "clock_s", true), d.integer(1, "round")
 	case "your_turn":
-		m.Kind = Turn
+		m.Kind = BatchEnd
 	case "create":
 		m.Kind, m.Instance = Create, d.integer(0, "who")
 		m.Seed = d.seed(1, "salt")
@@ -488,8 +488,8 @@
 	return append(buf, "]\n"...)
 }
 
-// AppendGiveIn appends the line that reports a broken instance.
-func AppendGiveIn(buf []byte, who int64, message string) []byte {
+// AppendFault appends the line that reports a broken instance.
+func AppendFault(buf []byte, who int64, message string) []byte {
 	return append(appendID(appendHead(buf, "give_in", who), message), "]\n"...)
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -19,8 +19,8 @@
 
 func TestDecode(t *testing.T) {
 	for line, want := range map[string]Message{
-		`["round",8.41225,12]`: {Kind: Round, Now: 8412250 * time.Microsecond, Batch: 12},
-		`["your_turn"]`:        {Kind: Turn},
+		`["round",8.41225,12]`: {Kind: BatchStart, Now: 8412250 * time.Microsecond, Batch: 12},
+		`["your_turn"]`:        {Kind: BatchEnd},
 		`["power_off",3]`:      {Kind: PowerOff, Instance: 3},
 		`["demand",3,"r-b","route",null,"k:1",0.24,0.012,false,false]`: {Kind: Event, Instance: 3, Event: policy.Event{
 			Kind: policy.EvRequest, ID: "r-b", Class: "route", Left: 240 * time.Millisecond}},
@@ -139,7 +139,7 @@
 			t.Errorf("got %swant %s", got, want)
 		}
 	}
-	if got := string(AppendGiveIn(nil, 3, "x")) + string(AppendDone(nil, 9)); got != "[\"give_in\",3,\"x\"]\n[\"done\",9]\n" {
+	if got := string(AppendFault(nil, 3, "x")) + string(AppendDone(nil, 9)); got != "[\"give_in\",3,\"x\"]\n[\"done\",9]\n" {
 		t.Error(got)
 	}
 }
--- a/policy/copy.go
+++ b/policy/copy.go
@@ -6,7 +6,7 @@
 
 // tooLong is after what time an attempt of a class is late.
 func (c *class) tooLong() float64 {
-	late := c.took.Beyond(tail)
+	late := c.took.MeanPlus(tail)
 	if aim := c.Aim.Seconds(); aim > 0 {
 		late = min(late, aim/2)
 	}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -206,7 +206,7 @@
 			t.Fatalf("%+v is drawn, want the one that has just answered here", s)
 		}
 	}
-	if s := b.servers[2]; s.Ejected < now.Seconds()+health.First || !s.Trial {
+	if s := b.servers[2]; s.Ejected < now.Seconds()+health.FirstEjectionSeconds || !s.Trial {
 		t.Errorf("it is out until %.1f, trial %v", s.Ejected-now.Seconds(), s.Trial)
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -85,7 +85,7 @@
 	t := max(now.Seconds(), b.now) // a clock that steps back must not undo what was learnt
 	b.now = t
 	if b.many > 1 { // what moves here now moves at the others too, and their reports will tell only then
-		b.swing = math.Pow(b.drift.Of(t, b.flying, swingTau, few, 2), 1-1/b.many)
+		b.swing = math.Pow(b.drift.Ratio(t, b.flying, swingTau, few, 2), 1-1/b.many)
 	}
 	switch ev.Kind {
 	case EvRequest:
@@ -176,7 +176,7 @@
 		if s != nil && b.sharers > b.tune.Steep && !b.pace.Allows(now, r.lesser) {
 			s = nil
 		}
-		b.pace.Asked(s != nil)
+		b.pace.CountRequest(s != nil)
 	}
 	if s != nil {
 		b.send(now, r, s)
@@ -185,7 +185,7 @@
 }
 
 func (b *Balancer) send(now float64, r *request, s *server) {
-	b.pace.Sent()
+	b.pace.CountSend()
 	b.sends.N++
 	if b.priced(s) {
 		b.sends.Sum++
@@ -203,9 +203,9 @@
 		r.class.out = append(r.class.out, a)
 	}
 	s.sentAt = now
-	b.gates.Sent(s.Zone)
+	b.gates.CountSend(s.Zone)
 	if s.classes != nil && s.of(b, r.class).Trial {
-		s.of(b, r.class).Ejected = now + health.First // one at a time
+		s.of(b, r.class).Ejected = now + health.FirstEjectionSeconds // one at a time
 	}
 	r.open++
 	s.own++
@@ -345,7 +345,7 @@
 	case TimedOut:
 		if a.stray { // it tells of a loss, not of a crowd
 			s.lostAt = now
-			b.blame(now, s, health.Memory)
+			b.blame(now, s, health.DecayAttempts)
 			break
 		}
 		// The true latency is longer: as seen it would make a slow backend look as good as the time-out.
@@ -353,13 +353,13 @@
 		s.ghosts++ // the backend may well run on with it, until the next reports tell
 		// A slow backend still answers some; one that answered nothing meanwhile is not slow but out.
 		if s.lastOK < now-max(took, silence) {
-			b.blame(now, s, health.Out)
+			b.blame(now, s, health.UnreachableDecayAttempts)
 		}
 	case ConnectFailed:
-		b.blame(now, s, health.Out)
+		b.blame(now, s, health.UnreachableDecayAttempts)
 	case Failed, Reset:
-		b.blame(now, s, health.Memory)
-		if ev.Outcome == Failed && s.of(b, r.class).Failed(now, health.Out, b.rng.Float64) {
+		b.blame(now, s, health.DecayAttempts)
+		if ev.Outcome == Failed && s.of(b, r.class).Failed(now, health.UnreachableDecayAttempts, b.rng.Float64) {
 			b.log("backend %d gets no class %s for %.1f s: it fails those", s.ID, r.class.Name,
 				s.of(b, r.class).Ejected-now)
 		}
@@ -391,7 +391,7 @@
 	}
 	for _, id := range sh.Out {
 		if s := b.servers[id]; s != nil && s.lastOK < now-silence {
-			s.Ejected, s.Trial = max(s.Ejected, now+health.First), true
+			s.Ejected, s.Trial = max(s.Ejected, now+health.FirstEjectionSeconds), true
 		}
 	}
 }
@@ -514,7 +514,7 @@
 func (b *Balancer) usable(now float64, r *request, s *server) bool {
 	if s.State != Active && now >= s.grace || now < s.Ejected || s.Trial && s.own > 0 || s == r.avoid ||
 		s.Speaks&r.needs != r.needs || s.classes != nil && now < s.of(b, r.class).Ejected ||
-		!b.gates.Open(now, s.Zone, r.luck) {
+		!b.gates.Allows(now, s.Zone, r.luck) {
 		return false
 	}
 	m, group := r.mayRun, r.class.Group
@@ -639,10 +639,10 @@
 	}
 	for _, c := range b.classes {
 		c.stay = b.stays(c, dt)
-		c.near.Fade(f)
+		c.near.Decay(f)
 	}
-	b.far.Fade(f)
-	b.sends.Fade(f)
+	b.far.Decay(f)
+	b.sends.Decay(f)
 	b.shares(math.Exp(-dt / oldTau))
 }
 
@@ -696,7 +696,7 @@
 	// Attempts that are out keep their own hold on what goes here.
 	maps.DeleteFunc(b.servers, func(_ uint32, s *server) bool { return s.State == Left })
 	slices.SortFunc(b.order, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
-	in, sharers := subset.Part(len(b.order), func(i int) (string, uint64) { return b.order[i].Zone, b.order[i].Place },
+	in, sharers := subset.Of(len(b.order), func(i int) (string, uint64) { return b.order[i].Zone, b.order[i].Place },
 		subset.Node{Number: b.set.Number, Nodes: b.set.Nodes, Zone: b.set.Zone, CrossPrice: b.set.CrossPrice})
 	for i, s := range b.order {
 		s.wide = !in[i]
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -254,7 +254,7 @@
 		}
 		s := b.servers[1]
 		for n := 0; s.Ejected == 0 && n < 3; n++ { // chance may have kept it from a third failure
-			b.blame(t0.Seconds()+0.2, s, health.Out)
+			b.blame(t0.Seconds()+0.2, s, health.UnreachableDecayAttempts)
 		}
 		first := s.Ejected
 		for i := 0; i < 50; i++ { // after the ejection: one at a time
@@ -264,7 +264,7 @@
 		if s.own > 1 {
 			t.Errorf("outcome %d: %v attempts out at a backend on trial", o, s.own)
 		}
-		b.blame(first+0.1, s, health.Out)
+		b.blame(first+0.1, s, health.UnreachableDecayAttempts)
 		if wait := s.Ejected - first - 0.1; wait < 1.4 {
 			t.Errorf("outcome %d: second ejection %.2f s, want it longer than the first", o, wait)
 		}
@@ -348,7 +348,7 @@
 	}
 	s := b.servers[1]
 	for s.Ejected == 0 {
-		b.blame(t0.Seconds(), s, health.Out)
+		b.blame(t0.Seconds(), s, health.UnreachableDecayAttempts)
 	}
 	for _, send := range sent[:2] {
 		outcome(b, t0+20*time.Millisecond, send, OK, Load{Known: true})
@@ -1031,7 +1031,7 @@
 			t.Fatal(err)
 		}
 		s := &server{Record: health.Record{Bad: 1}}
-		b.blame(100, s, health.Out)
+		b.blame(100, s, health.UnreachableDecayAttempts)
 		ends[s.Ejected] = true
 	}
 	if len(ends) < 4 {
--- a/policy/sites_test.go
+++ b/policy/sites_test.go
@@ -42,7 +42,7 @@
 	if _, z, _ := sent(b, t0, 5, "top"); z == 0 {
 		t.Fatal("zone b is not used before")
 	}
-	order(t0+10*time.Second, map[string]sites.Zone{"b": {Part: 0, Rate: -1}})
+	order(t0+10*time.Second, map[string]sites.Zone{"b": {Fraction: 0, Rate: -1}})
 	if a, z, refused := sent(b, t0+10*time.Second, 5, "top"); z > 0 || refused > 0 || a != 250 {
 		t.Errorf("closed: %d to a, %d to b, %d refused", a, z, refused)
 	}
@@ -50,7 +50,7 @@
 	if act := outcome(b, t0+16*time.Second+10*time.Millisecond, send, ConnectFailed, Load{}); act.Kind != ActSend || act.Server > 2 {
 		t.Errorf("the further attempt: %+v", act)
 	}
-	order(t0+20*time.Second, map[string]sites.Zone{"a": {Part: 0, Rate: -1}, "b": {Part: 1, Rate: 10}})
+	order(t0+20*time.Second, map[string]sites.Zone{"a": {Fraction: 0, Rate: -1}, "b": {Fraction: 1, Rate: 10}})
 	if a, z, refused := sent(b, t0+20*time.Second, 5, "top"); a > 0 || z < 45 || z > 56 || refused != 250-z {
 		t.Errorf("limited to 10 a second: %d to a, %d to b, %d refused", a, z, refused)
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -26,7 +26,7 @@
 	out      []*attempt    // first attempts that may get a copy, in the order of the sends
 	least    float64       // least time left of a first try lately
 	lesser   bool          // worth less than the average for its work
-	near     decay.Tally   // latencies of answers that crossed no zone at a price
+	near     decay.Mean    // latencies of answers that crossed no zone at a price
 	best     float64       // least mean of them
 	stay     float64       // part of the requests that stays in this zone while there is a backend for it
 }
@@ -105,24 +105,24 @@
 	requests map[string]*request
 	tenants  []*tenant
 	tenant   map[string]*tenant
-	part     float64     // this node's part of all traffic
-	sharers  float64     // nodes that work with a backend, by their mean
-	born     float64     // when the first plan was made
-	worth    float64     // mean worth of a request lately
-	far      decay.Tally // latencies of answers from other zones, as parts of their class's in this one
-	sends    decay.Tally // attempts, and those of them that left the zone at a price
-	level    decay.Level // what others hold at a backend by their mean
-	retries  float64     // further attempts that the budget allows
-	now      float64     // latest time seen
+	part     float64    // this node's part of all traffic
+	sharers  float64    // nodes that work with a backend, by their mean
+	born     float64    // when the first plan was made
+	worth    float64    // mean worth of a request lately
+	far      decay.Mean // latencies of answers from other zones, as parts of their class's in this one
+	sends    decay.Mean // attempts, and those of them that left the zone at a price
+	level    decay.EWMA // what others hold at a backend by their mean
+	retries  float64    // further attempts that the budget allows
+	now      float64    // latest time seen
 	planAt   float64
-	askAt    float64     // when to ask for the list again; 0: not wanted
-	tickAt   float64     // when the next plan is due
-	many     float64     // sharers as a multiple of those that are few
-	pace     pace.Pacer  // how fast sends may grow while some requests are refused
-	gates    sites.Gates // while sites are lost
-	flying   float64     // own attempts that are out,
-	drift    decay.Swing // how that moves,
-	swing    float64     // and so what others hold since their reports
+	askAt    float64       // when to ask for the list again; 0: not wanted
+	tickAt   float64       // when the next plan is due
+	many     float64       // sharers as a multiple of those that are few
+	pace     pace.Pacer    // how fast sends may grow while some requests are refused
+	gates    sites.Limiter // while sites are lost
+	flying   float64       // own attempts that are out,
+	drift    decay.Trend   // how that moves,
+	swing    float64       // and so what others hold since their reports
 	out      []Action
 
 	aim, half      float64 // shortest told aim, and half the shortest told deadline; infinite when none was told
--- a/policy/tuning.go
+++ b/policy/tuning.go
@@ -3,7 +3,7 @@
 import "craneglade/internal/tuning"
 
 // Tuning are the figures that the laboratory varies.
-type Tuning = tuning.Figures
+type Tuning = tuning.Parameters
 
 // Tuned are the figures in service.
-func Tuned() Tuning { return tuning.InService() }
+func Tuned() Tuning { return tuning.Default() }
--- a/policy/worth.go
+++ b/policy/worth.go
@@ -21,7 +21,7 @@
 	for _, c := range b.classes {
 		c.requests *= f
 		c.over *= f
-		c.took.Fade(f)
+		c.took.Decay(f)
 		requests += c.requests
 		worth += c.requests * c.Worth
 		work += c.requests * c.work()
--- a/policy/zone_test.go
+++ b/policy/zone_test.go
@@ -94,15 +94,15 @@
 	b := node(t, settings(func(s *Settings) { s.CrossPrice = 0.08 }), Entry{ID: 1, Zone: "a"})
 	b.worth = 3
 	c := b.classes[0]
-	for _, near := range []decay.Tally{{}, {Sum: 0, N: 100}, {Sum: 1e-9, N: 10}, {Sum: 50, N: 100}, {Sum: 1e9, N: 100}, {Sum: 1e300, N: 10}} {
-		for _, far := range []decay.Tally{{}, {Sum: 0, N: 50}, {Sum: 1e-9, N: 50}, {Sum: 1e300, N: 50}} {
+	for _, near := range []decay.Mean{{}, {Sum: 0, N: 100}, {Sum: 1e-9, N: 10}, {Sum: 50, N: 100}, {Sum: 1e9, N: 100}, {Sum: 1e300, N: 10}} {
+		for _, far := range []decay.Mean{{}, {Sum: 0, N: 50}, {Sum: 1e-9, N: 50}, {Sum: 1e300, N: 50}} {
 			c.near, b.far, c.best = near, far, 0
 			if got := b.stays(c, 0.25); !(got >= 0 && got <= 1) || math.IsNaN(got) {
 				t.Errorf("near %v, far %v: %v stays", near, far, got)
 			}
 		}
 	}
-	c.near, b.far, c.best = decay.Tally{Sum: 50, N: 100}, decay.Tally{}, 0.1
+	c.near, b.far, c.best = decay.Mean{Sum: 50, N: 100}, decay.Mean{}, 0.1
 	b.set.CrossPrice = 0
 	if got := b.stays(c, 0.25); got != 1 {
 		t.Errorf("with no price %v stays", got)
@@ -112,7 +112,7 @@
 // A backend of another zone that gets little because of the price is not one that is left out for what is believed of it.
 func TestOtherZonesAreTriedAsRarelyAsRequestsCross(t *testing.T) {
 	b := node(t, settings(func(s *Settings) { s.CrossPrice = 0.08 }), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "b"})
-	b.sends = decay.Tally{Sum: 2, N: 100}
+	b.sends = decay.Mean{Sum: 2, N: 100}
 	wait := b.tune.Heal * b.sharers
 	if got := b.heal(b.servers[1]); got != wait {
 		t.Errorf("in the node's zone a backend is tried after %v s, want %v", got, wait)
