--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -36,21 +36,21 @@
 	h := host{nodes: map[int64]*policy.Balancer{}}
 	r := bufio.NewReaderSize(in, 1<<20)
 	var dec wire.Decoder
-	var long []byte
+	var partial []byte
 	var batch int64
-	open := false
+	inBatch := false
 	for {
 		line, err := r.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			long = append(long, line...)
+			partial = append(partial, line...)
 			continue
 		}
-		if len(long) > 0 {
-			long = append(long, line...)
-			line, long = long, long[:0]
+		if len(partial) > 0 {
+			partial = append(partial, line...)
+			line, partial = partial, partial[:0]
 		}
 		if err == io.EOF && len(line) == 0 {
-			if open {
+			if inBatch {
 				return fmt.Errorf("batch %d: input ended inside the batch", batch)
 			}
 			return nil
@@ -62,27 +62,27 @@
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", batch, err)
 		}
-		if (m.Kind == wire.BatchStart) == open {
+		if (m.Kind == wire.BatchStart) == inBatch {
 			return fmt.Errorf("batch %d: message out of place", batch)
 		}
 		switch m.Kind {
 		case wire.BatchStart:
-			open, batch, h.now, h.reply = true, m.Batch, m.Now, h.reply[:0]
+			inBatch, batch, h.now, h.reply = true, m.Batch, m.Now, h.reply[:0]
 		case wire.BatchEnd:
-			open = false
+			inBatch = false
 			if _, err := out.Write(wire.AppendDone(h.reply, batch)); err != nil {
 				return err
 			}
 		default:
-			if err := h.take(m); err != nil {
+			if err := h.dispatch(m); err != nil {
 				return fmt.Errorf("batch %d: %w", batch, err)
 			}
 		}
 	}
 }
 
-// take hands one message to its instance and appends the instance's actions to the reply.
-func (h *host) take(m *wire.Message) error {
+// dispatch hands one message to its instance and appends the instance's actions to the reply.
+func (h *host) dispatch(m *wire.Message) error {
 	switch m.Kind {
 	case wire.Create:
 		node, err := policy.New(m.Settings, m.Seed)
@@ -109,10 +109,10 @@
 }
 
 // guard turns a panic of the decision code into the instance's fault report.
-func (h *host) guard(who int64, decide func()) {
+func (h *host) guard(instance int64, decide func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply = wire.AppendFault(h.reply, who, fmt.Sprint(p))
+			h.reply = wire.AppendFault(h.reply, instance, fmt.Sprint(p))
 		}
 	}()
 	decide()
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -11,8 +11,8 @@
 const settings = `{"balancers":1,"zone":"n","discovery":"push","grades":[{"name":"a","aim_s":0.4,"deadline_s":1,` +
 	`"gain":1,"effect":"free","group":"all"}],"policy_limits":{"max_attempts":2,"max_retry_after_s":1}}`
 
-// built returns the path of a freshly built simhost.
-func built(t *testing.T) string {
+// buildSimhost returns the path of a freshly built simhost.
+func buildSimhost(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "simhost")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
@@ -21,7 +21,7 @@
 	return bin
 }
 
-func converse(t *testing.T, bin, in string) (out, problem string, err error) {
+func runSimhost(t *testing.T, bin, in string) (out, problem string, err error) {
 	t.Helper()
 	cmd := exec.Command(bin)
 	var o, e bytes.Buffer
@@ -31,7 +31,7 @@
 }
 
 func TestConversation(t *testing.T) {
-	bin := built(t)
+	bin := buildSimhost(t)
 	in := `["round",10,1]
 ["your_turn"]
 ["round",10.5,2]
@@ -61,7 +61,7 @@
 ["say_no",0,"r-3",0.1]
 ["done",4]
 `
-	out, problem, err := converse(t, bin, in)
+	out, problem, err := runSimhost(t, bin, in)
 	if err != nil || problem != "" || out != want {
 		t.Errorf("error %v, stderr %q, got\n%s\nwant\n%s", err, problem, out, want)
 	}
@@ -75,7 +75,7 @@
 		"[\"round\",1,7]\n[\"create\",0,1,{\"balancers\":1}]\n":   "batch 7: create: policy: Classes",
 		"[\"round\",1,7]\n[\"create\",0,1,{\"balancers\":0,\"grades\":[{\"name\":\"a\",\"effect\":\"free\"}]}]\n": "Nodes",
 	} {
-		_, problem, err := converse(t, bin, in)
+		_, problem, err := runSimhost(t, bin, in)
 		if err == nil || !strings.Contains(problem, want) || strings.Count(problem, "\n") != 1 {
 			t.Errorf("%q: error %v, stderr %q, want one line with %q", in, err, problem, want)
 		}
@@ -83,7 +83,7 @@
 }
 
 // A panic in the module becomes that instance's fault report and hurts no other.
-func TestPanicBecomesGiveIn(t *testing.T) {
+func TestPanicReportsInstanceFault(t *testing.T) {
 	var h host
 	h.guard(5, func() { panic("broken") })
 	if got := string(h.reply); got != "[\"give_in\",5,\"broken\"]\n" {
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -129,7 +129,7 @@
 			}
 			refused = strings.Join(parts, ", ")
 		}
-		why := s.Why
+		why := s.Reason
 		if s.HaltReason != "" {
 			why += "; it stands still: " + s.HaltReason
 		}
--- a/internal/cold/starts.go
+++ b/internal/cold/starts.go
@@ -10,20 +10,20 @@
 // node's process began: a backend that has just started would then look an hour old, and be sent all at once, or start in the
 // future, and stay cold for an hour. The zero value trusts the clock.
 type Starts struct {
-	ahead time.Duration // how far the own clock is ahead of the list's
+	clockAhead time.Duration // how far the own clock is ahead of the list's
 }
 
 // At is when a backend started that is told to have at told, both in time since the Unix epoch by the own clock; told may be 0 for
 // long ago, which stays so. restart says that the list has just told another start of that backend before: this one is news, and
 // can't lie far back.
-func (s *Starts) At(now, told time.Duration, restart bool) time.Duration {
-	if told <= 0 {
-		return told
+func (s *Starts) At(now, listed time.Duration, restart bool) time.Duration {
+	if listed <= 0 {
+		return listed
 	}
-	start := told + s.ahead
+	start := listed + s.clockAhead
 	age := now - start
 	if age < -maxSkew || restart && age > maxSkew {
-		s.ahead += age
+		s.clockAhead += age
 		return now
 	}
 	return min(start, now) // nothing starts in the future
--- a/internal/cold/starts_test.go
+++ b/internal/cold/starts_test.go
@@ -6,7 +6,7 @@
 )
 
 // Where the own clock is right, starts are what the list tells; one that lies a little ahead is now.
-func TestStartsByARightClock(t *testing.T) {
+func TestStartsWithCorrectClock(t *testing.T) {
 	t.Parallel()
 	const now = 1000 * time.Hour
 	var s Starts
@@ -28,7 +28,7 @@
 }
 
 // A clock that is an hour ahead or behind is found out by the first start that shows it, and others are read right from then on.
-func TestStartsByAClockThatWasSet(t *testing.T) {
+func TestStartsWithSteppedClock(t *testing.T) {
 	t.Parallel()
 	for _, ahead := range []time.Duration{time.Hour, -time.Hour} {
 		const truth = 1000 * time.Hour
--- a/internal/decay/decay.go
+++ b/internal/decay/decay.go
@@ -38,26 +38,26 @@
 
 // EWMA is the mean of what came lately. Its zero value is a level of 0 that nothing told of.
 type EWMA struct {
-	Mean float64
-	n    float64 // values behind it, decayed
-	at   float64
+	Mean      float64
+	weight    float64 // values behind it, decayed
+	updatedAt float64
 }
 
 // Add takes in x. Values count for about tau, and prior values of 0 stand before the first, which would else be all.
-func (l *EWMA) Add(now, x, tau, prior float64) {
-	l.n = l.n*math.Exp((l.at-now)/tau) + 1
-	l.at = now
-	l.Mean += (x - l.Mean) / (l.n + prior)
+func (l *EWMA) Add(now, x, timeConstant, prior float64) {
+	l.weight = l.weight*math.Exp((l.updatedAt-now)/timeConstant) + 1
+	l.updatedAt = now
+	l.Mean += (x - l.Mean) / (l.weight + prior)
 }
 
 // Trend tells by how much a count stands over or under what it was lately. Its zero value starts from 0.
-type Trend struct{ mean, at float64 }
+type Trend struct{ mean, updatedAt float64 }
 
 // Ratio is n over its mean of the last tau, within 1/most and most. Where it is near 0, one more is chance and tells nothing;
 // prior is added to the mean so that small counts swing little.
-func (s *Trend) Ratio(now, n, tau, prior, most float64) float64 {
-	s.mean += (n - s.mean) * (1 - math.Exp((s.at-now)/tau))
-	s.at = now
-	beyond := math.Copysign(max(0, math.Abs(n-s.mean)-1/(1+s.mean)), n-s.mean)
-	return min(most, max(1/most, 1+beyond/(s.mean+prior)))
+func (s *Trend) Ratio(now, n, timeConstant, prior, maxRatio float64) float64 {
+	s.mean += (n - s.mean) * (1 - math.Exp((s.updatedAt-now)/timeConstant))
+	s.updatedAt = now
+	excess := math.Copysign(max(0, math.Abs(n-s.mean)-1/(1+s.mean)), n-s.mean)
+	return min(maxRatio, max(1/maxRatio, 1+excess/(s.mean+prior)))
 }
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -13,64 +13,64 @@
 import "math"
 
 const (
-	rateTau  = 1.0  // seconds over which the rate of sends is taken,
-	recall   = 2.0  // refusals are,
-	askTau   = 0.9  // what is asked now is,
-	usualTau = 6.0  // and what is asked usually
-	refuses  = 0.03 // a node that refuses less than this part grows as it likes,
-	crowd    = 1.15 // and so does one that is asked for less than so many times the usual,
-	jump     = 2.2  // or for more than so many
-	room     = 0.25 // seconds' worth of the rate that may go at once,
-	spare    = 2.0  // and so many sends beside
-	least    = 0.2  // of what is asked may go in any case: from nothing nothing would grow
+	rateSeconds        = 1.0  // seconds over which the rate of sends is taken,
+	refusalSeconds     = 2.0  // refusals are,
+	demandSeconds      = 0.9  // what is asked now is,
+	baselineSeconds    = 6.0  // and what is asked usually
+	minRefusedFraction = 0.03 // a node that refuses less than this part grows as it likes,
+	surgeFactor        = 1.15 // and so does one that is asked for less than so many times the usual,
+	takeoverFactor     = 2.2  // or for more than so many
+	burstSeconds       = 0.25 // seconds' worth of the rate that may go at once,
+	burstSends         = 2.0  // and so many sends beside
+	minAdmitFraction   = 0.2  // of what is asked may go in any case: from nothing nothing would grow
 )
 
 // Pacer is one node's. Its zero value has seen nothing, and holds nothing back.
 type Pacer struct {
-	rate    float64 // sends a second lately
-	asked   float64 // first tries a second now,
-	usual   float64 // and usually
-	refused float64 // part of them lately that were not sent
-	growth  float64 // of the rate, in a second, as a part of it
-	left    float64 // sends that may go now
-	at      float64
+	rate       float64 // sends a second lately
+	demand     float64 // first tries a second now,
+	baseline   float64 // and usually
+	refused    float64 // part of them lately that were not sent
+	growth     float64 // of the rate, in a second, as a part of it
+	tokens     float64 // sends that may go now
+	refilledAt float64
 
-	sends, asks, went float64 // since the last Tick
+	sendCount, requestCount, sentCount float64 // since the last Tick
 }
 
 // Tick takes in what was counted since the last call, dt seconds ago. Sends may grow by a part of themselves in a second.
 func (p *Pacer) Tick(dt, growth float64) {
-	near := func(x *float64, to, tau float64) { *x += (to - *x) * (1 - math.Exp(-dt/tau)) }
-	near(&p.rate, p.sends/dt, rateTau)
-	near(&p.asked, p.asks/dt, askTau)
-	near(&p.usual, p.asks/dt, usualTau)
-	near(&p.refused, (p.asks-p.went)/max(1, p.asks), recall)
-	p.growth, p.sends, p.asks, p.went = growth, 0, 0, 0
+	smooth := func(x *float64, to, tau float64) { *x += (to - *x) * (1 - math.Exp(-dt/tau)) }
+	smooth(&p.rate, p.sendCount/dt, rateSeconds)
+	smooth(&p.demand, p.requestCount/dt, demandSeconds)
+	smooth(&p.baseline, p.requestCount/dt, baselineSeconds)
+	smooth(&p.refused, (p.requestCount-p.sentCount)/max(1, p.requestCount), refusalSeconds)
+	p.growth, p.sendCount, p.requestCount, p.sentCount = growth, 0, 0, 0
 }
 
 // CountSend counts a send of any kind.
-func (p *Pacer) CountSend() { p.sends++ }
+func (p *Pacer) CountSend() { p.sendCount++ }
 
 // CountRequest counts a request's first try, and whether it is sent.
 func (p *Pacer) CountRequest(sent bool) {
-	p.asks++
+	p.requestCount++
 	if sent {
-		p.went++
+		p.sentCount++
 	}
 }
 
 // Allows tells whether a first try may be sent now, and counts it as sent if so. Lesser ones stop first: the last send that
 // may go is not for them.
-func (p *Pacer) Allows(now float64, lesser bool) bool {
-	if p.refused < refuses || p.asked < crowd*p.usual || p.asked > jump*p.usual {
-		p.left, p.at = spare, now
+func (p *Pacer) Allows(now float64, lowPriority bool) bool {
+	if p.refused < minRefusedFraction || p.demand < surgeFactor*p.baseline || p.demand > takeoverFactor*p.baseline {
+		p.tokens, p.refilledAt = burstSends, now
 		return true
 	}
-	p.left = min(spare+room*p.rate, p.left+(now-p.at)*max(least*p.asked, p.rate*(1+p.growth*rateTau)))
-	p.at = now
-	if p.left < 0 || lesser && p.left < 1 {
+	p.tokens = min(burstSends+burstSeconds*p.rate, p.tokens+(now-p.refilledAt)*max(minAdmitFraction*p.demand, p.rate*(1+p.growth*rateSeconds)))
+	p.refilledAt = now
+	if p.tokens < 0 || lowPriority && p.tokens < 1 {
 		return false
 	}
-	p.left--
+	p.tokens--
 	return true
 }
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -15,7 +15,7 @@
 
 func newClient() *client { return &client{rng: rand.New(rand.NewPCG(1, 2)), now: 100} }
 
-func (c *client) ask(seconds, rate, refused float64, lesser bool) (part float64) {
+func (c *client) run(seconds, rate, refused float64, lesser bool) (fraction float64) {
 	asked, sent := 0.0, 0.0
 	for range int(100 * seconds) {
 		c.now += 0.01
@@ -26,9 +26,9 @@
 			continue
 		}
 		asked++
-		goes := c.rng.Float64() >= refused && c.Allows(c.now, lesser)
-		c.CountRequest(goes)
-		if goes {
+		allowed := c.rng.Float64() >= refused && c.Allows(c.now, lesser)
+		c.CountRequest(allowed)
+		if allowed {
 			c.CountSend()
 			sent++
 		}
@@ -37,86 +37,86 @@
 }
 
 // A node that refuses nothing is held back by nothing, whatever it is asked.
-func TestFreeInPeace(t *testing.T) {
+func TestNoLimitWithoutRefusals(t *testing.T) {
 	c := newClient()
 	for _, rate := range []float64{1, 50, 2, 90} {
-		if part := c.ask(5, rate, 0, true); part < 1 {
+		if part := c.run(5, rate, 0, true); part < 1 {
 			t.Errorf("%.2f of %v a second are sent", part, rate)
 		}
 	}
 }
 
 // In a crowd what is sent grows a step at a time; once the crowd is the usual, all of it is sent.
-func TestACrowdGrowsByStep(t *testing.T) {
+func TestSurgeGrowsStepwise(t *testing.T) {
 	c := newClient()
-	c.ask(20, 50, 0.7, false)
-	first := c.ask(1, 90, 0, false) // 15 a second were sent
+	c.run(20, 50, 0.7, false)
+	first := c.run(1, 90, 0, false) // 15 a second were sent
 	if first > 0.35 {
 		t.Errorf("%.2f of a crowd are sent in the first second", first)
 	}
-	if then := c.ask(1, 90, 0, false); then > 2*first {
-		t.Errorf("%.2f in the second", then)
+	if second := c.run(1, 90, 0, false); second > 2*first {
+		t.Errorf("%.2f in the second", second)
 	}
-	c.ask(15, 90, 0, false)
-	if part := c.ask(2, 90, 0, false); part < 0.97 {
+	c.run(15, 90, 0, false)
+	if part := c.run(2, 90, 0, false); part < 0.97 {
 		t.Errorf("%.2f of all are sent in the end", part)
 	}
 }
 
 // Where no more is asked than usually, room that has come back is used at once.
-func TestRoomThatComesBack(t *testing.T) {
+func TestRecoveredCapacityIsUsedAtOnce(t *testing.T) {
 	c := newClient()
-	c.ask(20, 50, 0.7, false)
-	c.ask(1, 50, 0, false)
-	if part := c.ask(2, 50, 0, false); part < 0.9 {
+	c.run(20, 50, 0.7, false)
+	c.run(1, 50, 0, false)
+	if part := c.run(2, 50, 0, false); part < 0.9 {
 		t.Errorf("%.2f of all are sent", part)
 	}
 }
 
 // Even where everything was refused for long some of a crowd goes, and grows from there.
-func TestFromNothing(t *testing.T) {
+func TestGrowthAfterFullRefusal(t *testing.T) {
 	c := newClient()
-	c.ask(30, 50, 1, false)
-	if part := c.ask(2, 90, 0, false); part < 0.1 {
+	c.run(30, 50, 1, false)
+	if part := c.run(2, 90, 0, false); part < 0.1 {
 		t.Fatalf("%.2f of all are sent at first", part)
 	}
-	c.ask(15, 90, 0, false)
-	if part := c.ask(2, 90, 0, false); part < 0.97 {
+	c.run(15, 90, 0, false)
+	if part := c.run(2, 90, 0, false); part < 0.97 {
 		t.Errorf("%.2f of all are sent in the end", part)
 	}
 }
 
 // Clients that others had are no crowd: a node that takes over what three did is not held to what it sent alone.
-func TestOthersClientsAreNoCrowd(t *testing.T) {
+func TestTakeoverIsNotLimited(t *testing.T) {
 	c := newClient()
-	c.ask(20, 28, 0.3, false)
-	if part := c.ask(4, 95, 0.3, false); part*95 < 2.3*0.7*28 {
+	c.run(20, 28, 0.3, false)
+	if part := c.run(4, 95, 0.3, false); part*95 < 2.3*0.7*28 {
 		t.Errorf("%.0f a second are sent, where %.0f were and %.0f may be", part*95, 0.7*28, 0.7*95)
 	}
 	d := newClient()
-	d.ask(20, 50, 0.5, false)
-	if part := d.ask(1.5, 90, 0, false); part > 0.8 {
+	d.run(20, 50, 0.5, false)
+	if part := d.run(1.5, 90, 0, false); part > 0.8 {
 		t.Errorf("%.2f of a crowd are sent", part)
 	}
 }
 
 // Lesser requests stop first.
-func TestLesserStopFirst(t *testing.T) {
+func TestLowPriorityStopsFirst(t *testing.T) {
 	c := newClient()
-	c.ask(20, 60, 0.6, false)
+	c.run(20, 60, 0.6, false)
 	var sent, asked [2]float64
 	for i := range 200 { // a hundred a second
 		c.now += 0.01
 		if i%25 == 0 {
 			c.Tick(0.25, 0.05)
 		}
-		lesser := i % 2
-		goes := c.Allows(c.now, lesser == 1)
-		c.CountRequest(goes)
-		asked[lesser]++
-		if goes {
+		low := i % 2
+		allowed := c.Allows(c.now, low == 1)
+		c.CountRequest(allowed)
+		asked[low]++
+		if allowed {
 			c.CountSend()
-			sent[lesser]++
+			sent[low]++
 		}
 	}
 	if sent[1]/asked[1] > 0.95*sent[0]/asked[0] {
@@ -124,21 +124,21 @@
 	}
 }
 
-// fleet plays many nodes in front of one pool of capacity, in steps of a hundredth of a second; every fourth second twice as
+// simulateFleet plays many nodes in front of one pool of capacity, in steps of a hundredth of a second; every fourth second twice as
 // much is asked as can be carried. Each node judges what is held by what it was a second ago, and refuses by it as
 // steeply as one node alone may. It returns the mean that is held, once the start is over, and the part of the capacity
 // that is used.
-func fleet(paced bool) (mean, used float64) {
-	const nodes, asked, capacity, lag, h, dt = 100, 900.0, 1000.0, 100, 200.0, 0.01
+func simulateFleet(paced bool) (mean, used float64) {
+	const nodes, asked, capacity, lag, threshold, dt = 100, 900.0, 1000.0, 100, 200.0, 0.01
 	rng := rand.New(rand.NewPCG(1, 2))
 	var all [nodes]Pacer
-	held, now, done := 0.0, 0.0, 0.0
-	past := make([]float64, lag)
+	inFlight, now, completed := 0.0, 0.0, 0.0
+	history := make([]float64, lag)
 	for step := range 8000 {
 		now += dt
-		seen := past[step%lag]
-		past[step%lag] = held
-		q := min(0.95, max(0, (seen-h)/(0.5*h)))
+		reported := history[step%lag]
+		history[step%lag] = inFlight
+		refusal := min(0.95, max(0, (reported-threshold)/(0.5*threshold)))
 		rate := asked
 		if step/100%4 == 0 {
 			rate = 2 * capacity
@@ -151,26 +151,26 @@
 			if rng.Float64() >= rate/nodes*dt {
 				continue
 			}
-			goes := rng.Float64() >= q && (!paced || p.Allows(now, false))
-			p.CountRequest(goes)
-			if goes {
+			sent := rng.Float64() >= refusal && (!paced || p.Allows(now, false))
+			p.CountRequest(sent)
+			if sent {
 				p.CountSend()
-				held++
+				inFlight++
 			}
 		}
-		x := min(held, capacity*dt)
-		held -= x
+		x := min(inFlight, capacity*dt)
+		inFlight -= x
 		if step >= 2000 {
-			mean, done = mean+held/6000, done+x
+			mean, completed = mean+inFlight/6000, completed+x
 		}
 	}
-	return mean, done / (capacity * dt * 6000)
+	return mean, completed / (capacity * dt * 6000)
 }
 
 // Paced, a fleet that judges by old reports holds a tenth less, and uses hardly less of what there is.
-func TestAFleetHoldsLess(t *testing.T) {
-	mean, used := fleet(false)
-	pacedMean, pacedUsed := fleet(true)
+func TestPacingReducesOccupancy(t *testing.T) {
+	mean, used := simulateFleet(false)
+	pacedMean, pacedUsed := simulateFleet(true)
 	t.Logf("held %.0f by the mean, and %.2f of the capacity used; paced %.0f and %.2f", mean, used, pacedMean, pacedUsed)
 	if pacedMean > 0.95*mean || pacedUsed < used-0.08 {
 		t.Error("pacing is worth nothing")
--- a/internal/sites/gates.go
+++ b/internal/sites/gates.go
@@ -5,26 +5,26 @@
 // Limiter carry Orders out request by request: which zones a request may go to, and whether it is admitted. The zero value
 // lets everything through.
 type Limiter struct {
-	zones map[string]*gate
+	zones map[string]*zoneLimit
 	admit map[string][2]float64
 }
 
-type gate struct {
+type zoneLimit struct {
 	Zone
-	left, at float64 // sends that may go there now
+	tokens, refilledAt float64 // sends that may go there now
 }
 
-// burst is how many seconds' worth of its rate a zone may be sent at once.
-const burst = 0.25
+// burstSeconds is how many seconds' worth of its rate a zone may be sent at once.
+const burstSeconds = 0.25
 
 // Set has the gates follow other orders. What a zone may be sent at once goes on.
 func (g *Limiter) Set(now float64, zones map[string]Zone, admit map[string][2]float64) {
-	was := g.zones
-	g.zones, g.admit = make(map[string]*gate, len(zones)), admit
+	old := g.zones
+	g.zones, g.admit = make(map[string]*zoneLimit, len(zones)), admit
 	for name, z := range zones {
-		g.zones[name] = &gate{Zone: z, left: 1, at: now}
-		if old := was[name]; old != nil {
-			g.zones[name].left, g.zones[name].at = old.left, old.at
+		g.zones[name] = &zoneLimit{Zone: z, tokens: 1, refilledAt: now}
+		if old := old[name]; old != nil {
+			g.zones[name].tokens, g.zones[name].refilledAt = old.tokens, old.refilledAt
 		}
 	}
 }
@@ -38,31 +38,31 @@
 }
 
 // Admits tells whether a request is among the part of its class that is admitted.
-func (g *Limiter) Admits(class string, over bool, rng *rand.Rand) bool {
-	a, told := g.admit[class]
-	part := a[0]
-	if over {
-		part = a[1]
+func (g *Limiter) Admits(class string, overQuota bool, rng *rand.Rand) bool {
+	fractions, limited := g.admit[class]
+	fraction := fractions[0]
+	if overQuota {
+		fraction = fractions[1]
 	}
-	return !told || part >= 1 || rng.Float64() < part
+	return !limited || fraction >= 1 || rng.Float64() < fraction
 }
 
 // Allows tells whether a request of some luck may go to a zone now.
-func (g *Limiter) Allows(now float64, zone string, luck float64) bool {
+func (g *Limiter) Allows(now float64, zone string, draw float64) bool {
 	z := g.zones[zone]
 	if z == nil {
 		return true
 	}
 	if z.Rate >= 0 {
-		z.left = min(1+burst*z.Rate, z.left+z.Rate*(now-z.at))
-		z.at = now
+		z.tokens = min(1+burstSeconds*z.Rate, z.tokens+z.Rate*(now-z.refilledAt))
+		z.refilledAt = now
 	}
-	return luck < z.Fraction && (z.Rate < 0 || z.left >= 1)
+	return draw < z.Fraction && (z.Rate < 0 || z.tokens >= 1)
 }
 
 // CountSend counts a send to a zone.
 func (g *Limiter) CountSend(zone string) {
 	if z := g.zones[zone]; z != nil {
-		z.left--
+		z.tokens--
 	}
 }
--- a/internal/sites/plan.go
+++ b/internal/sites/plan.go
@@ -120,9 +120,9 @@
 	Work      float64 // of one request, in mean requests; not positive counts as 1
 }
 
-// Order is the order in which kinds are refused, as their places in all: as the plan names classes, then by worth for their
+// RefusalOrder is the order in which kinds are refused, as their places in all: as the plan names classes, then by worth for their
 // work, and of one class what lies past shares first.
-func (p *Plan) Order(all []Kind) []int {
+func (p *Plan) RefusalOrder(all []Kind) []int {
 	order := make([]int, len(all))
 	for i := range order {
 		order[i] = i
--- a/internal/sites/plan_test.go
+++ b/internal/sites/plan_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// three is a plan of three alike sites.
-func three() *Plan {
+// threeSites is a plan of three alike sites.
+func threeSites() *Plan {
 	p := &Plan{MaxUtilization: 0.9}
 	for _, name := range []string{"tacoma", "everett", "olympia"} {
 		p.Sites = append(p.Sites, Site{Name: name, Capacity: 100, Backends: 8, Nodes: 4, Load: 60})
@@ -19,7 +19,7 @@
 	return p
 }
 
-func TestCheck(t *testing.T) {
+func TestValidate(t *testing.T) {
 	for _, c := range []struct {
 		want string // the key, and a word of the text; "" for a plan that works
 		of   func(p *Plan)
@@ -43,7 +43,7 @@
 		{"site[0].to[0].most", func(p *Plan) { p.Sites[0].Overflow = []OverflowTarget{{"everett", 1, -3}} }},
 		{"site[0].to: the parts add up to 0.800", func(p *Plan) { p.Sites[0].Overflow = []OverflowTarget{{"everett", 0.8, 0}} }},
 	} {
-		p := three()
+		p := threeSites()
 		c.of(p)
 		err := p.Validate()
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.HasPrefix(err.Error(), c.want)) {
@@ -58,7 +58,7 @@
 
 // What is worth less for its work is refused first, what lies past shares before what does not, and what the plan names
 // before all.
-func TestOrder(t *testing.T) {
+func TestRefusalOrder(t *testing.T) {
 	kinds := []Kind{{"save", false, 10, 1}, {"save", true, 2, 1}, {"quote", false, 2, 0.5}, {"quote", true, 0.4, 0.5}, {"look", false, 9, 3}, {"look", true, 1.8, 3}}
 	names := func(order []int) (out []string) {
 		for _, i := range order {
@@ -70,59 +70,59 @@
 		}
 		return out
 	}
-	p := three()
-	if got := names(p.Order(kinds)); !slices.Equal(got, []string{"look+", "quote+", "save+", "look", "quote", "save"}) {
+	p := threeSites()
+	if got := names(p.RefusalOrder(kinds)); !slices.Equal(got, []string{"look+", "quote+", "save+", "look", "quote", "save"}) {
 		t.Errorf("by worth: %v", got)
 	}
 	p.RefuseFirst = []string{"save", "quote"}
-	if got := names(p.Order(kinds)); !slices.Equal(got, []string{"save+", "save", "quote+", "quote", "look+", "look"}) {
+	if got := names(p.RefusalOrder(kinds)); !slices.Equal(got, []string{"save+", "save", "quote+", "quote", "look+", "look"}) {
 		t.Errorf("as the plan names them: %v", got)
 	}
 }
 
 // A lost site's load goes by the plan's parts, up to what each takes, and the rest by the other ways.
-func TestDivideByParts(t *testing.T) {
-	p := three()
+func TestDivideByFractions(t *testing.T) {
+	p := threeSites()
 	p.Sites[0].Overflow = []OverflowTarget{{"everett", 0.7, 20}, {"olympia", 0.3, 0}}
 	asked := [][]float64{{40}, {50}, {50}}
-	d := p.Divide([]State{{Short: true}, {Part: 1}, {Part: 1}}, asked, []int{0})
-	if d.Moves[0][1] != 20 || d.Moves[0][2] != 20 || d.Own[0] != 0 || d.Refused[0] != 0 {
-		t.Errorf("moved %v, refused %v", d.Moves[0], d.Refused)
+	d := p.Divide([]Availability{{Degraded: true}, {Fraction: 1}, {Fraction: 1}}, asked, []int{0})
+	if d.Flows[0][1] != 20 || d.Flows[0][2] != 20 || d.Own[0] != 0 || d.Refused[0] != 0 {
+		t.Errorf("moved %v, refused %v", d.Flows[0], d.Refused)
 	}
-	if d.Most[0][1] != 20 || d.Most[0][2] != 40 {
-		t.Errorf("at most %v", d.Most[0])
+	if d.MaxFlows[0][1] != 20 || d.MaxFlows[0][2] != 40 {
+		t.Errorf("at most %v", d.MaxFlows[0])
 	}
 }
 
 // A reserve is nobody else's, also while its own clients do not need it; and where the ways out are full, a lost site's
 // own clients are refused though others are not.
-func TestReserveIsKept(t *testing.T) {
-	p := three()
+func TestReserveIsNotLent(t *testing.T) {
+	p := threeSites()
 	p.Sites[1].Reserve, p.Sites[2].Reserve = 0.8, 0.8
-	d := p.Divide([]State{{Short: true}, {Part: 1}, {Part: 1}}, [][]float64{{60, 0}, {10, 20}, {10, 20}}, []int{0, 1})
+	d := p.Divide([]Availability{{Degraded: true}, {Fraction: 1}, {Fraction: 1}}, [][]float64{{60, 0}, {10, 20}, {10, 20}}, []int{0, 1})
 	if d.Moved[1] > 10.0001 || d.Moved[2] > 10.0001 {
 		t.Errorf("moved %v where 10 are left beside the reserve", d.Moved)
 	}
-	if a := d.Admit[0][0]; math.Abs(a-20.0/60) > 1e-6 || d.Admit[1][0] != 1 {
-		t.Errorf("admitted %.3f at the lost site and %.3f elsewhere", a, d.Admit[1][0])
+	if a := d.Admitted[0][0]; math.Abs(a-20.0/60) > 1e-6 || d.Admitted[1][0] != 1 {
+		t.Errorf("admitted %.3f at the lost site and %.3f elsewhere", a, d.Admitted[1][0])
 	}
 }
 
 // A site that is on its way back carries what it can itself.
-func TestWhatReturnsCarriesItsPart(t *testing.T) {
-	p := three()
-	d := p.Divide([]State{{Short: true, Part: 0.25}, {Part: 1}, {Part: 1}}, [][]float64{{60}, {60}, {60}}, []int{0})
-	if math.Abs(d.Own[0]-22.5) > 1e-9 || math.Abs(sum(d.Moves[0])-37.5) > 1e-9 {
-		t.Errorf("own %.2f, moved %.2f", d.Own[0], sum(d.Moves[0]))
+func TestReturningSiteCarriesItsFraction(t *testing.T) {
+	p := threeSites()
+	d := p.Divide([]Availability{{Degraded: true, Fraction: 0.25}, {Fraction: 1}, {Fraction: 1}}, [][]float64{{60}, {60}, {60}}, []int{0})
+	if math.Abs(d.Own[0]-22.5) > 1e-9 || math.Abs(sum(d.Flows[0])-37.5) > 1e-9 {
+		t.Errorf("own %.2f, moved %.2f", d.Own[0], sum(d.Flows[0]))
 	}
 }
 
-func drawn(t *rapid.T) (*Plan, []State, [][]float64, []int) {
+func drawPlan(t *rapid.T) (*Plan, []Availability, [][]float64, []int) {
 	n := rapid.IntRange(2, 5).Draw(t, "sites")
 	kinds := rapid.IntRange(1, 6).Draw(t, "kinds")
 	amount := rapid.Float64Range(0, 200)
 	p := &Plan{MaxUtilization: rapid.Float64Range(0.5, 1).Draw(t, "full")}
-	var states []State
+	var states []Availability
 	var asked [][]float64
 	for i := range n {
 		s := Site{Name: string(rune('a' + i)), Capacity: rapid.Float64Range(1, 300).Draw(t, "capacity"), Backends: 1, Nodes: 1,
@@ -139,17 +139,17 @@
 		}
 		p.Sites = append(p.Sites, s)
 		part := rapid.SampledFrom([]float64{0, 0.2, 0.5, 1, 1}).Draw(t, "part")
-		states = append(states, State{Short: part < 1, Part: part})
+		states = append(states, Availability{Degraded: part < 1, Fraction: part})
 		var row []float64
 		for range kinds {
 			row = append(row, amount.Draw(t, "asked"))
 		}
 		asked = append(asked, row)
 	}
-	return p, states, asked, rapid.Permutation(upTo(kinds)).Draw(t, "order")
+	return p, states, asked, rapid.Permutation(indices(kinds)).Draw(t, "order")
 }
 
-func upTo(n int) (out []int) {
+func indices(n int) (out []int) {
 	for i := range n {
 		out = append(out, i)
 	}
@@ -158,9 +158,9 @@
 
 // Whatever is lost and asked for: nothing is carried twice or lost in between, nobody gets more than there is room for, no
 // way more than it takes, and nothing of a kind is refused while a kind that goes first is admitted.
-func TestDivideHolds(t *testing.T) {
+func TestDivideInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, states, asked, order := drawn(t)
+		p, states, asked, order := drawPlan(t)
 		if err := p.Validate(); err != nil {
 			t.Fatal(err)
 		}
@@ -171,20 +171,20 @@
 			t.Fatalf("%.4f carried and %.4f refused of %.4f", carried, refused, all)
 		}
 		for i, s := range p.Sites {
-			if d.Moved[i] > d.Room[i]+eps {
-				t.Fatalf("%s: %.3f moved there, with room for %.3f", s.Name, d.Moved[i], d.Room[i])
+			if d.Moved[i] > d.Headroom[i]+eps {
+				t.Fatalf("%s: %.3f moved there, with room for %.3f", s.Name, d.Moved[i], d.Headroom[i])
 			}
-			if d.Moved[i] > 0 && (states[i].Short || d.Own[i]+d.Moved[i] > s.Capacity*p.MaxUtilization+eps || s.Reserve*s.Capacity+d.Moved[i] > s.Capacity*p.MaxUtilization+eps) {
+			if d.Moved[i] > 0 && (states[i].Degraded || d.Own[i]+d.Moved[i] > s.Capacity*p.MaxUtilization+eps || s.Reserve*s.Capacity+d.Moved[i] > s.Capacity*p.MaxUtilization+eps) {
 				t.Fatalf("%s: %.3f moved to it beside %.3f of its own, a capacity of %.3f and a reserve of %.2f", s.Name, d.Moved[i], d.Own[i], s.Capacity, s.Reserve)
 			}
-			for to, x := range d.Moves[i] {
-				if x > d.Most[i][to]+eps || x > 0 && len(s.Overflow) > 0 && !slices.ContainsFunc(s.Overflow, func(w OverflowTarget) bool { return w.Site == p.Sites[to].Name }) {
-					t.Fatalf("%s to %s: %.3f moved, at most %.3f", s.Name, p.Sites[to].Name, x, d.Most[i][to])
+			for to, x := range d.Flows[i] {
+				if x > d.MaxFlows[i][to]+eps || x > 0 && len(s.Overflow) > 0 && !slices.ContainsFunc(s.Overflow, func(w OverflowTarget) bool { return w.Site == p.Sites[to].Name }) {
+					t.Fatalf("%s to %s: %.3f moved, at most %.3f", s.Name, p.Sites[to].Name, x, d.MaxFlows[i][to])
 				}
 			}
 			for k, a := range order[1:] {
-				if first := order[k]; asked[i][a] > 0 && d.Admit[i][first] > 0 && d.Admit[i][a] < 1 {
-					t.Fatalf("%s: kind %d is admitted to %.3f, and kind %d, which goes after it, to %.3f", s.Name, first, d.Admit[i][first], a, d.Admit[i][a])
+				if first := order[k]; asked[i][a] > 0 && d.Admitted[i][first] > 0 && d.Admitted[i][a] < 1 {
+					t.Fatalf("%s: kind %d is admitted to %.3f, and kind %d, which goes after it, to %.3f", s.Name, first, d.Admitted[i][first], a, d.Admitted[i][a])
 				}
 			}
 		}
@@ -192,22 +192,22 @@
 }
 
 // A second loss fits up to where what is left is full, and without a loss up to where all is.
-func TestFits(t *testing.T) {
-	p := three()
+func TestMaxLoadFactor(t *testing.T) {
+	p := threeSites()
 	asked := [][]float64{{30}, {30}, {30}}
 	for _, c := range []struct {
 		lost []int
 		want float64
 	}{{nil, 3}, {[]int{0}, 2}, {[]int{0, 1}, 1}, {[]int{0, 1, 2}, 0}} {
-		states := []State{{Part: 1}, {Part: 1}, {Part: 1}}
+		states := []Availability{{Fraction: 1}, {Fraction: 1}, {Fraction: 1}}
 		for _, i := range c.lost {
-			states[i] = State{Short: true}
+			states[i] = Availability{Degraded: true}
 		}
-		if got := p.Fits(states, asked, []int{0}); math.Abs(got-c.want) > 0.01 {
+		if got := p.MaxLoadFactor(states, asked, []int{0}); math.Abs(got-c.want) > 0.01 {
 			t.Errorf("%v lost: fits %.3f times, want %.3f", c.lost, got, c.want)
 		}
 	}
-	if got := p.Fits([]State{{Part: 1}, {Part: 1}, {Part: 1}}, [][]float64{{0}, {0}, {0}}, []int{0}); !math.IsInf(got, 1) {
+	if got := p.MaxLoadFactor([]Availability{{Fraction: 1}, {Fraction: 1}, {Fraction: 1}}, [][]float64{{0}, {0}, {0}}, []int{0}); !math.IsInf(got, 1) {
 		t.Errorf("nothing asked: %.3f", got)
 	}
 }
--- a/internal/sites/watch.go
+++ b/internal/sites/watch.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// Standing is how a site stands, as one node sees it.
-type Standing uint8
+// State is how a site stands, as one node sees it.
+type State uint8
 
 const (
-	Serving   Standing = iota // its backends answer
-	Doubted                   // some of its boxes say nothing, and none has answered since
-	Lost                      // nobody there answers, or the list has taken all of it off
-	Returning                 // it answers again, and gets its load back a step at a time
+	Serving   State = iota // its backends answer
+	Suspected              // some of its boxes say nothing, and none has answered since
+	Lost                   // nobody there answers, or the list has taken all of it off
+	Returning              // it answers again, and gets its load back a step at a time
 )
 
-func (s Standing) String() string { return [...]string{"serving", "in doubt", "lost", "returning"}[s] }
+func (s State) String() string { return [...]string{"serving", "in doubt", "lost", "returning"}[s] }
 
 // Outcome is what became of an attempt, as far as it tells whether anybody is there.
 type Outcome uint8
@@ -31,28 +31,28 @@
 
 // The rules by which a site's standing changes. What they cost and how often they err is in docs/design/site-loss.md.
 const (
-	quorum     = 3    // boxes that say nothing, or all that there are where there are fewer, tell of a site's loss
-	patience   = 4.0  // times the usual answer's time that a box may owe one
-	patient    = 0.25 // but no less than this, which a pause may last
-	patientAt  = 1.0  // and no more than this
-	typicalN   = 50.0 // answers over which the usual time is remembered
-	firstGuess = 0.1  // before there was any
-	probeGap   = 0.5  // between two connections to a lost site that are tried
-	askGap     = 0.25 // and between those that are to tell a loss from a crowd
-	cutOff     = 2    // boxes, or all, to which none came up tell that it is a loss
-	hung       = 4.0  // where connections come up, and nothing else for so long, it is one too
-	stepTime   = 0.5  // that a step of the return lasts at least
-	stepLeast  = 2    // answers that a step needs: health that is missing is not health
-	stepBad    = 0.2  // part of a step's attempts that nobody answers at which it goes back
-	stepTries  = 5    // attempts from which on that part counts
-	waitAfter  = 2.0  // after a step back nothing moves on for so long
-	calmAfter  = 60.0 // a loss longer after the last return than this counts as the first
-	holdFirst  = 2.0  // for how long a site that is lost again is held out, doubled each time
-	holdMost   = 30.0 // up to this
+	lossQuorum             = 3    // boxes that say nothing, or all that there are where there are fewer, tell of a site's loss
+	timeoutFactor          = 4.0  // times the usual answer's time that a box may owe one
+	minTimeoutSeconds      = 0.25 // but no less than this, which a pause may last
+	maxTimeoutSeconds      = 1.0  // and no more than this
+	latencyDecayAnswers    = 50.0 // answers over which the usual time is remembered
+	initialLatencySeconds  = 0.1  // before there was any
+	probeIntervalSeconds   = 0.5  // between two connections to a lost site that are tried
+	confirmIntervalSeconds = 0.25 // and between those that are to tell a loss from a crowd
+	unreachableQuorum      = 2    // boxes, or all, to which none came up tell that it is a loss
+	hangSeconds            = 4.0  // where connections come up, and nothing else for so long, it is one too
+	minStepSeconds         = 0.5  // that a step of the return lasts at least
+	minStepAnswers         = 2    // answers that a step needs: health that is missing is not health
+	maxStepFailureFraction = 0.2  // part of a step's attempts that nobody answers at which it goes back
+	minStepAttempts        = 5    // attempts from which on that part counts
+	stepBackPauseSeconds   = 2.0  // after a step back nothing moves on for so long
+	lossCountResetSeconds  = 60.0 // a loss longer after the last return than this counts as the first
+	firstHoldSeconds       = 2.0  // for how long a site that is lost again is held out, doubled each time
+	maxHoldSeconds         = 30.0 // up to this
 )
 
-// steps are the parts of its load that a returning site gets.
-var steps = []float64{0.2, 0.5, 1}
+// recoverySteps are the parts of its load that a returning site gets.
+var recoverySteps = []float64{0.2, 0.5, 1}
 
 // Backend is one box as the list has it.
 type Backend struct {
@@ -65,144 +65,146 @@
 // Change is a site's new standing.
 type Change struct {
 	Site     string
-	From, To Standing
-	Why      string
+	From, To State
+	Reason   string
 }
 
-type watched struct {
+type backendState struct {
 	Backend
-	open   int
-	owes   float64 // since when it owes an answer; below 0 where it owes none
-	failed float64 // when it first failed since its last answer; below 0 where it has not
-	tried  bool    // that it failed is known by a connection that did not come up, and by no attempt
+	inFlight     int
+	waitingSince float64 // since when it owes an answer; below 0 where it owes none
+	failedSince  float64 // when it first failed since its last answer; below 0 where it has not
+	probeFailed  bool    // that it failed is known by a connection that did not come up, and by no attempt
 }
 
-// silentFrom is since when a box has said nothing though an answer was due; false where it has not been silent for longer
+// silentSince is since when a box has said nothing though an answer was due; false where it has not been silent for longer
 // than wait. due is after what time an answer is.
-func (b *watched) silentFrom(now, due, wait float64) (float64, bool) {
+func (b *backendState) silentSince(now, due, wait float64) (float64, bool) {
 	switch {
-	case b.failed >= 0:
-		return b.failed, true
-	case b.owes >= 0 && now-b.owes > wait:
-		return b.owes + due, true
+	case b.failedSince >= 0:
+		return b.failedSince, true
+	case b.waitingSince >= 0 && now-b.waitingSince > wait:
+		return b.waitingSince + due, true
 	}
 	return 0, false
 }
 
-type site struct {
-	standing Standing
-	since    float64
-	why      string
-	answered float64 // when it last did
-	typical  float64 // time of an answer
-	losses   int     // in a row
-	back     float64 // when it last was back whole
-	held     float64 // nothing is tried there until then
-	probed   float64 // when a connection was last tried,
-	next     int     // and which box is tried next
-	step     int
-	stepAt   float64
-	stays    float64 // no step on before this
-	good     int     // attempts of this step that were answered,
-	bad      int     // and that were not
-	halted   string  // why the return stands still
-	unreach  int     // boxes in a row to which no connection came up, since one did or anything was answered,
-	nobodyAt uint32  // the latest of them
-	gone     bool    // the list has had none of its boxes ready since it was lost
-	spent    int     // attempts since the first sign of its loss
-	fell     int     // attempts that its last loss took to be seen
-	took     float64 // and how long that was, from the first sign on
+type siteState struct {
+	state            State
+	since            float64
+	reason           string
+	lastAnswer       float64 // when it last did
+	latency          float64 // time of an answer
+	losses           int     // in a row
+	recoveredAt      float64 // when it last was back whole
+	heldUntil        float64 // nothing is tried there until then
+	probedAt         float64 // when a connection was last tried,
+	nextProbe        int     // and which box is tried next
+	step             int
+	stepStart        float64
+	pausedUntil      float64 // no step on before this
+	answers          int     // attempts of this step that were answered,
+	failures         int     // and that were not
+	haltReason       string  // why the return stands still
+	unreachable      int     // boxes in a row to which no connection came up, since one did or anything was answered,
+	lastUnreachable  uint32  // the latest of them
+	delisted         bool    // the list has had none of its boxes ready since it was lost
+	suspectAttempts  int     // attempts since the first sign of its loss
+	lossAttempts     int     // attempts that its last loss took to be seen
+	detectionSeconds float64 // and how long that was, from the first sign on
 }
 
 // Watch holds each site's standing from what this node meets itself.
 type Watch struct {
 	now   float64
-	boxes map[uint32]*watched
-	order []*watched // by id
-	sites map[string]*site
+	boxes map[uint32]*backendState
+	order []*backendState // by id
+	sites map[string]*siteState
 }
 
 // NewWatch returns a watch that knows no box.
-func NewWatch() *Watch { return &Watch{boxes: map[uint32]*watched{}, sites: map[string]*site{}} }
+func NewWatch() *Watch {
+	return &Watch{boxes: map[uint32]*backendState{}, sites: map[string]*siteState{}}
+}
 
-func (w *Watch) at(now float64) { w.now = max(w.now, now) }
+func (w *Watch) advance(now float64) { w.now = max(w.now, now) }
 
-// Listed sets the boxes that there are.
-func (w *Watch) Listed(now float64, boxes []Backend) {
-	w.at(now)
+// ApplyList sets the boxes that there are.
+func (w *Watch) ApplyList(now float64, boxes []Backend) {
+	w.advance(now)
 	old := w.boxes
-	w.boxes, w.order = make(map[uint32]*watched, len(boxes)), w.order[:0]
+	w.boxes, w.order = make(map[uint32]*backendState, len(boxes)), w.order[:0]
 	for _, b := range boxes {
 		x := old[b.ID]
 		if x == nil || x.Launched != b.Launched {
-			x = &watched{owes: -1, failed: -1}
+			x = &backendState{waitingSince: -1, failedSince: -1}
 		}
 		x.Backend = b
 		w.boxes[b.ID] = x
 		w.order = append(w.order, x)
 		if w.sites[b.Site] == nil {
-			w.sites[b.Site] = &site{since: w.now, answered: w.now, typical: firstGuess, back: math.Inf(-1)}
+			w.sites[b.Site] = &siteState{since: w.now, lastAnswer: w.now, latency: initialLatencySeconds, recoveredAt: math.Inf(-1)}
 		}
 	}
-	slices.SortFunc(w.order, func(a, b *watched) int { return int(int64(a.ID) - int64(b.ID)) })
+	slices.SortFunc(w.order, func(a, b *backendState) int { return int(int64(a.ID) - int64(b.ID)) })
 }
 
-// Sent notes that an attempt at a box begins.
-func (w *Watch) Sent(now float64, id uint32) {
-	w.at(now)
+// RecordSend notes that an attempt at a box begins.
+func (w *Watch) RecordSend(now float64, id uint32) {
+	w.advance(now)
 	b := w.boxes[id]
 	if b == nil {
 		return
 	}
-	if b.open++; b.owes < 0 {
-		b.owes = w.now
+	if b.inFlight++; b.waitingSince < 0 {
+		b.waitingSince = w.now
 	}
-	w.sites[b.Site].spent++
+	w.sites[b.Site].suspectAttempts++
 }
 
-// Ended notes what became of an attempt, that took so long.
-func (w *Watch) Ended(now float64, id uint32, r Outcome, took float64) {
-	w.at(now)
+// RecordOutcome notes what became of an attempt, that took so long.
+func (w *Watch) RecordOutcome(now float64, id uint32, r Outcome, took float64) {
+	w.advance(now)
 	b := w.boxes[id]
 	if b == nil {
 		return
 	}
 	s := w.sites[b.Site]
-	b.open = max(0, b.open-1)
+	b.inFlight = max(0, b.inFlight-1)
 	switch r {
 	case Answered:
-		b.owes, b.failed, b.tried = -1, -1, false
-		if b.open > 0 {
-			b.owes = w.now
+		b.waitingSince, b.failedSince, b.probeFailed = -1, -1, false
+		if b.inFlight > 0 {
+			b.waitingSince = w.now
 		}
-		s.answered, s.unreach = w.now, 0
-		s.good++
-		s.typical += (took - s.typical) / typicalN
+		s.lastAnswer, s.unreachable = w.now, 0
+		s.answers++
+		s.latency += (took - s.latency) / latencyDecayAnswers
 	case ConnectFailed, TimedOut, Reset:
 		if r == ConnectFailed {
-			s.nobody(id)
+			s.countUnreachable(id)
 		}
-		if b.failed < 0 { // what was sent just before a site went was due just after
-			b.failed = w.now - max(0, took-s.typical)
+		if b.failedSince < 0 { // what was sent just before a site went was due just after
+			b.failedSince = w.now - max(0, took-s.latency)
 		}
-		s.bad++
+		s.failures++
 	}
-	if b.open == 0 {
-		b.owes = -1
+	if b.inFlight == 0 {
+		b.waitingSince = -1
 	}
 }
 
-// nobody counts a box to which no connection came up.
-func (s *site) nobody(id uint32) {
-	if s.unreach == 0 || id != s.nobodyAt {
-		s.unreach++
-		s.nobodyAt = id
+// countUnreachable counts a box to which no connection came up.
+func (s *siteState) countUnreachable(id uint32) {
+	if s.unreachable == 0 || id != s.lastUnreachable {
+		s.unreachable++
+		s.lastUnreachable = id
 	}
 }
 
-// Probed notes whether a connection to a box came up, that Look had asked for.
-func (w *Watch) Probed(now float64, id uint32, up bool) (changes []Change) {
-	w.at(now)
+// RecordProbe notes whether a connection to a box came up, that Look had asked for.
+func (w *Watch) RecordProbe(now float64, id uint32, up bool) (changes []Change) {
+	w.advance(now)
 	b := w.boxes[id]
 	if b == nil {
 		return nil
@@ -210,60 +212,62 @@
 	s := w.sites[b.Site]
 	switch {
 	case !up:
-		s.nobody(id)
-		if b.failed < 0 {
-			b.failed, b.tried = w.now, true
+		s.countUnreachable(id)
+		if b.failedSince < 0 {
+			b.failedSince, b.probeFailed = w.now, true
 		}
-	case s.standing == Lost:
-		w.clear(b.Site)
-		s.unreach = 0
-		changes = w.turn(changes, b.Site, Returning, "a connection to it came up")
+	case s.state == Lost:
+		w.clearFailures(b.Site)
+		s.unreachable = 0
+		changes = w.setState(changes, b.Site, Returning, "a connection to it came up")
 	default:
-		s.unreach = 0
-		if b.tried {
-			b.failed, b.tried = -1, false
+		s.unreachable = 0
+		if b.probeFailed {
+			b.failedSince, b.probeFailed = -1, false
 		}
 	}
 	return changes
 }
 
-// clear forgets what boxes of a site owe.
-func (w *Watch) clear(name string) {
+// clearFailures forgets what boxes of a site owe.
+func (w *Watch) clearFailures(name string) {
 	for _, b := range w.order {
 		if b.Site == name {
-			b.owes, b.failed, b.tried = -1, -1, false
+			b.waitingSince, b.failedSince, b.probeFailed = -1, -1, false
 		}
 	}
 }
 
-func (w *Watch) turn(changes []Change, name string, to Standing, why string) []Change {
+func (w *Watch) setState(changes []Change, name string, to State, why string) []Change {
 	s := w.sites[name]
-	c := Change{name, s.standing, to, why}
-	s.standing, s.since, s.why, s.halted = to, w.now, why, ""
+	c := Change{name, s.state, to, why}
+	s.state, s.since, s.reason, s.haltReason = to, w.now, why, ""
 	switch to {
 	case Lost:
-		if c.From == Returning || w.now-s.back < calmAfter {
+		if c.From == Returning || w.now-s.recoveredAt < lossCountResetSeconds {
 			s.losses++
 		} else {
 			s.losses = 1
 		}
-		s.held = w.now
+		s.heldUntil = w.now
 		if s.losses > 1 {
-			s.held += min(holdMost, holdFirst*math.Pow(2, float64(s.losses-2)))
+			s.heldUntil += min(maxHoldSeconds, firstHoldSeconds*math.Pow(2, float64(s.losses-2)))
 		}
 	case Returning:
-		w.begin(s, 0)
+		w.startStep(s, 0)
 	case Serving:
-		s.back, s.gone = w.now, false
+		s.recoveredAt, s.delisted = w.now, false
 	}
 	return append(changes, c)
 }
 
-// begin begins a step of a return.
-func (w *Watch) begin(s *site, step int) { s.step, s.stepAt, s.good, s.bad = step, w.now, 0, 0 }
+// startStep begins a step of a return.
+func (w *Watch) startStep(s *siteState, step int) {
+	s.step, s.stepStart, s.answers, s.failures = step, w.now, 0, 0
+}
 
-// names are the sites that are known, in order.
-func (w *Watch) names() []string {
+// siteNames are the sites that are known, in order.
+func (w *Watch) siteNames() []string {
 	var out []string
 	for name := range w.sites {
 		out = append(out, name)
@@ -272,72 +276,74 @@
 	return out
 }
 
-// Look brings every site's standing up to the time, and says to which boxes a connection is to be tried.
-func (w *Watch) Look(now float64) (changes []Change, probe []uint32) {
-	w.at(now)
-	for _, name := range w.names() {
+// Update brings every site's standing up to the time, and says to which boxes a connection is to be tried.
+func (w *Watch) Update(now float64) (changes []Change, probe []uint32) {
+	w.advance(now)
+	for _, name := range w.siteNames() {
 		s := w.sites[name]
 		ready, silent := w.evidence(name, s)
-		need := min(quorum, ready)
+		need := min(lossQuorum, ready)
 		// Nobody has answered since as many as it takes fell silent: one that is bad by itself has been for long.
-		since := func(n int) bool { return n > 0 && len(silent) >= n && s.answered < silent[n-1] }
-		quiet := since(need) && w.now-silent[need-1] >= s.wait()
+		silentBeyond := func(n int) bool { return n > 0 && len(silent) >= n && s.lastAnswer < silent[n-1] }
+		quiet := silentBeyond(need) && w.now-silent[need-1] >= s.answerTimeout()
 		// A crowd times out as a loss does. Connections tell: the kernels of a crowd's boxes still take them.
-		dead := quiet && (s.unreach >= min(cutOff, ready) || w.now-silent[need-1] >= hung)
+		unresponsive := quiet && (s.unreachable >= min(unreachableQuorum, ready) || w.now-silent[need-1] >= hangSeconds)
 		// A node that sends little to a site, or has left its bad boxes out one by one, asks what it has no answer of.
-		if (quiet || since(min(2, need))) && !dead && s.standing != Lost && w.now-s.probed >= askGap {
-			for range cutOff {
-				if id, ok := w.nextBox(name, s); ok {
+		if (quiet || silentBeyond(min(2, need))) && !unresponsive && s.state != Lost && w.now-s.probedAt >= confirmIntervalSeconds {
+			for range unreachableQuorum {
+				if id, ok := w.nextBackend(name, s); ok {
 					probe = append(probe, id)
 				}
 			}
 		}
-		s.gone = s.gone || s.standing >= Lost && ready == 0
-		switch s.standing {
-		case Serving, Doubted:
+		s.delisted = s.delisted || s.state >= Lost && ready == 0
+		switch s.state {
+		case Serving, Suspected:
 			switch {
-			case ready == 0 && s.seen():
-				changes = w.turn(changes, name, Lost, "the list has none of its boxes ready")
-			case dead:
-				s.took = w.now - silent[0]
-				s.fell = s.spent
-				changes = w.turn(changes, name, Lost, fmt.Sprintf("%d boxes say nothing, and none has answered for %.2f s", len(silent), w.now-s.answered))
-			case s.standing == Serving && since(min(2, need)):
-				changes = w.turn(changes, name, Doubted, fmt.Sprintf("%d boxes say nothing", len(silent)))
-			case s.standing == Doubted && !since(min(2, need)):
-				changes = w.turn(changes, name, Serving, "it answers")
+			case ready == 0 && s.everSeen():
+				changes = w.setState(changes, name, Lost, "the list has none of its boxes ready")
+			case unresponsive:
+				s.detectionSeconds = w.now - silent[0]
+				s.lossAttempts = s.suspectAttempts
+				changes = w.setState(changes, name, Lost, fmt.Sprintf("%d boxes say nothing, and none has answered for %.2f s", len(silent), w.now-s.lastAnswer))
+			case s.state == Serving && silentBeyond(min(2, need)):
+				changes = w.setState(changes, name, Suspected, fmt.Sprintf("%d boxes say nothing", len(silent)))
+			case s.state == Suspected && !silentBeyond(min(2, need)):
+				changes = w.setState(changes, name, Serving, "it answers")
 			}
 			if len(silent) == 0 {
-				s.spent = 0
+				s.suspectAttempts = 0
 			}
 		case Lost:
-			if s.answered > s.since && ready > 0 && w.now >= s.held {
-				w.clear(name)
-				changes = w.turn(changes, name, Returning, "it answered")
-			} else if id, ok := w.toProbe(name, s); ok {
+			if s.lastAnswer > s.since && ready > 0 && w.now >= s.heldUntil {
+				w.clearFailures(name)
+				changes = w.setState(changes, name, Returning, "it answered")
+			} else if id, ok := w.probeTarget(name, s); ok {
 				probe = append(probe, id)
 			}
 		case Returning:
-			changes = w.ramp(changes, name, s, ready, dead)
+			changes = w.advanceRecovery(changes, name, s, ready, unresponsive)
 		}
 	}
 	return changes, probe
 }
 
-// seen tells whether the site ever had a box ready here.
-func (s *site) seen() bool { return s.answered > 0 || s.spent > 0 }
+// everSeen tells whether the site ever had a box ready here.
+func (s *siteState) everSeen() bool { return s.lastAnswer > 0 || s.suspectAttempts > 0 }
 
-// wait is for how long a box of the site may owe an answer.
-func (s *site) wait() float64 { return min(patientAt, max(patient, patience*s.typical)) }
+// answerTimeout is for how long a box of the site may owe an answer.
+func (s *siteState) answerTimeout() float64 {
+	return min(maxTimeoutSeconds, max(minTimeoutSeconds, timeoutFactor*s.latency))
+}
 
 // evidence counts a site's boxes that may be used, and lists since when those of them that say nothing do, in order.
-func (w *Watch) evidence(name string, s *site) (ready int, silent []float64) {
+func (w *Watch) evidence(name string, s *siteState) (ready int, silent []float64) {
 	for _, b := range w.order {
 		if b.Site != name || !b.Ready {
 			continue
 		}
 		ready++
-		if at, is := b.silentFrom(w.now, s.typical, s.wait()); is {
+		if at, is := b.silentSince(w.now, s.latency, s.answerTimeout()); is {
 			silent = append(silent, at)
 		}
 	}
@@ -345,16 +351,16 @@
 	return ready, silent
 }
 
-// toProbe is the box of a lost site to which a connection is to be tried now, in turns.
-func (w *Watch) toProbe(name string, s *site) (uint32, bool) {
-	if w.now < s.held || w.now-s.probed < probeGap {
+// probeTarget is the box of a lost site to which a connection is to be tried now, in turns.
+func (w *Watch) probeTarget(name string, s *siteState) (uint32, bool) {
+	if w.now < s.heldUntil || w.now-s.probedAt < probeIntervalSeconds {
 		return 0, false
 	}
-	return w.nextBox(name, s)
+	return w.nextBackend(name, s)
 }
 
-// nextBox is the next of a site's boxes to which a connection is tried.
-func (w *Watch) nextBox(name string, s *site) (uint32, bool) {
+// nextBackend is the next of a site's boxes to which a connection is tried.
+func (w *Watch) nextBackend(name string, s *siteState) (uint32, bool) {
 	var ready []uint32
 	for _, b := range w.order {
 		if b.Site == name && b.Ready {
@@ -364,59 +370,59 @@
 	if len(ready) == 0 {
 		return 0, false
 	}
-	s.probed = w.now
-	s.next++
-	return ready[s.next%len(ready)], true
+	s.probedAt = w.now
+	s.nextProbe++
+	return ready[s.nextProbe%len(ready)], true
 }
 
-// ramp moves a return on, back or nowhere.
-func (w *Watch) ramp(changes []Change, name string, s *site, ready int, dead bool) []Change {
-	tried := s.good + s.bad
+// advanceRecovery moves a return on, back or nowhere.
+func (w *Watch) advanceRecovery(changes []Change, name string, s *siteState, ready int, unresponsive bool) []Change {
+	attempts := s.answers + s.failures
 	switch {
 	case ready == 0:
-		return w.turn(changes, name, Lost, "the list has none of its boxes ready")
-	case dead:
-		return w.turn(changes, name, Lost, "nobody answers there again")
-	case tried >= stepTries && float64(s.bad) > stepBad*float64(tried):
-		s.halted = fmt.Sprintf("%d of %d attempts were not answered", s.bad, tried)
-		s.stays = w.now + waitAfter
-		w.begin(s, max(0, s.step-1))
-	case w.now < s.stays || w.now-s.stepAt < stepTime:
-	case s.good < stepLeast:
-		s.halted = fmt.Sprintf("%d answers in this step, and %d are the least", s.good, stepLeast)
-	case s.step == len(steps)-1:
-		return w.turn(changes, name, Serving, "its return is over")
+		return w.setState(changes, name, Lost, "the list has none of its boxes ready")
+	case unresponsive:
+		return w.setState(changes, name, Lost, "nobody answers there again")
+	case attempts >= minStepAttempts && float64(s.failures) > maxStepFailureFraction*float64(attempts):
+		s.haltReason = fmt.Sprintf("%d of %d attempts were not answered", s.failures, attempts)
+		s.pausedUntil = w.now + stepBackPauseSeconds
+		w.startStep(s, max(0, s.step-1))
+	case w.now < s.pausedUntil || w.now-s.stepStart < minStepSeconds:
+	case s.answers < minStepAnswers:
+		s.haltReason = fmt.Sprintf("%d answers in this step, and %d are the least", s.answers, minStepAnswers)
+	case s.step == len(recoverySteps)-1:
+		return w.setState(changes, name, Serving, "its return is over")
 	default:
-		s.halted = ""
-		w.begin(s, s.step+1)
+		s.haltReason = ""
+		w.startStep(s, s.step+1)
 	}
 	return changes
 }
 
-// Part is the part of its usual load that a site may get from here now.
-func (w *Watch) Part(name string) float64 {
+// Fraction is the part of its usual load that a site may get from here now.
+func (w *Watch) Fraction(name string) float64 {
 	switch s := w.sites[name]; {
 	case s == nil:
 		return 1
-	case s.standing == Lost:
+	case s.state == Lost:
 		return 0
-	case s.standing == Returning:
-		return steps[s.step]
+	case s.state == Returning:
+		return recoverySteps[s.step]
 	}
 	return 1
 }
 
-// Gone tells whether the list has had none of a site's boxes ready since it was lost. While it still tells them as ready it
+// Delisted tells whether the list has had none of a site's boxes ready since it was lost. While it still tells them as ready it
 // may be the links to them that are lost.
-func (w *Watch) Gone(name string) bool {
+func (w *Watch) Delisted(name string) bool {
 	s := w.sites[name]
-	return s != nil && s.gone
+	return s != nil && s.delisted
 }
 
-// Of is a site's standing.
-func (w *Watch) Of(name string) Standing {
+// State is a site's standing.
+func (w *Watch) State(name string) State {
 	if s := w.sites[name]; s != nil {
-		return s.standing
+		return s.state
 	}
 	return Serving
 }
--- a/internal/sites/watch_test.go
+++ b/internal/sites/watch_test.go
@@ -5,43 +5,43 @@
 	"testing"
 )
 
-// play drives a watch: each site has boxes, and a fixed number of requests a second go to boxes by chance, each answered
+// simulation drives a watch: each site has boxes, and a fixed number of requests a second go to boxes by chance, each answered
 // after a tenth of a second or, at a box that says nothing, timed out after half of one.
-type play struct {
-	t       *testing.T
-	w       *Watch
-	rng     *rand.Rand
-	now     float64
-	boxes   []Backend
-	dead    map[uint32]bool
-	rate    float64
-	part    bool    // sends follow Part
-	took    float64 // of an answer
-	late    float64 // part that times out instead
-	hangs   bool    // dead boxes take connections
-	pending []flight
-	changes []Change
-	probes  int
-	lostIn  int // sends to dead boxes
+type simulation struct {
+	t               *testing.T
+	w               *Watch
+	rng             *rand.Rand
+	now             float64
+	boxes           []Backend
+	dead            map[uint32]bool
+	rate            float64
+	followFraction  bool    // sends follow Part
+	latency         float64 // of an answer
+	timeoutFraction float64 // part that times out instead
+	acceptsConns    bool    // dead boxes take connections
+	pending         []testAttempt
+	changes         []Change
+	probes          int
+	wastedSends     int // sends to dead boxes
 }
 
-type flight struct {
+type testAttempt struct {
 	id   uint32
 	sent float64
 	end  float64
 	r    Outcome
 }
 
-func newPlay(t *testing.T, rate float64) *play {
-	p := &play{t: t, w: NewWatch(), rng: rand.New(rand.NewPCG(1, 2)), now: 1000, dead: map[uint32]bool{}, rate: rate, part: true, took: 0.1}
+func newSimulation(t *testing.T, rate float64) *simulation {
+	p := &simulation{t: t, w: NewWatch(), rng: rand.New(rand.NewPCG(1, 2)), now: 1000, dead: map[uint32]bool{}, rate: rate, followFraction: true, latency: 0.1}
 	for i := range 24 {
 		p.boxes = append(p.boxes, Backend{ID: uint32(i + 1), Site: []string{"tacoma", "everett", "olympia"}[i%3], Ready: true})
 	}
-	p.w.Listed(p.now, p.boxes)
+	p.w.ApplyList(p.now, p.boxes)
 	return p
 }
 
-func (p *play) of(site string, f func(*Backend)) {
+func (p *simulation) forSite(site string, f func(*Backend)) {
 	for i := range p.boxes {
 		if p.boxes[i].Site == site {
 			f(&p.boxes[i])
@@ -49,29 +49,29 @@
 	}
 }
 
-func (p *play) kill(site string) { p.of(site, func(b *Backend) { p.dead[b.ID] = true }) }
-func (p *play) revive(site string) {
-	p.of(site, func(b *Backend) { delete(p.dead, b.ID) })
+func (p *simulation) kill(site string) { p.forSite(site, func(b *Backend) { p.dead[b.ID] = true }) }
+func (p *simulation) revive(site string) {
+	p.forSite(site, func(b *Backend) { delete(p.dead, b.ID) })
 }
 
-func (p *play) run(seconds float64) {
+func (p *simulation) run(seconds float64) {
 	const dt = 0.01
 	for end := p.now + seconds; p.now < end; p.now += dt {
 		if p.rng.Float64() < p.rate*dt {
-			if b := &p.boxes[p.rng.IntN(len(p.boxes))]; b.Ready && (!p.part || p.rng.Float64() < p.w.Part(b.Site)) {
-				f := flight{b.ID, p.now, p.now + p.took, Answered}
-				if p.rng.Float64() < p.late {
+			if b := &p.boxes[p.rng.IntN(len(p.boxes))]; b.Ready && (!p.followFraction || p.rng.Float64() < p.w.Fraction(b.Site)) {
+				f := testAttempt{b.ID, p.now, p.now + p.latency, Answered}
+				if p.rng.Float64() < p.timeoutFraction {
 					f.end, f.r = p.now+0.4, TimedOut
 				}
 				if p.dead[b.ID] {
 					f.end, f.r = p.now+0.5, TimedOut
-					p.lostIn++
+					p.wastedSends++
 				}
-				p.w.Sent(p.now, b.ID)
+				p.w.RecordSend(p.now, b.ID)
 				p.pending = append(p.pending, f)
 			}
 		}
-		var rest []flight
+		var rest []testAttempt
 		for _, f := range p.pending {
 			if f.end > p.now {
 				rest = append(rest, f)
@@ -80,49 +80,49 @@
 			if f.r == Answered && p.dead[f.id] {
 				f.r = TimedOut // it died under it
 			}
-			p.w.Ended(p.now, f.id, f.r, f.end-f.sent)
+			p.w.RecordOutcome(p.now, f.id, f.r, f.end-f.sent)
 		}
 		p.pending = rest
 		if int(p.now/dt)%10 == 0 {
-			changes, probe := p.w.Look(p.now)
+			changes, probe := p.w.Update(p.now)
 			p.changes = append(p.changes, changes...)
 			for _, id := range probe {
 				p.probes++
-				p.changes = append(p.changes, p.w.Probed(p.now, id, !p.dead[id] || p.hangs && p.w.Of("tacoma") != Lost)...)
+				p.changes = append(p.changes, p.w.RecordProbe(p.now, id, !p.dead[id] || p.acceptsConns && p.w.State("tacoma") != Lost)...)
 			}
 		}
 	}
 }
 
-func (p *play) want(site string, s Standing) {
+func (p *simulation) wantState(site string, s State) {
 	p.t.Helper()
-	if got := p.w.Of(site); got != s {
+	if got := p.w.State(site); got != s {
 		p.t.Fatalf("%s is %v, want %v: %v", site, got, s, p.changes)
 	}
 }
 
 // A site that says nothing any more is lost after few requests, and the others are not.
-func TestASilentSiteIsLost(t *testing.T) {
-	p := newPlay(t, 30)
+func TestSilentSiteIsLost(t *testing.T) {
+	p := newSimulation(t, 30)
 	p.run(5)
 	p.kill("tacoma")
-	p.lostIn = 0
+	p.wastedSends = 0
 	p.run(3)
-	p.want("tacoma", Lost)
-	p.want("everett", Serving)
-	if p.lostIn > 20 {
-		t.Errorf("%d requests were spent on it", p.lostIn)
+	p.wantState("tacoma", Lost)
+	p.wantState("everett", Serving)
+	if p.wastedSends > 20 {
+		t.Errorf("%d requests were spent on it", p.wastedSends)
 	}
-	before := p.lostIn
+	before := p.wastedSends
 	p.run(20)
-	if p.lostIn != before || p.probes < 30 {
-		t.Errorf("%d more requests were sent there, %d connections tried", p.lostIn-before, p.probes)
+	if p.wastedSends != before || p.probes < 30 {
+		t.Errorf("%d more requests were sent there, %d connections tried", p.wastedSends-before, p.probes)
 	}
 }
 
 // It gets its load back a step at a time.
-func TestAReturnGoesByStep(t *testing.T) {
-	p := newPlay(t, 60)
+func TestReturnIsStepwise(t *testing.T) {
+	p := newSimulation(t, 60)
 	p.run(5)
 	p.kill("tacoma")
 	p.run(5)
@@ -130,31 +130,31 @@
 	last, seen := 0.0, map[float64]bool{}
 	for range 40 {
 		p.run(0.1)
-		part := p.w.Part("tacoma")
-		if part < last {
-			t.Fatalf("part %.2f after %.2f", part, last)
+		fraction := p.w.Fraction("tacoma")
+		if fraction < last {
+			t.Fatalf("part %.2f after %.2f", fraction, last)
 		}
-		last, seen[part] = part, true
+		last, seen[fraction] = fraction, true
 	}
-	p.want("tacoma", Serving)
-	if len(seen) < len(steps) {
+	p.wantState("tacoma", Serving)
+	if len(seen) < len(recoverySteps) {
 		t.Errorf("its parts were %v", seen)
 	}
 }
 
 // What is no loss of a site is not taken for one: bad boxes, a pause of all of it, a third of it gone, nobody asking.
 func TestNoFalseAlarm(t *testing.T) {
-	for name, trouble := range map[string]func(p *play){
-		"one bad box":    func(p *play) { p.dead[1] = true; p.run(60) },
-		"half of it bad": func(p *play) { p.dead[1], p.dead[4], p.dead[7], p.dead[10] = true, true, true, true; p.run(60) },
-		"nobody asks":    func(p *play) { p.rate = 0; p.run(60) },
-		"a crowd": func(p *play) {
+	for name, fault := range map[string]func(p *simulation){
+		"one bad box":    func(p *simulation) { p.dead[1] = true; p.run(60) },
+		"half of it bad": func(p *simulation) { p.dead[1], p.dead[4], p.dead[7], p.dead[10] = true, true, true, true; p.run(60) },
+		"nobody asks":    func(p *simulation) { p.rate = 0; p.run(60) },
+		"a crowd": func(p *simulation) {
 			for _, x := range [][2]float64{{0.2, 0}, {0.3, 0.3}, {0.38, 0.6}, {0.39, 0.85}} {
-				p.took, p.late = x[0], x[1]
+				p.latency, p.timeoutFraction = x[0], x[1]
 				p.run(3)
 			}
 		},
-		"the list is late with a third of it": func(p *play) {
+		"the list is late with a third of it": func(p *simulation) {
 			for id := range 3 {
 				p.dead[uint32(1+3*id)] = true
 			}
@@ -162,13 +162,13 @@
 			for i := range p.boxes {
 				p.boxes[i].Ready = !p.dead[p.boxes[i].ID]
 			}
-			p.w.Listed(p.now, p.boxes)
+			p.w.ApplyList(p.now, p.boxes)
 			p.run(20)
 		},
 	} {
-		p := newPlay(t, 30)
+		p := newSimulation(t, 30)
 		p.run(5)
-		trouble(p)
+		fault(p)
 		for _, c := range p.changes {
 			if c.To == Lost {
 				t.Errorf("%s: %v", name, c)
@@ -178,136 +178,136 @@
 }
 
 // One that flaps is held out for longer each time, and one that was calm for long is not.
-func TestAFlappingSiteIsHeldOut(t *testing.T) {
-	p := newPlay(t, 60)
+func TestFlappingSiteIsHeldLonger(t *testing.T) {
+	p := newSimulation(t, 60)
 	p.run(5)
-	var out []float64
+	var holds []float64
 	for range 4 {
 		p.kill("tacoma")
 		p.run(2.5)
-		p.want("tacoma", Lost)
+		p.wantState("tacoma", Lost)
 		p.revive("tacoma")
 		from := p.now
-		for p.w.Of("tacoma") == Lost && p.now < from+60 {
+		for p.w.State("tacoma") == Lost && p.now < from+60 {
 			p.run(0.1)
 		}
-		out = append(out, p.now-from)
+		holds = append(holds, p.now-from)
 		p.run(1)
 	}
-	for i := 2; i < len(out); i++ {
-		if out[i] < out[i-1]+1 {
-			t.Errorf("held out for %.1f s after it was back", out)
+	for i := 2; i < len(holds); i++ {
+		if holds[i] < holds[i-1]+1 {
+			t.Errorf("held out for %.1f s after it was back", holds)
 		}
 	}
-	p.run(5 + calmAfter)
+	p.run(5 + lossCountResetSeconds)
 	p.kill("tacoma")
 	p.run(3)
 	p.revive("tacoma")
 	p.run(1)
-	if s := p.w.Of("tacoma"); s == Lost {
+	if s := p.w.State("tacoma"); s == Lost {
 		t.Error("after a calm minute it is held out as before")
 	}
 }
 
 // A return that meets failures goes back a step, and stands still for a while.
-func TestAReturnGoesBack(t *testing.T) {
-	p := newPlay(t, 200)
+func TestFailuresRevertReturnStep(t *testing.T) {
+	p := newSimulation(t, 200)
 	p.run(5)
 	p.kill("tacoma")
 	p.run(3)
 	p.revive("tacoma")
 	for range 100 {
-		if p.run(0.05); p.w.sites["tacoma"].step == 1 && p.w.Of("tacoma") == Returning {
+		if p.run(0.05); p.w.sites["tacoma"].step == 1 && p.w.State("tacoma") == Returning {
 			break
 		}
 	}
 	p.dead[1], p.dead[4], p.dead[7] = true, true, true // three of eight
 	p.run(1.5)
-	if s := p.w.sites["tacoma"]; s.step != 0 || s.halted == "" {
-		t.Errorf("step %d, halted %q: %v", s.step, s.halted, p.changes)
+	if s := p.w.sites["tacoma"]; s.step != 0 || s.haltReason == "" {
+		t.Errorf("step %d, halted %q: %v", s.step, s.haltReason, p.changes)
 	}
 }
 
 // The list alone can take a site away and bring it back.
-func TestTheListTakesASiteAway(t *testing.T) {
-	p := newPlay(t, 0)
+func TestListRemovesAndRestoresSite(t *testing.T) {
+	p := newSimulation(t, 0)
 	p.run(1)
-	p.of("tacoma", func(b *Backend) { b.Ready = false })
-	p.w.Listed(p.now, p.boxes)
+	p.forSite("tacoma", func(b *Backend) { b.Ready = false })
+	p.w.ApplyList(p.now, p.boxes)
 	p.run(0.5)
-	p.want("tacoma", Lost)
-	p.of("tacoma", func(b *Backend) { b.Ready, b.Launched = true, p.now })
-	p.w.Listed(p.now, p.boxes)
+	p.wantState("tacoma", Lost)
+	p.forSite("tacoma", func(b *Backend) { b.Ready, b.Launched = true, p.now })
+	p.w.ApplyList(p.now, p.boxes)
 	p.run(1)
-	p.want("tacoma", Returning)
+	p.wantState("tacoma", Returning)
 }
 
 // A node that hears of two boxes only asks the others by connections.
-func TestFewRequestsAreEnough(t *testing.T) {
+func TestLossIsFoundWithFewRequests(t *testing.T) {
 	w := NewWatch()
 	var boxes []Backend
 	for id := range uint32(8) {
 		boxes = append(boxes, Backend{ID: id + 1, Site: "a", Ready: true})
 	}
-	w.Listed(0, boxes)
+	w.ApplyList(0, boxes)
 	for _, id := range []uint32{1, 2} {
-		w.Sent(10, id)
-		w.Ended(10.5, id, TimedOut, 0.5)
+		w.RecordSend(10, id)
+		w.RecordOutcome(10.5, id, TimedOut, 0.5)
 	}
 	now := 10.5
-	for ; now < 13 && w.Of("a") != Lost; now += 0.1 {
-		_, probe := w.Look(now)
+	for ; now < 13 && w.State("a") != Lost; now += 0.1 {
+		_, probe := w.Update(now)
 		for _, id := range probe {
-			w.Probed(now, id, false)
+			w.RecordProbe(now, id, false)
 		}
 	}
-	if w.Of("a") != Lost {
-		t.Errorf("it is %v", w.Of("a"))
+	if w.State("a") != Lost {
+		t.Errorf("it is %v", w.State("a"))
 	}
 	v := NewWatch()
-	v.Listed(0, boxes)
+	v.ApplyList(0, boxes)
 	for _, id := range []uint32{1, 2} {
-		v.Sent(10, id)
-		v.Ended(10.5, id, TimedOut, 0.5)
+		v.RecordSend(10, id)
+		v.RecordOutcome(10.5, id, TimedOut, 0.5)
 	}
 	for now := 10.5; now < 14; now += 0.1 {
-		_, probe := v.Look(now)
+		_, probe := v.Update(now)
 		for _, id := range probe {
-			v.Probed(now, id, id > 2)
+			v.RecordProbe(now, id, id > 2)
 		}
 	}
-	if v.Of("a") == Lost {
+	if v.State("a") == Lost {
 		t.Error("two bad boxes of eight are a lost site")
 	}
 }
 
 // A site whose machines take connections and say nothing is lost too, later.
-func TestASiteThatHangs(t *testing.T) {
-	p := newPlay(t, 30)
+func TestHangingSiteIsLost(t *testing.T) {
+	p := newSimulation(t, 30)
 	p.run(5)
 	p.kill("tacoma")
-	p.hangs = true
+	p.acceptsConns = true
 	p.run(3)
-	if s := p.w.Of("tacoma"); s == Lost {
+	if s := p.w.State("tacoma"); s == Lost {
 		t.Error("it is lost though its connections come up")
 	}
 	p.run(3)
-	p.want("tacoma", Lost)
+	p.wantState("tacoma", Lost)
 }
 
 // A site of one box is lost with it, and a site that was never there is not.
-func TestSmallSites(t *testing.T) {
+func TestSingleBackendSite(t *testing.T) {
 	w := NewWatch()
-	w.Listed(0, []Backend{{ID: 1, Site: "a", Ready: true}, {ID: 2, Site: "b"}})
-	w.Sent(10, 1)
-	w.Ended(10.5, 1, TimedOut, 0.5)
-	changes, probe := w.Look(10.9)
+	w.ApplyList(0, []Backend{{ID: 1, Site: "a", Ready: true}, {ID: 2, Site: "b"}})
+	w.RecordSend(10, 1)
+	w.RecordOutcome(10.5, 1, TimedOut, 0.5)
+	changes, probe := w.Update(10.9)
 	if len(probe) == 0 || len(changes) > 0 && changes[0].To == Lost {
 		t.Fatalf("%v, asked %v: no connection was tried", changes, probe)
 	}
-	w.Probed(11, 1, false)
-	changes, _ = w.Look(11)
-	if len(changes) != 1 || changes[0].Site != "a" || changes[0].To != Lost || w.Of("b") != Serving {
+	w.RecordProbe(11, 1, false)
+	changes, _ = w.Update(11)
+	if len(changes) != 1 || changes[0].Site != "a" || changes[0].To != Lost || w.State("b") != Serving {
 		t.Errorf("%v", changes)
 	}
 }
--- a/internal/sites/work.go
+++ b/internal/sites/work.go
@@ -49,27 +49,27 @@
 			asked[i] = append(asked[i], s.Load*times*x/total)
 		}
 	}
-	order := p.Order(kinds)
+	order := p.RefusalOrder(kinds)
 	var out []Case
 	work := func(lost ...int) {
-		states := make([]State, len(p.Sites))
+		states := make([]Availability, len(p.Sites))
 		c := Case{}
 		for i, s := range p.Sites {
-			states[i] = State{Part: 1}
+			states[i] = Availability{Fraction: 1}
 			if slices.Contains(lost, i) {
-				states[i] = State{Short: true}
+				states[i] = Availability{Degraded: true}
 				c.Lost = append(c.Lost, s.Name)
 			}
 		}
 		d := p.Divide(states, asked, order)
-		c.Carried, c.Refused, c.MaxLoadFactor = sum(d.Own)+sum(d.Moved), sum(d.Refused), p.Fits(states, asked, order)
+		c.Carried, c.Refused, c.MaxLoadFactor = sum(d.Own)+sum(d.Moved), sum(d.Refused), p.MaxLoadFactor(states, asked, order)
 		for _, k := range order {
 			if d.Asked[k] > 0 && d.Refused[k] > 1e-9*d.Asked[k] {
 				c.Kinds = append(c.Kinds, KindRefused{kinds[k].Class, kinds[k].OverQuota, d.Refused[k] / d.Asked[k]})
 			}
 		}
 		for i, s := range p.Sites {
-			c.Sites = append(c.Sites, SiteLoad{s.Name, d.Own[i], d.Moved[i], d.Full[i]})
+			c.Sites = append(c.Sites, SiteLoad{s.Name, d.Own[i], d.Moved[i], d.Limit[i]})
 		}
 		out = append(out, c)
 	}
--- a/internal/siting/siting.go
+++ b/internal/siting/siting.go
@@ -15,13 +15,13 @@
 // Adapter is one node's. Nothing of it is safe for concurrent use.
 type Adapter struct {
 	Node   *sites.Node
-	orders bool // the module follows some now
+	active bool // the module follows some now
 }
 
 // New returns the link of a node that knows no box yet. A nil plan is none.
-func New(set *policy.Settings, plan *sites.Plan) *Adapter {
-	cfg := sites.Config{Plan: plan, Home: set.Zone, OverQuotaUtility: set.OverShare, ColdShare: set.ColdShare, ColdFor: set.ColdFor.Seconds()}
-	for _, c := range set.Classes {
+func New(settings *policy.Settings, plan *sites.Plan) *Adapter {
+	cfg := sites.Config{Plan: plan, Home: settings.Zone, OverQuotaUtility: settings.OverShare, ColdShare: settings.ColdShare, ColdFor: settings.ColdFor.Seconds()}
+	for _, c := range settings.Classes {
 		cfg.Classes = append(cfg.Classes, sites.Class{Name: c.Name, Utility: c.Worth})
 	}
 	return &Adapter{Node: sites.NewNode(cfg)}
@@ -58,12 +58,12 @@
 
 // Step brings all up to the time. It returns what the module is to be handed, nil for nothing, and the boxes to which a
 // connection is to be tried.
-func (l *Adapter) Step(now time.Duration, bal *policy.Balancer) (*policy.Event, []uint32) {
-	o := l.Node.Step(now.Seconds(), bal.Demand())
-	some := len(o.Zones) > 0 || len(o.Admit) > 0
-	if !some && !l.orders {
+func (l *Adapter) Step(now time.Duration, balancer *policy.Balancer) (*policy.Event, []uint32) {
+	o := l.Node.Step(now.Seconds(), balancer.Demand())
+	active := len(o.Zones) > 0 || len(o.Admit) > 0
+	if !active && !l.active {
 		return nil, o.Probe
 	}
-	l.orders = some
+	l.active = active
 	return &policy.Event{Kind: policy.EvSites, Zones: o.Zones, Admit: o.Admit}, o.Probe
 }
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -15,8 +15,8 @@
 	"slices"
 )
 
-// golden is the golden section, 2/(1+sqrt 5).
-const golden = 0.6180339887498949
+// goldenSection is the golden section, 2/(1+sqrt 5).
+const goldenSection = 0.6180339887498949
 
 // MinNodesPerBackend is how many nodes each backend should serve at least. A node's traffic is uneven: the sum over twelve nodes
 // has less than a third of one's deviation, which what is believed of single backends evens out.
@@ -25,13 +25,13 @@
 // MinBackends is what a part at home never falls below: fewer would leave no choice, and a second try nowhere to go.
 const MinBackends = 4
 
-// away is the part of what a node takes at home that it takes of another zone: some, so that its own zone's loss leaves
+// remoteWeight is the part of what a node takes at home that it takes of another zone: some, so that its own zone's loss leaves
 // it others, and few, as each backend more is heard of more seldom and costs a connection.
-const away = 1.0 / 3
+const remoteWeight = 1.0 / 3
 
-// dear is a price of crossing at which nearly all of a zone's requests stay: what a crowded zone's requests lose by their
+// localOnlyCrossPrice is a price of crossing at which nearly all of a zone's requests stay: what a crowded zone's requests lose by their
 // lateness, about a twentieth of their worth, no longer pays for the way to another one.
-const dear = 0.05
+const localOnlyCrossPrice = 0.05
 
 // Node is what a node knows of itself and its tier.
 type Node struct {
@@ -47,15 +47,15 @@
 	if n.Nodes <= MinNodesPerBackend {
 		return backends
 	}
-	weight, least := 1.0, float64(MinBackends)
+	weight, minimum := 1.0, float64(MinBackends)
 	switch {
 	case zone == n.Zone:
-		weight += float64(zones-1) * min(1, max(0, n.CrossPrice)/dear)
+		weight += float64(zones-1) * min(1, max(0, n.CrossPrice)/localOnlyCrossPrice)
 	case n.Zone != "":
-		weight, least = away, 1
+		weight, minimum = remoteWeight, 1
 	}
-	part := math.Ceil(float64(backends) * MinNodesPerBackend * weight / float64(n.Nodes))
-	return int(min(float64(backends), max(least, part)))
+	size := math.Ceil(float64(backends) * MinNodesPerBackend * weight / float64(n.Nodes))
+	return int(min(float64(backends), max(minimum, size)))
 }
 
 // Hash is the place of an id on a ring (64-bit FNV-1a, and a finisher: ids that differ in their last sign lie apart).
@@ -72,7 +72,7 @@
 
 // Of tells for each of n backends whether it is in a node's part, by its zone and the Hash of its id; and how many
 // nodes share a backend, by their mean.
-func Of(n int, backend func(i int) (zone string, hash uint64), node Node) (in []bool, sharers float64) {
+func Of(n int, backend func(i int) (zone string, hash uint64), node Node) (selected []bool, nodesPerBackend float64) {
 	type members struct {
 		index  []int
 		hashes []uint64
@@ -90,31 +90,31 @@
 	if zones[node.Zone] == nil {
 		node.Zone = "" // a home without a backend
 	}
-	in = make([]bool, n)
-	all := 0
+	selected = make([]bool, n)
+	total := 0
 	for zone, m := range zones {
 		size := node.Size(zone, len(m.index), len(zones))
-		for j, place := range Places(m.hashes, node.Number) {
-			in[m.index[j]] = place < size
+		for j, place := range Ranks(m.hashes, node.Number) {
+			selected[m.index[j]] = place < size
 		}
-		all += size
+		total += size
 	}
-	return in, max(1, float64(node.Nodes*all)/float64(max(1, n)))
+	return selected, max(1, float64(node.Nodes*total)/float64(max(1, n)))
 }
 
-// Places gives each backend of one zone, by its hash, its place in the order in which the node of that number takes
+// Ranks gives each backend of one zone, by its hash, its place in the order in which the node of that number takes
 // them, from 0.
-func Places(hashes []uint64, number int) []int {
+func Ranks(hashes []uint64, number int) []int {
 	order := make([]int, len(hashes))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(hashes[x], hashes[y]) })
-	_, part := math.Modf(float64(number) * golden)
-	start := int(part * float64(len(hashes)))
-	places := make([]int, len(hashes))
+	_, fraction := math.Modf(float64(number) * goldenSection)
+	start := int(fraction * float64(len(hashes)))
+	ranks := make([]int, len(hashes))
 	for at, i := range order {
-		places[i] = (at - start + len(hashes)) % len(hashes)
+		ranks[i] = (at - start + len(hashes)) % len(hashes)
 	}
-	return places
+	return ranks
 }
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// part is the places of a node's part among n backends of one zone.
-func part(t *testing.T, ids []string, number, nodes int) []string {
+// subsetOf is the places of a node's part among n backends of one zone.
+func subsetOf(t *testing.T, ids []string, number, nodes int) []string {
 	t.Helper()
 	in, _ := Of(len(ids), func(i int) (string, uint64) { return "a", Hash(ids[i]) }, Node{Number: number, Nodes: nodes})
 	var out []string
@@ -19,7 +19,7 @@
 	return out
 }
 
-func names(n int) []string {
+func backendIDs(n int) []string {
 	ids := make([]string, n)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("s-%08x", Hash(fmt.Sprint(i))>>32)
@@ -28,14 +28,14 @@
 }
 
 // At every size a node has enough to choose from, each backend has nodes that share it, and small fleets are not divided.
-func TestPartsCoverTheFleetEvenly(t *testing.T) {
+func TestSubsetsCoverTheFleetEvenly(t *testing.T) {
 	for _, nodes := range []int{1, 3, 30, 80, 300} {
 		for _, backends := range []int{1, 3, 12, 60, 1000} {
-			ids, count := names(backends), map[string]int{}
+			ids, count := backendIDs(backends), map[string]int{}
 			of := Node{Nodes: nodes}
 			size := of.Size("a", backends, 1)
 			for number := range nodes {
-				p := part(t, ids, number, nodes)
+				p := subsetOf(t, ids, number, nodes)
 				if len(p) != size {
 					t.Fatalf("%d nodes, %d backends: a part of %d, want %d", nodes, backends, len(p), size)
 				}
@@ -43,13 +43,13 @@
 					count[id]++
 				}
 			}
-			least, most := nodes, 0
+			fewest, most := nodes, 0
 			for _, id := range ids {
-				least, most = min(least, count[id]), max(most, count[id])
+				fewest, most = min(fewest, count[id]), max(most, count[id])
 			}
 			mean := float64(nodes*size) / float64(backends)
-			if least == 0 || float64(most) > mean+3 || float64(least) < mean-3 {
-				t.Errorf("%d nodes, %d backends: %d to %d nodes share one, %.1f by their mean", nodes, backends, least, most, mean)
+			if fewest == 0 || float64(most) > mean+3 || float64(fewest) < mean-3 {
+				t.Errorf("%d nodes, %d backends: %d to %d nodes share one, %.1f by their mean", nodes, backends, fewest, most, mean)
 			}
 			if nodes <= 4 && size != backends {
 				t.Errorf("%d nodes, %d backends: a part of %d", nodes, backends, size)
@@ -61,12 +61,12 @@
 // The nodes of one zone are some of all numbers, and nobody tells which: any run of numbers and every third one have to
 // cover the backends evenly too.
 func TestSomeOfTheNodesCoverTheFleetEvenly(t *testing.T) {
-	ids := names(20)
+	ids := backendIDs(20)
 	for name, numbers := range map[string][]int{"a run": {0, 1}, "every third": {0, 3}} {
 		first, step := numbers[0], max(1, numbers[1])
 		count := map[string]int{}
 		for i := range 27 {
-			for _, id := range part(t, ids, first+i*step, 80) {
+			for _, id := range subsetOf(t, ids, first+i*step, 80) {
 				count[id]++
 			}
 		}
@@ -80,33 +80,33 @@
 
 // A backend that comes or goes moves one place of a part at the most.
 func TestAPartMovesLittle(t *testing.T) {
-	ids := names(60)
+	ids := backendIDs(60)
 	moved := 0
 	for number := range 80 {
-		before := part(t, ids, number, 80)
-		for gone := range ids {
-			after := part(t, slices.Delete(slices.Clone(ids), gone, gone+1), number, 80)
-			fresh := 0
+		before := subsetOf(t, ids, number, 80)
+		for removed := range ids {
+			after := subsetOf(t, slices.Delete(slices.Clone(ids), removed, removed+1), number, 80)
+			added := 0
 			for _, id := range after {
 				if !slices.Contains(before, id) {
-					fresh++
+					added++
 				}
 			}
-			if fresh > 1 {
-				t.Errorf("node %d: without %s its part has %d others", number, ids[gone], fresh)
+			if added > 1 {
+				t.Errorf("node %d: without %s its part has %d others", number, ids[removed], added)
 			}
-			moved += fresh
+			moved += added
 		}
 	}
 	// The least is that of the nodes which had it.
 	of := Node{Nodes: 80}
-	if least := 80 * of.Size("a", 60, 1); moved > 5*least {
-		t.Errorf("%d places moved, %d at the least", moved, least)
+	if minimum := 80 * of.Size("a", 60, 1); moved > 5*minimum {
+		t.Errorf("%d places moved, %d at the least", moved, minimum)
 	}
 }
 
 // Where crossing is dear, the nodes of one zone are all that serve its backends, and cover them as well.
-func TestAPricedZoneIsCoveredByItsOwnNodes(t *testing.T) {
+func TestCrossPriceConcentratesNodesOnTheirZone(t *testing.T) {
 	for _, c := range []struct {
 		price     float64
 		own, away int
@@ -119,15 +119,15 @@
 }
 
 // Nobody else's order of the list counts.
-func TestThePartDoesNotHangOnTheOrder(t *testing.T) {
-	ids := names(60)
-	turned := slices.Clone(ids)
-	slices.Reverse(turned)
+func TestSubsetIgnoresListOrder(t *testing.T) {
+	ids := backendIDs(60)
+	reversed := slices.Clone(ids)
+	slices.Reverse(reversed)
 	for number := range 80 {
-		one, other := part(t, ids, number, 80), part(t, turned, number, 80)
-		slices.Reverse(other)
-		if !slices.Equal(one, other) {
-			t.Fatalf("node %d: %v, and by another order %v", number, one, other)
+		fromList, fromReversed := subsetOf(t, ids, number, 80), subsetOf(t, reversed, number, 80)
+		slices.Reverse(fromReversed)
+		if !slices.Equal(fromList, fromReversed) {
+			t.Fatalf("node %d: %v, and by another order %v", number, fromList, fromReversed)
 		}
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -43,7 +43,7 @@
 type Decoder struct {
 	parser  fastjson.Parser
 	msg     Message
-	row     []*fastjson.Value
+	args    []*fastjson.Value
 	name    string
 	err     error
 	entries []policy.Entry
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, errors.New("a message must start with its name")
 	}
-	d.row, d.err, d.name = row[1:], nil, d.intern(name)
+	d.args, d.err, d.name = row[1:], nil, d.intern(name)
 	m := &d.msg
 	m.Event = policy.Event{}
 	switch d.name {
@@ -75,12 +75,12 @@
 	case "create":
 		m.Kind, m.Instance = Create, d.integer(0, "who")
 		m.Seed = d.seed(1, "salt")
-		d.settings(2)
+		d.decodeSettings(2)
 	case "power_off":
 		m.Kind, m.Instance = PowerOff, d.integer(0, "who")
 	default:
 		m.Kind = Event
-		if !d.event(&m.Event) {
+		if !d.decodeEvent(&m.Event) {
 			return nil, fmt.Errorf("unknown message %q", d.name)
 		}
 		m.Instance = d.integer(0, "who")
@@ -91,12 +91,12 @@
 	return m, nil
 }
 
-func (d *Decoder) event(ev *policy.Event) bool {
+func (d *Decoder) decodeEvent(ev *policy.Event) bool {
 	switch d.name {
 	case "demand":
 		ev.Kind, ev.ID = policy.EvRequest, d.text(1, "corr", true)
 		ev.Class = d.text(2, "service", true)
-		if d.has(3) && d.row[3].Type() == fastjson.TypeString { // 0 stands for none
+		if d.has(3) && d.args[3].Type() == fastjson.TypeString { // 0 stands for none
 			ev.Tenant = d.text(3, "client_group", false)
 		}
 		ev.Left = d.seconds(5, "grace_s", true)
@@ -105,15 +105,15 @@
 		}
 	case "ended":
 		ev.Kind, ev.ID = policy.EvOutcome, d.text(1, "corr", true)
-		ev.Attempt, ev.Server = int(d.integer(2, "seq_no")), d.server(3)
+		ev.Attempt, ev.Server = int(d.integer(2, "seq_no")), d.backendID(3)
 		ev.Took, ev.Last = d.seconds(4, "wait_time_s", true), d.boolean(5, "last")
-		ev.Outcome = d.outcome(6)
-		ev.Load = d.load(7)
+		ev.Outcome = d.decodeOutcome(6)
+		ev.Load = d.decodeLoad(7)
 	case "abandoned":
 		ev.Kind, ev.ID = policy.EvGone, d.text(1, "corr", true)
 	case "targets":
 		ev.Kind = policy.EvList
-		d.list(ev)
+		d.decodeList(ev)
 	case "tick_due":
 		ev.Kind, ev.Token = policy.EvTimer, d.text(1, "nonce", true)
 	case "flowing":
@@ -126,14 +126,14 @@
 	return true
 }
 
-func (d *Decoder) fail(field, want string) {
+func (d *Decoder) fail(field, problem string) {
 	if d.err == nil {
-		d.err = fmt.Errorf("%s: %s: %s", d.name, field, want)
+		d.err = fmt.Errorf("%s: %s: %s", d.name, field, problem)
 	}
 }
 
 func (d *Decoder) has(i int) bool {
-	return i < len(d.row) && d.row[i].Type() != fastjson.TypeNull
+	return i < len(d.args) && d.args[i].Type() != fastjson.TypeNull
 }
 
 // intern returns b as a string, sharing the few names that come again and again.
@@ -156,7 +156,7 @@
 		}
 		return ""
 	}
-	b, err := d.row[i].StringBytes()
+	b, err := d.args[i].StringBytes()
 	if err != nil {
 		d.fail(field, "must be text")
 	}
@@ -173,7 +173,7 @@
 		}
 		return 0
 	}
-	f, err := d.row[i].Float64()
+	f, err := d.args[i].Float64()
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
 		d.fail(field, "must be a number")
 		return 0
@@ -200,7 +200,7 @@
 		d.fail(field, "missing")
 		return 0
 	}
-	n, err := d.row[i].Int64()
+	n, err := d.args[i].Int64()
 	if err != nil {
 		d.fail(field, "must be a whole number")
 	}
@@ -212,7 +212,7 @@
 		d.fail(field, "missing")
 		return 0
 	}
-	if n, err := d.row[i].Uint64(); err == nil {
+	if n, err := d.args[i].Uint64(); err == nil {
 		return n
 	}
 	return uint64(d.integer(i, field))
@@ -223,14 +223,14 @@
 		d.fail(field, "missing")
 		return false
 	}
-	v, err := d.row[i].Bool()
+	v, err := d.args[i].Bool()
 	if err != nil {
 		d.fail(field, "must be true or false")
 	}
 	return v
 }
 
-func (d *Decoder) server(i int) uint32 {
+func (d *Decoder) backendID(i int) uint32 {
 	n := d.integer(i, "backend")
 	if n < 0 || n > math.MaxUint32 {
 		d.fail("backend", "is out of range")
@@ -238,7 +238,7 @@
 	return uint32(n)
 }
 
-func (d *Decoder) outcome(i int) policy.Outcome {
+func (d *Decoder) decodeOutcome(i int) policy.Outcome {
 	name := d.text(i, "outcome", true)
 	switch name {
 	case "Ok":
@@ -262,11 +262,11 @@
 	return policy.OK
 }
 
-func (d *Decoder) load(i int) policy.Load {
+func (d *Decoder) decodeLoad(i int) policy.Load {
 	if !d.has(i) {
 		return policy.Load{}
 	}
-	o, err := d.row[i].Object()
+	o, err := d.args[i].Object()
 	if err != nil {
 		d.fail("load", "must be an object")
 		return policy.Load{}
@@ -287,8 +287,8 @@
 	return l
 }
 
-func (d *Decoder) list(ev *policy.Event) {
-	switch how := d.text(1, "how", true); how {
+func (d *Decoder) decodeList(ev *policy.Event) {
+	switch kind := d.text(1, "how", true); kind {
 	case "incr":
 		ev.List = policy.ListDelta
 	case "total":
@@ -298,7 +298,7 @@
 	case "lost":
 		ev.List = policy.ListFailed
 	default:
-		d.fail("how", "unknown value "+strconv.Quote(how))
+		d.fail("how", "unknown value "+strconv.Quote(kind))
 	}
 	d.entries = d.entries[:0]
 	if !d.has(3) {
@@ -307,22 +307,22 @@
 		}
 		return
 	}
-	items, err := d.row[3].Array()
+	items, err := d.args[3].Array()
 	if err != nil {
 		d.fail("items", "must be an array")
 		return
 	}
-	event := d.row
+	outer := d.args
 	for _, item := range items {
 		row, err := item.Array()
 		if err != nil {
 			d.fail("items", "an entry must be an array")
 			return
 		}
-		d.row = row
+		d.args = row
 		e := policy.Entry{Zone: d.text(1, "az", false), Kind: d.text(3, "shape", false),
-			Launched: d.seconds(4, "launched_s", false), ID: d.server(6)}
-		e.Place = place(e.ID)
+			Launched: d.seconds(4, "launched_s", false), ID: d.backendID(6)}
+		e.Place = ringPosition(e.ID)
 		if d.has(2) {
 			e.Cell = d.integer(2, "unit_group")
 		}
@@ -338,12 +338,12 @@
 		}
 		d.entries = append(d.entries, e)
 	}
-	d.row = event
+	d.args = outer
 	ev.Entries = d.entries
 }
 
-// place is a backend's place on the ring: its number is the same at every instance.
-func place(id uint32) uint64 { return subset.Hash(strconv.FormatUint(uint64(id), 10)) }
+// ringPosition is a backend's place on the ring: its number is the same at every instance.
+func ringPosition(id uint32) uint64 { return subset.Hash(strconv.FormatUint(uint64(id), 10)) }
 
 // Settings is what the settings object holds for the decisions and for the node that carries them out.
 type Settings struct {
@@ -353,8 +353,8 @@
 	Reports        bool          // answers may hold load reports
 }
 
-// info is the settings object of a create message; keys that are not named here are skipped.
-type info struct {
+// settingsObject is the settings object of a create message; keys that are not named here are skipped.
+type settingsObject struct {
 	Balancers *int   `json:"balancers"`
 	Ordinal   int    `json:"ordinal"`
 	Zone      string `json:"zone"`
@@ -401,12 +401,12 @@
 	} `json:"invariants"`
 }
 
-func (d *Decoder) settings(i int) {
+func (d *Decoder) decodeSettings(i int) {
 	if !d.has(i) {
 		d.fail("info", "missing")
 		return
 	}
-	s, err := DecodeSettings(d.row[i].MarshalTo(nil))
+	s, err := DecodeSettings(d.args[i].MarshalTo(nil))
 	if err != nil {
 		d.fail("info", err.Error())
 		return
@@ -416,7 +416,7 @@
 
 // DecodeSettings reads the settings object, which a create message and a node's configuration share.
 func DecodeSettings(text []byte) (Settings, error) {
-	var in info
+	var in settingsObject
 	if err := json.Unmarshal(text, &in); err != nil {
 		return Settings{}, err
 	}
@@ -463,34 +463,34 @@
 }
 
 // AppendAction appends the line of one action of an instance.
-func AppendAction(buf []byte, who int64, a *policy.Action) []byte {
+func AppendAction(buf []byte, instance int64, a *policy.Action) []byte {
 	switch a.Kind {
 	case policy.ActSend:
-		buf = appendID(appendHead(buf, "relay", who), a.ID)
+		buf = appendString(appendHead(buf, "relay", instance), a.ID)
 		buf = strconv.AppendUint(append(buf, ','), uint64(a.Server), 10)
 		buf = appendSeconds(buf, a.Wait)
 	case policy.ActCancel:
-		buf = appendID(appendHead(buf, "retract", who), a.ID)
+		buf = appendString(appendHead(buf, "retract", instance), a.ID)
 		buf = strconv.AppendInt(append(buf, ','), int64(a.Attempt), 10)
 	case policy.ActRefuse:
-		buf = appendSeconds(appendID(appendHead(buf, "say_no", who), a.ID), a.Wait)
+		buf = appendSeconds(appendString(appendHead(buf, "say_no", instance), a.ID), a.Wait)
 	case policy.ActFail:
-		buf = appendID(appendHead(buf, "report_failure", who), a.ID)
+		buf = appendString(appendHead(buf, "report_failure", instance), a.ID)
 	case policy.ActTimer:
-		buf = appendSeconds(appendID(appendHead(buf, "notify_me", who), a.Token), a.At)
+		buf = appendSeconds(appendString(appendHead(buf, "notify_me", instance), a.Token), a.At)
 	case policy.ActWatch:
-		buf = append(appendHead(buf, "stream_changes", who), ",true"...)
+		buf = append(appendHead(buf, "stream_changes", instance), ",true"...)
 	case policy.ActFetch:
-		buf = appendHead(buf, "list_all", who)
+		buf = appendHead(buf, "list_all", instance)
 	case policy.ActLog:
-		buf = appendID(appendHead(buf, "say_log", who), a.Text)
+		buf = appendString(appendHead(buf, "say_log", instance), a.Text)
 	}
 	return append(buf, "]\n"...)
 }
 
 // AppendFault appends the line that reports a broken instance.
-func AppendFault(buf []byte, who int64, message string) []byte {
-	return append(appendID(appendHead(buf, "give_in", who), message), "]\n"...)
+func AppendFault(buf []byte, instance int64, message string) []byte {
+	return append(appendString(appendHead(buf, "give_in", instance), message), "]\n"...)
 }
 
 // AppendDone appends the line that ends a reply.
@@ -503,7 +503,7 @@
 	return strconv.AppendInt(buf, n, 10)
 }
 
-func appendID(buf []byte, s string) []byte {
+func appendString(buf []byte, s string) []byte {
 	buf = append(buf, ',')
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c < 0x20 || c == '"' || c == '\\' || c >= 0x7f {
@@ -518,8 +518,8 @@
 	return strconv.AppendFloat(append(buf, ','), math.Ceil(float64(t)/1e3)/1e6, 'f', -1, 64)
 }
 
-// maxReport is more than any figure of a load report can be.
-const maxReport = 1e6
+// maxLoadFigure is more than any figure of a load report can be.
+const maxLoadFigure = 1e6
 
 // DecodeLoad reads a load report that stands by itself, under this wire's names or the simulator's own. One figure
 // that makes no sense spoils the whole of it.
@@ -536,7 +536,7 @@
 		return policy.Load{}, err
 	}
 	for _, v := range []*float64{in.Depth, in.Queue, in.Concurrent, in.Inflight, in.Mean, in.Latency} {
-		if v != nil && !(*v >= 0 && *v <= maxReport) {
+		if v != nil && !(*v >= 0 && *v <= maxLoadFigure) {
 			return policy.Load{}, fmt.Errorf("%v in a load report", *v)
 		}
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -42,7 +42,7 @@
 		`["targets",3,"lost",4,null]`: {Kind: Event, Instance: 3, Event: policy.Event{
 			Kind: policy.EvList, List: policy.ListFailed}},
 		`["targets",3,"incr",41,[[1.5,"n",2,"std",6.1,"leaving",7]]]`: {Kind: Event, Instance: 3, Event: policy.Event{
-			Kind: policy.EvList, Entries: []policy.Entry{{ID: 7, Place: place(7), Zone: "n", Cell: 2, Kind: "std",
+			Kind: policy.EvList, Entries: []policy.Entry{{ID: 7, Place: ringPosition(7), Zone: "n", Cell: 2, Kind: "std",
 				Launched: 6100 * time.Millisecond, State: policy.Leaving}}}},
 	} {
 		var d Decoder
@@ -74,7 +74,7 @@
 }
 
 // The decoder reuses its memory: one line must leave nothing behind in the next.
-func TestDecodeReuse(t *testing.T) {
+func TestDecoderReuseLeavesNoState(t *testing.T) {
 	var d Decoder
 	if _, err := d.Decode([]byte(`["ended",3,"r",0,5,0.2,true,"Failed",{"depth":3}]`)); err != nil {
 		t.Fatal(err)
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestMalformed(t *testing.T) {
+func TestDecodeMalformed(t *testing.T) {
 	for line, want := range map[string]string{
 		``:                                       "JSON",
 		`{`:                                      "JSON",
@@ -183,7 +183,7 @@
 }
 
 // Answers hold load reports where the settings say so, and nowhere else.
-func TestSettingsTellOfReports(t *testing.T) {
+func TestSettingsLoadReportKinds(t *testing.T) {
 	for text, want := range map[string]policy.Settings{
 		`{"report":{"how":"piggyback","names":["concurrent","depth"]}}`: {},
 		`{"report":{"how":"piggyback","names":["depth"]}}`:              {QueueOnly: true},
@@ -200,7 +200,7 @@
 
 // A report that makes no sense in one figure is ignored whole: taken in part, it would make a backend look idle or
 // crowded.
-func TestLoadReports(t *testing.T) {
+func TestDecodeLoadInvalidFigures(t *testing.T) {
 	for _, c := range []struct {
 		text  string
 		queue float64
