--- a/internal/sites/divide.go
+++ b/internal/sites/divide.go
@@ -5,37 +5,38 @@
 	"slices"
 )
 
-// Availability is how a site stands on a day.
+// Availability is the current condition of a site.
 type Availability struct {
-	Degraded bool    // it does not carry its own load by itself: lost, or on its way back
-	Fraction float64 // of its capacity that is there now, by boxes, their warmth and, where it returns, the step that it is at
+	Degraded bool    // it can't carry all of its own load: it is lost or returning
+	Fraction float64 // of its capacity that is usable now, by its backends, their warm-up and the step of its return
 }
 
-// Division says who carries what. Rates are in mean requests a second; sites are by their places in the plan, kinds by
-// theirs in what was asked.
+// Division is a division of the load among sites. Rates are in mean requests a second. Sites are indexed as in the plan,
+// kinds as in the demand.
 type Division struct {
-	Admitted [][]float64 // by site and kind: part of its clients' requests that is admitted
-	Own      []float64   // by site: what it carries of its own clients' load,
-	Moved    []float64   // and of others'
-	Headroom []float64   // by site: what others may bring at most
-	Flows    [][]float64 // from, to: what goes there
-	MaxFlows [][]float64 // from, to: what may go there at most
-	Limit    []float64   // by site: its capacity now, filled as far as the plan goes
+	Admitted [][]float64 // by site and kind: fraction of its clients' requests that is admitted
+	Own      []float64   // by site: load of its own clients that it carries
+	Moved    []float64   // by site: load of other sites' clients that it carries
+	Headroom []float64   // by site: maximum load that it takes from others
+	Flows    [][]float64 // from, to: load that is moved
+	MaxFlows [][]float64 // from, to: maximum load that may be moved
+	Limit    []float64   // by site: load that it may carry now, at the plan's utilization
 	Refused  []float64   // by kind, over all sites
 	Asked    []float64
 }
 
-// Divide divides what all sites' clients ask for, by site and kind, among the sites as they stand. order is that of
-// refusal. What can't be carried anywhere is refused in that order, over the whole fleet alike; where the ways out of a
-// site do not take what could be carried elsewhere, more of that site's own, in the same order. A way's part is kept where
-// there is room; what does not fit one way goes by the others of the plan.
-func (p *Plan) Divide(states []Availability, asked [][]float64, order []int) *Division {
+// Divide divides the demand of all sites' clients, by site and kind, among the available sites. order is the order of
+// refusal. What exceeds the capacity of the fleet is refused in that order, by the same fractions at all sites. Where the
+// overflow targets of a site can't take what the fleet could carry, more of that site's own requests are refused, in the
+// same order. Load goes to overflow targets by their fractions while they have headroom; what does not fit one target goes
+// to the site's others.
+func (p *Plan) Divide(available []Availability, asked [][]float64, order []int) *Division {
 	n, kinds := len(p.Sites), len(order)
 	d := &Division{Own: make([]float64, n), Moved: make([]float64, n), Headroom: make([]float64, n), Limit: make([]float64, n),
 		Refused: make([]float64, kinds), Asked: make([]float64, kinds)}
 	total := 0.0
 	for i, s := range p.Sites {
-		d.Limit[i] = s.Capacity * p.MaxUtilization * min(1, max(0, states[i].Fraction))
+		d.Limit[i] = s.Capacity * p.MaxUtilization * min(1, max(0, available[i].Fraction))
 		total += d.Limit[i]
 		d.Flows, d.MaxFlows = append(d.Flows, make([]float64, n)), append(d.MaxFlows, make([]float64, n))
 	}
@@ -45,21 +46,21 @@
 		}
 	}
 	admitted := admitByPriority(total, d.Asked, order)
-	overflow := make([]float64, n) // what each site has to move
+	overflow := make([]float64, n) // load that each site has to move
 	for i, s := range p.Sites {
 		d.Admitted = append(d.Admitted, slices.Clone(admitted))
 		own := dot(admitted, asked[i])
-		if states[i].Degraded {
+		if available[i].Degraded {
 			d.Own[i] = min(own, d.Limit[i])
 			overflow[i] = own - d.Own[i]
 			continue
 		}
 		d.Own[i] = own
-		d.Headroom[i] = max(0, d.Limit[i]-max(own, s.Reserve*s.Capacity*min(1, states[i].Fraction)))
+		d.Headroom[i] = max(0, d.Limit[i]-max(own, s.Reserve*s.Capacity*min(1, available[i].Fraction)))
 	}
-	d.distribute(p, states, overflow)
+	d.distribute(p, available, overflow)
 	for i := range n {
-		if overflow[i] > 1e-9 { // its ways are full: more of its own is refused
+		if overflow[i] > 1e-9 { // its targets are full: more of its own requests are refused
 			d.Admitted[i] = admitByPriority(d.Own[i]+sum(d.Flows[i]), asked[i], order)
 		}
 		for k := range kinds {
@@ -69,8 +70,8 @@
 	return d
 }
 
-// distribute sends what sites have to move by their ways, and leaves in out what found no room.
-func (d *Division) distribute(p *Plan, states []Availability, overflow []float64) {
+// distribute moves the overflow of sites to their targets, and leaves in overflow what does not fit.
+func (d *Division) distribute(p *Plan, available []Availability, overflow []float64) {
 	n := len(overflow)
 	total := sum(overflow)
 	if total <= 0 {
@@ -81,16 +82,16 @@
 		if overflow[from] <= 0 {
 			continue
 		}
-		targets := p.overflowTargets(from, states, d.Headroom)
+		targets := p.overflowTargets(from, available, d.Headroom)
 		for _, w := range targets {
-			// Room is divided by what each site has to move, so that none comes first.
+			// Sites get headroom in proportion to their overflow, so that none has priority.
 			to := p.index(w.Site)
 			d.MaxFlows[from][to] = d.Headroom[to] * overflow[from] / total
 			if w.Most > 0 {
 				d.MaxFlows[from][to] = min(d.MaxFlows[from][to], w.Most)
 			}
 		}
-		// What is left after each way has had its part is offered to all that have room, until none has.
+		// What remains after each target got its fraction is offered to all with headroom, until none has any.
 		remaining := overflow[from]
 		for range len(targets) + 1 {
 			weight := 0.0
@@ -102,10 +103,10 @@
 			if weight <= 0 || remaining <= 1e-9 {
 				break
 			}
-			round := remaining
+			pending := remaining
 			for _, w := range targets {
 				to := p.index(w.Site)
-				x := min(round*w.Part/weight, d.MaxFlows[from][to]-d.Flows[from][to], headroom[to])
+				x := min(pending*w.Part/weight, d.MaxFlows[from][to]-d.Flows[from][to], headroom[to])
 				if x <= 0 {
 					continue
 				}
@@ -119,10 +120,11 @@
 	}
 }
 
-// overflowTargets are a site's ways to those that carry load of their own, as the plan has them, else by room.
-func (p *Plan) overflowTargets(from int, states []Availability, headroom []float64) (targets []OverflowTarget) {
+// overflowTargets returns the plan's targets of a site that aren't degraded. Where the plan has none, all sites with headroom
+// are targets, in proportion to it.
+func (p *Plan) overflowTargets(from int, available []Availability, headroom []float64) (targets []OverflowTarget) {
 	for _, w := range p.Sites[from].Overflow {
-		if !states[p.index(w.Site)].Degraded {
+		if !available[p.index(w.Site)].Degraded {
 			targets = append(targets, w)
 		}
 	}
@@ -130,21 +132,21 @@
 		return targets
 	}
 	for to, s := range p.Sites {
-		if to != from && !states[to].Degraded && headroom[to] > 0 {
+		if to != from && !available[to].Degraded && headroom[to] > 0 {
 			targets = append(targets, OverflowTarget{Site: s.Name, Part: headroom[to]})
 		}
 	}
 	return targets
 }
 
-// admitByPriority admits as much of what is asked as there is room for: all of some kinds, part of one, and none of those that come
-// before it in the order of refusal.
+// admitByPriority returns the fraction of each kind that is admitted: all of some kinds, a fraction of one, and nothing of
+// those that come before it in the order of refusal.
 func admitByPriority(capacity float64, asked []float64, order []int) []float64 {
 	admit := make([]float64, len(asked))
 	for _, k := range slices.Backward(order) {
 		if asked[k] > capacity {
 			admit[k] = max(0, capacity) / asked[k]
-			break // and none of the others, asked for or not
+			break // and none of the others, whether requested or not
 		}
 		admit[k] = 1
 		capacity -= asked[k]
@@ -166,9 +168,9 @@
 	return x
 }
 
-// MaxLoadFactor is the multiple of what is asked at which requests begin to be refused with the sites as they stand; infinite
-// where nothing is asked. It is exact to a thousandth.
-func (p *Plan) MaxLoadFactor(states []Availability, asked [][]float64, order []int) float64 {
+// MaxLoadFactor returns the multiple of the demand at which requests begin to be refused, or infinity where there is no
+// demand. It is accurate to a thousandth.
+func (p *Plan) MaxLoadFactor(available []Availability, asked [][]float64, order []int) float64 {
 	refusesAt := func(factor float64) bool {
 		more := make([][]float64, len(asked))
 		for i := range asked {
@@ -176,7 +178,7 @@
 				more[i] = append(more[i], x*factor)
 			}
 		}
-		return sum(p.Divide(states, more, order).Refused) > 1e-6*factor
+		return sum(p.Divide(available, more, order).Refused) > 1e-6*factor
 	}
 	low, high := 0.0, 1.0
 	for !refusesAt(high) {
--- a/internal/sites/gates.go
+++ b/internal/sites/gates.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// Limiter carry Orders out request by request: which zones a request may go to, and whether it is admitted. The zero value
-// lets everything through.
+// Limiter applies Directives to single requests: which zones a request may go to, and whether it is admitted. The zero
+// value allows everything.
 type Limiter struct {
 	zones map[string]*zoneLimit
 	admit map[string][2]float64
@@ -11,25 +11,26 @@
 
 type zoneLimit struct {
 	Zone
-	tokens, refilledAt float64 // sends that may go there now
+	tokens, refilledAt float64 // sends that are allowed now, as of refilledAt
 }
 
-// burstSeconds is how many seconds' worth of its rate a zone may be sent at once.
+// burstSeconds is the burst that a zone's rate allows, in seconds of that rate.
 const burstSeconds = 0.25
 
-// Set has the gates follow other orders. What a zone may be sent at once goes on.
+// Set replaces the directives. Zones that stay limited keep their tokens.
 func (g *Limiter) Set(now float64, zones map[string]Zone, admit map[string][2]float64) {
-	old := g.zones
+	previous := g.zones
 	g.zones, g.admit = make(map[string]*zoneLimit, len(zones)), admit
 	for name, z := range zones {
 		g.zones[name] = &zoneLimit{Zone: z, tokens: 1, refilledAt: now}
-		if old := old[name]; old != nil {
+		if old := previous[name]; old != nil {
 			g.zones[name].tokens, g.zones[name].refilledAt = old.tokens, old.refilledAt
 		}
 	}
 }
 
-// Draw is a request's luck, by which Open decides each time alike. Nothing is drawn while no zone is closed or limited.
+// Draw returns a request's random draw, which makes Allows decide alike for all of its attempts. No random number is taken
+// while no zone is limited.
 func (g *Limiter) Draw(rng *rand.Rand) float64 {
 	if len(g.zones) == 0 {
 		return 0
@@ -37,7 +38,7 @@
 	return rng.Float64()
 }
 
-// Admits tells whether a request is among the part of its class that is admitted.
+// Admits reports whether a request is within the admitted fraction of its class.
 func (g *Limiter) Admits(class string, overQuota bool, rng *rand.Rand) bool {
 	fractions, limited := g.admit[class]
 	fraction := fractions[0]
@@ -47,7 +48,7 @@
 	return !limited || fraction >= 1 || rng.Float64() < fraction
 }
 
-// Allows tells whether a request of some luck may go to a zone now.
+// Allows reports whether a request with this draw may go to a zone now.
 func (g *Limiter) Allows(now float64, zone string, draw float64) bool {
 	z := g.zones[zone]
 	if z == nil {
--- a/internal/sites/node.go
+++ b/internal/sites/node.go
@@ -8,81 +8,81 @@
 	"craneglade/internal/cold"
 )
 
-// Config is what a Node is made from.
+// Config is the configuration of a Node.
 type Config struct {
-	Plan             *Plan // checked; nil for no plan: sites are watched, and load that loses its site goes where there is room
-	Home             string
+	Plan             *Plan  // validated; nil for none: sites are watched, and load of a lost site goes wherever there is headroom
+	Home             string // the node's own site
 	Classes          []Class
-	OverQuotaUtility float64 // worth of a request past its tenant's share, as a part of the usual
-	ColdShare        float64 // part of its capacity that a box has at its start, and
-	ColdFor          float64 // until when that grows, seconds
+	OverQuotaUtility float64 // utility of a request over its tenant's quota, as a fraction of the normal one
+	ColdShare        float64 // fraction of its capacity that a backend has when it starts
+	ColdFor          float64 // seconds until it has all of it
 }
 
-// Class is one class of requests.
+// Class is a class of requests.
 type Class struct {
 	Name    string
 	Utility float64
 }
 
-// Demand is what this node's clients ask for of one class.
+// Demand is the demand of this node's clients for one class.
 type Demand struct {
 	Class string
-	Rate  float64 // requests a second,
-	Over  float64 // and of those, past their tenants' shares
-	Work  float64 // of one request, in any unit that is the same for all
+	Rate  float64 // requests a second
+	Over  float64 // requests a second over their tenants' quotas, which Rate includes
+	Work  float64 // of one request, in any unit common to all classes
 }
 
-// Zone is how a site is to be used from here.
+// Zone limits the use of a site by this node.
 type Zone struct {
-	Fraction float64 // of the requests that may go there
-	Rate     float64 // of those, a second at most; below 0 for any number
+	Fraction float64 // of all requests that may go there
+	Rate     float64 // maximum requests a second; below 0 for no limit
 }
 
-// Directives are what the decision module is to follow, until the next ones. Where every site serves they are empty.
+// Directives tell the policy what to do until the next ones. They are empty while all sites serve.
 type Directives struct {
-	Zones map[string]Zone       // without one a site is used as usual
-	Admit map[string][2]float64 // by class: parts that are admitted of requests within their tenant's share, and past it
-	Probe []uint32              // boxes to which a connection is to be tried now; Probed tells what came of it
+	Zones map[string]Zone       // sites without an entry are used as normal
+	Admit map[string][2]float64 // by class: fractions to admit of requests within their tenant's quota, and over it
+	Probe []uint32              // backends to which a connection is to be tried now, with the result to RecordProbe
 }
 
-// Note is something for an operator's log.
+// Note is a message for the operator's log.
 type Note struct {
 	Text string
 	Args []any // key, value, key, value
 }
 
-// Node is what one node makes of all sites.
+// Node judges all sites from one node and divides the load when sites are lost.
 type Node struct {
 	cfg            Config
 	watch          *Watch
 	now            float64
 	isolated       bool
 	notes          []Note
-	states         []Availability
+	availability   []Availability
 	division       *Division
 	kinds          []Kind
 	asked          [][]float64
-	headroomShares map[string]float64 // by site: part of what lost sites' load may bring there that is this node's; nil where nobody says
-	liveNodes      map[string]int     // by site: nodes that are surely there; nil where nodes do not talk
-	degraded       bool               // this node's own site does not carry its load by itself
-	noted          map[string]bool    // sites that only the plan or only the list knows, and that were noted so
+	headroomShares map[string]float64 // by site: this node's share of the headroom for lost sites' load; nil if unknown
+	liveNodes      map[string]int     // by site: nodes confirmed alive; nil where nodes do not exchange state
+	degraded       bool               // this node's own site is lost or returning
+	noted          map[string]bool    // sites that only the plan or only the list has, once noted
 }
 
-// NewNode returns a node that knows no box.
+// NewNode returns a node without backends.
 func NewNode(cfg Config) *Node { return &Node{cfg: cfg, watch: NewWatch(), noted: map[string]bool{}} }
 
-// ApplyList sets the boxes that there are.
-func (n *Node) ApplyList(now float64, boxes []Backend) { n.watch.ApplyList(now, boxes) }
+// ApplyList replaces the list of backends.
+func (n *Node) ApplyList(now float64, backends []Backend) { n.watch.ApplyList(now, backends) }
 
-// RecordSend notes that an attempt at a box begins.
+// RecordSend records the start of an attempt at a backend.
 func (n *Node) RecordSend(now float64, id uint32) { n.watch.RecordSend(now, id) }
 
-// RecordOutcome notes what became of an attempt that took so many seconds.
+// RecordOutcome records the outcome of an attempt and the seconds that it took.
 func (n *Node) RecordOutcome(now float64, id uint32, r Outcome, took float64) {
 	n.watch.RecordOutcome(now, id, r, took)
 }
 
-// RecordProbe notes whether a connection that Orders asked for came up.
+// RecordProbe records whether a connection that Directives asked for was established.
 func (n *Node) RecordProbe(now float64, id uint32, up bool) {
 	n.noteChanges(n.watch.RecordProbe(now, id, up))
 }
@@ -97,24 +97,25 @@
 	}
 }
 
-// SetHeadroomShares tells which part of what lost sites' load may bring to each site is this node's. Where nobody says it is an equal part
-// among the nodes of the lost site, as the plan counts them.
-func (n *Node) SetHeadroomShares(parts map[string]float64) { n.headroomShares = parts }
+// SetHeadroomShares sets, by site, this node's share of the headroom for lost sites' load. Without one, the nodes of a lost
+// site, as counted by the plan, have equal shares.
+func (n *Node) SetHeadroomShares(shares map[string]float64) { n.headroomShares = shares }
 
-// SetLiveNodes tells how many nodes of each site are surely there, by what they say themselves; nil where nodes do not talk.
+// SetLiveNodes sets how many nodes of each site are confirmed alive by their own reports; nil where nodes do not exchange
+// state.
 func (n *Node) SetLiveNodes(nodes map[string]int) { n.liveNodes = nodes }
 
-// overflowCounts tells whether what a site's clients ask for may come to others: not where the site is lost from here and nothing tells
-// that it is lost, as then it may be the links, and each side has its own clients. The list tells by taking its boxes off, and
-// the site's own nodes by being there though its boxes are not.
+// overflowCounts reports whether the demand of a site's clients counts in the division. It does not where only this node's
+// attempts show the site as lost: that may be a loss of links, and then each side serves its own clients. The loss is
+// confirmed by the list, which has none of the site's backends ready, or by the site's own nodes, which are alive.
 func (n *Node) overflowCounts(site string) bool {
 	return n.watch.Fraction(site) == 1 || site == n.cfg.Home || n.watch.Delisted(site) || n.liveNodes[site] > 0
 }
 
-// IsOverflow tells whether what goes to a site from here is load of a lost one.
+// IsOverflow reports whether requests that this node sends to a site are overflow of its own, degraded site.
 func (n *Node) IsOverflow(site string) bool { return n.degraded && site != n.cfg.Home }
 
-// Step brings all up to the time, with what this node's clients ask for, and returns what is to be followed.
+// Step advances the state to now, with the demand of this node's clients, and returns the directives to follow.
 func (n *Node) Step(now float64, demand []Demand) Directives {
 	n.now = max(n.now, now)
 	changes, probe := n.watch.Update(n.now)
@@ -129,13 +130,12 @@
 			serving++
 		}
 	}
-	// A node that reaches nobody anywhere has lost its own links: it goes on as if it knew nothing, and takes no part of
-	// anybody's.
+	// A node that reaches no site has lost its own links. It gives no directives and takes no part in the division.
 	if isolated := degraded > 0 && serving == 0 && !n.anyReturning(); isolated != n.isolated {
 		n.isolated = isolated
-		text := "this node reaches no site: it is cut off itself"
+		text := "no site is reachable: this node is isolated"
 		if !isolated {
-			text = "this node is no longer cut off"
+			text = "this node is no longer isolated"
 		}
 		n.notes = append(n.notes, Note{Text: text})
 	}
@@ -160,30 +160,30 @@
 	return slices.ContainsFunc(n.watch.siteNames(), func(s string) bool { return n.watch.State(s) == Returning })
 }
 
-// applyPlan divides the load by the plan, and takes this node's part of it.
+// applyPlan divides the load by the plan, and adds this node's share to the directives.
 func (n *Node) applyPlan(o *Directives, demand []Demand) {
 	p := n.cfg.Plan
-	n.states = n.states[:0]
+	n.availability = n.availability[:0]
 	for _, s := range p.Sites {
-		share := n.watch.Fraction(s.Name)
+		fraction := n.watch.Fraction(s.Name)
 		if n.watch.sites[s.Name] == nil {
-			share = 0
-			n.noteOnce(s.Name, "the plan has a site that the list does not tell: it counts for nothing")
+			fraction = 0
+			n.noteOnce(s.Name, "a site of the plan has no backends in the list; its capacity counts as 0")
 		}
-		n.states = append(n.states, Availability{Degraded: share < 1, Fraction: share * n.availableFraction(s)})
+		n.availability = append(n.availability, Availability{Degraded: fraction < 1, Fraction: fraction * n.availableFraction(s)})
 	}
 	for _, name := range n.watch.siteNames() {
 		if p.index(name) < 0 {
-			n.noteOnce(name, "the list tells a site that the plan does not have: no load is moved there by it")
+			n.noteOnce(name, "a site of the list is not in the plan; no load is moved to it")
 		}
 	}
 	n.estimateDemand(demand)
 	order := p.RefusalOrder(n.kinds)
-	d := p.Divide(n.states, n.asked, order)
+	d := p.Divide(n.availability, n.asked, order)
 	n.division = d
 	home := p.index(n.cfg.Home)
 	if home < 0 {
-		return // nobody's clients by the plan
+		return // the plan has no load of this node's site
 	}
 	o.Admit = map[string][2]float64{}
 	for i, k := range n.kinds {
@@ -195,15 +195,15 @@
 		}
 		o.Admit[k.Class] = a
 	}
-	if !n.states[home].Degraded {
+	if !n.availability[home].Degraded {
 		return
 	}
 	for to, s := range p.Sites {
-		if to == home || n.states[to].Degraded {
+		if to == home || n.availability[to].Degraded {
 			continue
 		}
-		// Of what may go there each node of this site takes an equal part, as fronts deal their clients out evenly; or its own
-		// part of what all lost sites may bring there, of which no two nodes have the same.
+		// Without a share of its own, each node of this site gets an equal part of the flow, as clients are spread evenly
+		// over nodes. Shares of the headroom are exclusive to a node and cover the overflow of all lost sites.
 		rate := d.MaxFlows[home][to] / float64(p.Sites[home].Nodes)
 		if share, set := n.headroomShares[s.Name]; set {
 			rate = min(d.Headroom[to]*share, d.MaxFlows[home][to])
@@ -212,7 +212,7 @@
 	}
 }
 
-// noteOnce notes something of a site, once.
+// noteOnce adds a note about a site, unless it has one already.
 func (n *Node) noteOnce(site, text string) {
 	if !n.noted[site] {
 		n.noted[site] = true
@@ -220,7 +220,8 @@
 	}
 }
 
-// availableFraction is the part of a site's planned capacity that its boxes on the list have now, by their number and warmth.
+// availableFraction returns the fraction of a site's planned capacity that its listed backends have now, by their number and
+// warm-up.
 func (n *Node) availableFraction(s Site) float64 {
 	sum := 0.0
 	for _, b := range n.watch.order {
@@ -231,26 +232,26 @@
 	return min(1, sum/float64(s.Backends))
 }
 
-// estimateDemand works out what all sites' clients ask for: this one's from what this node is asked, the others' by the plan's
-// loads, as much more or less as here, and of the same kinds.
+// estimateDemand estimates the demand of all sites' clients by kind: that of this site from this node's own, that of others
+// from the loads of the plan, scaled as this site's differs from its plan, and with the same mix of kinds.
 func (n *Node) estimateDemand(all []Demand) {
 	p := n.cfg.Plan
 	n.kinds, n.asked = n.kinds[:0], n.asked[:0]
-	var here []float64
+	var local []float64
 	mean := n.meanWork(all)
 	for _, d := range all {
-		worth := 0.0
+		utility := 0.0
 		if i := slices.IndexFunc(n.cfg.Classes, func(c Class) bool { return c.Name == d.Class }); i >= 0 {
-			worth = n.cfg.Classes[i].Utility
+			utility = n.cfg.Classes[i].Utility
 		}
 		work := 1.0
 		if mean > 0 && d.Work > 0 {
 			work = d.Work / mean
 		}
-		n.kinds = append(n.kinds, Kind{d.Class, false, worth, work}, Kind{d.Class, true, worth * n.cfg.OverQuotaUtility, work})
-		here = append(here, max(0, d.Rate-d.Over)*work, min(d.Over, d.Rate)*work)
+		n.kinds = append(n.kinds, Kind{d.Class, false, utility, work}, Kind{d.Class, true, utility * n.cfg.OverQuotaUtility, work})
+		local = append(local, max(0, d.Rate-d.Over)*work, min(d.Over, d.Rate)*work)
 	}
-	total, home := sum(here), p.index(n.cfg.Home)
+	total, home := sum(local), p.index(n.cfg.Home)
 	for i, s := range p.Sites {
 		load := s.Load
 		if home >= 0 && p.Sites[home].Load > 0 {
@@ -263,17 +264,17 @@
 		case n.watch.sites[s.Name] == nil, !n.overflowCounts(s.Name):
 			load = 0
 		}
-		site := make([]float64, len(here))
-		for k := range here {
+		siteDemand := make([]float64, len(local))
+		for k := range local {
 			if total > 0 {
-				site[k] = here[k] / total * load
+				siteDemand[k] = local[k] / total * load
 			}
 		}
-		n.asked = append(n.asked, site)
+		n.asked = append(n.asked, siteDemand)
 	}
 }
 
-// meanWork is the work of a mean request here.
+// meanWork returns the mean work of this node's requests.
 func (n *Node) meanWork(all []Demand) float64 {
 	work, rate := 0.0, 0.0
 	for _, d := range all {
@@ -287,30 +288,30 @@
 	return work / rate
 }
 
-// Notes are what an operator should know, since the last call.
+// Notes returns the notes since the last call.
 func (n *Node) Notes() []Note {
 	out := n.notes
 	n.notes = nil
 	return out
 }
 
-// Report is how a node sees one site.
+// Report is the state of one site as a node sees it.
 type Report struct {
 	Site           string             `json:"site"`
 	State          string             `json:"standing"`
 	SecondsInState float64            `json:"seconds"`
 	Reason         string             `json:"why,omitempty"`
-	Fraction       float64            `json:"part"` // of its usual load that it gets from here
+	Fraction       float64            `json:"part"` // of its normal load that this node sends it
 	HaltReason     string             `json:"halted,omitempty"`
 	HoldSeconds    float64            `json:"held_for_seconds,omitempty"`
 	Losses         int                `json:"losses_in_a_row,omitempty"`
-	Own            float64            `json:"own,omitempty"` // mean requests a second, by the plan: of its own clients,
+	Own            float64            `json:"own,omitempty"` // load of its own clients by the plan, in mean requests a second
 	Moved          float64            `json:"moved,omitempty"`
 	Limit          float64            `json:"full,omitempty"`
-	Refused        map[string]float64 `json:"refused,omitempty"` // by class: part of its clients' requests
+	Refused        map[string]float64 `json:"refused,omitempty"` // by class: fraction of its clients' requests
 }
 
-// Reports tells how each site stands.
+// Reports returns the state of each site.
 func (n *Node) Reports(now float64) (out []Report) {
 	now = max(now, n.now)
 	for _, name := range n.watch.siteNames() {
@@ -331,7 +332,7 @@
 	return out
 }
 
-// refusedFractions is by class the part of a site's clients' requests that is refused.
+// refusedFractions returns, by class, the fraction of a site's clients' requests that is refused.
 func (n *Node) refusedFractions(site int) map[string]float64 {
 	asked, refused := map[string]float64{}, map[string]float64{}
 	for k, kind := range n.kinds {
@@ -348,10 +349,10 @@
 	return refused
 }
 
-// Isolated tells whether the node holds itself cut off from every site.
+// Isolated reports whether the node considers itself cut off from all sites.
 func (n *Node) Isolated() bool { return n.isolated }
 
-// String is a short form for tests and logs.
+// String returns a short form for tests and logs.
 func (c Change) String() string {
 	return fmt.Sprintf("%s: %v to %v (%s)", c.Site, c.From, c.To, c.Reason)
 }
--- a/internal/sites/node_test.go
+++ b/internal/sites/node_test.go
@@ -10,15 +10,15 @@
 
 func newTestNode(p *Plan, home string) *Node {
 	n := NewNode(Config{Plan: p, Home: home, Classes: []Class{{"save", 10}, {"quote", 2}}, OverQuotaUtility: 0.2, ColdShare: 0.5, ColdFor: 10})
-	var boxes []Backend
+	var backends []Backend
 	for i := range 24 {
-		boxes = append(boxes, Backend{ID: uint32(i + 1), Site: []string{"tacoma", "everett", "olympia"}[i%3], Ready: true})
+		backends = append(backends, Backend{ID: uint32(i + 1), Site: []string{"tacoma", "everett", "olympia"}[i%3], Ready: true})
 	}
-	n.ApplyList(0, boxes)
+	n.ApplyList(0, backends)
 	return n
 }
 
-// loseSites has boxes of a site say nothing, from at on, and returns when that is known.
+// loseSites has all backends of the sites time out from at on, and returns the time at which the sites are lost.
 func loseSites(t *testing.T, n *Node, at float64, sites ...string) float64 {
 	t.Helper()
 	for _, b := range n.watch.order {
@@ -46,7 +46,7 @@
 
 var busyDemand = []Demand{{"save", 12, 1, 0.1}, {"quote", 8, 0, 0.1}} // 20 a second at each of four nodes
 
-// Where all sites serve there is nothing to follow.
+// While all sites serve there are no directives.
 func TestNoDirectivesWhileAllSitesServe(t *testing.T) {
 	n := newTestNode(threeSites(), "tacoma")
 	for at := range 100 {
@@ -56,8 +56,8 @@
 	}
 }
 
-// Of a lost site's load each of its nodes may send its part of the room that others have; nodes elsewhere close the site
-// and are told no limit.
+// Each node of a lost site may send its share of the headroom of other sites. Nodes of other sites close the lost one and
+// get no rate limits.
 func TestDirectivesAfterSiteLoss(t *testing.T) {
 	lostNode := newTestNode(threeSites(), "tacoma")
 	now := loseSites(t, lostNode, 10, "tacoma")
@@ -66,7 +66,7 @@
 	if z := o.Zones["tacoma"]; z.Fraction != 0 {
 		t.Errorf("the lost site: %+v", z)
 	}
-	// 80 a second here, 60 x 80/60 there: 90 each can carry, of which their own clients ask for all but what is refused.
+	// Demand is 80 a second here and 60 x 80/60 at each other site, which can carry 90.
 	headroom := 0.0
 	for _, s := range []string{"everett", "olympia"} {
 		z := o.Zones[s]
@@ -79,17 +79,17 @@
 		t.Errorf("admitted: %v", o.Admit)
 	}
 	if moved := 80 - 4*(1-o.Admit["quote"][0])*8 - 4*(1-o.Admit["save"][1]); headroom < moved-1 {
-		t.Errorf("room for %.1f of %.1f", headroom, moved)
+		t.Errorf("headroom for %.1f of %.1f", headroom, moved)
 	}
 	otherNode := newTestNode(threeSites(), "everett")
 	now = loseSites(t, otherNode, 10, "tacoma")
 	if o := otherNode.Step(now+0.1, busyDemand); len(o.Zones) != 1 || o.Zones["tacoma"].Fraction != 0 {
-		t.Errorf("elsewhere: %+v", o.Zones)
+		t.Errorf("at another site: %+v", o.Zones)
 	}
 }
 
-// Where only links are lost each side has its own clients: nothing of theirs is refused for the others' sake, until the list or
-// the others' nodes tell that their boxes are gone.
+// Where only links are lost, each side serves its own clients: none of their requests is refused for the demand of the other
+// sites until the list, or live nodes of those sites, confirm that their backends are lost.
 func TestLinkLossRefusesNothing(t *testing.T) {
 	n := newTestNode(threeSites(), "tacoma")
 	now := loseSites(t, n, 10, "everett", "olympia")
@@ -99,70 +99,70 @@
 	}
 	n.SetLiveNodes(map[string]int{"everett": 3})
 	if o := n.Step(now+0.2, busyDemand); o.Admit["quote"][0] >= 1 {
-		t.Errorf("with everett's nodes there: %+v", o.Admit)
+		t.Errorf("with everett's nodes alive: %+v", o.Admit)
 	}
 	n.SetLiveNodes(nil)
-	var boxes []Backend
+	var backends []Backend
 	for _, b := range n.watch.order {
 		b.Ready = b.Site == "tacoma"
-		boxes = append(boxes, b.Backend)
+		backends = append(backends, b.Backend)
 	}
-	n.ApplyList(now+0.3, boxes)
+	n.ApplyList(now+0.3, backends)
 	if o := n.Step(now+0.4, busyDemand); o.Admit["quote"][0] >= 1 {
-		t.Errorf("with the others off the list: %+v", o.Admit)
+		t.Errorf("with the others delisted: %+v", o.Admit)
 	}
 }
 
-// A node that is told its own part of what may go to a site keeps to that, and to what its way takes.
+// A node with its own share of a site's headroom keeps to that share, and to the maximum of its overflow target.
 func TestHeadroomShareLimitsOverflow(t *testing.T) {
 	p := threeSites()
 	p.Sites[0].Overflow = []OverflowTarget{{"everett", 0.5, 4}, {"olympia", 0.5, 0}}
 	n := newTestNode(p, "tacoma")
 	if n.IsOverflow("everett") {
-		t.Error("load crosses in peace")
+		t.Error("overflow while all sites serve")
 	}
 	now := loseSites(t, n, 10, "tacoma")
 	before := n.Step(now+0.1, busyDemand)
 	n.SetHeadroomShares(map[string]float64{"everett": 0.5, "olympia": 0.5})
 	o := n.Step(now+0.2, busyDemand)
 	if o.Zones["everett"].Rate != 4 || math.Abs(o.Zones["olympia"].Rate-2*before.Zones["olympia"].Rate) > 0.5 {
-		t.Errorf("%+v, and an equal part is %+v", o.Zones, before.Zones)
+		t.Errorf("%+v, and equal shares are %+v", o.Zones, before.Zones)
 	}
 	if !n.IsOverflow("everett") || n.IsOverflow("tacoma") {
-		t.Error("what goes to another site is not the lost one's load, or what goes home is")
+		t.Error("requests to another site are no overflow, or those to the own site are")
 	}
 }
 
-// A node that reaches nobody anywhere is cut off itself, and neither closes sites nor refuses anything for it.
+// A node that reaches no site is isolated: it neither closes sites nor refuses requests.
 func TestIsolatedNodeGivesNoDirectives(t *testing.T) {
 	n := newTestNode(threeSites(), "tacoma")
 	now := loseSites(t, n, 10, "tacoma", "everett", "olympia")
 	if o := n.Step(now+0.1, busyDemand); len(o.Zones)+len(o.Admit) > 0 || !n.Isolated() {
-		t.Errorf("%+v, alone %v", o, n.Isolated())
+		t.Errorf("%+v, isolated %v", o, n.Isolated())
 	}
 	noted := 0
 	for _, x := range n.Notes() {
-		if strings.Contains(x.Text, "cut off itself") {
+		if strings.Contains(x.Text, "this node is isolated") {
 			noted++
 		}
 	}
 	if noted != 1 {
-		t.Errorf("it was said %d times", noted)
+		t.Errorf("it was noted %d times", noted)
 	}
 }
 
-// Half-cold boxes carry half: capacity is what is on the list and warm.
+// The capacity of a site follows its listed backends and their warm-up.
 func TestCapacityFollowsList(t *testing.T) {
 	n := newTestNode(threeSites(), "tacoma")
-	boxes := []Backend{}
+	backends := []Backend{}
 	for _, b := range n.watch.order {
 		b.Launched = 19.9
 		if b.Site == "olympia" && b.ID > 12 {
-			continue // half of them are not there
+			continue // half of them are not listed
 		}
-		boxes = append(boxes, b.Backend)
+		backends = append(backends, b.Backend)
 	}
-	n.ApplyList(20, boxes)
+	n.ApplyList(20, backends)
 	if got := n.availableFraction(n.cfg.Plan.Sites[1]); got > 0.51 {
 		t.Errorf("cold: %.2f of its capacity", got)
 	}
@@ -171,7 +171,7 @@
 	}
 }
 
-// What only the plan knows, or only the list, is said once and counts for nothing.
+// A site that only the plan or only the list has is noted once and gets no load.
 func TestUnmatchedSitesAreIgnored(t *testing.T) {
 	p := threeSites()
 	p.Sites[2].Name = "seattle"
@@ -180,7 +180,7 @@
 	for range 3 {
 		now += 0.1
 		if o := n.Step(now, busyDemand); o.Zones["seattle"].Rate > 0 {
-			t.Errorf("load goes where nobody is: %+v", o.Zones)
+			t.Errorf("load goes to a site without backends: %+v", o.Zones)
 		}
 	}
 	noted := map[string]int{}
@@ -190,16 +190,16 @@
 		}
 	}
 	if noted["seattle"] != 1 || noted["olympia"] != 1 {
-		t.Errorf("said: %v", noted)
+		t.Errorf("noted: %v", noted)
 	}
 }
 
-// Gates hold parts and rates, draw the same for one request each time, and let all through without orders.
+// A limiter keeps to fractions and rates, decides alike for equal draws, and allows everything without directives.
 func TestLimiter(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var g Limiter
 	if !g.Allows(1, "a", g.Draw(rng)) || !g.Admits("x", true, rng) {
-		t.Error("closed without orders")
+		t.Error("limited without directives")
 	}
 	g.Set(10, map[string]Zone{"a": {Fraction: 0.25, Rate: -1}, "b": {Fraction: 1, Rate: 8}}, map[string][2]float64{"x": {1, 0.5}, "y": {0, 0}})
 	open, admitted := 0, 0
@@ -212,17 +212,17 @@
 			admitted++
 		}
 		if !g.Admits("x", false, rng) || g.Admits("y", false, rng) || !g.Admits("z", false, rng) || !g.Allows(10, "c", draw) {
-			t.Fatal("a class or a zone is not as it was told")
+			t.Fatal("a class or a zone does not follow its directive")
 		}
 	}
 	if open < 900 || open > 1100 || admitted < 1850 || admitted > 2150 {
-		t.Errorf("%d of 4000 to a quarter, %d admitted to a half", open, admitted)
+		t.Errorf("of 4000, %d allowed at a fraction of 0.25, %d admitted at 0.5", open, admitted)
 	}
 	sent := 0
 	for i := range 1000 { // ten seconds
 		now := 10 + float64(i)/100
 		if i%50 == 0 {
-			g.Set(now, map[string]Zone{"b": {Fraction: 1, Rate: 8}}, nil) // the same once more gives nothing anew
+			g.Set(now, map[string]Zone{"b": {Fraction: 1, Rate: 8}}, nil) // setting the same directives again adds no tokens
 		}
 		if g.Allows(now, "b", 0.5) {
 			g.CountSend("b")
--- a/internal/sites/plan.go
+++ b/internal/sites/plan.go
@@ -1,13 +1,15 @@
-// Package sites decides what becomes of a site's load when the site is lost: what each node holds of each site's standing,
-// where the load goes and how much of it, which requests are refused first, and how it goes back once the site returns.
+// Package sites decides what happens to the load of a site that is lost: how a node judges the state of each site, where
+// the load goes and how much of it, which requests are refused first, and how the load goes back when the site returns.
 //
-// Plan is what operators wrote down before the day; Divide works it through for any loss, and is what the nodes go by on
-// the day too. Watch finds out how each site stands from what becomes of a node's own attempts and from the list. Node puts
-// them together, as a state machine that its caller drives: what happens goes in with the time, Orders come out, which the
-// decision module follows beside its own rules: what a backend can take is the module's to say.
+// A Plan is written by operators in advance. Plan.Divide computes the division of the load for any loss; planning and the
+// running nodes both use it. Watch derives the state of each site from the outcomes of a node's own attempts and from the
+// list of backends. Node combines them into a state machine that its caller drives: events go in with their time, and
+// Directives come out, which the policy follows in addition to its own rules. The capacity of single backends is up to the
+// policy.
 //
-// There is no I/O, clock or goroutine here, and nothing is safe for concurrent use. Times are in seconds of any clock that
-// never steps back; loads and capacities are in mean requests a second: a request that is twice the mean's work counts twice.
+// The package does no I/O, reads no clock and starts no goroutine. Nothing in it is safe for concurrent use. Times are in
+// seconds of any monotonic clock. Loads and capacities are in mean requests a second: a request with twice the mean work
+// counts twice.
 package sites
 
 import (
@@ -16,130 +18,130 @@
 	"slices"
 )
 
-// Plan is what is to be done when sites are lost. Its sites are all that there are.
+// Plan says what to do when sites are lost. It lists all sites.
 type Plan struct {
 	Sites          []Site
-	MaxUtilization float64  // part of its capacity up to which a site is filled; beyond it requests are refused
-	RefuseFirst    []string // classes in the order in which they are refused; those that are not named follow by their worth
+	MaxUtilization float64  // fraction of its capacity up to which a site is loaded; requests beyond it are refused
+	RefuseFirst    []string // classes in the order in which they are refused; the others follow by utility per work
 }
 
 // Site is one site of a plan.
 type Site struct {
 	Name     string
-	Capacity float64          // that its boxes carry together, all of them there and warm
-	Backends int              // that Capacity is of
-	Nodes    int              // of the balancers, that are there
-	Load     float64          // that its own clients ask for on a usual busy day
-	Reserve  float64          // part of Capacity that is kept for its own clients, also where they do not ask for it
-	Overflow []OverflowTarget // where its load goes when it is lost; none: where there is room
+	Capacity float64          // of all its backends together, when all are up and warm
+	Backends int              // number of backends that Capacity is for
+	Nodes    int              // number of balancer nodes in the site
+	Load     float64          // of its own clients on a normal busy day
+	Reserve  float64          // fraction of Capacity that is reserved for its own clients, even while they do not use it
+	Overflow []OverflowTarget // where its load goes when it is lost; empty for wherever there is headroom
 }
 
-// OverflowTarget is a part of a lost site's load that goes to another one.
+// OverflowTarget is another site that takes a fraction of a lost site's load.
 type OverflowTarget struct {
 	Site string
-	Part float64
-	Most float64 // 0 for as much as there is room for
+	Part float64 // fraction of the lost site's load
+	Most float64 // maximum load; 0 for as much as there is headroom for
 }
 
-// DefaultMaxUtilization is the part of its capacity up to which a site is filled where a plan does not say: at a queue's 85% a request
-// waits for some times its own work, and a few more make it many.
+// DefaultMaxUtilization is the fraction of its capacity up to which a site is loaded where a plan does not set one. At 85%
+// utilization a request waits in a queue for a few times its own service time; above it the wait grows steeply.
 const DefaultMaxUtilization = 0.85
 
-// Problem is what is wrong with one key of a plan.
+// Problem is an error in one key of a plan.
 type Problem struct {
-	Key  string // as in site[1].to[0].part
+	Key  string // such as site[1].to[0].part
 	Text string
 }
 
 func (p *Problem) Error() string { return p.Key + ": " + p.Text }
 
-// Validate reports the first thing that makes no sense, or that can't work, as a *Problem.
+// Validate returns the first invalid or unusable value of the plan as a *Problem.
 func (p *Plan) Validate() error {
-	bad := func(key, format string, args ...any) error { return &Problem{key, fmt.Sprintf(format, args...)} }
+	problem := func(key, format string, args ...any) error { return &Problem{key, fmt.Sprintf(format, args...)} }
 	if len(p.Sites) < 2 {
-		return bad("site", "there are %d: a plan needs two sites at least", len(p.Sites))
+		return problem("site", "there are %d: a plan needs at least two sites", len(p.Sites))
 	}
 	if !(p.MaxUtilization >= 0.1 && p.MaxUtilization <= 1) {
-		return bad("full", "%v is outside 0.1 to 1", p.MaxUtilization)
+		return problem("full", "%v is outside 0.1 to 1", p.MaxUtilization)
 	}
 	for i, c := range p.RefuseFirst {
 		if c == "" || slices.Index(p.RefuseFirst, c) != i {
-			return bad("refuse", "%q is empty or there twice", c)
+			return problem("refuse", "%q is empty or listed twice", c)
 		}
 	}
 	for i, s := range p.Sites {
 		at := fmt.Sprintf("site[%d].", i)
 		switch {
 		case s.Name == "" || p.index(s.Name) != i:
-			return bad(at+"name", "%q is empty or there twice", s.Name)
+			return problem(at+"name", "%q is empty or listed twice", s.Name)
 		case !(s.Capacity > 0 && s.Capacity <= 1e9):
-			return bad(at+"capacity", "%v is no number of requests a second over 0", s.Capacity)
+			return problem(at+"capacity", "%v is no number of requests a second over 0", s.Capacity)
 		case s.Backends < 1 || s.Backends > 1e6:
-			return bad(at+"boxes", "%d is outside 1 to 1000000: say how many boxes the capacity is of", s.Backends)
+			return problem(at+"boxes", "%d is outside 1 to 1000000: set the number of backends that the capacity is for", s.Backends)
 		case s.Nodes < 1 || s.Nodes > 1e6:
-			return bad(at+"nodes", "%d is outside 1 to 1000000", s.Nodes)
+			return problem(at+"nodes", "%d is outside 1 to 1000000", s.Nodes)
 		case !(s.Load >= 0 && s.Load <= 1e9):
-			return bad(at+"load", "%v is no number of requests a second", s.Load)
+			return problem(at+"load", "%v is no number of requests a second", s.Load)
 		case !(s.Reserve >= 0 && s.Reserve < 1):
-			return bad(at+"reserve", "%v is outside 0 to 1: at 1 nothing could be given to others", s.Reserve)
+			return problem(at+"reserve", "%v is outside 0 to 1: at 1 the site could take no load of others", s.Reserve)
 		}
 		sum := 0.0
 		for k, w := range s.Overflow {
 			to := fmt.Sprintf("%sto[%d].", at, k)
 			switch j := p.index(w.Site); {
 			case j < 0:
-				return bad(to+"site", "%q is no site of the plan", w.Site)
+				return problem(to+"site", "%q is no site of the plan", w.Site)
 			case j == i:
-				return bad(to+"site", "a site's load can't go to itself")
+				return problem(to+"site", "a site's load can't go to itself")
 			case slices.IndexFunc(s.Overflow, func(x OverflowTarget) bool { return x.Site == w.Site }) != k:
-				return bad(to+"site", "%q is there twice", w.Site)
+				return problem(to+"site", "%q is there twice", w.Site)
 			case !(w.Part > 0 && w.Part <= 1):
-				return bad(to+"part", "%v is outside 0 to 1", w.Part)
+				return problem(to+"part", "%v is outside 0 to 1", w.Part)
 			case !(w.Most >= 0 && w.Most <= 1e9):
-				return bad(to+"most", "%v is no number of requests a second", w.Most)
+				return problem(to+"most", "%v is no number of requests a second", w.Most)
 			}
 			sum += w.Part
 		}
 		if len(s.Overflow) > 0 && (sum < 0.999 || sum > 1.001) {
-			return bad(at+"to", "the parts add up to %.3f, and not to 1", sum)
+			return problem(at+"to", "the parts add up to %.3f, and not to 1", sum)
 		}
 	}
 	return nil
 }
 
-// index is a site's place in the plan; -1 for one that is not there.
+// index returns the index of a site in the plan, or -1 if it has no such site.
 func (p *Plan) index(name string) int {
 	return slices.IndexFunc(p.Sites, func(s Site) bool { return s.Name == name })
 }
 
-// Kind is requests that are alike to who refuses some: of one class, within their tenant's share or past it.
+// Kind is a group of requests that are refused alike: those of one class within their tenant's quota, or those over it.
 type Kind struct {
 	Class     string
 	OverQuota bool
 	Utility   float64 // of one request
-	Work      float64 // of one request, in mean requests; not positive counts as 1
+	Work      float64 // of one request, in mean requests; 0 and below count as 1
 }
 
-// RefusalOrder is the order in which kinds are refused, as their places in all: as the plan names classes, then by worth for their
-// work, and of one class what lies past shares first.
+// RefusalOrder returns the order in which kinds are refused, as indices into all: by the plan's order of classes, with those
+// that it does not name last, then by rising utility per work, by class, and with requests over quota first.
 func (p *Plan) RefusalOrder(all []Kind) []int {
 	order := make([]int, len(all))
 	for i := range order {
 		order[i] = i
 	}
-	named := func(k Kind) int {
+	rank := func(k Kind) int {
 		if i := slices.Index(p.RefuseFirst, k.Class); i >= 0 {
 			return i
 		}
 		return len(p.RefuseFirst)
 	}
-	value := func(k Kind) float64 {
+	utility := func(k Kind) float64 {
 		if k.Work > 0 {
 			return k.Utility / k.Work
 		}
 		return k.Utility
 	}
-	over := func(k Kind) int {
+	quotaRank := func(k Kind) int {
 		if k.OverQuota {
 			return 0
 		}
@@ -147,7 +149,7 @@
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
 		x, y := all[a], all[b]
-		return cmp.Or(cmp.Compare(named(x), named(y)), cmp.Compare(value(x), value(y)), cmp.Compare(x.Class, y.Class), cmp.Compare(over(x), over(y)))
+		return cmp.Or(cmp.Compare(rank(x), rank(y)), cmp.Compare(utility(x), utility(y)), cmp.Compare(x.Class, y.Class), cmp.Compare(quotaRank(x), quotaRank(y)))
 	})
 	return order
 }
--- a/internal/sites/plan_test.go
+++ b/internal/sites/plan_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// threeSites is a plan of three alike sites.
+// threeSites is a plan of three equal sites.
 func threeSites() *Plan {
 	p := &Plan{MaxUtilization: 0.9}
 	for _, name := range []string{"tacoma", "everett", "olympia"} {
@@ -21,7 +21,7 @@
 
 func TestValidate(t *testing.T) {
 	for _, c := range []struct {
-		want string // the key, and a word of the text; "" for a plan that works
+		want string // start of the error text; "" for a valid plan
 		of   func(p *Plan)
 	}{
 		{"", func(*Plan) {}},
@@ -51,13 +51,13 @@
 		}
 		var wrong *Problem
 		if err != nil && (!errors.As(err, &wrong) || strings.Contains(err.Error(), "\n")) {
-			t.Errorf("%v is no problem of one line", err)
+			t.Errorf("%v is no *Problem of one line", err)
 		}
 	}
 }
 
-// What is worth less for its work is refused first, what lies past shares before what does not, and what the plan names
-// before all.
+// Classes that the plan names are refused first. The rest follows by rising utility per work, which is lower for requests
+// over quota.
 func TestRefusalOrder(t *testing.T) {
 	kinds := []Kind{{"save", false, 10, 1}, {"save", true, 2, 1}, {"quote", false, 2, 0.5}, {"quote", true, 0.4, 0.5}, {"look", false, 9, 3}, {"look", true, 1.8, 3}}
 	names := func(order []int) (out []string) {
@@ -72,15 +72,15 @@
 	}
 	p := threeSites()
 	if got := names(p.RefusalOrder(kinds)); !slices.Equal(got, []string{"look+", "quote+", "save+", "look", "quote", "save"}) {
-		t.Errorf("by worth: %v", got)
+		t.Errorf("by utility: %v", got)
 	}
 	p.RefuseFirst = []string{"save", "quote"}
 	if got := names(p.RefusalOrder(kinds)); !slices.Equal(got, []string{"save+", "save", "quote+", "quote", "look+", "look"}) {
-		t.Errorf("as the plan names them: %v", got)
+		t.Errorf("by the plan: %v", got)
 	}
 }
 
-// A lost site's load goes by the plan's parts, up to what each takes, and the rest by the other ways.
+// A lost site's load is divided by the plan's fractions, up to the maximum of each target; the rest goes to the others.
 func TestDivideByFractions(t *testing.T) {
 	p := threeSites()
 	p.Sites[0].Overflow = []OverflowTarget{{"everett", 0.7, 20}, {"olympia", 0.3, 0}}
@@ -94,21 +94,21 @@
 	}
 }
 
-// A reserve is nobody else's, also while its own clients do not need it; and where the ways out are full, a lost site's
-// own clients are refused though others are not.
+// A reserve stays unused by other sites even while the site's own clients do not need it. Where all targets are full,
+// requests of the lost site's clients are refused though those of others are not.
 func TestReserveIsNotLent(t *testing.T) {
 	p := threeSites()
 	p.Sites[1].Reserve, p.Sites[2].Reserve = 0.8, 0.8
 	d := p.Divide([]Availability{{Degraded: true}, {Fraction: 1}, {Fraction: 1}}, [][]float64{{60, 0}, {10, 20}, {10, 20}}, []int{0, 1})
 	if d.Moved[1] > 10.0001 || d.Moved[2] > 10.0001 {
-		t.Errorf("moved %v where 10 are left beside the reserve", d.Moved)
+		t.Errorf("moved %v, with 10 available beside the reserve", d.Moved)
 	}
 	if a := d.Admitted[0][0]; math.Abs(a-20.0/60) > 1e-6 || d.Admitted[1][0] != 1 {
 		t.Errorf("admitted %.3f at the lost site and %.3f elsewhere", a, d.Admitted[1][0])
 	}
 }
 
-// A site that is on its way back carries what it can itself.
+// A returning site carries what it can of its own load.
 func TestReturningSiteCarriesItsFraction(t *testing.T) {
 	p := threeSites()
 	d := p.Divide([]Availability{{Degraded: true, Fraction: 0.25}, {Fraction: 1}, {Fraction: 1}}, [][]float64{{60}, {60}, {60}}, []int{0})
@@ -127,9 +127,9 @@
 	for i := range n {
 		s := Site{Name: string(rune('a' + i)), Capacity: rapid.Float64Range(1, 300).Draw(t, "capacity"), Backends: 1, Nodes: 1,
 			Reserve: rapid.SampledFrom([]float64{0, 0, 0.3, 0.7}).Draw(t, "reserve")}
-		if rapid.Bool().Draw(t, "ways") {
+		if rapid.Bool().Draw(t, "targets") {
 			for j := range n {
-				if j != i && rapid.Bool().Draw(t, "way") {
+				if j != i && rapid.Bool().Draw(t, "target") {
 					s.Overflow = append(s.Overflow, OverflowTarget{string(rune('a' + j)), 0, rapid.SampledFrom([]float64{0, 0, 15}).Draw(t, "most")})
 				}
 			}
@@ -138,7 +138,7 @@
 			}
 		}
 		p.Sites = append(p.Sites, s)
-		part := rapid.SampledFrom([]float64{0, 0.2, 0.5, 1, 1}).Draw(t, "part")
+		part := rapid.SampledFrom([]float64{0, 0.2, 0.5, 1, 1}).Draw(t, "fraction")
 		states = append(states, Availability{Degraded: part < 1, Fraction: part})
 		var row []float64
 		for range kinds {
@@ -156,8 +156,8 @@
 	return out
 }
 
-// Whatever is lost and asked for: nothing is carried twice or lost in between, nobody gets more than there is room for, no
-// way more than it takes, and nothing of a kind is refused while a kind that goes first is admitted.
+// For any loss and demand, the carried and refused load add up to the demand, no site gets more than its headroom, no target
+// more than its maximum, and no kind is refused while a kind before it in the order of refusal is admitted.
 func TestDivideInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, states, asked, order := drawPlan(t)
@@ -172,7 +172,7 @@
 		}
 		for i, s := range p.Sites {
 			if d.Moved[i] > d.Headroom[i]+eps {
-				t.Fatalf("%s: %.3f moved there, with room for %.3f", s.Name, d.Moved[i], d.Headroom[i])
+				t.Fatalf("%s: %.3f moved there, with headroom for %.3f", s.Name, d.Moved[i], d.Headroom[i])
 			}
 			if d.Moved[i] > 0 && (states[i].Degraded || d.Own[i]+d.Moved[i] > s.Capacity*p.MaxUtilization+eps || s.Reserve*s.Capacity+d.Moved[i] > s.Capacity*p.MaxUtilization+eps) {
 				t.Fatalf("%s: %.3f moved to it beside %.3f of its own, a capacity of %.3f and a reserve of %.2f", s.Name, d.Moved[i], d.Own[i], s.Capacity, s.Reserve)
@@ -191,7 +191,7 @@
 	})
 }
 
-// A second loss fits up to where what is left is full, and without a loss up to where all is.
+// The load may grow until the remaining sites are full, after no loss, one and several.
 func TestMaxLoadFactor(t *testing.T) {
 	p := threeSites()
 	asked := [][]float64{{30}, {30}, {30}}
@@ -204,10 +204,10 @@
 			states[i] = Availability{Degraded: true}
 		}
 		if got := p.MaxLoadFactor(states, asked, []int{0}); math.Abs(got-c.want) > 0.01 {
-			t.Errorf("%v lost: fits %.3f times, want %.3f", c.lost, got, c.want)
+			t.Errorf("%v lost: load factor %.3f, want %.3f", c.lost, got, c.want)
 		}
 	}
 	if got := p.MaxLoadFactor([]Availability{{Fraction: 1}, {Fraction: 1}, {Fraction: 1}}, [][]float64{{0}, {0}, {0}}, []int{0}); !math.IsInf(got, 1) {
-		t.Errorf("nothing asked: %.3f", got)
+		t.Errorf("no demand: %.3f", got)
 	}
 }
--- a/internal/sites/watch.go
+++ b/internal/sites/watch.go
@@ -6,63 +6,63 @@
 	"slices"
 )
 
-// State is how a site stands, as one node sees it.
+// State is the health state of a site as one node sees it.
 type State uint8
 
 const (
 	Serving   State = iota // its backends answer
-	Suspected              // some of its boxes say nothing, and none has answered since
-	Lost                   // nobody there answers, or the list has taken all of it off
-	Returning              // it answers again, and gets its load back a step at a time
+	Suspected              // some of its backends don't answer, and no other has answered since
+	Lost                   // none of its backends answers, or the list has none of them ready
+	Returning              // it answers again, and gets its load back in steps
 )
 
 func (s State) String() string { return [...]string{"serving", "in doubt", "lost", "returning"}[s] }
 
-// Outcome is what became of an attempt, as far as it tells whether anybody is there.
+// Outcome is the outcome of an attempt, as evidence of whether the backend is up.
 type Outcome uint8
 
 const (
-	Answered      Outcome = iota // something came back, whatever it says
-	ConnectFailed                // no connection came up
-	TimedOut                     // nothing came back in time
-	Reset                        // the connection broke
-	Inconclusive                 // it was given up, or never made: it tells nothing
+	Answered      Outcome = iota // any response
+	ConnectFailed                // no connection was established
+	TimedOut                     // no response in time
+	Reset                        // the connection was lost
+	Inconclusive                 // cancelled or never sent: no evidence
 )
 
-// The rules by which a site's standing changes. What they cost and how often they err is in docs/design/site-loss.md.
+// The thresholds for changes of a site's state. docs/design/site-loss.md has their cost and error rates.
 const (
-	lossQuorum             = 3    // boxes that say nothing, or all that there are where there are fewer, tell of a site's loss
-	timeoutFactor          = 4.0  // times the usual answer's time that a box may owe one
-	minTimeoutSeconds      = 0.25 // but no less than this, which a pause may last
-	maxTimeoutSeconds      = 1.0  // and no more than this
-	latencyDecayAnswers    = 50.0 // answers over which the usual time is remembered
-	initialLatencySeconds  = 0.1  // before there was any
-	probeIntervalSeconds   = 0.5  // between two connections to a lost site that are tried
-	confirmIntervalSeconds = 0.25 // and between those that are to tell a loss from a crowd
-	unreachableQuorum      = 2    // boxes, or all, to which none came up tell that it is a loss
-	hangSeconds            = 4.0  // where connections come up, and nothing else for so long, it is one too
-	minStepSeconds         = 0.5  // that a step of the return lasts at least
-	minStepAnswers         = 2    // answers that a step needs: health that is missing is not health
-	maxStepFailureFraction = 0.2  // part of a step's attempts that nobody answers at which it goes back
-	minStepAttempts        = 5    // attempts from which on that part counts
-	stepBackPauseSeconds   = 2.0  // after a step back nothing moves on for so long
-	lossCountResetSeconds  = 60.0 // a loss longer after the last return than this counts as the first
-	firstHoldSeconds       = 2.0  // for how long a site that is lost again is held out, doubled each time
-	maxHoldSeconds         = 30.0 // up to this
+	lossQuorum             = 3    // silent backends that indicate a loss; all of them where the site has fewer
+	timeoutFactor          = 4.0  // a backend may take this many times the mean latency to answer,
+	minTimeoutSeconds      = 0.25 // but at least this long, since a pause of the backend can last as long,
+	maxTimeoutSeconds      = 1.0  // and at most this long
+	latencyDecayAnswers    = 50.0 // answers over which the mean latency decays
+	initialLatencySeconds  = 0.1  // mean latency before the first answer
+	probeIntervalSeconds   = 0.5  // between probes of a lost site
+	confirmIntervalSeconds = 0.25 // between probes that distinguish a loss from an overload
+	unreachableQuorum      = 2    // backends without a connection that confirm a loss; all of them where the site has fewer
+	hangSeconds            = 4.0  // a site that accepts connections but is silent for this long is lost too
+	minStepSeconds         = 0.5  // of a step of the return
+	minStepAnswers         = 2    // that a step needs: a lack of evidence does not count as health
+	maxStepFailureFraction = 0.2  // of a step's attempts; above it the return goes back a step
+	minStepAttempts        = 5    // in a step before maxStepFailureFraction applies
+	stepBackPauseSeconds   = 2.0  // before the next step after a step back
+	lossCountResetSeconds  = 60.0 // a loss this long after the last return counts as the first one
+	firstHoldSeconds       = 2.0  // hold time of a site at its second loss in a row, doubled with each further one
+	maxHoldSeconds         = 30.0 // of the hold time
 )
 
-// recoverySteps are the parts of its load that a returning site gets.
+// recoverySteps are the fractions of its normal load that a returning site gets.
 var recoverySteps = []float64{0.2, 0.5, 1}
 
-// Backend is one box as the list has it.
+// Backend is a backend as in the list.
 type Backend struct {
 	ID       uint32
 	Site     string
-	Ready    bool    // it may be sent something new
-	Launched float64 // 0 for one that started long ago
+	Ready    bool    // it takes new requests
+	Launched float64 // time of its start; 0 for long ago
 }
 
-// Change is a site's new standing.
+// Change is a change of a site's state.
 type Change struct {
 	Site     string
 	From, To State
@@ -72,19 +72,19 @@
 type backendState struct {
 	Backend
 	inFlight     int
-	waitingSince float64 // since when it owes an answer; below 0 where it owes none
-	failedSince  float64 // when it first failed since its last answer; below 0 where it has not
-	probeFailed  bool    // that it failed is known by a connection that did not come up, and by no attempt
+	waitingSince float64 // start of the wait for its next answer; below 0 if none is due
+	failedSince  float64 // first failure since its last answer; below 0 if there is none
+	probeFailed  bool    // the failure is that of a probe, not of an attempt
 }
 
-// silentSince is since when a box has said nothing though an answer was due; false where it has not been silent for longer
-// than wait. due is after what time an answer is.
-func (b *backendState) silentSince(now, due, wait float64) (float64, bool) {
+// silentSince returns since when a backend has failed to give an answer that was due, and false if it has not failed and
+// has not been waited for longer than timeout. An answer is due after latency.
+func (b *backendState) silentSince(now, latency, timeout float64) (float64, bool) {
 	switch {
 	case b.failedSince >= 0:
 		return b.failedSince, true
-	case b.waitingSince >= 0 && now-b.waitingSince > wait:
-		return b.waitingSince + due, true
+	case b.waitingSince >= 0 && now-b.waitingSince > timeout:
+		return b.waitingSince + latency, true
 	}
 	return 0, false
 }
@@ -93,54 +93,54 @@
 	state            State
 	since            float64
 	reason           string
-	lastAnswer       float64 // when it last did
-	latency          float64 // time of an answer
+	lastAnswer       float64 // time of the last answer
+	latency          float64 // mean latency of answers
 	losses           int     // in a row
-	recoveredAt      float64 // when it last was back whole
-	heldUntil        float64 // nothing is tried there until then
-	probedAt         float64 // when a connection was last tried,
-	nextProbe        int     // and which box is tried next
+	recoveredAt      float64 // end of its last return
+	heldUntil        float64 // no probe and no return before this
+	probedAt         float64 // time of the last probe
+	nextProbe        int     // index of the backend to probe, in turn
 	step             int
 	stepStart        float64
-	pausedUntil      float64 // no step on before this
-	answers          int     // attempts of this step that were answered,
-	failures         int     // and that were not
-	haltReason       string  // why the return stands still
-	unreachable      int     // boxes in a row to which no connection came up, since one did or anything was answered,
+	pausedUntil      float64 // no next step before this
+	answers          int     // answered attempts in this step
+	failures         int     // failed attempts in this step
+	haltReason       string  // why the return does not proceed
+	unreachable      int     // backends in a row to which no connection was established, since one was or a backend answered
 	lastUnreachable  uint32  // the latest of them
-	delisted         bool    // the list has had none of its boxes ready since it was lost
-	suspectAttempts  int     // attempts since the first sign of its loss
-	lossAttempts     int     // attempts that its last loss took to be seen
-	detectionSeconds float64 // and how long that was, from the first sign on
+	delisted         bool    // the list has had none of its backends ready since the loss
+	suspectAttempts  int     // attempts since a backend of the site fell silent
+	lossAttempts     int     // attempts that were spent until its last loss was detected
+	detectionSeconds float64 // time from the first silent backend to the detection
 }
 
-// Watch holds each site's standing from what this node meets itself.
+// Watch derives the state of each site from the outcomes of this node's attempts and from the list.
 type Watch struct {
-	now   float64
-	boxes map[uint32]*backendState
-	order []*backendState // by id
-	sites map[string]*siteState
+	now      float64
+	backends map[uint32]*backendState
+	order    []*backendState // by id
+	sites    map[string]*siteState
 }
 
-// NewWatch returns a watch that knows no box.
+// NewWatch returns a watch without backends.
 func NewWatch() *Watch {
-	return &Watch{boxes: map[uint32]*backendState{}, sites: map[string]*siteState{}}
+	return &Watch{backends: map[uint32]*backendState{}, sites: map[string]*siteState{}}
 }
 
 func (w *Watch) advance(now float64) { w.now = max(w.now, now) }
 
-// ApplyList sets the boxes that there are.
-func (w *Watch) ApplyList(now float64, boxes []Backend) {
+// ApplyList replaces the list of backends.
+func (w *Watch) ApplyList(now float64, backends []Backend) {
 	w.advance(now)
-	old := w.boxes
-	w.boxes, w.order = make(map[uint32]*backendState, len(boxes)), w.order[:0]
-	for _, b := range boxes {
+	old := w.backends
+	w.backends, w.order = make(map[uint32]*backendState, len(backends)), w.order[:0]
+	for _, b := range backends {
 		x := old[b.ID]
 		if x == nil || x.Launched != b.Launched {
 			x = &backendState{waitingSince: -1, failedSince: -1}
 		}
 		x.Backend = b
-		w.boxes[b.ID] = x
+		w.backends[b.ID] = x
 		w.order = append(w.order, x)
 		if w.sites[b.Site] == nil {
 			w.sites[b.Site] = &siteState{since: w.now, lastAnswer: w.now, latency: initialLatencySeconds, recoveredAt: math.Inf(-1)}
@@ -149,10 +149,10 @@
 	slices.SortFunc(w.order, func(a, b *backendState) int { return int(int64(a.ID) - int64(b.ID)) })
 }
 
-// RecordSend notes that an attempt at a box begins.
+// RecordSend records the start of an attempt at a backend.
 func (w *Watch) RecordSend(now float64, id uint32) {
 	w.advance(now)
-	b := w.boxes[id]
+	b := w.backends[id]
 	if b == nil {
 		return
 	}
@@ -162,10 +162,10 @@
 	w.sites[b.Site].suspectAttempts++
 }
 
-// RecordOutcome notes what became of an attempt, that took so long.
+// RecordOutcome records the outcome of an attempt and the seconds that it took.
 func (w *Watch) RecordOutcome(now float64, id uint32, r Outcome, took float64) {
 	w.advance(now)
-	b := w.boxes[id]
+	b := w.backends[id]
 	if b == nil {
 		return
 	}
@@ -184,7 +184,7 @@
 		if r == ConnectFailed {
 			s.countUnreachable(id)
 		}
-		if b.failedSince < 0 { // what was sent just before a site went was due just after
+		if b.failedSince < 0 { // the failure dates from when the answer was due
 			b.failedSince = w.now - max(0, took-s.latency)
 		}
 		s.failures++
@@ -194,7 +194,7 @@
 	}
 }
 
-// countUnreachable counts a box to which no connection came up.
+// countUnreachable counts a backend to which no connection was established.
 func (s *siteState) countUnreachable(id uint32) {
 	if s.unreachable == 0 || id != s.lastUnreachable {
 		s.unreachable++
@@ -202,10 +202,10 @@
 	}
 }
 
-// RecordProbe notes whether a connection to a box came up, that Look had asked for.
+// RecordProbe records whether a connection that Update asked for was established.
 func (w *Watch) RecordProbe(now float64, id uint32, up bool) (changes []Change) {
 	w.advance(now)
-	b := w.boxes[id]
+	b := w.backends[id]
 	if b == nil {
 		return nil
 	}
@@ -219,7 +219,7 @@
 	case s.state == Lost:
 		w.clearFailures(b.Site)
 		s.unreachable = 0
-		changes = w.setState(changes, b.Site, Returning, "a connection to it came up")
+		changes = w.setState(changes, b.Site, Returning, "a connection to it was established")
 	default:
 		s.unreachable = 0
 		if b.probeFailed {
@@ -229,7 +229,7 @@
 	return changes
 }
 
-// clearFailures forgets what boxes of a site owe.
+// clearFailures forgets the failures and pending answers of a site's backends.
 func (w *Watch) clearFailures(name string) {
 	for _, b := range w.order {
 		if b.Site == name {
@@ -238,10 +238,10 @@
 	}
 }
 
-func (w *Watch) setState(changes []Change, name string, to State, why string) []Change {
+func (w *Watch) setState(changes []Change, name string, to State, reason string) []Change {
 	s := w.sites[name]
-	c := Change{name, s.state, to, why}
-	s.state, s.since, s.reason, s.haltReason = to, w.now, why, ""
+	c := Change{name, s.state, to, reason}
+	s.state, s.since, s.reason, s.haltReason = to, w.now, reason, ""
 	switch to {
 	case Lost:
 		if c.From == Returning || w.now-s.recoveredAt < lossCountResetSeconds {
@@ -261,12 +261,12 @@
 	return append(changes, c)
 }
 
-// startStep begins a step of a return.
+// startStep starts a step of a return.
 func (w *Watch) startStep(s *siteState, step int) {
 	s.step, s.stepStart, s.answers, s.failures = step, w.now, 0, 0
 }
 
-// siteNames are the sites that are known, in order.
+// siteNames returns the names of all known sites, sorted.
 func (w *Watch) siteNames() []string {
 	var out []string
 	for name := range w.sites {
@@ -276,20 +276,22 @@
 	return out
 }
 
-// Update brings every site's standing up to the time, and says to which boxes a connection is to be tried.
+// Update advances the state of all sites to now, and returns the changes and the backends to probe with a connection.
 func (w *Watch) Update(now float64) (changes []Change, probe []uint32) {
 	w.advance(now)
 	for _, name := range w.siteNames() {
 		s := w.sites[name]
-		ready, silent := w.evidence(name, s)
-		need := min(lossQuorum, ready)
-		// Nobody has answered since as many as it takes fell silent: one that is bad by itself has been for long.
-		silentBeyond := func(n int) bool { return n > 0 && len(silent) >= n && s.lastAnswer < silent[n-1] }
-		quiet := silentBeyond(need) && w.now-silent[need-1] >= s.answerTimeout()
-		// A crowd times out as a loss does. Connections tell: the kernels of a crowd's boxes still take them.
-		unresponsive := quiet && (s.unreachable >= min(unreachableQuorum, ready) || w.now-silent[need-1] >= hangSeconds)
-		// A node that sends little to a site, or has left its bad boxes out one by one, asks what it has no answer of.
-		if (quiet || silentBeyond(min(2, need))) && !unresponsive && s.state != Lost && w.now-s.probedAt >= confirmIntervalSeconds {
+		ready, silentSince := w.evidence(name, s)
+		quorum := min(lossQuorum, ready)
+		// silentQuorum reports whether no backend has answered since n of them fell silent. One that fails by itself has been
+		// silent for longer than that: others have answered since.
+		silentQuorum := func(n int) bool { return n > 0 && len(silentSince) >= n && s.lastAnswer < silentSince[n-1] }
+		timedOut := silentQuorum(quorum) && w.now-silentSince[quorum-1] >= s.answerTimeout()
+		// Attempts time out in an overload as in a loss, but the kernels of overloaded backends still accept connections.
+		unresponsive := timedOut && (s.unreachable >= min(unreachableQuorum, ready) || w.now-silentSince[quorum-1] >= hangSeconds)
+		// A node that sends little to a site, or has ejected its failing backends one by one, gets too little evidence from
+		// attempts. It probes the site instead.
+		if (timedOut || silentQuorum(min(2, quorum))) && !unresponsive && s.state != Lost && w.now-s.probedAt >= confirmIntervalSeconds {
 			for range unreachableQuorum {
 				if id, ok := w.nextBackend(name, s); ok {
 					probe = append(probe, id)
@@ -301,23 +303,23 @@
 		case Serving, Suspected:
 			switch {
 			case ready == 0 && s.everSeen():
-				changes = w.setState(changes, name, Lost, "the list has none of its boxes ready")
+				changes = w.setState(changes, name, Lost, "the list has none of its backends ready")
 			case unresponsive:
-				s.detectionSeconds = w.now - silent[0]
+				s.detectionSeconds = w.now - silentSince[0]
 				s.lossAttempts = s.suspectAttempts
-				changes = w.setState(changes, name, Lost, fmt.Sprintf("%d boxes say nothing, and none has answered for %.2f s", len(silent), w.now-s.lastAnswer))
-			case s.state == Serving && silentBeyond(min(2, need)):
-				changes = w.setState(changes, name, Suspected, fmt.Sprintf("%d boxes say nothing", len(silent)))
-			case s.state == Suspected && !silentBeyond(min(2, need)):
-				changes = w.setState(changes, name, Serving, "it answers")
+				changes = w.setState(changes, name, Lost, fmt.Sprintf("%d backends do not answer, and none has answered for %.2f s", len(silentSince), w.now-s.lastAnswer))
+			case s.state == Serving && silentQuorum(min(2, quorum)):
+				changes = w.setState(changes, name, Suspected, fmt.Sprintf("%d backends do not answer", len(silentSince)))
+			case s.state == Suspected && !silentQuorum(min(2, quorum)):
+				changes = w.setState(changes, name, Serving, "its backends answer")
 			}
-			if len(silent) == 0 {
+			if len(silentSince) == 0 {
 				s.suspectAttempts = 0
 			}
 		case Lost:
 			if s.lastAnswer > s.since && ready > 0 && w.now >= s.heldUntil {
 				w.clearFailures(name)
-				changes = w.setState(changes, name, Returning, "it answered")
+				changes = w.setState(changes, name, Returning, "its backends answered")
 			} else if id, ok := w.probeTarget(name, s); ok {
 				probe = append(probe, id)
 			}
@@ -328,30 +330,30 @@
 	return changes, probe
 }
 
-// everSeen tells whether the site ever had a box ready here.
+// everSeen reports whether the site has been listed after time 0, or has been sent an attempt.
 func (s *siteState) everSeen() bool { return s.lastAnswer > 0 || s.suspectAttempts > 0 }
 
-// answerTimeout is for how long a box of the site may owe an answer.
+// answerTimeout returns the time after which a backend of the site that does not answer counts as silent.
 func (s *siteState) answerTimeout() float64 {
 	return min(maxTimeoutSeconds, max(minTimeoutSeconds, timeoutFactor*s.latency))
 }
 
-// evidence counts a site's boxes that may be used, and lists since when those of them that say nothing do, in order.
-func (w *Watch) evidence(name string, s *siteState) (ready int, silent []float64) {
+// evidence returns the number of a site's ready backends and, sorted, since when the silent ones among them are.
+func (w *Watch) evidence(name string, s *siteState) (ready int, silentSince []float64) {
 	for _, b := range w.order {
 		if b.Site != name || !b.Ready {
 			continue
 		}
 		ready++
-		if at, is := b.silentSince(w.now, s.latency, s.answerTimeout()); is {
-			silent = append(silent, at)
+		if since, silent := b.silentSince(w.now, s.latency, s.answerTimeout()); silent {
+			silentSince = append(silentSince, since)
 		}
 	}
-	slices.Sort(silent)
-	return ready, silent
+	slices.Sort(silentSince)
+	return ready, silentSince
 }
 
-// probeTarget is the box of a lost site to which a connection is to be tried now, in turns.
+// probeTarget returns the backend of a lost site to probe now, and false if none is due.
 func (w *Watch) probeTarget(name string, s *siteState) (uint32, bool) {
 	if w.now < s.heldUntil || w.now-s.probedAt < probeIntervalSeconds {
 		return 0, false
@@ -359,7 +361,7 @@
 	return w.nextBackend(name, s)
 }
 
-// nextBackend is the next of a site's boxes to which a connection is tried.
+// nextBackend returns the next ready backend of a site to probe, in turn, and records the time of the probe.
 func (w *Watch) nextBackend(name string, s *siteState) (uint32, bool) {
 	var ready []uint32
 	for _, b := range w.order {
@@ -375,23 +377,23 @@
 	return ready[s.nextProbe%len(ready)], true
 }
 
-// advanceRecovery moves a return on, back or nowhere.
+// advanceRecovery moves a return one step on or back, ends it, or leaves it at its step.
 func (w *Watch) advanceRecovery(changes []Change, name string, s *siteState, ready int, unresponsive bool) []Change {
 	attempts := s.answers + s.failures
 	switch {
 	case ready == 0:
-		return w.setState(changes, name, Lost, "the list has none of its boxes ready")
+		return w.setState(changes, name, Lost, "the list has none of its backends ready")
 	case unresponsive:
-		return w.setState(changes, name, Lost, "nobody answers there again")
+		return w.setState(changes, name, Lost, "no backend answered during its return")
 	case attempts >= minStepAttempts && float64(s.failures) > maxStepFailureFraction*float64(attempts):
 		s.haltReason = fmt.Sprintf("%d of %d attempts were not answered", s.failures, attempts)
 		s.pausedUntil = w.now + stepBackPauseSeconds
 		w.startStep(s, max(0, s.step-1))
 	case w.now < s.pausedUntil || w.now-s.stepStart < minStepSeconds:
 	case s.answers < minStepAnswers:
-		s.haltReason = fmt.Sprintf("%d answers in this step, and %d are the least", s.answers, minStepAnswers)
+		s.haltReason = fmt.Sprintf("%d answers in this step, at least %d needed", s.answers, minStepAnswers)
 	case s.step == len(recoverySteps)-1:
-		return w.setState(changes, name, Serving, "its return is over")
+		return w.setState(changes, name, Serving, "its return is complete")
 	default:
 		s.haltReason = ""
 		w.startStep(s, s.step+1)
@@ -399,7 +401,7 @@
 	return changes
 }
 
-// Fraction is the part of its usual load that a site may get from here now.
+// Fraction returns the fraction of its normal load that a site may get from this node now.
 func (w *Watch) Fraction(name string) float64 {
 	switch s := w.sites[name]; {
 	case s == nil:
@@ -412,14 +414,14 @@
 	return 1
 }
 
-// Delisted tells whether the list has had none of a site's boxes ready since it was lost. While it still tells them as ready it
-// may be the links to them that are lost.
+// Delisted reports whether the list has had none of a site's backends ready at some time since the site was lost. While the
+// list still has some ready, the loss may be one of links.
 func (w *Watch) Delisted(name string) bool {
 	s := w.sites[name]
 	return s != nil && s.delisted
 }
 
-// State is a site's standing.
+// State returns the state of a site; Serving for an unknown one.
 func (w *Watch) State(name string) State {
 	if s := w.sites[name]; s != nil {
 		return s.state
--- a/internal/sites/watch_test.go
+++ b/internal/sites/watch_test.go
@@ -5,24 +5,24 @@
 	"testing"
 )
 
-// simulation drives a watch: each site has boxes, and a fixed number of requests a second go to boxes by chance, each answered
-// after a tenth of a second or, at a box that says nothing, timed out after half of one.
+// simulation drives a watch: requests go to random backends at a fixed rate. Each is answered after latency or, at a dead
+// backend, times out after 0.5 s.
 type simulation struct {
 	t               *testing.T
 	w               *Watch
 	rng             *rand.Rand
 	now             float64
-	boxes           []Backend
+	backends        []Backend
 	dead            map[uint32]bool
 	rate            float64
-	followFraction  bool    // sends follow Part
+	followFraction  bool    // sends follow Watch.Fraction
 	latency         float64 // of an answer
-	timeoutFraction float64 // part that times out instead
-	acceptsConns    bool    // dead boxes take connections
+	timeoutFraction float64 // fraction of requests that time out instead
+	acceptsConns    bool    // dead backends accept connections
 	pending         []testAttempt
 	changes         []Change
 	probes          int
-	wastedSends     int // sends to dead boxes
+	wastedSends     int // sends to dead backends
 }
 
 type testAttempt struct {
@@ -35,16 +35,16 @@
 func newSimulation(t *testing.T, rate float64) *simulation {
 	p := &simulation{t: t, w: NewWatch(), rng: rand.New(rand.NewPCG(1, 2)), now: 1000, dead: map[uint32]bool{}, rate: rate, followFraction: true, latency: 0.1}
 	for i := range 24 {
-		p.boxes = append(p.boxes, Backend{ID: uint32(i + 1), Site: []string{"tacoma", "everett", "olympia"}[i%3], Ready: true})
+		p.backends = append(p.backends, Backend{ID: uint32(i + 1), Site: []string{"tacoma", "everett", "olympia"}[i%3], Ready: true})
 	}
-	p.w.ApplyList(p.now, p.boxes)
+	p.w.ApplyList(p.now, p.backends)
 	return p
 }
 
 func (p *simulation) forSite(site string, f func(*Backend)) {
-	for i := range p.boxes {
-		if p.boxes[i].Site == site {
-			f(&p.boxes[i])
+	for i := range p.backends {
+		if p.backends[i].Site == site {
+			f(&p.backends[i])
 		}
 	}
 }
@@ -58,7 +58,7 @@
 	const dt = 0.01
 	for end := p.now + seconds; p.now < end; p.now += dt {
 		if p.rng.Float64() < p.rate*dt {
-			if b := &p.boxes[p.rng.IntN(len(p.boxes))]; b.Ready && (!p.followFraction || p.rng.Float64() < p.w.Fraction(b.Site)) {
+			if b := &p.backends[p.rng.IntN(len(p.backends))]; b.Ready && (!p.followFraction || p.rng.Float64() < p.w.Fraction(b.Site)) {
 				f := testAttempt{b.ID, p.now, p.now + p.latency, Answered}
 				if p.rng.Float64() < p.timeoutFraction {
 					f.end, f.r = p.now+0.4, TimedOut
@@ -78,7 +78,7 @@
 				continue
 			}
 			if f.r == Answered && p.dead[f.id] {
-				f.r = TimedOut // it died under it
+				f.r = TimedOut // the backend died in the meantime
 			}
 			p.w.RecordOutcome(p.now, f.id, f.r, f.end-f.sent)
 		}
@@ -101,7 +101,7 @@
 	}
 }
 
-// A site that says nothing any more is lost after few requests, and the others are not.
+// A site that stops answering is lost after few requests, and other sites are not.
 func TestSilentSiteIsLost(t *testing.T) {
 	p := newSimulation(t, 30)
 	p.run(5)
@@ -111,7 +111,7 @@
 	p.wantState("tacoma", Lost)
 	p.wantState("everett", Serving)
 	if p.wastedSends > 20 {
-		t.Errorf("%d requests were spent on it", p.wastedSends)
+		t.Errorf("%d requests were sent to it before", p.wastedSends)
 	}
 	before := p.wastedSends
 	p.run(20)
@@ -120,7 +120,7 @@
 	}
 }
 
-// It gets its load back a step at a time.
+// A returning site gets its load back in steps, which never fall without a failure.
 func TestReturnIsStepwise(t *testing.T) {
 	p := newSimulation(t, 60)
 	p.run(5)
@@ -132,37 +132,37 @@
 		p.run(0.1)
 		fraction := p.w.Fraction("tacoma")
 		if fraction < last {
-			t.Fatalf("part %.2f after %.2f", fraction, last)
+			t.Fatalf("fraction %.2f after %.2f", fraction, last)
 		}
 		last, seen[fraction] = fraction, true
 	}
 	p.wantState("tacoma", Serving)
 	if len(seen) < len(recoverySteps) {
-		t.Errorf("its parts were %v", seen)
+		t.Errorf("its fractions were %v", seen)
 	}
 }
 
-// What is no loss of a site is not taken for one: bad boxes, a pause of all of it, a third of it gone, nobody asking.
+// Failing backends, missing demand, an overload, or a late list without a third of a site are not taken for its loss.
 func TestNoFalseAlarm(t *testing.T) {
 	for name, fault := range map[string]func(p *simulation){
-		"one bad box":    func(p *simulation) { p.dead[1] = true; p.run(60) },
-		"half of it bad": func(p *simulation) { p.dead[1], p.dead[4], p.dead[7], p.dead[10] = true, true, true, true; p.run(60) },
-		"nobody asks":    func(p *simulation) { p.rate = 0; p.run(60) },
-		"a crowd": func(p *simulation) {
+		"one failing backend": func(p *simulation) { p.dead[1] = true; p.run(60) },
+		"half of it failing":  func(p *simulation) { p.dead[1], p.dead[4], p.dead[7], p.dead[10] = true, true, true, true; p.run(60) },
+		"no demand":           func(p *simulation) { p.rate = 0; p.run(60) },
+		"overload": func(p *simulation) {
 			for _, x := range [][2]float64{{0.2, 0}, {0.3, 0.3}, {0.38, 0.6}, {0.39, 0.85}} {
 				p.latency, p.timeoutFraction = x[0], x[1]
 				p.run(3)
 			}
 		},
-		"the list is late with a third of it": func(p *simulation) {
+		"list late with a third of it": func(p *simulation) {
 			for id := range 3 {
 				p.dead[uint32(1+3*id)] = true
 			}
 			p.run(5)
-			for i := range p.boxes {
-				p.boxes[i].Ready = !p.dead[p.boxes[i].ID]
+			for i := range p.backends {
+				p.backends[i].Ready = !p.dead[p.backends[i].ID]
 			}
-			p.w.ApplyList(p.now, p.boxes)
+			p.w.ApplyList(p.now, p.backends)
 			p.run(20)
 		},
 	} {
@@ -177,7 +177,7 @@
 	}
 }
 
-// One that flaps is held out for longer each time, and one that was calm for long is not.
+// A flapping site has a longer hold time after each loss, until it has served for lossCountResetSeconds.
 func TestFlappingSiteIsHeldLonger(t *testing.T) {
 	p := newSimulation(t, 60)
 	p.run(5)
@@ -196,7 +196,7 @@
 	}
 	for i := 2; i < len(holds); i++ {
 		if holds[i] < holds[i-1]+1 {
-			t.Errorf("held out for %.1f s after it was back", holds)
+			t.Errorf("lost for %.1f s after it was back", holds)
 		}
 	}
 	p.run(5 + lossCountResetSeconds)
@@ -205,11 +205,11 @@
 	p.revive("tacoma")
 	p.run(1)
 	if s := p.w.State("tacoma"); s == Lost {
-		t.Error("after a calm minute it is held out as before")
+		t.Error("after a minute without a loss its hold time is as long as before")
 	}
 }
 
-// A return that meets failures goes back a step, and stands still for a while.
+// A return with failures goes back a step and pauses.
 func TestFailuresRevertReturnStep(t *testing.T) {
 	p := newSimulation(t, 200)
 	p.run(5)
@@ -224,32 +224,32 @@
 	p.dead[1], p.dead[4], p.dead[7] = true, true, true // three of eight
 	p.run(1.5)
 	if s := p.w.sites["tacoma"]; s.step != 0 || s.haltReason == "" {
-		t.Errorf("step %d, halted %q: %v", s.step, s.haltReason, p.changes)
+		t.Errorf("step %d, halt reason %q: %v", s.step, s.haltReason, p.changes)
 	}
 }
 
-// The list alone can take a site away and bring it back.
+// The list alone, without any requests, can remove a site and restore it.
 func TestListRemovesAndRestoresSite(t *testing.T) {
 	p := newSimulation(t, 0)
 	p.run(1)
 	p.forSite("tacoma", func(b *Backend) { b.Ready = false })
-	p.w.ApplyList(p.now, p.boxes)
+	p.w.ApplyList(p.now, p.backends)
 	p.run(0.5)
 	p.wantState("tacoma", Lost)
 	p.forSite("tacoma", func(b *Backend) { b.Ready, b.Launched = true, p.now })
-	p.w.ApplyList(p.now, p.boxes)
+	p.w.ApplyList(p.now, p.backends)
 	p.run(1)
 	p.wantState("tacoma", Returning)
 }
 
-// A node that hears of two boxes only asks the others by connections.
+// A node with evidence from only two backends of a site probes the others with connections.
 func TestLossIsFoundWithFewRequests(t *testing.T) {
 	w := NewWatch()
-	var boxes []Backend
+	var backends []Backend
 	for id := range uint32(8) {
-		boxes = append(boxes, Backend{ID: id + 1, Site: "a", Ready: true})
+		backends = append(backends, Backend{ID: id + 1, Site: "a", Ready: true})
 	}
-	w.ApplyList(0, boxes)
+	w.ApplyList(0, backends)
 	for _, id := range []uint32{1, 2} {
 		w.RecordSend(10, id)
 		w.RecordOutcome(10.5, id, TimedOut, 0.5)
@@ -265,7 +265,7 @@
 		t.Errorf("it is %v", w.State("a"))
 	}
 	v := NewWatch()
-	v.ApplyList(0, boxes)
+	v.ApplyList(0, backends)
 	for _, id := range []uint32{1, 2} {
 		v.RecordSend(10, id)
 		v.RecordOutcome(10.5, id, TimedOut, 0.5)
@@ -277,11 +277,11 @@
 		}
 	}
 	if v.State("a") == Lost {
-		t.Error("two bad boxes of eight are a lost site")
+		t.Error("two failing backends of eight are taken for a lost site")
 	}
 }
 
-// A site whose machines take connections and say nothing is lost too, later.
+// A site whose backends accept connections but don't answer is lost too, after a longer time.
 func TestHangingSiteIsLost(t *testing.T) {
 	p := newSimulation(t, 30)
 	p.run(5)
@@ -289,13 +289,13 @@
 	p.acceptsConns = true
 	p.run(3)
 	if s := p.w.State("tacoma"); s == Lost {
-		t.Error("it is lost though its connections come up")
+		t.Error("it is lost too early, while its backends accept connections")
 	}
 	p.run(3)
 	p.wantState("tacoma", Lost)
 }
 
-// A site of one box is lost with it, and a site that was never there is not.
+// A site of one backend is lost with it; a site that was never ready is not.
 func TestSingleBackendSite(t *testing.T) {
 	w := NewWatch()
 	w.ApplyList(0, []Backend{{ID: 1, Site: "a", Ready: true}, {ID: 2, Site: "b"}})
@@ -303,7 +303,7 @@
 	w.RecordOutcome(10.5, 1, TimedOut, 0.5)
 	changes, probe := w.Update(10.9)
 	if len(probe) == 0 || len(changes) > 0 && changes[0].To == Lost {
-		t.Fatalf("%v, asked %v: no connection was tried", changes, probe)
+		t.Fatalf("%v, probes %v: no connection was tried", changes, probe)
 	}
 	w.RecordProbe(11, 1, false)
 	changes, _ = w.Update(11)
--- a/internal/sites/work.go
+++ b/internal/sites/work.go
@@ -5,64 +5,64 @@
 	"slices"
 )
 
-// Case is a plan worked through for one loss.
+// Case is the result of a plan for one loss.
 type Case struct {
-	Lost          []string      `json:"lost"` // none: a usual day
+	Lost          []string      `json:"lost"` // empty for a normal day
 	Carried       float64       `json:"carried"`
 	Refused       float64       `json:"refused"` // mean requests a second
 	Kinds         []KindRefused `json:"refused_by_kind,omitempty"`
 	Sites         []SiteLoad    `json:"sites"`
-	MaxLoadFactor float64       `json:"fits_times"` // at so many times the load nothing has to be refused yet
+	MaxLoadFactor float64       `json:"fits_times"` // multiple of the load up to which nothing is refused
 }
 
-// KindRefused is what is refused of one kind.
+// KindRefused is the refused fraction of one kind.
 type KindRefused struct {
 	Class     string  `json:"class"`
 	OverQuota bool    `json:"past_share"`
-	Fraction  float64 `json:"part"` // of what is asked
+	Fraction  float64 `json:"part"` // of the demand
 }
 
-// SiteLoad is what one site carries.
+// SiteLoad is the load of one site, in mean requests a second.
 type SiteLoad struct {
 	Site  string  `json:"site"`
 	Own   float64 `json:"own"`
 	Moved float64 `json:"moved"`
-	Limit float64 `json:"full"` // what it may be filled to
+	Limit float64 `json:"full"` // maximum load
 }
 
-// Evaluate works the plan through: a usual day, the loss of each site and, where there are more than two, of each pair. The
-// load is so many times the plan's, its kinds those of the mix; Share is a kind's part of the load.
-func (p *Plan) Evaluate(mix []KindShare, times float64) ([]Case, error) {
+// Evaluate computes the plan's result for a normal day, for the loss of each site and, with more than two sites, of each
+// pair. The load is the plan's times loadFactor, divided among the kinds of mix by their Share.
+func (p *Plan) Evaluate(mix []KindShare, loadFactor float64) ([]Case, error) {
 	var kinds []Kind
-	var shares []float64
+	var fractions []float64
 	total := 0.0
 	for _, m := range mix {
-		kinds, shares = append(kinds, m.Kind), append(shares, m.Share)
+		kinds, fractions = append(kinds, m.Kind), append(fractions, m.Share)
 		total += m.Share
 	}
-	if !(total > 0) || !(times >= 0) {
-		return nil, fmt.Errorf("the kinds' shares of the load add up to %v, and the load is %v times the plan's", total, times)
+	if !(total > 0) || !(loadFactor >= 0) {
+		return nil, fmt.Errorf("invalid load: the shares of the kinds add up to %v, and the load is %v times the plan's", total, loadFactor)
 	}
 	asked := make([][]float64, len(p.Sites))
 	for i, s := range p.Sites {
-		for _, x := range shares {
-			asked[i] = append(asked[i], s.Load*times*x/total)
+		for _, x := range fractions {
+			asked[i] = append(asked[i], s.Load*loadFactor*x/total)
 		}
 	}
 	order := p.RefusalOrder(kinds)
 	var out []Case
-	work := func(lost ...int) {
-		states := make([]Availability, len(p.Sites))
+	evaluate := func(lost ...int) {
+		available := make([]Availability, len(p.Sites))
 		c := Case{}
 		for i, s := range p.Sites {
-			states[i] = Availability{Fraction: 1}
+			available[i] = Availability{Fraction: 1}
 			if slices.Contains(lost, i) {
-				states[i] = Availability{Degraded: true}
+				available[i] = Availability{Degraded: true}
 				c.Lost = append(c.Lost, s.Name)
 			}
 		}
-		d := p.Divide(states, asked, order)
-		c.Carried, c.Refused, c.MaxLoadFactor = sum(d.Own)+sum(d.Moved), sum(d.Refused), p.MaxLoadFactor(states, asked, order)
+		d := p.Divide(available, asked, order)
+		c.Carried, c.Refused, c.MaxLoadFactor = sum(d.Own)+sum(d.Moved), sum(d.Refused), p.MaxLoadFactor(available, asked, order)
 		for _, k := range order {
 			if d.Asked[k] > 0 && d.Refused[k] > 1e-9*d.Asked[k] {
 				c.Kinds = append(c.Kinds, KindRefused{kinds[k].Class, kinds[k].OverQuota, d.Refused[k] / d.Asked[k]})
@@ -73,19 +73,19 @@
 		}
 		out = append(out, c)
 	}
-	work()
+	evaluate()
 	for i := range p.Sites {
-		work(i)
+		evaluate(i)
 	}
 	for i := range p.Sites {
 		for j := i + 1; j < len(p.Sites) && len(p.Sites) > 2; j++ {
-			work(i, j)
+			evaluate(i, j)
 		}
 	}
 	return out, nil
 }
 
-// KindShare is a kind with its part of the load.
+// KindShare is a kind with its share of the load.
 type KindShare struct {
 	Kind
 	Share float64
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -271,7 +271,7 @@
 		d.fail("load", "must be an object")
 		return policy.Load{}
 	}
-	get := func(name string) float64 {
+	figure := func(name string) float64 {
 		v := o.Get(name)
 		if v == nil || v.Type() == fastjson.TypeNull {
 			return -1
@@ -282,7 +282,7 @@
 		}
 		return f
 	}
-	l := policy.Load{Queue: get("depth"), Held: get("concurrent"), Work: max(get("mean_ms"), 0) / 1e3}
+	l := policy.Load{Queue: figure("depth"), Held: figure("concurrent"), Work: max(figure("mean_ms"), 0) / 1e3}
 	l.Known = l.Queue >= 0 || l.Held >= 0
 	return l
 }
@@ -540,7 +540,7 @@
 			return policy.Load{}, fmt.Errorf("%v in a load report", *v)
 		}
 	}
-	first := func(none float64, values ...*float64) float64 {
+	firstSet := func(none float64, values ...*float64) float64 {
 		for _, v := range values {
 			if v != nil {
 				return *v
@@ -548,8 +548,8 @@
 		}
 		return none
 	}
-	l := policy.Load{Queue: first(-1, in.Depth, in.Queue), Held: first(-1, in.Concurrent, in.Inflight),
-		Work: max(first(0, in.Mean, in.Latency), 0) / 1e3}
+	l := policy.Load{Queue: firstSet(-1, in.Depth, in.Queue), Held: firstSet(-1, in.Concurrent, in.Inflight),
+		Work: max(firstSet(0, in.Mean, in.Latency), 0) / 1e3}
 	l.Known = l.Queue >= 0 || l.Held >= 0
 	return l, nil
 }
