--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,5 @@
-// Command simhost plays decision modules on the simulator's wire: it reads batches of events on standard
-// input and answers each with the actions of the instances it hosts. It decides nothing itself, and the
-// instances share nothing.
+// Command simhost runs instances of the policy for the simulator: it reads batches of events from standard
+// input and replies to each with the actions of its instances. The instances share no state.
 package main
 
 import (
@@ -17,7 +16,7 @@
 )
 
 func main() {
-	debug.SetGCPercent(800) // the live heap is small; collecting it often would be billed
+	debug.SetGCPercent(800) // the live heap is small; frequent collections would cost processor time
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
@@ -81,7 +80,7 @@
 	}
 }
 
-// dispatch hands one message to its instance and appends the instance's actions to the reply.
+// dispatch passes a message to its instance and appends the instance's actions to the reply.
 func (h *host) dispatch(m *wire.Message) error {
 	switch m.Kind {
 	case wire.Create:
@@ -108,7 +107,7 @@
 	return nil
 }
 
-// guard turns a panic of the decision code into the instance's fault report.
+// guard turns a panic of the policy into the instance's fault report.
 func (h *host) guard(instance int64, decide func()) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// A panic in the module becomes that instance's fault report and hurts no other.
+// A panic in the policy becomes the instance's fault report.
 func TestPanicReportsInstanceFault(t *testing.T) {
 	var h host
 	h.guard(5, func() { panic("broken") })
--- a/internal/cold/cold.go
+++ b/internal/cold/cold.go
@@ -1,8 +1,8 @@
-// Package cold tells what a process that has just started can do. It is pure.
+// Package cold models the slow start of backends. It does no I/O and reads no clock.
 package cold
 
-// Ramp is the least part of its capacity that a backend has, by its age in seconds: share at its start, all of it once it
-// is as old as span. One whose start is not known is warm.
+// Ramp returns the minimum fraction of its capacity that a backend has: share at its start, growing linearly to 1 at an age
+// of span. Times are in seconds. A backend with an unknown start, 0 or below, is warm.
 func Ramp(launched, now, share, span float64) float64 {
 	age := now - launched
 	if launched <= 0 || age >= span {
--- a/internal/cold/starts_test.go
+++ b/internal/cold/starts_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Where the own clock is right, starts are what the list tells; one that lies a little ahead is now.
+// With a correct clock, starts are as listed; one that lies slightly in the future counts as now.
 func TestStartsWithCorrectClock(t *testing.T) {
 	t.Parallel()
 	const now = 1000 * time.Hour
@@ -16,10 +16,10 @@
 		restart    bool
 	}{
 		{"long ago", 0, 0, false},
-		{"a restart that is told 2 s later", now - 2*time.Second, now - 2*time.Second, true},
-		{"a restart that is told late", now - 30*time.Second, now - 30*time.Second, true},
-		{"an old one that is listed anew", now - 10*time.Hour, now - 10*time.Hour, false},
-		{"a little ahead", now + 3*time.Second, now, false},
+		{"a restart that is listed 2 s later", now - 2*time.Second, now - 2*time.Second, true},
+		{"a restart that is listed late", now - 30*time.Second, now - 30*time.Second, true},
+		{"an old backend that is listed again", now - 10*time.Hour, now - 10*time.Hour, false},
+		{"slightly in the future", now + 3*time.Second, now, false},
 	} {
 		if got := s.At(now, c.told, c.restart); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
@@ -27,7 +27,7 @@
 	}
 }
 
-// A clock that is an hour ahead or behind is found out by the first start that shows it, and others are read right from then on.
+// A clock that is an hour ahead or behind is detected by the first start that shows it; later starts are converted correctly.
 func TestStartsWithSteppedClock(t *testing.T) {
 	t.Parallel()
 	for _, ahead := range []time.Duration{time.Hour, -time.Hour} {
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,29 +1,29 @@
-// Package health keeps how well something answers, and says when it is to be left out: after too many failures, for a
-// time that grows with each time in a row, and then with one attempt at a time until one succeeds. Times are in seconds,
-// of any clock that never steps back. It does no I/O.
+// Package health does outlier ejection: after too many failures a backend, or a class at it, is ejected for a time that
+// grows with each ejection in a row, and then gets one attempt at a time until its failures have decayed. Times are in
+// seconds of any monotonic clock. The package does no I/O.
 package health
 
 import "math"
 
 const (
-	ejectFailureFraction     = 0.5  // what failed more than this part lately is left out
-	maxFailureFraction       = 0.6  // and no more is remembered: two answers bring it back
-	FirstEjectionSeconds     = 1.0  // for this long at first, doubled each time,
-	maxEjectionSeconds       = 8.0  // up to this
-	DecayAttempts            = 10.0 // attempts over which failures are remembered, where each tells as little as an answer,
-	UnreachableDecayAttempts = 4.0  // and where each tells that nobody is there
+	ejectFailureFraction     = 0.5  // from this recent fraction of failures on a backend is ejected
+	maxFailureFraction       = 0.6  // upper bound of that fraction: from there two answers end an ejection
+	FirstEjectionSeconds     = 1.0  // time of the first ejection, doubled with each further one in a row
+	maxEjectionSeconds       = 8.0  // upper bound of the ejection time, before its random factor
+	DecayAttempts            = 10.0 // attempts over which a failure decays that says as little as an answer
+	UnreachableDecayAttempts = 4.0  // the same for a failure that shows that the backend is unreachable
 )
 
-// Record is of one backend, or of one class at it. Its zero value has seen nothing.
+// Record is the health of one backend, or of one class at it. Its zero value has no history.
 type Record struct {
-	Bad       float64 // part of failures lately
+	Bad       float64 // recent fraction of failures
 	Ejections int     // in a row
-	Ejected   float64 // nothing is sent until then,
-	Trial     bool    // then one attempt at a time until one succeeds
+	Ejected   float64 // end of the ejection: nothing is sent before it
+	Trial     bool    // ejected: once Ejected is over, one attempt at a time until Bad is low enough
 }
 
-// Failed books a failure that weighs one in memory attempts, and tells whether it leaves out what the record is of. The
-// time for which it does hangs on luck, drawn from 0 to 1, so that nodes do not come back together.
+// Failed records a failure with a weight of one in decayAttempts, and reports whether it causes an ejection. The ejection
+// time depends on random, which returns a number from 0 to 1, so that nodes do not resume all at once.
 func (r *Record) Failed(now, decayAttempts float64, random func() float64) bool {
 	r.Bad = min(maxFailureFraction, r.Bad+(1-r.Bad)/decayAttempts)
 	if now < r.Ejected || !r.Trial && r.Bad < ejectFailureFraction {
@@ -35,7 +35,8 @@
 	return true
 }
 
-// Answered books an answer, and tells whether it ends a time of being left out, as one of what was on its way may.
+// Answered records an answer, and reports whether it ends an ejection. Answers to attempts that were in flight at the
+// ejection count too.
 func (r *Record) Answered(now float64) bool {
 	r.Bad *= 1 - 1/DecayAttempts
 	if !r.Trial || r.Bad >= ejectFailureFraction {
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -1,46 +1,47 @@
-// Package pace holds a node of many back where all of them would fill what they see free. Each node of a large fleet
-// judges backends by reports that are about a second old. Where more is asked for than can be carried, all see room at one
-// moment and fill it at one moment, and what they send in the time that reports lag is a crowd, whose requests come too late
-// and whose time-outs cost a connection each. No threshold on what is reported can see it in time. What a node sends and
-// refuses itself it knows at once, and the others do alike: so while a node refuses and is asked for more than usually, its
-// sends may grow by no more, in the time that reports lag, than backends hold without harm. Where it is asked for no more
-// than usually, what it could send more is room that has come back, and where it is asked for far more, others' clients
-// have come to it: neither is a crowd.
+// Package pace limits how fast the sends of a node may grow, so that the nodes of a large fleet do not all fill the same free
+// capacity at once. Each node judges backends by load reports that are about a second old. When demand exceeds capacity, all
+// nodes see free capacity at the same moment and fill it at the same moment. What they send while reports lag overloads the
+// backends: its requests are late, and each time-out costs a connection. No threshold on reported load can detect this in
+// time, but a node knows its own sends and refusals at once, and those of the others are similar. So while a node refuses
+// requests and its demand is above its baseline, its sends may grow, in the time that reports lag, by no more than backends
+// can absorb. Demand at the baseline means that capacity has recovered, and far higher demand that clients of other nodes
+// have moved to this one: in both cases there is no limit.
 //
-// It is pure; times are in seconds of any clock that never steps back.
+// The package does no I/O and reads no clock. Times are in seconds of any monotonic clock.
 package pace
 
 import "math"
 
 const (
-	rateSeconds        = 1.0  // seconds over which the rate of sends is taken,
-	refusalSeconds     = 2.0  // refusals are,
-	demandSeconds      = 0.9  // what is asked now is,
-	baselineSeconds    = 6.0  // and what is asked usually
-	minRefusedFraction = 0.03 // a node that refuses less than this part grows as it likes,
-	surgeFactor        = 1.15 // and so does one that is asked for less than so many times the usual,
-	takeoverFactor     = 2.2  // or for more than so many
-	burstSeconds       = 0.25 // seconds' worth of the rate that may go at once,
-	burstSends         = 2.0  // and so many sends beside
-	minAdmitFraction   = 0.2  // of what is asked may go in any case: from nothing nothing would grow
+	rateSeconds        = 1.0  // time constant of the rate of sends
+	refusalSeconds     = 2.0  // of the refused fraction
+	demandSeconds      = 0.9  // of the present demand
+	baselineSeconds    = 6.0  // of the baseline demand
+	minRefusedFraction = 0.03 // below this refused fraction there is no limit
+	surgeFactor        = 1.15 // nor below this multiple of the baseline demand,
+	takeoverFactor     = 2.2  // nor above this one, as clients of other nodes have moved here
+	burstSeconds       = 0.25 // burst in seconds of the rate,
+	burstSends         = 2.0  // and in sends in addition
+	minAdmitFraction   = 0.2  // of the demand that is always allowed: a rate of 0 could not grow
 )
 
-// Pacer is one node's. Its zero value has seen nothing, and holds nothing back.
+// Pacer limits the sends of one node. Its zero value has no history and no limit.
 type Pacer struct {
-	rate       float64 // sends a second lately
-	demand     float64 // first tries a second now,
-	baseline   float64 // and usually
-	refused    float64 // part of them lately that were not sent
-	growth     float64 // of the rate, in a second, as a part of it
-	tokens     float64 // sends that may go now
+	rate       float64 // recent sends a second
+	demand     float64 // recent first attempts a second, sent or not
+	baseline   float64 // the same over a longer time
+	refused    float64 // recent fraction of them that was not sent
+	growth     float64 // allowed growth of the rate in a second, as a fraction of it
+	tokens     float64 // sends that are allowed now, as of refilledAt
 	refilledAt float64
 
 	sendCount, requestCount, sentCount float64 // since the last Tick
 }
 
-// Tick takes in what was counted since the last call, dt seconds ago. Sends may grow by a part of themselves in a second.
+// Tick updates the rates with the counts since the last call, dt seconds ago. growth is the fraction by which the rate of
+// sends may grow in a second.
 func (p *Pacer) Tick(dt, growth float64) {
-	smooth := func(x *float64, to, tau float64) { *x += (to - *x) * (1 - math.Exp(-dt/tau)) }
+	smooth := func(x *float64, value, timeConstant float64) { *x += (value - *x) * (1 - math.Exp(-dt/timeConstant)) }
 	smooth(&p.rate, p.sendCount/dt, rateSeconds)
 	smooth(&p.demand, p.requestCount/dt, demandSeconds)
 	smooth(&p.baseline, p.requestCount/dt, baselineSeconds)
@@ -51,7 +52,7 @@
 // CountSend counts a send of any kind.
 func (p *Pacer) CountSend() { p.sendCount++ }
 
-// CountRequest counts a request's first try, and whether it is sent.
+// CountRequest counts the first attempt of a request, and whether it is sent.
 func (p *Pacer) CountRequest(sent bool) {
 	p.requestCount++
 	if sent {
@@ -59,8 +60,8 @@
 	}
 }
 
-// Allows tells whether a first try may be sent now, and counts it as sent if so. Lesser ones stop first: the last send that
-// may go is not for them.
+// Allows reports whether a first attempt may be sent now, and takes a token if so. Attempts of low priority are stopped
+// first: the last token is not for them.
 func (p *Pacer) Allows(now float64, lowPriority bool) bool {
 	if p.refused < minRefusedFraction || p.demand < surgeFactor*p.baseline || p.demand > takeoverFactor*p.baseline {
 		p.tokens, p.refilledAt = burstSends, now
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// client asks a pacer for a while at a rate, where thresholds refuse a part of what is asked, in steps of a hundredth of a
-// second; it returns the part that is sent.
+// client sends requests to a pacer in steps of 10 ms.
 type client struct {
 	Pacer
 	rng *rand.Rand
@@ -15,6 +14,7 @@
 
 func newClient() *client { return &client{rng: rand.New(rand.NewPCG(1, 2)), now: 100} }
 
+// run sends requests for a time at a rate, of which thresholds refuse a fraction, and returns the fraction that is sent.
 func (c *client) run(seconds, rate, refused float64, lesser bool) (fraction float64) {
 	asked, sent := 0.0, 0.0
 	for range int(100 * seconds) {
@@ -36,7 +36,7 @@
 	return sent / max(1, asked)
 }
 
-// A node that refuses nothing is held back by nothing, whatever it is asked.
+// A node that refuses nothing has no limit, whatever its demand.
 func TestNoLimitWithoutRefusals(t *testing.T) {
 	c := newClient()
 	for _, rate := range []float64{1, 50, 2, 90} {
@@ -46,13 +46,13 @@
 	}
 }
 
-// In a crowd what is sent grows a step at a time; once the crowd is the usual, all of it is sent.
+// In a surge of demand sends grow stepwise; once the surge is the baseline, all of it is sent.
 func TestSurgeGrowsStepwise(t *testing.T) {
 	c := newClient()
 	c.run(20, 50, 0.7, false)
 	first := c.run(1, 90, 0, false) // 15 a second were sent
 	if first > 0.35 {
-		t.Errorf("%.2f of a crowd are sent in the first second", first)
+		t.Errorf("%.2f of a surge are sent in the first second", first)
 	}
 	if second := c.run(1, 90, 0, false); second > 2*first {
 		t.Errorf("%.2f in the second", second)
@@ -63,7 +63,7 @@
 	}
 }
 
-// Where no more is asked than usually, room that has come back is used at once.
+// At baseline demand, recovered capacity is used at once.
 func TestRecoveredCapacityIsUsedAtOnce(t *testing.T) {
 	c := newClient()
 	c.run(20, 50, 0.7, false)
@@ -73,7 +73,7 @@
 	}
 }
 
-// Even where everything was refused for long some of a crowd goes, and grows from there.
+// Even after everything was refused for long, some of a surge is sent, and sends grow from there.
 func TestGrowthAfterFullRefusal(t *testing.T) {
 	c := newClient()
 	c.run(30, 50, 1, false)
@@ -86,21 +86,21 @@
 	}
 }
 
-// Clients that others had are no crowd: a node that takes over what three did is not held to what it sent alone.
+// A node that takes over the clients of other nodes is not limited by its own former rate.
 func TestTakeoverIsNotLimited(t *testing.T) {
 	c := newClient()
 	c.run(20, 28, 0.3, false)
 	if part := c.run(4, 95, 0.3, false); part*95 < 2.3*0.7*28 {
-		t.Errorf("%.0f a second are sent, where %.0f were and %.0f may be", part*95, 0.7*28, 0.7*95)
+		t.Errorf("%.0f a second are sent, after %.0f, with %.0f allowed", part*95, 0.7*28, 0.7*95)
 	}
 	d := newClient()
 	d.run(20, 50, 0.5, false)
 	if part := d.run(1.5, 90, 0, false); part > 0.8 {
-		t.Errorf("%.2f of a crowd are sent", part)
+		t.Errorf("%.2f of a surge are sent", part)
 	}
 }
 
-// Lesser requests stop first.
+// Requests of low priority are stopped first.
 func TestLowPriorityStopsFirst(t *testing.T) {
 	c := newClient()
 	c.run(20, 60, 0.6, false)
@@ -120,14 +120,14 @@
 		}
 	}
 	if sent[1]/asked[1] > 0.95*sent[0]/asked[0] {
-		t.Errorf("%.0f of %.0f lesser ones were sent, and %.0f of %.0f others", sent[1], asked[1], sent[0], asked[0])
+		t.Errorf("%.0f of %.0f requests of low priority were sent, and %.0f of %.0f others", sent[1], asked[1], sent[0], asked[0])
 	}
 }
 
-// simulateFleet plays many nodes in front of one pool of capacity, in steps of a hundredth of a second; every fourth second twice as
-// much is asked as can be carried. Each node judges what is held by what it was a second ago, and refuses by it as
-// steeply as one node alone may. It returns the mean that is held, once the start is over, and the part of the capacity
-// that is used.
+// simulateFleet simulates many nodes in front of one pool of capacity, in steps of 10 ms. Every fourth second demand is twice
+// the capacity. Each node judges the requests in flight by their number a second ago, and refuses by it as steeply as a
+// single node may. It returns the mean of requests in flight and the used fraction of the capacity, both without the first
+// 20 s.
 func simulateFleet(paced bool) (mean, used float64) {
 	const nodes, asked, capacity, lag, threshold, dt = 100, 900.0, 1000.0, 100, 200.0, 0.01
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -167,12 +167,12 @@
 	return mean, completed / (capacity * dt * 6000)
 }
 
-// Paced, a fleet that judges by old reports holds a tenth less, and uses hardly less of what there is.
+// With pacing, a fleet that judges by old reports has a tenth less in flight, and uses hardly less of the capacity.
 func TestPacingReducesOccupancy(t *testing.T) {
 	mean, used := simulateFleet(false)
 	pacedMean, pacedUsed := simulateFleet(true)
-	t.Logf("held %.0f by the mean, and %.2f of the capacity used; paced %.0f and %.2f", mean, used, pacedMean, pacedUsed)
+	t.Logf("%.0f in flight on average, %.2f of the capacity used; with pacing %.0f and %.2f", mean, used, pacedMean, pacedUsed)
 	if pacedMean > 0.95*mean || pacedUsed < used-0.08 {
-		t.Error("pacing is worth nothing")
+		t.Error("pacing does not reduce the requests in flight, or wastes capacity")
 	}
 }
--- a/internal/sites/gates.go
+++ b/internal/sites/gates.go
@@ -18,29 +18,29 @@
 const burstSeconds = 0.25
 
 // Set replaces the directives. Zones that stay limited keep their tokens.
-func (g *Limiter) Set(now float64, zones map[string]Zone, admit map[string][2]float64) {
-	previous := g.zones
-	g.zones, g.admit = make(map[string]*zoneLimit, len(zones)), admit
+func (l *Limiter) Set(now float64, zones map[string]Zone, admit map[string][2]float64) {
+	previous := l.zones
+	l.zones, l.admit = make(map[string]*zoneLimit, len(zones)), admit
 	for name, z := range zones {
-		g.zones[name] = &zoneLimit{Zone: z, tokens: 1, refilledAt: now}
+		l.zones[name] = &zoneLimit{Zone: z, tokens: 1, refilledAt: now}
 		if old := previous[name]; old != nil {
-			g.zones[name].tokens, g.zones[name].refilledAt = old.tokens, old.refilledAt
+			l.zones[name].tokens, l.zones[name].refilledAt = old.tokens, old.refilledAt
 		}
 	}
 }
 
 // Draw returns a request's random draw, which makes Allows decide alike for all of its attempts. No random number is taken
 // while no zone is limited.
-func (g *Limiter) Draw(rng *rand.Rand) float64 {
-	if len(g.zones) == 0 {
+func (l *Limiter) Draw(rng *rand.Rand) float64 {
+	if len(l.zones) == 0 {
 		return 0
 	}
 	return rng.Float64()
 }
 
 // Admits reports whether a request is within the admitted fraction of its class.
-func (g *Limiter) Admits(class string, overQuota bool, rng *rand.Rand) bool {
-	fractions, limited := g.admit[class]
+func (l *Limiter) Admits(class string, overQuota bool, rng *rand.Rand) bool {
+	fractions, limited := l.admit[class]
 	fraction := fractions[0]
 	if overQuota {
 		fraction = fractions[1]
@@ -49,8 +49,8 @@
 }
 
 // Allows reports whether a request with this draw may go to a zone now.
-func (g *Limiter) Allows(now float64, zone string, draw float64) bool {
-	z := g.zones[zone]
+func (l *Limiter) Allows(now float64, zone string, draw float64) bool {
+	z := l.zones[zone]
 	if z == nil {
 		return true
 	}
@@ -62,8 +62,8 @@
 }
 
 // CountSend counts a send to a zone.
-func (g *Limiter) CountSend(zone string) {
-	if z := g.zones[zone]; z != nil {
+func (l *Limiter) CountSend(zone string) {
+	if z := l.zones[zone]; z != nil {
 		z.tokens--
 	}
 }
--- a/internal/sites/plan.go
+++ b/internal/sites/plan.go
@@ -70,24 +70,24 @@
 		}
 	}
 	for i, s := range p.Sites {
-		at := fmt.Sprintf("site[%d].", i)
+		prefix := fmt.Sprintf("site[%d].", i)
 		switch {
 		case s.Name == "" || p.index(s.Name) != i:
-			return problem(at+"name", "%q is empty or listed twice", s.Name)
+			return problem(prefix+"name", "%q is empty or listed twice", s.Name)
 		case !(s.Capacity > 0 && s.Capacity <= 1e9):
-			return problem(at+"capacity", "%v is no number of requests a second over 0", s.Capacity)
+			return problem(prefix+"capacity", "%v is no number of requests a second over 0", s.Capacity)
 		case s.Backends < 1 || s.Backends > 1e6:
-			return problem(at+"boxes", "%d is outside 1 to 1000000: set the number of backends that the capacity is for", s.Backends)
+			return problem(prefix+"boxes", "%d is outside 1 to 1000000: set the number of backends that the capacity is for", s.Backends)
 		case s.Nodes < 1 || s.Nodes > 1e6:
-			return problem(at+"nodes", "%d is outside 1 to 1000000", s.Nodes)
+			return problem(prefix+"nodes", "%d is outside 1 to 1000000", s.Nodes)
 		case !(s.Load >= 0 && s.Load <= 1e9):
-			return problem(at+"load", "%v is no number of requests a second", s.Load)
+			return problem(prefix+"load", "%v is no number of requests a second", s.Load)
 		case !(s.Reserve >= 0 && s.Reserve < 1):
-			return problem(at+"reserve", "%v is outside 0 to 1: at 1 the site could take no load of others", s.Reserve)
+			return problem(prefix+"reserve", "%v is outside 0 to 1: at 1 the site could take no load of others", s.Reserve)
 		}
 		sum := 0.0
 		for k, w := range s.Overflow {
-			to := fmt.Sprintf("%sto[%d].", at, k)
+			to := fmt.Sprintf("%sto[%d].", prefix, k)
 			switch j := p.index(w.Site); {
 			case j < 0:
 				return problem(to+"site", "%q is no site of the plan", w.Site)
@@ -103,7 +103,7 @@
 			sum += w.Part
 		}
 		if len(s.Overflow) > 0 && (sum < 0.999 || sum > 1.001) {
-			return problem(at+"to", "the parts add up to %.3f, and not to 1", sum)
+			return problem(prefix+"to", "the parts add up to %.3f, and not to 1", sum)
 		}
 	}
 	return nil
--- a/internal/sites/plan_test.go
+++ b/internal/sites/plan_test.go
@@ -138,8 +138,8 @@
 			}
 		}
 		p.Sites = append(p.Sites, s)
-		part := rapid.SampledFrom([]float64{0, 0.2, 0.5, 1, 1}).Draw(t, "fraction")
-		states = append(states, Availability{Degraded: part < 1, Fraction: part})
+		fraction := rapid.SampledFrom([]float64{0, 0.2, 0.5, 1, 1}).Draw(t, "fraction")
+		states = append(states, Availability{Degraded: fraction < 1, Fraction: fraction})
 		var row []float64
 		for range kinds {
 			row = append(row, amount.Draw(t, "asked"))
--- a/internal/siting/siting.go
+++ b/internal/siting/siting.go
@@ -1,5 +1,5 @@
-// Package siting stands between the decision module and what is made of sites: it hands on what becomes of attempts, and
-// hands the module the orders that follow. It does no I/O; the engine and the laboratory drive it alike.
+// Package siting connects the policy with package sites: it passes the outcomes of attempts to sites, and its directives to
+// the policy. It does no I/O; both the engine and the simulator in internal/kit/lab drive it.
 package siting
 
 import (
@@ -9,16 +9,16 @@
 	"craneglade/policy"
 )
 
-// StepInterval is how often Step is to be called.
+// StepInterval is the interval at which Adapter.Step is to be called.
 const StepInterval = 100 * time.Millisecond
 
-// Adapter is one node's. Nothing of it is safe for concurrent use.
+// Adapter connects one node's policy with its view of all sites. It is not safe for concurrent use.
 type Adapter struct {
 	Node   *sites.Node
-	active bool // the module follows some now
+	active bool // the policy has directives to follow
 }
 
-// New returns the link of a node that knows no box yet. A nil plan is none.
+// New returns an adapter without backends. A nil plan means that there is none.
 func New(settings *policy.Settings, plan *sites.Plan) *Adapter {
 	cfg := sites.Config{Plan: plan, Home: settings.Zone, OverQuotaUtility: settings.OverShare, ColdShare: settings.ColdShare, ColdFor: settings.ColdFor.Seconds()}
 	for _, c := range settings.Classes {
@@ -27,16 +27,16 @@
 	return &Adapter{Node: sites.NewNode(cfg)}
 }
 
-// ApplyList sets the boxes that there are.
-func (l *Adapter) ApplyList(now time.Duration, boxes []sites.Backend) {
-	l.Node.ApplyList(now.Seconds(), boxes)
+// ApplyList replaces the list of backends.
+func (a *Adapter) ApplyList(now time.Duration, backends []sites.Backend) {
+	a.Node.ApplyList(now.Seconds(), backends)
 }
 
-// RecordSend notes that an attempt at a box begins.
-func (l *Adapter) RecordSend(now time.Duration, id uint32) { l.Node.RecordSend(now.Seconds(), id) }
+// RecordSend records the start of an attempt at a backend.
+func (a *Adapter) RecordSend(now time.Duration, id uint32) { a.Node.RecordSend(now.Seconds(), id) }
 
-// RecordOutcome notes what became of an attempt.
-func (l *Adapter) RecordOutcome(now time.Duration, id uint32, o policy.Outcome, took time.Duration) {
+// RecordOutcome records the outcome of an attempt and the time that it took.
+func (a *Adapter) RecordOutcome(now time.Duration, id uint32, o policy.Outcome, took time.Duration) {
 	r := sites.Inconclusive
 	switch o {
 	case policy.OK, policy.Failed, policy.Full:
@@ -48,22 +48,22 @@
 	case policy.Reset:
 		r = sites.Reset
 	}
-	l.Node.RecordOutcome(now.Seconds(), id, r, took.Seconds())
+	a.Node.RecordOutcome(now.Seconds(), id, r, took.Seconds())
 }
 
-// RecordProbe notes whether a connection that Step asked for came up.
-func (l *Adapter) RecordProbe(now time.Duration, id uint32, up bool) {
-	l.Node.RecordProbe(now.Seconds(), id, up)
+// RecordProbe records whether a connection that Step asked for was established.
+func (a *Adapter) RecordProbe(now time.Duration, id uint32, up bool) {
+	a.Node.RecordProbe(now.Seconds(), id, up)
 }
 
-// Step brings all up to the time. It returns what the module is to be handed, nil for nothing, and the boxes to which a
-// connection is to be tried.
-func (l *Adapter) Step(now time.Duration, balancer *policy.Balancer) (*policy.Event, []uint32) {
-	o := l.Node.Step(now.Seconds(), balancer.Demand())
+// Step advances the state to now. It returns the event for the policy, nil if there is none, and the backends to probe with
+// a connection.
+func (a *Adapter) Step(now time.Duration, balancer *policy.Balancer) (*policy.Event, []uint32) {
+	o := a.Node.Step(now.Seconds(), balancer.Demand())
 	active := len(o.Zones) > 0 || len(o.Admit) > 0
-	if !active && !l.active {
+	if !active && !a.active {
 		return nil, o.Probe
 	}
-	l.active = active
+	a.active = active
 	return &policy.Event{Kind: policy.EvSites, Zones: o.Zones, Admit: o.Admit}, o.Probe
 }
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,12 +1,12 @@
-// Package subset decides which part of a large fleet a node works with, so that each backend serves few nodes: its
-// connections stay warm, and what a node hears of a backend is young. It is deterministic: nodes tell one another
-// nothing, and follow from what all know alike (the ids on the list, the number of nodes, a node's own number) which
-// backends are whose. It does no I/O, and knows no clock.
+// Package subset selects the subset of a large fleet that a node works with, so that each backend serves few nodes: its
+// connections stay in use, and a node's observations of a backend stay recent. The selection is deterministic and needs no
+// communication between nodes: it follows from the ids in the list, the number of nodes and a node's own number. The
+// package does no I/O and reads no clock.
 //
-// Backends of one zone lie on a ring in the order of a hash of their ids, and a node takes those that follow its own
-// point on it. Points of successive numbers are a golden section of the ring apart, so that any run of numbers, and any
-// regular part of them, such as the nodes of one zone, covers a ring evenly (the three-distance theorem; Swierczkowski
-// 1959). A backend that comes or goes moves each part by one place at the most, and only as far as it lies before it.
+// The backends of a zone are placed on a ring in the order of a hash of their ids, and a node takes those that follow its
+// own point on the ring. The points of successive node numbers are a golden section of the ring apart, so that any run of
+// numbers and any regular selection of them, such as the nodes of one zone, covers the ring evenly (the three-distance
+// theorem; Swierczkowski 1959). Adding or removing a backend changes at most one other member of a subset.
 package subset
 
 import (
@@ -18,31 +18,34 @@
 // goldenSection is the golden section, 2/(1+sqrt 5).
 const goldenSection = 0.6180339887498949
 
-// MinNodesPerBackend is how many nodes each backend should serve at least. A node's traffic is uneven: the sum over twelve nodes
-// has less than a third of one's deviation, which what is believed of single backends evens out.
+// MinNodesPerBackend is the minimum number of nodes that each backend should serve. The traffic of a node is uneven. Summed
+// over 12 nodes, its relative deviation is less than a third of that of one node, which the estimates for single backends
+// even out.
 const MinNodesPerBackend = 12
 
-// MinBackends is what a part at home never falls below: fewer would leave no choice, and a second try nowhere to go.
+// MinBackends is the minimum size of a subset in the node's own zone: with fewer there is no choice, and no other backend
+// for a retry.
 const MinBackends = 4
 
-// remoteWeight is the part of what a node takes at home that it takes of another zone: some, so that its own zone's loss leaves
-// it others, and few, as each backend more is heard of more seldom and costs a connection.
+// remoteWeight is the size of a node's subset in another zone, as a fraction of that in its own. It takes some, so that
+// backends remain after the loss of its own zone, but few: with more backends, observations of each are rarer, and each
+// costs a connection.
 const remoteWeight = 1.0 / 3
 
-// localOnlyCrossPrice is a price of crossing at which nearly all of a zone's requests stay: what a crowded zone's requests lose by their
-// lateness, about a twentieth of their worth, no longer pays for the way to another one.
+// localOnlyCrossPrice is the price of cross-zone traffic at which nearly all requests stay in their zone: lateness in an
+// overloaded zone costs about a twentieth of a request's utility, which no longer pays for the crossing.
 const localOnlyCrossPrice = 0.05
 
-// Node is what a node knows of itself and its tier.
+// Node describes a node and its tier.
 type Node struct {
-	Number, Nodes int // its own number, from 0, and how many there are; below 1 counts as 1
+	Number, Nodes int // its own number, from 0, and the number of nodes; below 1 counts as 1
 	Zone          string
-	CrossPrice    float64 // of an attempt that leaves the zone, in mean requests' worth; 0 for none
+	CrossPrice    float64 // of an attempt that leaves the zone, as a multiple of a mean request's utility; 0 for none
 }
 
-// Size is how many of a zone's backends a node takes, of as many as there are: all where the fleet is small, and a third
-// of another zone's. Where crossing is dear a zone's backends serve its own nodes only, one of so many parts of all as
-// there are zones, and each of these has to take more of them. A node without a zone is at home in all.
+// Size returns how many of a zone's backends a node takes: all where there are few nodes, else a subset, which for another
+// zone is a third as large. As the price of cross-zone traffic rises, the backends of a zone serve its own nodes only. These
+// are one zone's share of all nodes, so that each has to take more backends. A node without a zone treats all zones as its own.
 func (n Node) Size(zone string, backends, zones int) int {
 	if n.Nodes <= MinNodesPerBackend {
 		return backends
@@ -58,7 +61,8 @@
 	return int(min(float64(backends), max(minimum, size)))
 }
 
-// Hash is the place of an id on a ring (64-bit FNV-1a, and a finisher: ids that differ in their last sign lie apart).
+// Hash returns the position of an id on a ring: 64-bit FNV-1a with a finisher, so that ids that differ only in their last
+// character lie apart.
 func Hash(id string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(id) {
@@ -70,8 +74,8 @@
 	return h
 }
 
-// Of tells for each of n backends whether it is in a node's part, by its zone and the Hash of its id; and how many
-// nodes share a backend, by their mean.
+// Of returns for each of n backends, given by its zone and the Hash of its id, whether it is in the node's subset, and the
+// mean number of nodes per backend.
 func Of(n int, backend func(i int) (zone string, hash uint64), node Node) (selected []bool, nodesPerBackend float64) {
 	type members struct {
 		index  []int
@@ -88,7 +92,7 @@
 		m.index, m.hashes = append(m.index, i), append(m.hashes, hash)
 	}
 	if zones[node.Zone] == nil {
-		node.Zone = "" // a home without a backend
+		node.Zone = "" // its own zone has no backend
 	}
 	selected = make([]bool, n)
 	total := 0
@@ -102,8 +106,8 @@
 	return selected, max(1, float64(node.Nodes*total)/float64(max(1, n)))
 }
 
-// Ranks gives each backend of one zone, by its hash, its place in the order in which the node of that number takes
-// them, from 0.
+// Ranks returns the ranks of the backends of one zone, given by their hashes, in the order in which the node of that number
+// takes them, from 0.
 func Ranks(hashes []uint64, number int) []int {
 	order := make([]int, len(hashes))
 	for i := range order {
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// subsetOf is the places of a node's part among n backends of one zone.
+// subsetOf returns the ids in a node's subset of backends of one zone.
 func subsetOf(t *testing.T, ids []string, number, nodes int) []string {
 	t.Helper()
 	in, _ := Of(len(ids), func(i int) (string, uint64) { return "a", Hash(ids[i]) }, Node{Number: number, Nodes: nodes})
@@ -27,19 +27,19 @@
 	return ids
 }
 
-// At every size a node has enough to choose from, each backend has nodes that share it, and small fleets are not divided.
+// At every fleet size subsets have their full size, each backend is shared evenly, and small fleets are not divided.
 func TestSubsetsCoverTheFleetEvenly(t *testing.T) {
 	for _, nodes := range []int{1, 3, 30, 80, 300} {
 		for _, backends := range []int{1, 3, 12, 60, 1000} {
 			ids, count := backendIDs(backends), map[string]int{}
-			of := Node{Nodes: nodes}
-			size := of.Size("a", backends, 1)
+			node := Node{Nodes: nodes}
+			size := node.Size("a", backends, 1)
 			for number := range nodes {
-				p := subsetOf(t, ids, number, nodes)
-				if len(p) != size {
-					t.Fatalf("%d nodes, %d backends: a part of %d, want %d", nodes, backends, len(p), size)
+				subset := subsetOf(t, ids, number, nodes)
+				if len(subset) != size {
+					t.Fatalf("%d nodes, %d backends: a subset of %d, want %d", nodes, backends, len(subset), size)
 				}
-				for _, id := range p {
+				for _, id := range subset {
 					count[id]++
 				}
 			}
@@ -49,17 +49,17 @@
 			}
 			mean := float64(nodes*size) / float64(backends)
 			if fewest == 0 || float64(most) > mean+3 || float64(fewest) < mean-3 {
-				t.Errorf("%d nodes, %d backends: %d to %d nodes share one, %.1f by their mean", nodes, backends, fewest, most, mean)
+				t.Errorf("%d nodes, %d backends: %d to %d nodes per backend, mean %.1f", nodes, backends, fewest, most, mean)
 			}
 			if nodes <= 4 && size != backends {
-				t.Errorf("%d nodes, %d backends: a part of %d", nodes, backends, size)
+				t.Errorf("%d nodes, %d backends: a subset of %d", nodes, backends, size)
 			}
 		}
 	}
 }
 
-// The nodes of one zone are some of all numbers, and nobody tells which: any run of numbers and every third one have to
-// cover the backends evenly too.
+// The numbers of the nodes of one zone are unknown: a run of numbers and every third number have to cover the backends
+// evenly too.
 func TestSomeOfTheNodesCoverTheFleetEvenly(t *testing.T) {
 	ids := backendIDs(20)
 	for name, numbers := range map[string][]int{"a run": {0, 1}, "every third": {0, 3}} {
@@ -72,13 +72,13 @@
 		}
 		for _, id := range ids {
 			if c := count[id]; c < 3 || c > 8 {
-				t.Errorf("%s of 27 nodes: %d share %s, 5.4 by their mean", name, c, id)
+				t.Errorf("%s of 27 nodes: %d share %s, mean 5.4", name, c, id)
 			}
 		}
 	}
 }
 
-// A backend that comes or goes moves one place of a part at the most.
+// Removing a backend changes at most one other member of a subset.
 func TestAPartMovesLittle(t *testing.T) {
 	ids := backendIDs(60)
 	moved := 0
@@ -93,19 +93,19 @@
 				}
 			}
 			if added > 1 {
-				t.Errorf("node %d: without %s its part has %d others", number, ids[removed], added)
+				t.Errorf("node %d: without %s its subset has %d others", number, ids[removed], added)
 			}
 			moved += added
 		}
 	}
-	// The least is that of the nodes which had it.
-	of := Node{Nodes: 80}
-	if minimum := 80 * of.Size("a", 60, 1); moved > 5*minimum {
-		t.Errorf("%d places moved, %d at the least", moved, minimum)
+	// At least the nodes that had the backend have to replace it.
+	node := Node{Nodes: 80}
+	if minimum := 80 * node.Size("a", 60, 1); moved > 5*minimum {
+		t.Errorf("%d members changed, %d at least", moved, minimum)
 	}
 }
 
-// Where crossing is dear, the nodes of one zone are all that serve its backends, and cover them as well.
+// With a high price of cross-zone traffic only the nodes of a zone serve its backends, and have larger subsets of them.
 func TestCrossPriceConcentratesNodesOnTheirZone(t *testing.T) {
 	for _, c := range []struct {
 		price     float64
@@ -113,12 +113,12 @@
 	}{{0, 4, 1}, {0.01, 4, 1}, {0.08, 9, 1}, {-1, 4, 1}} {
 		n := Node{Nodes: 80, Zone: "a", CrossPrice: c.price}
 		if own, other := n.Size("a", 15, 4), n.Size("b", 15, 4); own != c.own || other != c.away {
-			t.Errorf("at a price of %v: %d at home and %d elsewhere, want %d and %d", c.price, own, other, c.own, c.away)
+			t.Errorf("at a price of %v: %d in the own zone and %d in another, want %d and %d", c.price, own, other, c.own, c.away)
 		}
 	}
 }
 
-// Nobody else's order of the list counts.
+// A subset does not depend on the order of the list.
 func TestSubsetIgnoresListOrder(t *testing.T) {
 	ids := backendIDs(60)
 	reversed := slices.Clone(ids)
@@ -127,7 +127,7 @@
 		fromList, fromReversed := subsetOf(t, ids, number, 80), subsetOf(t, reversed, number, 80)
 		slices.Reverse(fromReversed)
 		if !slices.Equal(fromList, fromReversed) {
-			t.Fatalf("node %d: %v, and by another order %v", number, fromList, fromReversed)
+			t.Fatalf("node %d: %v, and in another order %v", number, fromList, fromReversed)
 		}
 	}
 }
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -1,19 +1,19 @@
-// Package tuning holds the figures of the decision module that the laboratory varies. How they were chosen stands in
+// Package tuning holds the parameters of the policy that the simulator in internal/kit/lab can vary. They are explained in
 // docs/design/thresholds.md.
 package tuning
 
-// Parameters are one choice of them.
+// Parameters is a set of values for them. H is a backend's threshold of requests in flight, q its fraction of diverted ones.
 type Parameters struct {
-	AimPart  float64 // H is at most what a backend clears in this part of the shortest aim
-	Divert   float64 // q, the part of all requests that a backend in overload diverts, at its H
-	Ramp     float64 // q is at its most at 1 + Ramp times H
-	Steep    float64 // so many nodes may share a backend for q to be as steep; with more it is flatter by their number
-	H        float64 // where above 0: H for every backend, in requests held, whatever is seen of it
-	Overtake float64 // by so many service times a later send, once answered, tells that an earlier one is lost
-	Heal     float64 // after so many seconds, for each node that shares it, a backend that got nothing is tried again
+	AimPart  float64 // H is at most what a backend completes in this fraction of the shortest latency target
+	Divert   float64 // q, the fraction of all requests that a backend in overload diverts, at H
+	Ramp     float64 // q is at its maximum at 1 + Ramp times H
+	Steep    float64 // maximum nodes per backend for this slope of q; with more it is flatter in proportion
+	H        float64 // if above 0: H of every backend, in requests in flight, in place of the estimate
+	Overtake float64 // an attempt is presumed lost once one that was sent this many service times later is answered
+	Heal     float64 // seconds, times the nodes per backend, after which a backend without requests is tried again
 }
 
-// Default are those that nodes go by.
+// Default returns the parameters that nodes use.
 func Default() Parameters {
 	return Parameters{AimPart: 0.30, Divert: 0.50, Ramp: 0.5, Steep: 5, Overtake: 3, Heal: 3}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the line protocol between the simulator and the policy. It decides nothing:
-// it turns lines into policy events and policy actions into lines.
+// Package wire reads and writes the line protocol between the simulator and the policy. It turns lines into
+// policy events, and policy actions into lines.
 package wire
 
 import (
@@ -17,7 +17,7 @@
 	"craneglade/policy"
 )
 
-// Kind says what a line is.
+// Kind is the kind of a message.
 type Kind uint8
 
 const (
@@ -28,7 +28,7 @@
 	Event                  // something happened at an instance: Instance and Event
 )
 
-// Message is one decoded line. The Decoder that filled it reuses it.
+// Message is one decoded line. Its Decoder reuses it.
 type Message struct {
 	Kind     Kind
 	Now      time.Duration
@@ -136,7 +136,7 @@
 	return i < len(d.args) && d.args[i].Type() != fastjson.TypeNull
 }
 
-// intern returns b as a string, sharing the few names that come again and again.
+// intern returns b as a string, and shares the strings of names that recur.
 func (d *Decoder) intern(b []byte) string {
 	if s, ok := d.names[string(b)]; ok {
 		return s
@@ -342,18 +342,19 @@
 	ev.Entries = d.entries
 }
 
-// ringPosition is a backend's place on the ring: its number is the same at every instance.
+// ringPosition returns the position of a backend on the ring of package subset. It is the same at every instance, as its
+// number is.
 func ringPosition(id uint32) uint64 { return subset.Hash(strconv.FormatUint(uint64(id), 10)) }
 
-// Settings is what the settings object holds for the decisions and for the node that carries them out.
+// Settings is the settings object: the settings of the policy, and those of the node that carries out its actions.
 type Settings struct {
 	Policy         policy.Settings
-	ConnIdle       time.Duration // backends close connections idle for this long; 0 when not told
-	ConnectTimeout time.Duration // a connection not up by then has failed; 0 when not told
-	Reports        bool          // answers may hold load reports
+	ConnIdle       time.Duration // backends close connections that are idle for this long; 0 if unset
+	ConnectTimeout time.Duration // limit for establishing a connection; 0 if unset
+	Reports        bool          // responses may have load reports
 }
 
-// settingsObject is the settings object of a create message; keys that are not named here are skipped.
+// settingsObject is the settings object of a create message; other keys are ignored.
 type settingsObject struct {
 	Balancers *int   `json:"balancers"`
 	Ordinal   int    `json:"ordinal"`
@@ -414,7 +415,7 @@
 	d.msg.Settings = s.Policy
 }
 
-// DecodeSettings reads the settings object, which a create message and a node's configuration share.
+// DecodeSettings reads the settings object, which is the same in a create message and in a node's configuration.
 func DecodeSettings(text []byte) (Settings, error) {
 	var in settingsObject
 	if err := json.Unmarshal(text, &in); err != nil {
@@ -462,7 +463,7 @@
 		Reports: in.Report.How == "piggyback"}, nil
 }
 
-// AppendAction appends the line of one action of an instance.
+// AppendAction appends the line for an action of an instance.
 func AppendAction(buf []byte, instance int64, a *policy.Action) []byte {
 	switch a.Kind {
 	case policy.ActSend:
@@ -488,7 +489,7 @@
 	return append(buf, "]\n"...)
 }
 
-// AppendFault appends the line that reports a broken instance.
+// AppendFault appends the line that reports the failure of an instance.
 func AppendFault(buf []byte, instance int64, message string) []byte {
 	return append(appendString(appendHead(buf, "give_in", instance), message), "]\n"...)
 }
@@ -518,11 +519,11 @@
 	return strconv.AppendFloat(append(buf, ','), math.Ceil(float64(t)/1e3)/1e6, 'f', -1, 64)
 }
 
-// maxLoadFigure is more than any figure of a load report can be.
+// maxLoadFigure is an upper bound of the valid figures in a load report.
 const maxLoadFigure = 1e6
 
-// DecodeLoad reads a load report that stands by itself, under this wire's names or the simulator's own. One figure
-// that makes no sense spoils the whole of it.
+// DecodeLoad reads a separate load report, with the names of this protocol or the simulator's own. A single invalid
+// figure makes the whole report invalid.
 func DecodeLoad(text string) (policy.Load, error) {
 	var in struct {
 		Depth      *float64 `json:"depth"`
@@ -537,7 +538,7 @@
 	}
 	for _, v := range []*float64{in.Depth, in.Queue, in.Concurrent, in.Inflight, in.Mean, in.Latency} {
 		if v != nil && !(*v >= 0 && *v <= maxLoadFigure) {
-			return policy.Load{}, fmt.Errorf("%v in a load report", *v)
+			return policy.Load{}, fmt.Errorf("%v in a load report is out of range", *v)
 		}
 	}
 	firstSet := func(none float64, values ...*float64) float64 {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// The decoder reuses its memory: one line must leave nothing behind in the next.
+// The decoder reuses its memory: no state of one line may appear in the next.
 func TestDecoderReuseLeavesNoState(t *testing.T) {
 	var d Decoder
 	if _, err := d.Decode([]byte(`["ended",3,"r",0,5,0.2,true,"Failed",{"depth":3}]`)); err != nil {
@@ -144,7 +144,7 @@
 	}
 }
 
-// Whatever a line holds, decoding it ends in a message or in an error, and a started instance takes what it says.
+// Decoding any line gives a message or an error, and an instance that is running handles every decoded event.
 func FuzzDecode(f *testing.F) {
 	for _, line := range []string{
 		createLine, `["round",8.41225,12]`, `["your_turn"]`, `["power_off",3]`, `["abandoned",5,"r-a"]`, `["tick_due",3,"tick"]`,
@@ -170,7 +170,7 @@
 		}
 		if m.Kind == Create {
 			if node, err = policy.New(m.Settings, m.Seed); err != nil {
-				return // refused with a reason
+				return // rejected with an error
 			}
 		}
 		var buf []byte
@@ -182,7 +182,7 @@
 	})
 }
 
-// Answers hold load reports where the settings say so, and nowhere else.
+// Load reports are expected, and of the queue only, just where the settings say so.
 func TestSettingsLoadReportKinds(t *testing.T) {
 	for text, want := range map[string]policy.Settings{
 		`{"report":{"how":"piggyback","names":["concurrent","depth"]}}`: {},
@@ -198,8 +198,7 @@
 	}
 }
 
-// A report that makes no sense in one figure is ignored whole: taken in part, it would make a backend look idle or
-// crowded.
+// A report with one invalid figure is rejected as a whole: used in part, it would make a backend seem idle or overloaded.
 func TestDecodeLoadInvalidFigures(t *testing.T) {
 	for _, c := range []struct {
 		text  string
