--- a/internal/cold/starts_test.go
+++ b/internal/cold/starts_test.go
@@ -11,9 +11,9 @@
 	const now = 1000 * time.Hour
 	var s Starts
 	for _, c := range []struct {
-		name       string
-		told, want time.Duration
-		restart    bool
+		name         string
+		listed, want time.Duration
+		restart      bool
 	}{
 		{"long ago", 0, 0, false},
 		{"a restart that is listed 2 s later", now - 2*time.Second, now - 2*time.Second, true},
@@ -21,7 +21,7 @@
 		{"an old backend that is listed again", now - 10*time.Hour, now - 10*time.Hour, false},
 		{"slightly in the future", now + 3*time.Second, now, false},
 	} {
-		if got := s.At(now, c.told, c.restart); got != c.want {
+		if got := s.At(now, c.listed, c.restart); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -35,12 +35,12 @@
 		now := truth + ahead
 		var s Starts
 		if got := s.At(now, truth-time.Second, true); now-got > 2*time.Second {
-			t.Errorf("set by %v: a backend that has just started again is %v old", ahead, now-got)
+			t.Errorf("clock ahead by %v: a backend that has just restarted is %v old", ahead, now-got)
 		}
 		later := now + 10*time.Second
 		got := s.At(later, truth+4*time.Second, false)
 		if age := later - got; age < 5*time.Second || age > 8*time.Second {
-			t.Errorf("set by %v: a backend of 6 s is %v old", ahead, age)
+			t.Errorf("clock ahead by %v: a backend of 6 s is %v old", ahead, age)
 		}
 	}
 }
--- a/internal/decay/decay.go
+++ b/internal/decay/decay.go
@@ -43,7 +43,8 @@
 	updatedAt float64
 }
 
-// Add adds x. Values decay with timeConstant. The mean starts from prior values of 0, as else the first value would be all of it.
+// Add adds x. Values decay with timeConstant. prior is a number of values of 0 before the first, which else would be the mean
+// by itself.
 func (e *EWMA) Add(now, x, timeConstant, prior float64) {
 	e.weight = e.weight*math.Exp((e.updatedAt-now)/timeConstant) + 1
 	e.updatedAt = now
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -15,8 +15,8 @@
 func newClient() *client { return &client{rng: rand.New(rand.NewPCG(1, 2)), now: 100} }
 
 // run sends requests for a time at a rate, of which thresholds refuse a fraction, and returns the fraction that is sent.
-func (c *client) run(seconds, rate, refused float64, lesser bool) (fraction float64) {
-	asked, sent := 0.0, 0.0
+func (c *client) run(seconds, rate, refused float64, lowPriority bool) (fraction float64) {
+	requests, sent := 0.0, 0.0
 	for range int(100 * seconds) {
 		c.now += 0.01
 		if int(100*c.now+0.5)%25 == 0 {
@@ -25,23 +25,23 @@
 		if c.rng.Float64() >= rate/100 {
 			continue
 		}
-		asked++
-		allowed := c.rng.Float64() >= refused && c.Allows(c.now, lesser)
+		requests++
+		allowed := c.rng.Float64() >= refused && c.Allows(c.now, lowPriority)
 		c.CountRequest(allowed)
 		if allowed {
 			c.CountSend()
 			sent++
 		}
 	}
-	return sent / max(1, asked)
+	return sent / max(1, requests)
 }
 
 // A node that refuses nothing has no limit, whatever its demand.
 func TestNoLimitWithoutRefusals(t *testing.T) {
 	c := newClient()
 	for _, rate := range []float64{1, 50, 2, 90} {
-		if part := c.run(5, rate, 0, true); part < 1 {
-			t.Errorf("%.2f of %v a second are sent", part, rate)
+		if fraction := c.run(5, rate, 0, true); fraction < 1 {
+			t.Errorf("%.2f of %v a second are sent", fraction, rate)
 		}
 	}
 }
@@ -58,8 +58,8 @@
 		t.Errorf("%.2f in the second", second)
 	}
 	c.run(15, 90, 0, false)
-	if part := c.run(2, 90, 0, false); part < 0.97 {
-		t.Errorf("%.2f of all are sent in the end", part)
+	if fraction := c.run(2, 90, 0, false); fraction < 0.97 {
+		t.Errorf("%.2f of all are sent in the end", fraction)
 	}
 }
 
@@ -68,8 +68,8 @@
 	c := newClient()
 	c.run(20, 50, 0.7, false)
 	c.run(1, 50, 0, false)
-	if part := c.run(2, 50, 0, false); part < 0.9 {
-		t.Errorf("%.2f of all are sent", part)
+	if fraction := c.run(2, 50, 0, false); fraction < 0.9 {
+		t.Errorf("%.2f of all are sent", fraction)
 	}
 }
 
@@ -77,12 +77,12 @@
 func TestGrowthAfterFullRefusal(t *testing.T) {
 	c := newClient()
 	c.run(30, 50, 1, false)
-	if part := c.run(2, 90, 0, false); part < 0.1 {
-		t.Fatalf("%.2f of all are sent at first", part)
+	if fraction := c.run(2, 90, 0, false); fraction < 0.1 {
+		t.Fatalf("%.2f of all are sent at first", fraction)
 	}
 	c.run(15, 90, 0, false)
-	if part := c.run(2, 90, 0, false); part < 0.97 {
-		t.Errorf("%.2f of all are sent in the end", part)
+	if fraction := c.run(2, 90, 0, false); fraction < 0.97 {
+		t.Errorf("%.2f of all are sent in the end", fraction)
 	}
 }
 
@@ -90,13 +90,13 @@
 func TestTakeoverIsNotLimited(t *testing.T) {
 	c := newClient()
 	c.run(20, 28, 0.3, false)
-	if part := c.run(4, 95, 0.3, false); part*95 < 2.3*0.7*28 {
-		t.Errorf("%.0f a second are sent, after %.0f, with %.0f allowed", part*95, 0.7*28, 0.7*95)
+	if fraction := c.run(4, 95, 0.3, false); fraction*95 < 2.3*0.7*28 {
+		t.Errorf("%.0f a second are sent, after %.0f, with %.0f allowed", fraction*95, 0.7*28, 0.7*95)
 	}
 	d := newClient()
 	d.run(20, 50, 0.5, false)
-	if part := d.run(1.5, 90, 0, false); part > 0.8 {
-		t.Errorf("%.2f of a surge are sent", part)
+	if fraction := d.run(1.5, 90, 0, false); fraction > 0.8 {
+		t.Errorf("%.2f of a surge are sent", fraction)
 	}
 }
 
@@ -129,7 +129,7 @@
 // single node may. It returns the mean of requests in flight and the used fraction of the capacity, both without the first
 // 20 s.
 func simulateFleet(paced bool) (mean, used float64) {
-	const nodes, asked, capacity, lag, threshold, dt = 100, 900.0, 1000.0, 100, 200.0, 0.01
+	const nodes, normalRate, capacity, lag, threshold, dt = 100, 900.0, 1000.0, 100, 200.0, 0.01
 	rng := rand.New(rand.NewPCG(1, 2))
 	var all [nodes]Pacer
 	inFlight, now, completed := 0.0, 0.0, 0.0
@@ -139,7 +139,7 @@
 		reported := history[step%lag]
 		history[step%lag] = inFlight
 		refusal := min(0.95, max(0, (reported-threshold)/(0.5*threshold)))
-		rate := asked
+		rate := normalRate
 		if step/100%4 == 0 {
 			rate = 2 * capacity
 		}
--- a/internal/sites/node.go
+++ b/internal/sites/node.go
@@ -34,7 +34,7 @@
 
 // Zone limits the use of a site by this node.
 type Zone struct {
-	Fraction float64 // of all requests that may go there
+	Fraction float64 // fraction of all requests that may go there
 	Rate     float64 // maximum requests a second; below 0 for no limit
 }
 
@@ -78,8 +78,8 @@
 func (n *Node) RecordSend(now float64, id uint32) { n.watch.RecordSend(now, id) }
 
 // RecordOutcome records the outcome of an attempt and the seconds that it took.
-func (n *Node) RecordOutcome(now float64, id uint32, r Outcome, took float64) {
-	n.watch.RecordOutcome(now, id, r, took)
+func (n *Node) RecordOutcome(now float64, id uint32, outcome Outcome, took float64) {
+	n.watch.RecordOutcome(now, id, outcome, took)
 }
 
 // RecordProbe records whether a connection that Directives asked for was established.
@@ -107,7 +107,7 @@
 
 // overflowCounts reports whether the demand of a site's clients counts in the division. It does not where only this node's
 // attempts show the site as lost: that may be a loss of links, and then each side serves its own clients. The loss is
-// confirmed by the list, which has none of the site's backends ready, or by the site's own nodes, which are alive.
+// confirmed if the list has none of the site's backends ready, or if nodes of the site are alive.
 func (n *Node) overflowCounts(site string) bool {
 	return n.watch.Fraction(site) == 1 || site == n.cfg.Home || n.watch.Delisted(site) || n.liveNodes[site] > 0
 }
@@ -120,7 +120,7 @@
 	n.now = max(n.now, now)
 	changes, probe := n.watch.Update(n.now)
 	n.noteChanges(changes)
-	o := Directives{Probe: probe}
+	directives := Directives{Probe: probe}
 	degraded, serving := 0, 0
 	for _, name := range n.watch.siteNames() {
 		switch n.watch.State(name) {
@@ -142,18 +142,18 @@
 	n.degraded = !n.isolated && n.watch.Fraction(n.cfg.Home) < 1
 	if degraded == 0 || n.isolated {
 		n.division = nil
-		return o
+		return directives
 	}
-	o.Zones = map[string]Zone{}
+	directives.Zones = map[string]Zone{}
 	for _, name := range n.watch.siteNames() {
 		if fraction := n.watch.Fraction(name); fraction < 1 {
-			o.Zones[name] = Zone{Fraction: fraction, Rate: -1}
+			directives.Zones[name] = Zone{Fraction: fraction, Rate: -1}
 		}
 	}
 	if n.cfg.Plan != nil {
-		n.applyPlan(&o, demand)
+		n.applyPlan(&directives, demand)
 	}
-	return o
+	return directives
 }
 
 func (n *Node) anyReturning() bool {
@@ -161,20 +161,20 @@
 }
 
 // applyPlan divides the load by the plan, and adds this node's share to the directives.
-func (n *Node) applyPlan(o *Directives, demand []Demand) {
+func (n *Node) applyPlan(directives *Directives, demand []Demand) {
 	p := n.cfg.Plan
 	n.availability = n.availability[:0]
 	for _, s := range p.Sites {
 		fraction := n.watch.Fraction(s.Name)
 		if n.watch.sites[s.Name] == nil {
 			fraction = 0
-			n.noteOnce(s.Name, "a site of the plan has no backends in the list; its capacity counts as 0")
+			n.noteOnce(s.Name, "site of the plan has no backends in the list; its capacity counts as 0")
 		}
 		n.availability = append(n.availability, Availability{Degraded: fraction < 1, Fraction: fraction * n.availableFraction(s)})
 	}
 	for _, name := range n.watch.siteNames() {
 		if p.index(name) < 0 {
-			n.noteOnce(name, "a site of the list is not in the plan; no load is moved to it")
+			n.noteOnce(name, "site of the list is not in the plan; no load is moved to it")
 		}
 	}
 	n.estimateDemand(demand)
@@ -185,15 +185,15 @@
 	if home < 0 {
 		return // the plan has no load of this node's site
 	}
-	o.Admit = map[string][2]float64{}
+	directives.Admit = map[string][2]float64{}
 	for i, k := range n.kinds {
-		a := o.Admit[k.Class]
+		a := directives.Admit[k.Class]
 		if k.OverQuota {
 			a[1] = d.Admitted[home][i]
 		} else {
 			a[0] = d.Admitted[home][i]
 		}
-		o.Admit[k.Class] = a
+		directives.Admit[k.Class] = a
 	}
 	if !n.availability[home].Degraded {
 		return
@@ -208,7 +208,7 @@
 		if share, set := n.headroomShares[s.Name]; set {
 			rate = min(d.Headroom[to]*share, d.MaxFlows[home][to])
 		}
-		o.Zones[s.Name] = Zone{Fraction: 1, Rate: rate}
+		directives.Zones[s.Name] = Zone{Fraction: 1, Rate: rate}
 	}
 }
 
--- a/internal/sites/plan.go
+++ b/internal/sites/plan.go
@@ -87,18 +87,18 @@
 		}
 		sum := 0.0
 		for k, w := range s.Overflow {
-			to := fmt.Sprintf("%sto[%d].", prefix, k)
+			targetPrefix := fmt.Sprintf("%sto[%d].", prefix, k)
 			switch j := p.index(w.Site); {
 			case j < 0:
-				return problem(to+"site", "%q is no site of the plan", w.Site)
+				return problem(targetPrefix+"site", "%q is no site of the plan", w.Site)
 			case j == i:
-				return problem(to+"site", "a site's load can't go to itself")
+				return problem(targetPrefix+"site", "a site's load can't go to itself")
 			case slices.IndexFunc(s.Overflow, func(x OverflowTarget) bool { return x.Site == w.Site }) != k:
-				return problem(to+"site", "%q is there twice", w.Site)
+				return problem(targetPrefix+"site", "%q is listed twice", w.Site)
 			case !(w.Part > 0 && w.Part <= 1):
-				return problem(to+"part", "%v is outside 0 to 1", w.Part)
+				return problem(targetPrefix+"part", "%v is outside 0 to 1", w.Part)
 			case !(w.Most >= 0 && w.Most <= 1e9):
-				return problem(to+"most", "%v is no number of requests a second", w.Most)
+				return problem(targetPrefix+"most", "%v is no number of requests a second", w.Most)
 			}
 			sum += w.Part
 		}
--- a/internal/sites/plan_test.go
+++ b/internal/sites/plan_test.go
@@ -38,7 +38,7 @@
 		{"site[0].reserve", func(p *Plan) { p.Sites[0].Reserve = 1 }},
 		{"site[0].to[0].site: \"seattle\"", func(p *Plan) { p.Sites[0].Overflow = []OverflowTarget{{"seattle", 1, 0}} }},
 		{"site[0].to[0].site: a site's load", func(p *Plan) { p.Sites[0].Overflow = []OverflowTarget{{"tacoma", 1, 0}} }},
-		{"site[0].to[1].site: \"everett\" is there twice", func(p *Plan) { p.Sites[0].Overflow = []OverflowTarget{{"everett", 0.5, 0}, {"everett", 0.5, 0}} }},
+		{"site[0].to[1].site: \"everett\" is listed twice", func(p *Plan) { p.Sites[0].Overflow = []OverflowTarget{{"everett", 0.5, 0}, {"everett", 0.5, 0}} }},
 		{"site[0].to[0].part", func(p *Plan) { p.Sites[0].Overflow = []OverflowTarget{{"everett", 0, 0}} }},
 		{"site[0].to[0].most", func(p *Plan) { p.Sites[0].Overflow = []OverflowTarget{{"everett", 1, -3}} }},
 		{"site[0].to: the parts add up to 0.800", func(p *Plan) { p.Sites[0].Overflow = []OverflowTarget{{"everett", 0.8, 0}} }},
--- a/internal/sites/watch.go
+++ b/internal/sites/watch.go
@@ -163,7 +163,7 @@
 }
 
 // RecordOutcome records the outcome of an attempt and the seconds that it took.
-func (w *Watch) RecordOutcome(now float64, id uint32, r Outcome, took float64) {
+func (w *Watch) RecordOutcome(now float64, id uint32, outcome Outcome, took float64) {
 	w.advance(now)
 	b := w.backends[id]
 	if b == nil {
@@ -171,7 +171,7 @@
 	}
 	s := w.sites[b.Site]
 	b.inFlight = max(0, b.inFlight-1)
-	switch r {
+	switch outcome {
 	case Answered:
 		b.waitingSince, b.failedSince, b.probeFailed = -1, -1, false
 		if b.inFlight > 0 {
@@ -181,7 +181,7 @@
 		s.answers++
 		s.latency += (took - s.latency) / latencyDecayAnswers
 	case ConnectFailed, TimedOut, Reset:
-		if r == ConnectFailed {
+		if outcome == ConnectFailed {
 			s.countUnreachable(id)
 		}
 		if b.failedSince < 0 { // the failure dates from when the answer was due
--- a/internal/sites/watch_test.go
+++ b/internal/sites/watch_test.go
@@ -26,10 +26,10 @@
 }
 
 type testAttempt struct {
-	id   uint32
-	sent float64
-	end  float64
-	r    Outcome
+	id      uint32
+	sent    float64
+	end     float64
+	outcome Outcome
 }
 
 func newSimulation(t *testing.T, rate float64) *simulation {
@@ -59,30 +59,30 @@
 	for end := p.now + seconds; p.now < end; p.now += dt {
 		if p.rng.Float64() < p.rate*dt {
 			if b := &p.backends[p.rng.IntN(len(p.backends))]; b.Ready && (!p.followFraction || p.rng.Float64() < p.w.Fraction(b.Site)) {
-				f := testAttempt{b.ID, p.now, p.now + p.latency, Answered}
+				a := testAttempt{b.ID, p.now, p.now + p.latency, Answered}
 				if p.rng.Float64() < p.timeoutFraction {
-					f.end, f.r = p.now+0.4, TimedOut
+					a.end, a.outcome = p.now+0.4, TimedOut
 				}
 				if p.dead[b.ID] {
-					f.end, f.r = p.now+0.5, TimedOut
+					a.end, a.outcome = p.now+0.5, TimedOut
 					p.wastedSends++
 				}
 				p.w.RecordSend(p.now, b.ID)
-				p.pending = append(p.pending, f)
+				p.pending = append(p.pending, a)
 			}
 		}
-		var rest []testAttempt
-		for _, f := range p.pending {
-			if f.end > p.now {
-				rest = append(rest, f)
+		var pending []testAttempt
+		for _, a := range p.pending {
+			if a.end > p.now {
+				pending = append(pending, a)
 				continue
 			}
-			if f.r == Answered && p.dead[f.id] {
-				f.r = TimedOut // the backend died in the meantime
+			if a.outcome == Answered && p.dead[a.id] {
+				a.outcome = TimedOut // the backend died in the meantime
 			}
-			p.w.RecordOutcome(p.now, f.id, f.r, f.end-f.sent)
+			p.w.RecordOutcome(p.now, a.id, a.outcome, a.end-a.sent)
 		}
-		p.pending = rest
+		p.pending = pending
 		if int(p.now/dt)%10 == 0 {
 			changes, probe := p.w.Update(p.now)
 			p.changes = append(p.changes, changes...)
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -9,10 +9,10 @@
 // subsetOf returns the ids in a node's subset of backends of one zone.
 func subsetOf(t *testing.T, ids []string, number, nodes int) []string {
 	t.Helper()
-	in, _ := Of(len(ids), func(i int) (string, uint64) { return "a", Hash(ids[i]) }, Node{Number: number, Nodes: nodes})
+	selected, _ := Of(len(ids), func(i int) (string, uint64) { return "a", Hash(ids[i]) }, Node{Number: number, Nodes: nodes})
 	var out []string
 	for i, id := range ids {
-		if in[i] {
+		if selected[i] {
 			out = append(out, id)
 		}
 	}
@@ -105,15 +105,15 @@
 	}
 }
 
-// With a high price of cross-zone traffic only the nodes of a zone serve its backends, and have larger subsets of them.
+// With a high price of cross-zone traffic a zone's backends are served by its own nodes, which take larger subsets of them.
 func TestCrossPriceConcentratesNodesOnTheirZone(t *testing.T) {
 	for _, c := range []struct {
-		price     float64
-		own, away int
+		price      float64
+		own, other int
 	}{{0, 4, 1}, {0.01, 4, 1}, {0.08, 9, 1}, {-1, 4, 1}} {
-		n := Node{Nodes: 80, Zone: "a", CrossPrice: c.price}
-		if own, other := n.Size("a", 15, 4), n.Size("b", 15, 4); own != c.own || other != c.away {
-			t.Errorf("at a price of %v: %d in the own zone and %d in another, want %d and %d", c.price, own, other, c.own, c.away)
+		node := Node{Nodes: 80, Zone: "a", CrossPrice: c.price}
+		if own, other := node.Size("a", 15, 4), node.Size("b", 15, 4); own != c.own || other != c.other {
+			t.Errorf("at a price of %v: %d in the own zone and %d in another, want %d and %d", c.price, own, other, c.own, c.other)
 		}
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -379,11 +379,11 @@
 		Quota float64 `json:"quota_per_s"`
 	} `json:"projects"`
 	Limits struct {
-		Cancel      bool    `json:"cancel"`
-		Copies      bool    `json:"parallel_tries"`
-		RetryAfter  *bool   `json:"retry_after"`
-		MaxRetry    float64 `json:"max_retry_after_s"`
-		MaxAttempts *int    `json:"max_attempts"`
+		Cancel        bool    `json:"cancel"`
+		ParallelTries bool    `json:"parallel_tries"`
+		RetryAfter    *bool   `json:"retry_after"`
+		MaxRetry      float64 `json:"max_retry_after_s"`
+		MaxAttempts   *int    `json:"max_attempts"`
 
 		ConnIdle       float64 `json:"conn_idle_s"`
 		ConnectTimeout float64 `json:"connect_timeout_s"`
@@ -393,12 +393,12 @@
 		Names []string `json:"names"`
 	} `json:"report"`
 	Rules struct {
-		ColdFor    float64 `json:"cold_s"`
-		ColdShare  float64 `json:"cold_share"`
-		DrainGrace float64 `json:"drain_grace_s"`
-		FallFor    float64 `json:"fall_s"`
-		FallFactor float64 `json:"overload_factor"`
-		MustAskIn  float64 `json:"must_ask_in_s"`
+		ColdFor        float64 `json:"cold_s"`
+		ColdShare      float64 `json:"cold_share"`
+		DrainGrace     float64 `json:"drain_grace_s"`
+		FallFor        float64 `json:"fall_s"`
+		OverloadFactor float64 `json:"overload_factor"`
+		MustAskIn      float64 `json:"must_ask_in_s"`
 	} `json:"invariants"`
 }
 
@@ -422,13 +422,13 @@
 		return Settings{}, err
 	}
 	s := policy.Settings{Zone: in.Zone, CrossPrice: in.Tariffs.CrossZone, OverShare: in.OverShare, Nodes: 1, Number: max(0, in.Ordinal), MaxAttempts: 1,
-		Cancel: in.Limits.Cancel, Copies: in.Limits.Copies, MustAskIn: seconds(in.Rules.MustAskIn),
+		Cancel: in.Limits.Cancel, Copies: in.Limits.ParallelTries, MustAskIn: seconds(in.Rules.MustAskIn),
 		QueueOnly: in.Report.How == "piggyback" && slices.Contains(in.Report.Names, "depth") &&
 			!slices.Contains(in.Report.Names, "concurrent"),
 		NoReports:  in.Report.How != "piggyback",
 		DrainGrace: seconds(in.Rules.DrainGrace),
 		ColdShare:  in.Rules.ColdShare, ColdFor: seconds(in.Rules.ColdFor),
-		FallFactor: in.Rules.FallFactor, FallFor: seconds(in.Rules.FallFor)}
+		FallFactor: in.Rules.OverloadFactor, FallFor: seconds(in.Rules.FallFor)}
 	if in.Balancers != nil {
 		s.Nodes = *in.Balancers
 	}
