--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,5 @@
-// Command simhost plays decision modules on the simulator's wire: it reads batches of events on standard
-// input and answers each with the actions of the instances it hosts. It decides nothing itself, and the
-// instances share nothing.
+// Command simhost runs instances of the policy for the simulator: it reads batches of events from standard
+// input and replies to each with the actions of its instances. The instances share no state.
 package main
 
 import (
@@ -17,7 +16,7 @@
 )
 
 func main() {
-	debug.SetGCPercent(800) // the live heap is small; collecting it often would be billed
+	debug.SetGCPercent(800) // the live heap is small; frequent collections would cost processor time
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
@@ -36,21 +35,21 @@
 	h := host{nodes: map[int64]*policy.Balancer{}}
 	r := bufio.NewReaderSize(in, 1<<20)
 	var dec wire.Decoder
-	var long []byte
+	var partial []byte
 	var batch int64
-	open := false
+	inBatch := false
 	for {
 		line, err := r.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			long = append(long, line...)
+			partial = append(partial, line...)
 			continue
 		}
-		if len(long) > 0 {
-			long = append(long, line...)
-			line, long = long, long[:0]
+		if len(partial) > 0 {
+			partial = append(partial, line...)
+			line, partial = partial, partial[:0]
 		}
 		if err == io.EOF && len(line) == 0 {
-			if open {
+			if inBatch {
 				return fmt.Errorf("batch %d: input ended inside the batch", batch)
 			}
 			return nil
@@ -62,27 +61,27 @@
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", batch, err)
 		}
-		if (m.Kind == wire.Round) == open {
+		if (m.Kind == wire.BatchStart) == inBatch {
 			return fmt.Errorf("batch %d: message out of place", batch)
 		}
 		switch m.Kind {
-		case wire.Round:
-			open, batch, h.now, h.reply = true, m.Batch, m.Now, h.reply[:0]
-		case wire.Turn:
-			open = false
+		case wire.BatchStart:
+			inBatch, batch, h.now, h.reply = true, m.Batch, m.Now, h.reply[:0]
+		case wire.BatchEnd:
+			inBatch = false
 			if _, err := out.Write(wire.AppendDone(h.reply, batch)); err != nil {
 				return err
 			}
 		default:
-			if err := h.take(m); err != nil {
+			if err := h.dispatch(m); err != nil {
 				return fmt.Errorf("batch %d: %w", batch, err)
 			}
 		}
 	}
 }
 
-// take hands one message to its instance and appends the instance's actions to the reply.
-func (h *host) take(m *wire.Message) error {
+// dispatch passes a message to its instance and appends the instance's actions to the reply.
+func (h *host) dispatch(m *wire.Message) error {
 	switch m.Kind {
 	case wire.Create:
 		node, err := policy.New(m.Settings, m.Seed)
@@ -108,11 +107,11 @@
 	return nil
 }
 
-// guard turns a panic of the decision code into the instance's fault report.
-func (h *host) guard(who int64, decide func()) {
+// guard turns a panic of the policy into the instance's fault report.
+func (h *host) guard(instance int64, decide func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply = wire.AppendGiveIn(h.reply, who, fmt.Sprint(p))
+			h.reply = wire.AppendFault(h.reply, instance, fmt.Sprint(p))
 		}
 	}()
 	decide()
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -190,7 +190,7 @@
 	members     *membership.Fleet // nil for the list alone
 	memberTimer *time.Timer
 
-	sites *siting.Link // nil if sites are not watched
+	sites *siting.Adapter // nil if sites are not watched
 
 	fleetState      FleetState    // nil if the node shares no state
 	viewUntil       time.Duration // end of validity of the last View passed to the policy
@@ -351,7 +351,7 @@
 		e.fleetState.RecordOutcome(a.Backend.key, res.Outcome)
 	}
 	if e.sites != nil {
-		e.sites.Ended(now, a.Backend.Number, res.Outcome, now-a.sent)
+		e.sites.RecordOutcome(now, a.Backend.Number, res.Outcome, now-a.sent)
 	}
 	e.handle(now, &policy.Event{Kind: policy.EvOutcome, ID: r.ID, Backend: a.Backend.Number, Attempt: a.index,
 		Took: now - a.sent, Finished: r.answered.Load(), Outcome: res.Outcome, Load: res.Load})
@@ -453,8 +453,8 @@
 	r.attempts = append(r.attempts, a)
 	r.openAttempts++
 	if e.sites != nil {
-		e.sites.Sent(now, act.Backend)
-		if e.fleetState != nil && a.Backend != nil && e.sites.Node.Crosses(a.Backend.Zone) {
+		e.sites.RecordSend(now, act.Backend)
+		if e.fleetState != nil && a.Backend != nil && e.sites.Node.IsOverflow(a.Backend.Zone) {
 			e.fleetState.CountCrossSite(a.Backend.Zone)
 		}
 	}
--- a/internal/engine/sharer.go
+++ b/internal/engine/sharer.go
@@ -45,8 +45,8 @@
 	v := e.fleetState.View()
 	e.viewUntil = v.ValidUntil
 	if e.sites != nil {
-		e.sites.Node.Shares(v.OverflowShares)
-		e.sites.Node.Heard(v.LiveNodes)
+		e.sites.Node.SetHeadroomShares(v.OverflowShares)
+		e.sites.Node.SetLiveNodes(v.LiveNodes)
 	}
 	numbers := make(map[judgement.Key]uint32, len(v.Ejected))
 	if len(v.Ejected) > 0 {
--- a/internal/engine/sites.go
+++ b/internal/engine/sites.go
@@ -7,7 +7,7 @@
 
 // WatchSites has the engine track the health state of sites, and the policy apply the resulting orders. StepSites has to be
 // called at intervals of siting.Every.
-func (e *Engine) WatchSites(l *siting.Link) {
+func (e *Engine) WatchSites(l *siting.Adapter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sites = l
@@ -19,12 +19,12 @@
 	if e.sites == nil {
 		return
 	}
-	all := make([]sites.Box, 0, e.listed.size)
+	all := make([]sites.Backend, 0, e.listed.size)
 	for b := range e.listed.all {
-		all = append(all, sites.Box{ID: b.Number, Site: b.Zone, Ready: b.writesStopAt.Load() == nil,
+		all = append(all, sites.Backend{ID: b.Number, Site: b.Zone, Ready: b.writesStopAt.Load() == nil,
 			Launched: b.launched.Seconds()})
 	}
-	e.sites.Listed(e.clock.Now(), all)
+	e.sites.ApplyList(e.clock.Now(), all)
 }
 
 // StepSites updates the state of the sites to the current time. It returns the backends to probe with a connection, whose
@@ -52,7 +52,7 @@
 func (e *Engine) Probed(b *Backend, up bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.sites.Probed(e.clock.Now(), b.Number, up)
+	e.sites.RecordProbe(e.clock.Now(), b.Number, up)
 }
 
 // Sites returns the state of each site, and whether the node considers itself cut off; nil and false if sites are not watched.
@@ -62,7 +62,7 @@
 	if e.sites == nil {
 		return nil, false
 	}
-	return e.sites.Node.Reports(e.clock.Now().Seconds()), e.sites.Node.Alone()
+	return e.sites.Node.Reports(e.clock.Now().Seconds()), e.sites.Node.Isolated()
 }
 
 // Demand returns the recent demand of clients by class.
--- a/internal/kit/lab/share.go
+++ b/internal/kit/lab/share.go
@@ -146,8 +146,8 @@
 		}
 	}
 	if n.sites != nil {
-		n.sites.Node.Shares(v.OverflowShares)
-		n.sites.Node.Heard(v.LiveNodes)
+		n.sites.Node.SetHeadroomShares(v.OverflowShares)
+		n.sites.Node.SetLiveNodes(v.LiveNodes)
 	}
 	n.handle(v.Event(func(k judgement.Key) (uint32, bool) { x, ok := n.keys[k]; return x, ok }))
 }
--- a/internal/node/sites.go
+++ b/internal/node/sites.go
@@ -23,7 +23,7 @@
 	n.wg.Go(func() {
 		var probes sync.WaitGroup
 		defer probes.Wait()
-		timing.Every(ctx, siting.Every, func() {
+		timing.Every(ctx, siting.StepInterval, func() {
 			backends, notes := n.engine.StepSites()
 			for _, x := range notes {
 				n.log.Info(x.Text, x.Args...)
--- a/internal/sites/gates.go
+++ b/internal/sites/gates.go
@@ -2,67 +2,68 @@
 
 import "math/rand/v2"
 
-// Gates carry Orders out request by request: which zones a request may go to, and whether it is admitted. The zero value
-// lets everything through.
-type Gates struct {
-	zones map[string]*gate
+// Limiter applies Directives to single requests: which zones a request may go to, and whether it is admitted. The zero
+// value allows everything.
+type Limiter struct {
+	zones map[string]*zoneLimit
 	admit map[string][2]float64
 }
 
-type gate struct {
+type zoneLimit struct {
 	Zone
-	left, at float64 // sends that may go there now
+	tokens, refilledAt float64 // sends that are allowed now, as of refilledAt
 }
 
-// burst is how many seconds' worth of its rate a zone may be sent at once.
-const burst = 0.25
+// burstSeconds is the burst that a zone's rate allows, in seconds of that rate.
+const burstSeconds = 0.25
 
-// Set has the gates follow other orders. What a zone may be sent at once goes on.
-func (g *Gates) Set(now float64, zones map[string]Zone, admit map[string][2]float64) {
-	was := g.zones
-	g.zones, g.admit = make(map[string]*gate, len(zones)), admit
+// Set replaces the directives. Zones that stay limited keep their tokens.
+func (l *Limiter) Set(now float64, zones map[string]Zone, admit map[string][2]float64) {
+	previous := l.zones
+	l.zones, l.admit = make(map[string]*zoneLimit, len(zones)), admit
 	for name, z := range zones {
-		g.zones[name] = &gate{Zone: z, left: 1, at: now}
-		if old := was[name]; old != nil {
-			g.zones[name].left, g.zones[name].at = old.left, old.at
+		l.zones[name] = &zoneLimit{Zone: z, tokens: 1, refilledAt: now}
+		if old := previous[name]; old != nil {
+			l.zones[name].tokens, l.zones[name].refilledAt = old.tokens, old.refilledAt
 		}
 	}
 }
 
-// Draw is a request's luck, by which Open decides each time alike. Nothing is drawn while no zone is closed or limited.
-func (g *Gates) Draw(rng *rand.Rand) float64 {
-	if len(g.zones) == 0 {
+// Draw returns a request's random draw, which makes Allows decide alike for all of its attempts. No random number is taken
+// while no zone is limited.
+func (l *Limiter) Draw(rng *rand.Rand) float64 {
+	if len(l.zones) == 0 {
 		return 0
 	}
 	return rng.Float64()
 }
 
-// Admits tells whether a request is among the part of its class that is admitted.
-func (g *Gates) Admits(class string, over bool, rng *rand.Rand) bool {
-	a, told := g.admit[class]
-	part := a[0]
-	if over {
-		part = a[1]
+// Admits reports whether a request is within the admitted fraction of its class.
+func (l *Limiter) Admits(class string, overQuota bool, rng *rand.Rand) bool {
+	fractions, limited := l.admit[class]
+	fraction := fractions[0]
+	if overQuota {
+		fraction = fractions[1]
 	}
-	return !told || part >= 1 || rng.Float64() < part
+	return !limited || fraction >= 1 || rng.Float64() < fraction
 }
 
-// Open tells whether a request of some luck may go to a zone now.
-func (g *Gates) Open(now float64, zone string, luck float64) bool {
-	z := g.zones[zone]
+// Allows reports whether a request with this draw may go to a zone now.
+func (l *Limiter) Allows(now float64, zone string, draw float64) bool {
+	z := l.zones[zone]
 	if z == nil {
 		return true
 	}
 	if z.Rate >= 0 {
-		z.left = min(1+burst*z.Rate, z.left+z.Rate*(now-z.at))
-		z.at = now
+		z.tokens = min(1+burstSeconds*z.Rate, z.tokens+z.Rate*(now-z.refilledAt))
+		z.refilledAt = now
 	}
-	return luck < z.Part && (z.Rate < 0 || z.left >= 1)
+	return draw < z.Fraction && (z.Rate < 0 || z.tokens >= 1)
 }
 
-// Sent counts a send to a zone.
-func (g *Gates) Sent(zone string) {
-	if z := g.zones[zone]; z != nil {
-		z.left--
+// CountSend counts a send to a zone.
+func (l *Limiter) CountSend(zone string) {
+	if z := l.zones[zone]; z != nil {
+		z.tokens--
 	}
 }
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -6,20 +6,20 @@
 	"testing"
 )
 
-// part is the places of a node's part among n backends of one zone.
-func part(t *testing.T, ids []string, number, nodes int) []string {
+// subsetOf returns the ids in a node's subset of backends of one zone.
+func subsetOf(t *testing.T, ids []string, number, nodes int) []string {
 	t.Helper()
-	in, _ := Part(len(ids), func(i int) (string, uint64) { return "a", Hash(ids[i]) }, Node{Number: number, Nodes: nodes})
+	selected, _ := Of(len(ids), func(i int) (string, uint64) { return "a", Hash(ids[i]) }, Node{Number: number, Nodes: nodes})
 	var out []string
 	for i, id := range ids {
-		if in[i] {
+		if selected[i] {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-func names(n int) []string {
+func backendIDs(n int) []string {
 	ids := make([]string, n)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("s-%08x", Hash(fmt.Sprint(i))>>32)
@@ -27,107 +27,107 @@
 	return ids
 }
 
-// At every size a node has enough to choose from, each backend has nodes that share it, and small fleets are not divided.
-func TestPartsCoverTheFleetEvenly(t *testing.T) {
+// At every fleet size subsets have their full size, each backend is shared evenly, and small fleets are not divided.
+func TestSubsetsCoverTheFleetEvenly(t *testing.T) {
 	for _, nodes := range []int{1, 3, 30, 80, 300} {
 		for _, backends := range []int{1, 3, 12, 60, 1000} {
-			ids, count := names(backends), map[string]int{}
-			of := Node{Nodes: nodes}
-			size := of.Size("a", backends, 1)
+			ids, count := backendIDs(backends), map[string]int{}
+			node := Node{Nodes: nodes}
+			size := node.Size("a", backends, 1)
 			for number := range nodes {
-				p := part(t, ids, number, nodes)
-				if len(p) != size {
-					t.Fatalf("%d nodes, %d backends: a part of %d, want %d", nodes, backends, len(p), size)
+				subset := subsetOf(t, ids, number, nodes)
+				if len(subset) != size {
+					t.Fatalf("%d nodes, %d backends: a subset of %d, want %d", nodes, backends, len(subset), size)
 				}
-				for _, id := range p {
+				for _, id := range subset {
 					count[id]++
 				}
 			}
-			least, most := nodes, 0
+			fewest, most := nodes, 0
 			for _, id := range ids {
-				least, most = min(least, count[id]), max(most, count[id])
+				fewest, most = min(fewest, count[id]), max(most, count[id])
 			}
 			mean := float64(nodes*size) / float64(backends)
-			if least == 0 || float64(most) > mean+3 || float64(least) < mean-3 {
-				t.Errorf("%d nodes, %d backends: %d to %d nodes share one, %.1f by their mean", nodes, backends, least, most, mean)
+			if fewest == 0 || float64(most) > mean+3 || float64(fewest) < mean-3 {
+				t.Errorf("%d nodes, %d backends: %d to %d nodes per backend, mean %.1f", nodes, backends, fewest, most, mean)
 			}
 			if nodes <= 4 && size != backends {
-				t.Errorf("%d nodes, %d backends: a part of %d", nodes, backends, size)
+				t.Errorf("%d nodes, %d backends: a subset of %d", nodes, backends, size)
 			}
 		}
 	}
 }
 
-// The nodes of one zone are some of all numbers, and nobody tells which: any run of numbers and every third one have to
-// cover the backends evenly too.
+// The numbers of the nodes of one zone are unknown: a run of numbers and every third number have to cover the backends
+// evenly too.
 func TestSomeOfTheNodesCoverTheFleetEvenly(t *testing.T) {
-	ids := names(20)
+	ids := backendIDs(20)
 	for name, numbers := range map[string][]int{"a run": {0, 1}, "every third": {0, 3}} {
 		first, step := numbers[0], max(1, numbers[1])
 		count := map[string]int{}
 		for i := range 27 {
-			for _, id := range part(t, ids, first+i*step, 80) {
+			for _, id := range subsetOf(t, ids, first+i*step, 80) {
 				count[id]++
 			}
 		}
 		for _, id := range ids {
 			if c := count[id]; c < 3 || c > 8 {
-				t.Errorf("%s of 27 nodes: %d share %s, 5.4 by their mean", name, c, id)
+				t.Errorf("%s of 27 nodes: %d share %s, mean 5.4", name, c, id)
 			}
 		}
 	}
 }
 
-// A backend that comes or goes moves one place of a part at the most.
+// Removing a backend changes at most one other member of a subset.
 func TestAPartMovesLittle(t *testing.T) {
-	ids := names(60)
+	ids := backendIDs(60)
 	moved := 0
 	for number := range 80 {
-		before := part(t, ids, number, 80)
-		for gone := range ids {
-			after := part(t, slices.Delete(slices.Clone(ids), gone, gone+1), number, 80)
-			fresh := 0
+		before := subsetOf(t, ids, number, 80)
+		for removed := range ids {
+			after := subsetOf(t, slices.Delete(slices.Clone(ids), removed, removed+1), number, 80)
+			added := 0
 			for _, id := range after {
 				if !slices.Contains(before, id) {
-					fresh++
+					added++
 				}
 			}
-			if fresh > 1 {
-				t.Errorf("node %d: without %s its part has %d others", number, ids[gone], fresh)
+			if added > 1 {
+				t.Errorf("node %d: without %s its subset has %d others", number, ids[removed], added)
 			}
-			moved += fresh
+			moved += added
 		}
 	}
-	// The least is that of the nodes which had it.
-	of := Node{Nodes: 80}
-	if least := 80 * of.Size("a", 60, 1); moved > 5*least {
-		t.Errorf("%d places moved, %d at the least", moved, least)
+	// At least the nodes that had the backend have to replace it.
+	node := Node{Nodes: 80}
+	if minimum := 80 * node.Size("a", 60, 1); moved > 5*minimum {
+		t.Errorf("%d members changed, %d at least", moved, minimum)
 	}
 }
 
-// Where crossing is dear, the nodes of one zone are all that serve its backends, and cover them as well.
-func TestAPricedZoneIsCoveredByItsOwnNodes(t *testing.T) {
+// With a high price of cross-zone traffic a zone's backends are served by its own nodes, which take larger subsets of them.
+func TestCrossPriceConcentratesNodesOnTheirZone(t *testing.T) {
 	for _, c := range []struct {
-		price     float64
-		own, away int
+		price      float64
+		own, other int
 	}{{0, 4, 1}, {0.01, 4, 1}, {0.08, 9, 1}, {-1, 4, 1}} {
-		n := Node{Nodes: 80, Zone: "a", CrossPrice: c.price}
-		if own, other := n.Size("a", 15, 4), n.Size("b", 15, 4); own != c.own || other != c.away {
-			t.Errorf("at a price of %v: %d at home and %d elsewhere, want %d and %d", c.price, own, other, c.own, c.away)
+		node := Node{Nodes: 80, Zone: "a", CrossPrice: c.price}
+		if own, other := node.Size("a", 15, 4), node.Size("b", 15, 4); own != c.own || other != c.other {
+			t.Errorf("at a price of %v: %d in the own zone and %d in another, want %d and %d", c.price, own, other, c.own, c.other)
 		}
 	}
 }
 
-// Nobody else's order of the list counts.
-func TestThePartDoesNotHangOnTheOrder(t *testing.T) {
-	ids := names(60)
-	turned := slices.Clone(ids)
-	slices.Reverse(turned)
+// A subset does not depend on the order of the list.
+func TestSubsetIgnoresListOrder(t *testing.T) {
+	ids := backendIDs(60)
+	reversed := slices.Clone(ids)
+	slices.Reverse(reversed)
 	for number := range 80 {
-		one, other := part(t, ids, number, 80), part(t, turned, number, 80)
-		slices.Reverse(other)
-		if !slices.Equal(one, other) {
-			t.Fatalf("node %d: %v, and by another order %v", number, one, other)
+		fromList, fromReversed := subsetOf(t, ids, number, 80), subsetOf(t, reversed, number, 80)
+		slices.Reverse(fromReversed)
+		if !slices.Equal(fromList, fromReversed) {
+			t.Fatalf("node %d: %v, and in another order %v", number, fromList, fromReversed)
 		}
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -19,8 +19,8 @@
 
 func TestDecode(t *testing.T) {
 	for line, want := range map[string]Message{
-		`["round",8.41225,12]`: {Kind: Round, Now: 8412250 * time.Microsecond, Batch: 12},
-		`["your_turn"]`:        {Kind: Turn},
+		`["round",8.41225,12]`: {Kind: BatchStart, Now: 8412250 * time.Microsecond, Batch: 12},
+		`["your_turn"]`:        {Kind: BatchEnd},
 		`["power_off",3]`:      {Kind: PowerOff, Instance: 3},
 		`["demand",3,"r-b","route",null,"k:1",0.24,0.012,false,false]`: {Kind: Event, Instance: 3, Event: policy.Event{
 			Kind: policy.EvRequest, ID: "r-b", Class: "route", Remaining: 240 * time.Millisecond}},
@@ -42,7 +42,7 @@
 		`["targets",3,"lost",4,null]`: {Kind: Event, Instance: 3, Event: policy.Event{
 			Kind: policy.EvList, List: policy.ListFailed}},
 		`["targets",3,"incr",41,[[1.5,"n",2,"std",6.1,"leaving",7]]]`: {Kind: Event, Instance: 3, Event: policy.Event{
-			Kind: policy.EvList, Entries: []policy.Entry{{ID: 7, Hash: place(7), Zone: "n", Cell: 2, Kind: "std",
+			Kind: policy.EvList, Entries: []policy.Entry{{ID: 7, Hash: ringPosition(7), Zone: "n", Cell: 2, Kind: "std",
 				Launched: 6100 * time.Millisecond, State: policy.Draining}}}},
 	} {
 		var d Decoder
@@ -73,8 +73,8 @@
 	}
 }
 
-// The decoder reuses its memory: one line must leave nothing behind in the next.
-func TestDecodeReuse(t *testing.T) {
+// The decoder reuses its memory: no state of one line may appear in the next.
+func TestDecoderReuseLeavesNoState(t *testing.T) {
 	var d Decoder
 	if _, err := d.Decode([]byte(`["ended",3,"r",0,5,0.2,true,"Failed",{"depth":3}]`)); err != nil {
 		t.Fatal(err)
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestMalformed(t *testing.T) {
+func TestDecodeMalformed(t *testing.T) {
 	for line, want := range map[string]string{
 		``:                                       "JSON",
 		`{`:                                      "JSON",
@@ -139,12 +139,12 @@
 			t.Errorf("got %swant %s", got, want)
 		}
 	}
-	if got := string(AppendGiveIn(nil, 3, "x")) + string(AppendDone(nil, 9)); got != "[\"give_in\",3,\"x\"]\n[\"done\",9]\n" {
+	if got := string(AppendFault(nil, 3, "x")) + string(AppendDone(nil, 9)); got != "[\"give_in\",3,\"x\"]\n[\"done\",9]\n" {
 		t.Error(got)
 	}
 }
 
-// Whatever a line holds, decoding it ends in a message or in an error, and a started instance takes what it says.
+// Decoding any line gives a message or an error, and an instance that is running handles every decoded event.
 func FuzzDecode(f *testing.F) {
 	for _, line := range []string{
 		createLine, `["round",8.41225,12]`, `["your_turn"]`, `["power_off",3]`, `["abandoned",5,"r-a"]`, `["tick_due",3,"tick"]`,
@@ -170,7 +170,7 @@
 		}
 		if m.Kind == Create {
 			if node, err = policy.New(m.Settings, m.Seed); err != nil {
-				return // refused with a reason
+				return // rejected with an error
 			}
 		}
 		var buf []byte
@@ -182,8 +182,8 @@
 	})
 }
 
-// Answers hold load reports where the settings say so, and nowhere else.
-func TestSettingsTellOfReports(t *testing.T) {
+// Load reports are expected, and of the queue only, just where the settings say so.
+func TestSettingsLoadReportKinds(t *testing.T) {
 	for text, want := range map[string]policy.Settings{
 		`{"report":{"how":"piggyback","names":["concurrent","depth"]}}`: {},
 		`{"report":{"how":"piggyback","names":["depth"]}}`:              {QueueOnly: true},
@@ -198,9 +198,8 @@
 	}
 }
 
-// A report that makes no sense in one figure is ignored whole: taken in part, it would make a backend look idle or
-// crowded.
-func TestLoadReports(t *testing.T) {
+// A report with one invalid figure is rejected as a whole: used in part, it would make a backend seem idle or overloaded.
+func TestDecodeLoadInvalidFigures(t *testing.T) {
 	for _, c := range []struct {
 		text  string
 		queue float64
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -207,7 +207,7 @@
 			t.Fatalf("%+v is picked, want the one that has just answered here", s)
 		}
 	}
-	if s := b.backends[2]; s.Ejected < now.Seconds()+health.First || !s.Trial {
+	if s := b.backends[2]; s.Ejected < now.Seconds()+health.FirstEjectionSeconds || !s.Trial {
 		t.Errorf("ejected for %.1f s, trial %v", s.Ejected-now.Seconds(), s.Trial)
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -112,7 +112,7 @@
 	b.now = t
 	if b.sharingFactor > 1 {
 		// The other nodes' load moves like this one's, and reports will show it only later.
-		b.loadTrend = math.Pow(b.inFlightTrend.Of(t, b.inFlight, trendDecaySeconds, minSamples, 2), 1-1/b.sharingFactor)
+		b.loadTrend = math.Pow(b.inFlightTrend.Ratio(t, b.inFlight, trendDecaySeconds, minSamples, 2), 1-1/b.sharingFactor)
 	}
 	switch ev.Kind {
 	case EvRequest:
@@ -205,7 +205,7 @@
 		if s != nil && b.nodesPerBackend > b.tuning.Steep && !b.pace.Allows(now, r.lowPriority) {
 			s = nil
 		}
-		b.pace.Asked(s != nil)
+		b.pace.CountRequest(s != nil)
 	}
 	if s != nil {
 		b.send(now, r, s)
@@ -215,7 +215,7 @@
 
 // send starts an attempt of a request at a backend.
 func (b *Balancer) send(now float64, r *request, s *backend) {
-	b.pace.Sent()
+	b.pace.CountSend()
 	b.sends.N++
 	if b.crossesAtPrice(s) {
 		b.sends.Sum++
@@ -233,9 +233,9 @@
 		r.class.hedgeable = append(r.class.hedgeable, a)
 	}
 	s.sentAt = now
-	b.gates.Sent(s.Zone)
+	b.gates.CountSend(s.Zone)
 	if s.classHealth != nil && s.classRecord(b, r.class).Trial {
-		s.classRecord(b, r.class).Ejected = now + health.First // one trial at a time
+		s.classRecord(b, r.class).Ejected = now + health.FirstEjectionSeconds // one trial at a time
 	}
 	r.open++
 	s.inFlight++
@@ -383,7 +383,7 @@
 	case TimedOut:
 		if a.presumedLost { // a loss, not an overload
 			s.lossAt = now
-			b.recordFailure(now, s, health.Memory)
+			b.recordFailure(now, s, health.DecayAttempts)
 			break
 		}
 		// The true latency is longer, so the time-out counts double: counted once, it would make a slow backend look
@@ -392,13 +392,13 @@
 		s.orphans++ // it may still run at the backend, until the next reports show otherwise
 		// A slow backend still answers some requests; one that answered none meanwhile has failed.
 		if s.lastOKAt < now-max(took, silenceSeconds) {
-			b.recordFailure(now, s, health.Out)
+			b.recordFailure(now, s, health.UnreachableDecayAttempts)
 		}
 	case ConnectFailed:
-		b.recordFailure(now, s, health.Out)
+		b.recordFailure(now, s, health.UnreachableDecayAttempts)
 	case Failed, Reset:
-		b.recordFailure(now, s, health.Memory)
-		if ev.Outcome == Failed && s.classRecord(b, r.class).Failed(now, health.Out, b.rng.Float64) {
+		b.recordFailure(now, s, health.DecayAttempts)
+		if ev.Outcome == Failed && s.classRecord(b, r.class).Failed(now, health.UnreachableDecayAttempts, b.rng.Float64) {
 			b.log("backend %d ejected for class %s for %.1f s: it fails such requests", s.ID, r.class.Name,
 				s.classRecord(b, r.class).Ejected-now)
 		}
@@ -431,7 +431,7 @@
 	}
 	for _, id := range sh.Ejected {
 		if s := b.backends[id]; s != nil && s.lastOKAt < now-silenceSeconds {
-			s.Ejected, s.Trial = max(s.Ejected, now+health.First), true
+			s.Ejected, s.Trial = max(s.Ejected, now+health.FirstEjectionSeconds), true
 		}
 	}
 }
@@ -565,7 +565,7 @@
 	if s.State != Active && now >= s.usableUntil || now < s.Ejected || s.Trial && s.inFlight > 0 || s == r.avoid ||
 		s.Protocols&r.requiredProtocols != r.requiredProtocols ||
 		s.classHealth != nil && now < s.classRecord(b, r.class).Ejected ||
-		!b.gates.Open(now, s.Zone, r.zoneDraw) {
+		!b.gates.Allows(now, s.Zone, r.zoneDraw) {
 		return false
 	}
 	m, group := r.mayHaveRun, r.class.Group
@@ -696,10 +696,10 @@
 	}
 	for _, c := range b.classes {
 		c.localFraction = b.computeLocalFraction(c, dt)
-		c.localLatency.Fade(decay)
+		c.localLatency.Decay(decay)
 	}
-	b.remoteLatency.Fade(decay)
-	b.sends.Fade(decay)
+	b.remoteLatency.Decay(decay)
+	b.sends.Decay(decay)
 	b.rankClasses(math.Exp(-dt / historyDecaySeconds))
 }
 
@@ -754,7 +754,7 @@
 	// Attempts in flight keep their own pointers to the backends removed here.
 	maps.DeleteFunc(b.backends, func(_ uint32, s *backend) bool { return s.State == Removed })
 	slices.SortFunc(b.sorted, func(x, y *backend) int { return cmp.Compare(x.ID, y.ID) })
-	inSubset, nodesPerBackend := subset.Part(len(b.sorted),
+	inSubset, nodesPerBackend := subset.Of(len(b.sorted),
 		func(i int) (string, uint64) { return b.sorted[i].Zone, b.sorted[i].Hash },
 		subset.Node{Number: b.cfg.Number, Nodes: b.cfg.Nodes, Zone: b.cfg.Zone, CrossPrice: b.cfg.CrossPrice})
 	for i, s := range b.sorted {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -255,7 +255,7 @@
 		}
 		s := b.backends[1]
 		for n := 0; s.Ejected == 0 && n < 3; n++ { // it may not have been drawn for a third failure
-			b.recordFailure(t0.Seconds()+0.2, s, health.Out)
+			b.recordFailure(t0.Seconds()+0.2, s, health.UnreachableDecayAttempts)
 		}
 		first := s.Ejected
 		for i := 0; i < 50; i++ { // after the ejection: one attempt at a time
@@ -265,7 +265,7 @@
 		if s.inFlight > 1 {
 			t.Errorf("outcome %d: %v attempts in flight at a backend on trial", o, s.inFlight)
 		}
-		b.recordFailure(first+0.1, s, health.Out)
+		b.recordFailure(first+0.1, s, health.UnreachableDecayAttempts)
 		if wait := s.Ejected - first - 0.1; wait < 1.4 {
 			t.Errorf("outcome %d: second ejection %.2f s, want it longer than the first", o, wait)
 		}
@@ -349,7 +349,7 @@
 	}
 	s := b.backends[1]
 	for s.Ejected == 0 {
-		b.recordFailure(t0.Seconds(), s, health.Out)
+		b.recordFailure(t0.Seconds(), s, health.UnreachableDecayAttempts)
 	}
 	for _, send := range sent[:2] {
 		endAttempt(b, t0+20*time.Millisecond, send, OK, Load{Known: true})
@@ -1038,7 +1038,7 @@
 			t.Fatal(err)
 		}
 		s := &backend{Record: health.Record{Bad: 1}}
-		b.recordFailure(100, s, health.Out)
+		b.recordFailure(100, s, health.UnreachableDecayAttempts)
 		ends[s.Ejected] = true
 	}
 	if len(ends) < 4 {
--- a/policy/sites_test.go
+++ b/policy/sites_test.go
@@ -42,7 +42,7 @@
 	if _, inB, _ := playRequests(b, t0, 5, "top"); inB == 0 {
 		t.Fatal("zone b is not used before")
 	}
-	limitZones(t0+10*time.Second, map[string]sites.Zone{"b": {Part: 0, Rate: -1}})
+	limitZones(t0+10*time.Second, map[string]sites.Zone{"b": {Fraction: 0, Rate: -1}})
 	if inA, inB, refused := playRequests(b, t0+10*time.Second, 5, "top"); inB > 0 || refused > 0 || inA != 250 {
 		t.Errorf("closed: %d to a, %d to b, %d refused", inA, inB, refused)
 	}
@@ -50,7 +50,7 @@
 	if act := endAttempt(b, t0+16*time.Second+10*time.Millisecond, send, ConnectFailed, Load{}); act.Kind != ActSend || act.Backend > 2 {
 		t.Errorf("the retry: %+v", act)
 	}
-	limitZones(t0+20*time.Second, map[string]sites.Zone{"a": {Part: 0, Rate: -1}, "b": {Part: 1, Rate: 10}})
+	limitZones(t0+20*time.Second, map[string]sites.Zone{"a": {Fraction: 0, Rate: -1}, "b": {Fraction: 1, Rate: 10}})
 	if inA, inB, refused := playRequests(b, t0+20*time.Second, 5, "top"); inA > 0 || inB < 45 || inB > 56 || refused != 250-inB {
 		t.Errorf("limited to 10 a second: %d to a, %d to b, %d refused", inA, inB, refused)
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -28,7 +28,7 @@
 	hedgeable        []*attempt    // first attempts that may be hedged, in the order of the sends
 	minRemaining     float64       // lowest recent time to the deadline at the arrival of a first try
 	lowPriority      bool          // worth less than the average in relation to its latency
-	localLatency     decay.Tally   // latencies of answers that took no priced cross-zone send
+	localLatency     decay.Mean    // latencies of answers that took no priced cross-zone send
 	bestLocalLatency float64       // lowest recent mean of them
 	localFraction    float64       // fraction of requests that stay in this zone if a backend there can take them
 }
@@ -118,24 +118,24 @@
 	requests        map[string]*request
 	tenants         []*tenant
 	tenantByName    map[string]*tenant
-	trafficShare    float64     // this node's share of all traffic
-	nodesPerBackend float64     // mean number of nodes that work with a backend
-	firstRefreshAt  float64     // 0 before the first refresh
-	meanWorth       float64     // recent mean worth of a request
-	remoteLatency   decay.Tally // latencies of answers from other zones as multiples of their class's local mean
-	sends           decay.Tally // count of attempts; the sum counts those that left the zone at a price
-	othersLoad      decay.Level // mean occupancy of a backend by the other nodes' requests
-	retryTokens     float64     // further attempts that the retry budget allows now
-	now             float64     // latest time seen
+	trafficShare    float64    // this node's share of all traffic
+	nodesPerBackend float64    // mean number of nodes that work with a backend
+	firstRefreshAt  float64    // 0 before the first refresh
+	meanWorth       float64    // recent mean worth of a request
+	remoteLatency   decay.Mean // latencies of answers from other zones as multiples of their class's local mean
+	sends           decay.Mean // count of attempts; the sum counts those that left the zone at a price
+	othersLoad      decay.EWMA // mean occupancy of a backend by the other nodes' requests
+	retryTokens     float64    // further attempts that the retry budget allows now
+	now             float64    // latest time seen
 	refreshedAt     float64
-	resubscribeAt   float64     // when to subscribe to the list again; 0: not needed
-	nextRefreshAt   float64     // when the timer is due
-	sharingFactor   float64     // nodesPerBackend as a multiple of Tuning.Steep, at least 1
-	pace            pace.Pacer  // limits the growth of sends while requests are refused
-	gates           sites.Gates // limits on zones and classes while sites are lost
-	inFlight        float64     // own attempts in flight at all backends, without those presumed lost
-	inFlightTrend   decay.Swing // inFlight against its recent mean
-	loadTrend       float64     // assumed change of the other nodes' load since the reports, a factor
+	resubscribeAt   float64       // when to subscribe to the list again; 0: not needed
+	nextRefreshAt   float64       // when the timer is due
+	sharingFactor   float64       // nodesPerBackend as a multiple of Tuning.Steep, at least 1
+	pace            pace.Pacer    // limits the growth of sends while requests are refused
+	gates           sites.Limiter // limits on zones and classes while sites are lost
+	inFlight        float64       // own attempts in flight at all backends, without those presumed lost
+	inFlightTrend   decay.Trend   // inFlight against its recent mean
+	loadTrend       float64       // assumed change of the other nodes' load since the reports, a factor
 	actions         []Action
 
 	minAim, halfMinDeadline        float64 // shortest aim and half the shortest deadline; infinite if none is set
--- a/policy/tuning.go
+++ b/policy/tuning.go
@@ -3,7 +3,7 @@
 import "craneglade/internal/tuning"
 
 // Tuning holds the parameters of the policy that simulations vary.
-type Tuning = tuning.Figures
+type Tuning = tuning.Parameters
 
 // DefaultTuning returns the parameters that nodes run with.
-func DefaultTuning() Tuning { return tuning.InService() }
+func DefaultTuning() Tuning { return tuning.Default() }
--- a/policy/worth.go
+++ b/policy/worth.go
@@ -21,7 +21,7 @@
 	for _, c := range b.classes {
 		c.requests *= decay
 		c.overQuota *= decay
-		c.latency.Fade(decay)
+		c.latency.Decay(decay)
 		requests += c.requests
 		worth += c.requests * c.Worth
 		work += c.requests * c.meanLatency()
--- a/policy/zone_test.go
+++ b/policy/zone_test.go
@@ -95,15 +95,15 @@
 	b := newTestBalancer(t, settings(func(s *Settings) { s.CrossPrice = 0.08 }), Entry{ID: 1, Zone: "a"})
 	b.meanWorth = 3
 	c := b.classes[0]
-	for _, near := range []decay.Tally{{}, {Sum: 0, N: 100}, {Sum: 1e-9, N: 10}, {Sum: 50, N: 100}, {Sum: 1e9, N: 100}, {Sum: 1e300, N: 10}} {
-		for _, far := range []decay.Tally{{}, {Sum: 0, N: 50}, {Sum: 1e-9, N: 50}, {Sum: 1e300, N: 50}} {
+	for _, near := range []decay.Mean{{}, {Sum: 0, N: 100}, {Sum: 1e-9, N: 10}, {Sum: 50, N: 100}, {Sum: 1e9, N: 100}, {Sum: 1e300, N: 10}} {
+		for _, far := range []decay.Mean{{}, {Sum: 0, N: 50}, {Sum: 1e-9, N: 50}, {Sum: 1e300, N: 50}} {
 			c.localLatency, b.remoteLatency, c.bestLocalLatency = near, far, 0
 			if got := b.computeLocalFraction(c, 0.25); !(got >= 0 && got <= 1) || math.IsNaN(got) {
 				t.Errorf("local %v, remote %v: local fraction %v", near, far, got)
 			}
 		}
 	}
-	c.localLatency, b.remoteLatency, c.bestLocalLatency = decay.Tally{Sum: 50, N: 100}, decay.Tally{}, 0.1
+	c.localLatency, b.remoteLatency, c.bestLocalLatency = decay.Mean{Sum: 50, N: 100}, decay.Mean{}, 0.1
 	b.cfg.CrossPrice = 0
 	if got := b.computeLocalFraction(c, 0.25); got != 1 {
 		t.Errorf("without a price: local fraction %v, want 1", got)
@@ -114,7 +114,7 @@
 // of a bad estimate.
 func TestRemoteZoneProbeInterval(t *testing.T) {
 	b := newTestBalancer(t, settings(func(s *Settings) { s.CrossPrice = 0.08 }), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "b"})
-	b.sends = decay.Tally{Sum: 2, N: 100}
+	b.sends = decay.Mean{Sum: 2, N: 100}
 	wait := b.tuning.Heal * b.nodesPerBackend
 	if got := b.probeInterval(b.backends[1]); got != wait {
 		t.Errorf("in the node's zone a backend is probed after %v s, want %v", got, wait)
