--- a/internal/admission/ages.go
+++ b/internal/admission/ages.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Ages learns for how long a box keeps a connection that rests. What a box tells is the longest; many close sooner,
+// IdleEstimator learns for how long a box keeps a connection that rests. What a box tells is the longest; many close sooner,
 // and a request that is written to a connection which the box has given up ends as a reset that may have run.
 //
 // It counts, by the time for which a connection had rested before it was used again, how many held and how many broke
 // without a byte. Resets that have nothing to do with rest strike young connections as often as old ones: only what
 // goes beyond their share is the rest's doing.
-type Ages struct {
-	told   time.Duration // 0 when it is not told
-	all    *Ages         // what was learnt from all boxes together: for one of which too little is known
+type IdleEstimator struct {
+	told   time.Duration  // 0 when it is not told
+	all    *IdleEstimator // what was learnt from all boxes together: for one of which too little is known
 	cells  [ageCells]ageCell
 	halved time.Duration
 }
@@ -32,8 +32,10 @@
 	forgetting = time.Minute // what was learnt counts half after this
 )
 
-// NewAges returns what is known of a box that tells an idle time of told. all, which may be nil, learns along.
-func NewAges(told time.Duration, all *Ages) *Ages { return &Ages{told: told, all: all} }
+// NewIdleEstimator returns what is known of a box that tells an idle time of told. all, which may be nil, learns along.
+func NewIdleEstimator(told time.Duration, all *IdleEstimator) *IdleEstimator {
+	return &IdleEstimator{told: told, all: all}
+}
 
 // youngest holds the lower edge of each cell.
 var youngest = func() (edges [ageCells]time.Duration) {
@@ -51,7 +53,7 @@
 	return i
 }
 
-func (a *Ages) count(now, age time.Duration, held, broke float64) {
+func (a *IdleEstimator) count(now, age time.Duration, held, broke float64) {
 	if a.halved == 0 {
 		a.halved = now
 	}
@@ -70,14 +72,14 @@
 	}
 }
 
-// Held notes that a connection which had rested for age carried another request.
-func (a *Ages) Held(now, age time.Duration) { a.count(now, age, 1, 0) }
+// RecordReuse notes that a connection which had rested for age carried another request.
+func (a *IdleEstimator) RecordReuse(now, age time.Duration) { a.count(now, age, 1, 0) }
 
-// Broke notes that one ended without a byte.
-func (a *Ages) Broke(now, age time.Duration) { a.count(now, age, 0, 1) }
+// RecordReset notes that one ended without a byte.
+func (a *IdleEstimator) RecordReset(now, age time.Duration) { a.count(now, age, 0, 1) }
 
 // source is where to look: the box's own account once it has a case, else that of all.
-func (a *Ages) source() *Ages {
+func (a *IdleEstimator) source() *IdleEstimator {
 	broke := 0.0
 	for _, c := range a.cells {
 		broke += c.broke
@@ -89,7 +91,7 @@
 }
 
 // split is the youngest cell from which on breaks are more than a share beyond what younger ones see; ageCells if none.
-func (a *Ages) split(beyond, least float64) int {
+func (a *IdleEstimator) split(beyond, least float64) int {
 	var held, broke float64
 	for _, c := range a.cells {
 		held += c.held
@@ -112,9 +114,9 @@
 	return ageCells
 }
 
-// Longest is for how long a connection is worth keeping: nine tenths of what is told, or less where it is learnt that
+// MaxIdle is for how long a connection is worth keeping: nine tenths of what is told, or less where it is learnt that
 // most do not hold.
-func (a *Ages) Longest() time.Duration {
+func (a *IdleEstimator) MaxIdle() time.Duration {
 	d := time.Duration(math.MaxInt64)
 	if a.told > 0 {
 		d = a.told * 9 / 10
@@ -125,9 +127,9 @@
 	return d
 }
 
-// Sure is for how long a connection may have rested that is to carry what must not be repeated: a second where nothing
+// SafeIdle is for how long a connection may have rested that is to carry what must not be repeated: a second where nothing
 // is known, longer as older ones are seen to hold, shorter where they break.
-func (a *Ages) Sure() time.Duration {
+func (a *IdleEstimator) SafeIdle() time.Duration {
 	s := a.source()
 	d := trusted
 	for i, c := range s.cells {
@@ -138,5 +140,5 @@
 	if i := s.split(notSure, 1); i < ageCells {
 		d = min(d, youngest[i]*9/10)
 	}
-	return min(d, a.Longest())
+	return min(d, a.MaxIdle())
 }
--- a/internal/admission/clients.go
+++ b/internal/admission/clients.go
@@ -20,29 +20,29 @@
 type State uint8
 
 const (
-	Unspoken State = iota // it has said nothing yet
-	Doubted               // the same, from an address that was served hardly anything and rejected often
-	Reading               // a request is coming in
-	Busy                  // a request is being answered
-	Health                // idle; it has asked for nothing but the node's readiness
-	Kept                  // idle; it has carried a request
-	Lesser                // the same, its last one of a tenant past its share
+	Silent        State = iota // it has said nothing yet
+	Suspected                  // the same, from an address that was served hardly anything and rejected often
+	Reading                    // a request is coming in
+	Busy                       // a request is being answered
+	IdleHealth                 // idle; it has asked for nothing but the node's readiness
+	Idle                       // idle; it has carried a request
+	IdleOverQuota              // the same, its last one of a tenant past its share
 	closed
 )
 
 // Limits bound clients' connections. Times are of the caller's choosing; zero counts mean no bound.
 type Limits struct {
-	Open   int           // connections that may be open, where the caller asks Full
-	Asking int           // connections that clients hold for requests at most
-	Silent time.Duration // a connection that has said nothing for so long goes before others
-	Slow   time.Duration // so does one whose request has been coming for so long
+	Open         int           // connections that may be open, where the caller asks Full
+	RequestConns int           // connections that clients hold for requests at most
+	SilentAfter  time.Duration // a connection that has said nothing for so long goes before others
+	SlowAfter    time.Duration // so does one whose request has been coming for so long
 }
 
 // Conn is one connection. The zero value is not open.
 type Conn struct {
-	Owner any    // the caller's
-	From  string // the client's address, without a port; the same one for all where addresses tell nothing
-	Past  bool   // its last request was of a tenant past its share
+	Owner     any    // the caller's
+	From      string // the client's address, without a port; the same one for all where addresses tell nothing
+	OverQuota bool   // its last request was of a tenant past its share
 
 	state State
 	asked bool // it has carried a request
@@ -79,8 +79,8 @@
 // Open is the number of connections that count.
 func (a *Clients) Open() int { return a.open }
 
-// Asking is how many of them have carried a request.
-func (a *Clients) Asking() int { return a.asking }
+// RequestConns is how many of them have carried a request.
+func (a *Clients) RequestConns() int { return a.asking }
 
 // Full tells whether another connection needs room to be made.
 func (a *Clients) Full() bool { return a.limits.Open > 0 && a.open >= a.limits.Open }
@@ -98,10 +98,10 @@
 // Add counts a new connection.
 func (a *Clients) Add(now time.Duration, c *Conn) {
 	a.now = max(a.now, now)
-	c.state, c.since, c.asked = Unspoken, now, false
+	c.state, c.since, c.asked = Silent, now, false
 	c.peer = a.peers.open(c.From)
 	if c.peer.doubtful(now) {
-		c.state = Doubted
+		c.state = Suspected
 	}
 	a.lines[c.state].push(c)
 	a.open++
@@ -114,9 +114,9 @@
 	}
 }
 
-// Behind tells whether an address holds less than the mean of all that hold connections: one more of it may be taken
+// BelowMean tells whether an address holds less than the mean of all that hold connections: one more of it may be taken
 // where nobody can be spared.
-func (a *Clients) Behind(from string) bool {
+func (a *Clients) BelowMean(from string) bool {
 	p := a.peers.known[from]
 	held := 0
 	if p != nil {
@@ -137,21 +137,21 @@
 	}
 }
 
-// Answer decides what becomes of idle connections when c is about to get an answer: drop is one to close, nil for none;
+// BeforeAnswer decides what becomes of idle connections when c is about to get an answer: drop is one to close, nil for none;
 // leave tells that the answer should ask c itself to leave. Both make room for requests while clients can still open
 // connections for them: there is a quarter left of what they may hold. While nobody can be spared, addresses that hold
 // more than their part leave.
-func (a *Clients) Answer(c *Conn) (leave bool, drop *Conn) {
+func (a *Clients) BeforeAnswer(c *Conn) (leave bool, drop *Conn) {
 	if c.line == nil || !c.asked {
 		return false, nil
 	}
 	if a.now < a.crowded && c.peer.held*a.peers.active > a.open {
 		return true, nil
 	}
-	if a.limits.Asking <= 0 || a.asking <= a.limits.Asking*3/4 {
+	if a.limits.RequestConns <= 0 || a.asking <= a.limits.RequestConns*3/4 {
 		return false, nil
 	}
-	for _, s := range []State{Lesser, Kept} {
+	for _, s := range []State{IdleOverQuota, Idle} {
 		if k := a.lines[s].next(); k != nil {
 			return false, k
 		}
@@ -163,11 +163,11 @@
 func (a *Clients) Idle(now time.Duration, c *Conn) {
 	switch {
 	case !c.asked:
-		a.move(now, c, Health)
-	case c.Past:
-		a.move(now, c, Lesser)
+		a.move(now, c, IdleHealth)
+	case c.OverQuota:
+		a.move(now, c, IdleOverQuota)
 	default:
-		a.move(now, c, Kept)
+		a.move(now, c, Idle)
 	}
 	if c.peer != nil && c.asked {
 		c.peer.note(now, 1, 0)
@@ -179,7 +179,7 @@
 	crowdedTo = 500 * time.Millisecond // for how long nobody to be spared counts
 )
 
-// Spare returns a connection to close for another's sake, or nil where all are at work. Those go first whose address is
+// EvictionCandidate returns a connection to close for another's sake, or nil where all are at work. Those go first whose address is
 // in doubt, then those that have said nothing for long, those whose request takes long to come, those that only ask for
 // the node's readiness, those that their clients keep, tenants past their share first, and at last new ones; of each sort
 // the longest so, of the address that holds most of them. For a box's sake, client telling that it is not, the last few new
@@ -187,16 +187,16 @@
 // would not get. Where there are more, most of them are silent.
 // busy tells that something has come on a connection that the account does not know of yet: such a one is left, and few
 // are asked about.
-func (a *Clients) Spare(now time.Duration, client bool, busy func(*Conn) bool) *Conn {
+func (a *Clients) EvictionCandidate(now time.Duration, client bool, busy func(*Conn) bool) *Conn {
 	a.now = max(a.now, now)
 	last := time.Duration(0)
-	if !client && a.lines[Unspoken].n <= spares {
-		last = a.limits.Silent
+	if !client && a.lines[Silent].n <= spares {
+		last = a.limits.SilentAfter
 	}
 	for _, from := range []struct {
 		s   State
 		age time.Duration
-	}{{Doubted, 0}, {Unspoken, a.limits.Silent}, {Reading, a.limits.Slow}, {Health, 0}, {Lesser, 0}, {Kept, 0}, {Unspoken, last}} {
+	}{{Suspected, 0}, {Silent, a.limits.SilentAfter}, {Reading, a.limits.SlowAfter}, {IdleHealth, 0}, {IdleOverQuota, 0}, {Idle, 0}, {Silent, last}} {
 		l := &a.lines[from.s]
 		asked := 0
 		// That of the address with most; where those are too young, the longest of all.
--- a/internal/admission/clients_test.go
+++ b/internal/admission/clients_test.go
@@ -13,7 +13,7 @@
 func never(*Conn) bool { return false }
 
 func limits(open, asking int) Limits {
-	return Limits{Open: open, Asking: asking, Silent: 200 * ms, Slow: 50 * ms}
+	return Limits{Open: open, RequestConns: asking, SilentAfter: 200 * ms, SlowAfter: 50 * ms}
 }
 
 // conns opens n connections at times a millisecond apart and brings them to a state.
@@ -27,8 +27,8 @@
 			a.Read(t, c)
 		case Busy:
 			a.Begin(t, c, false)
-		case Health, Kept:
-			a.Begin(t, c, s == Health)
+		case IdleHealth, Idle:
+			a.Begin(t, c, s == IdleHealth)
 			a.Idle(t, c)
 		}
 		out = append(out, c)
@@ -39,18 +39,18 @@
 // Who goes first when room is needed.
 func TestOrderOfSpares(t *testing.T) {
 	a := NewClients(limits(100, 100))
-	kept, health := conns(a, 0, 2, Kept), conns(a, 0, 2, Health)
+	kept, health := conns(a, 0, 2, Idle), conns(a, 0, 2, IdleHealth)
 	busy, reading := conns(a, 0, 2, Busy), conns(a, 0, 2, Reading)
-	silent, fresh := conns(a, 0, 2, Unspoken), conns(a, 290*ms, 2, Unspoken)
+	silent, fresh := conns(a, 0, 2, Silent), conns(a, 290*ms, 2, Silent)
 	want := append(append(append(append(silent, reading...), health...), kept...), fresh...)
 	for i, w := range want {
-		c := a.Spare(300*ms, true, never)
+		c := a.EvictionCandidate(300*ms, true, never)
 		if c != w {
 			t.Fatalf("the %dth to go is %v, want %v", i, c.State(), w.State())
 		}
 		a.Close(c)
 	}
-	if c := a.Spare(300*ms, true, never); c != nil || a.Open() != 2 || busy[0].State() != Busy {
+	if c := a.EvictionCandidate(300*ms, true, never); c != nil || a.Open() != 2 || busy[0].State() != Busy {
 		t.Errorf("a busy connection is spared for nobody: %v", c)
 	}
 }
@@ -59,9 +59,9 @@
 // ones that say nothing one does.
 func TestLastNewOnesAreNotLent(t *testing.T) {
 	a := NewClients(limits(100, 100))
-	fresh := conns(a, 290*ms, spares+1, Unspoken)
+	fresh := conns(a, 290*ms, spares+1, Silent)
 	for i, want := range []*Conn{fresh[0], nil} {
-		c := a.Spare(300*ms, false, never)
+		c := a.EvictionCandidate(300*ms, false, never)
 		if c != want {
 			t.Fatalf("the %dth to go for a box is %p, want %p", i, c, want)
 		}
@@ -69,22 +69,22 @@
 			a.Close(c)
 		}
 	}
-	if c := a.Spare(300*ms, true, never); c != fresh[1] {
+	if c := a.EvictionCandidate(300*ms, true, never); c != fresh[1] {
 		t.Error("none goes for another client either")
 	}
-	if c := a.Spare(490*ms+spares*ms, false, never); c != fresh[1] {
+	if c := a.EvictionCandidate(490*ms+spares*ms, false, never); c != fresh[1] {
 		t.Error("none goes once it has been silent for long")
 	}
 }
 
 func TestSparesWhatHasJustSpoken(t *testing.T) {
 	a := NewClients(limits(100, 100))
-	kept := conns(a, 0, 3, Kept)
-	if c := a.Spare(time.Second, true, func(c *Conn) bool { return c == kept[0] }); c != kept[1] {
+	kept := conns(a, 0, 3, Idle)
+	if c := a.EvictionCandidate(time.Second, true, func(c *Conn) bool { return c == kept[0] }); c != kept[1] {
 		t.Error("the second was to go")
 	}
 	asked := 0
-	if c := a.Spare(time.Second, true, func(*Conn) bool { asked++; return true }); c != nil || asked > 5*spares {
+	if c := a.EvictionCandidate(time.Second, true, func(*Conn) bool { asked++; return true }); c != nil || asked > 5*spares {
 		t.Errorf("%v after %d questions", c, asked)
 	}
 }
@@ -96,19 +96,19 @@
 	open := map[*Conn]bool{}
 	for i := range 2000 {
 		at += 4 * ms
-		if a.Asking() >= 128 {
+		if a.RequestConns() >= 128 {
 			t.Fatalf("request %d finds no connection", i)
 		}
 		c := &Conn{}
 		a.Add(at, c)
 		a.Begin(at, c, false)
 		open[c] = true
-		leave, drop := a.Answer(c)
+		leave, drop := a.BeforeAnswer(c)
 		if leave {
 			t.Fatalf("request %d: there were idle ones to close", i)
 		}
 		if drop != nil {
-			if drop.State() != Kept || !open[drop] {
+			if drop.State() != Idle || !open[drop] {
 				t.Fatalf("dropped a connection that is %v", drop.State())
 			}
 			a.Close(drop)
@@ -116,32 +116,32 @@
 		}
 		a.Idle(at, c)
 	}
-	if a.Asking() != 96 || len(open) != 96 {
-		t.Errorf("%d connections are kept, want three quarters of 128", a.Asking())
+	if a.RequestConns() != 96 || len(open) != 96 {
+		t.Errorf("%d connections are kept, want three quarters of 128", a.RequestConns())
 	}
 }
 
 func TestLeavesWhereNoneIsIdle(t *testing.T) {
 	a := NewClients(limits(184, 128))
 	busy := conns(a, 0, 97, Busy)
-	if leave, drop := a.Answer(busy[0]); !leave || drop != nil {
+	if leave, drop := a.BeforeAnswer(busy[0]); !leave || drop != nil {
 		t.Errorf("leave %v, drop %v", leave, drop)
 	}
 	a.Close(busy[0])
-	if leave, drop := a.Answer(busy[1]); leave || drop != nil {
+	if leave, drop := a.BeforeAnswer(busy[1]); leave || drop != nil {
 		t.Error("with room again it was asked to leave")
 	}
-	h := conns(a, 0, 3, Health)
+	h := conns(a, 0, 3, IdleHealth)
 	a.Begin(0, h[0], true)
-	if leave, drop := a.Answer(h[0]); leave || drop != nil || a.Asking() != 96 {
+	if leave, drop := a.BeforeAnswer(h[0]); leave || drop != nil || a.RequestConns() != 96 {
 		t.Error("a question for the node's readiness counts as a request")
 	}
 }
 
 func TestWithoutLimits(t *testing.T) {
 	a := NewClients(Limits{})
-	c := conns(a, 0, 1000, Kept)
-	if leave, drop := a.Answer(c[0]); a.Full() || leave || drop != nil {
+	c := conns(a, 0, 1000, Idle)
+	if leave, drop := a.BeforeAnswer(c[0]); a.Full() || leave || drop != nil {
 		t.Error("without limits nobody leaves")
 	}
 }
@@ -160,7 +160,7 @@
 			op := rapid.IntRange(0, 7).Draw(t, "op")
 			if op == 0 || len(all) == 0 {
 				if a.Full() {
-					c := a.Spare(now, true, func(*Conn) bool { return rapid.Bool().Draw(t, "busy") })
+					c := a.EvictionCandidate(now, true, func(*Conn) bool { return rapid.Bool().Draw(t, "busy") })
 					if c != nil && (c.State() == Busy || c.State() == closed) {
 						t.Fatalf("spared one that is %v", c.State())
 					}
@@ -183,13 +183,13 @@
 					a.Rejected(now, c)
 				}
 			case 2, 3:
-				c.Past = rapid.Bool().Draw(t, "past")
+				c.OverQuota = rapid.Bool().Draw(t, "past")
 				a.Begin(now, c, op == 2)
 				asked[c] = asked[c] || op == 3 && live
 			case 4, 5:
 				if c.State() == Busy {
-					if _, drop := a.Answer(c); drop != nil {
-						if drop.State() != Kept && drop.State() != Lesser {
+					if _, drop := a.BeforeAnswer(c); drop != nil {
+						if drop.State() != Idle && drop.State() != IdleOverQuota {
 							t.Fatalf("drops one that is %v", drop.State())
 						}
 						a.Close(drop)
@@ -237,8 +237,8 @@
 			if a.peers.active != len(held) {
 				t.Fatalf("%d addresses hold connections, not %d", len(held), a.peers.active)
 			}
-			if a.Open() != open || a.Asking() != asking || queued != open || open > l.Open {
-				t.Fatalf("counts %d open, %d asking, %d queued; there are %d and %d", a.Open(), a.Asking(), queued, open, asking)
+			if a.Open() != open || a.RequestConns() != asking || queued != open || open > l.Open {
+				t.Fatalf("counts %d open, %d asking, %d queued; there are %d and %d", a.Open(), a.RequestConns(), queued, open, asking)
 			}
 		}
 	})
@@ -246,20 +246,20 @@
 
 // One address that takes all the room, in whatever state, makes room before another that holds a single connection.
 func TestGreedyAddressMakesRoom(t *testing.T) {
-	for _, s := range []State{Unspoken, Reading, Health, Kept} {
+	for _, s := range []State{Silent, Reading, IdleHealth, Idle} {
 		a := NewClients(limits(12, 100))
 		good := &Conn{From: "good"}
 		a.Add(0, good) // for longest
 		switch s {
 		case Reading:
 			a.Read(0, good)
-		case Health, Kept:
-			a.Begin(0, good, s == Health)
+		case IdleHealth, Idle:
+			a.Begin(0, good, s == IdleHealth)
 			a.Idle(0, good)
 		}
 		conns(a, ms, 11, s) // of the address ""
 		for range 10 {
-			c := a.Spare(time.Second, true, never)
+			c := a.EvictionCandidate(time.Second, true, never)
 			if c == nil || c == good {
 				t.Fatalf("%v: the one connection of a good client goes first", s)
 			}
@@ -276,23 +276,23 @@
 	good := &Conn{From: "good"}
 	a.Add(0, good)
 	a.Begin(0, good, false)
-	if leave, _ := a.Answer(greedy[0]); leave {
+	if leave, _ := a.BeforeAnswer(greedy[0]); leave {
 		t.Error("it leaves though nobody wanted room")
 	}
-	if a.Spare(ms, true, never) != nil {
+	if a.EvictionCandidate(ms, true, never) != nil {
 		t.Fatal("one that works is spared")
 	}
-	if leave, _ := a.Answer(greedy[0]); !leave {
+	if leave, _ := a.BeforeAnswer(greedy[0]); !leave {
 		t.Error("the greedy one stays")
 	}
-	if leave, _ := a.Answer(good); leave {
+	if leave, _ := a.BeforeAnswer(good); leave {
 		t.Error("the good one leaves")
 	}
-	if !a.Behind("good") || !a.Behind("new") || a.Behind("") {
+	if !a.BelowMean("good") || !a.BelowMean("new") || a.BelowMean("") {
 		t.Error("who is behind")
 	}
 	a.Idle(2*time.Second, greedy[1]) // room again
-	if leave, _ := a.Answer(greedy[0]); leave {
+	if leave, _ := a.BeforeAnswer(greedy[0]); leave {
 		t.Error("it leaves long after")
 	}
 }
@@ -310,7 +310,7 @@
 		a.Rejected(0, mixed)
 		a.Begin(0, other, false)
 		a.Idle(0, other)
-		if i >= 10 && (bad.State() != Doubted || mixed.State() != Unspoken) {
+		if i >= 10 && (bad.State() != Suspected || mixed.State() != Silent) {
 			t.Fatalf("round %d: bad is %v, mixed %v", i, bad.State(), mixed.State())
 		}
 		for _, c := range []*Conn{bad, mixed, other} {
@@ -319,7 +319,7 @@
 	}
 	late := &Conn{From: "bad"}
 	a.Add(5*time.Minute, late)
-	if late.State() != Unspoken {
+	if late.State() != Silent {
 		t.Error("doubt lasts for ever")
 	}
 }
@@ -327,24 +327,24 @@
 // Of the idle connections those of tenants past their share go first.
 func TestPastTheirShareGoFirst(t *testing.T) {
 	a := NewClients(limits(100, 4))
-	kept := conns(a, 0, 3, Kept)
-	past := &Conn{Past: true}
+	kept := conns(a, 0, 3, Idle)
+	past := &Conn{OverQuota: true}
 	a.Add(9*ms, past)
 	a.Begin(9*ms, past, false)
 	a.Idle(9*ms, past)
-	if _, drop := a.Answer(kept[0]); drop != past {
+	if _, drop := a.BeforeAnswer(kept[0]); drop != past {
 		t.Error("another goes first")
 	}
-	if c := a.Spare(time.Second, true, never); c != past {
+	if c := a.EvictionCandidate(time.Second, true, never); c != past {
 		t.Error("another is spared first")
 	}
 	tn := NewTenants(map[string]float64{"big": 10})
 	n := 0
 	for i := range 200 { // 20 a second
-		if tn.Past(time.Duration(i)*50*ms, "big") {
+		if tn.Count(time.Duration(i)*50*ms, "big") {
 			n++
 		}
-		if tn.Past(time.Duration(i)*50*ms, "untold") {
+		if tn.Count(time.Duration(i)*50*ms, "untold") {
 			t.Fatal("one without a share is past it")
 		}
 	}
@@ -352,7 +352,7 @@
 		t.Errorf("at twice its share it is past it in %d of 200 requests", n)
 	}
 	for i := range 100 { // 5 a second
-		if at := 10*time.Second + time.Duration(i)*200*ms; tn.Past(at, "big") && at > 20*time.Second {
+		if at := 10*time.Second + time.Duration(i)*200*ms; tn.Count(at, "big") && at > 20*time.Second {
 			t.Fatal("still past its share at half of it")
 		}
 	}
@@ -393,7 +393,7 @@
 			if ok {
 				used[s]++
 			}
-			if used[0]+used[1] > total || used[s] > total-floor || d.Used(s) != used[s] || d.Lent(s) != (used[s] > floor) {
+			if used[0]+used[1] > total || used[s] > total-floor || d.Used(s) != used[s] || d.AboveFloor(s) != (used[s] > floor) {
 				t.Fatalf("%v of %d, floor %d; it says %d", used, total, floor, d.Used(s))
 			}
 		}
@@ -435,11 +435,11 @@
 		i++
 		c := &Conn{From: from[i%addresses]}
 		if a.Full() {
-			a.Close(a.Spare(now, true, never))
+			a.Close(a.EvictionCandidate(now, true, never))
 		}
 		a.Add(now, c)
 		a.Begin(now, c, false)
-		if _, drop := a.Answer(c); drop != nil {
+		if _, drop := a.BeforeAnswer(c); drop != nil {
 			a.Close(drop)
 		}
 		a.Idle(now, c)
--- a/internal/admission/descriptors.go
+++ b/internal/admission/descriptors.go
@@ -4,8 +4,8 @@
 type Side uint8
 
 const (
-	ClientSide Side = iota // connections from clients
-	BoxSide                // connections to backends
+	ClientSide  Side = iota // connections from clients
+	BackendSide             // connections to backends
 	sides
 )
 
@@ -39,5 +39,5 @@
 // Used is what a side holds.
 func (d *Descriptors) Used(s Side) int { return d.used[s] }
 
-// Lent tells whether a side holds more than its floor, so that one of its idle ones may go to the other.
-func (d *Descriptors) Lent(s Side) bool { return d.total > 0 && d.used[s] > d.floor }
+// AboveFloor tells whether a side holds more than its floor, so that one of its idle ones may go to the other.
+func (d *Descriptors) AboveFloor(s Side) bool { return d.total > 0 && d.used[s] > d.floor }
--- a/internal/admission/pressure.go
+++ b/internal/admission/pressure.go
@@ -19,8 +19,8 @@
 	pressureStep = 0.1                    // what one request counts for at the least among many at once
 )
 
-// Seen notes how long a request had waited.
-func (p *Pressure) Seen(now, waited time.Duration) {
+// Observe notes how long a request had waited.
+func (p *Pressure) Observe(now, waited time.Duration) {
 	share := max(1-math.Exp(-float64(now-p.at)/float64(pressureFor)), pressureStep)
 	p.wait += time.Duration(share * float64(waited-p.wait))
 	p.at = now
--- a/internal/admission/pressure_test.go
+++ b/internal/admission/pressure_test.go
@@ -11,14 +11,14 @@
 	feed := func(waited time.Duration, n int) {
 		for range n {
 			at += 4 * ms
-			p.Seen(at, waited)
+			p.Observe(at, waited)
 		}
 	}
 	feed(10*ms, 500)
 	if p.Shed(at, 0, 2) != 0 {
 		t.Error("sheds with waits of 10ms")
 	}
-	p.Seen(at, time.Second) // one that was late alone
+	p.Observe(at, time.Second) // one that was late alone
 	if s := p.Shed(at, 1, 2); s != 0 {
 		t.Errorf("one late request sheds %.2f of the dearest", s)
 	}
--- a/internal/admission/tenants.go
+++ b/internal/admission/tenants.go
@@ -29,15 +29,15 @@
 
 // ShareChange sets a tenant's share of this node in requests a second, or takes it away.
 type ShareChange struct {
-	Tenant string
-	Share  float64
-	Gone   bool
+	Tenant  string
+	Share   float64
+	Removed bool
 }
 
 // Change sets and takes away shares. What was counted of a tenant that keeps one stays.
 func (t *Tenants) Change(changes []ShareChange) {
 	for _, c := range changes {
-		if c.Gone {
+		if c.Removed {
 			delete(t.shares, c.Tenant)
 			delete(t.seen, c.Tenant)
 		} else {
@@ -46,8 +46,8 @@
 	}
 }
 
-// Past counts a request and tells whether its tenant is past its share.
-func (t *Tenants) Past(now time.Duration, tenant string) bool {
+// Count counts a request and tells whether its tenant is past its share.
+func (t *Tenants) Count(now time.Duration, tenant string) bool {
 	share, ok := t.shares[tenant]
 	if !ok {
 		return false
--- a/internal/bodies/bodies_test.go
+++ b/internal/bodies/bodies_test.go
@@ -16,17 +16,17 @@
 
 func TestTiers(t *testing.T) {
 	b := NewBudget(Limits{Memory: 100, Disk: 200})
-	save := Class{Most: 150, Memory: 60, Disk: true, Once: true}
-	quote := Class{Most: 150, Memory: 60}
+	save := Class{MaxSize: 150, MaxInMemory: 60, AllowDisk: true, AllowStream: true}
+	quote := Class{MaxSize: 150, MaxInMemory: 60}
 	for i, c := range []struct {
 		class Class
 		size  int64
 		want  Tier
 	}{
 		{save, 60, Memory}, {save, 61, Disk}, // too large for memory
-		{save, 50, Disk},                                        // memory's total is nearly spent
-		{quote, 50, TooLarge},                                   // and a quote has no other tier
-		{quote, 40, Memory}, {save, 80, Disk}, {save, 10, Once}, // both are full
+		{save, 50, Disk},                                            // memory's total is nearly spent
+		{quote, 50, TooLarge},                                       // and a quote has no other tier
+		{quote, 40, Memory}, {save, 80, Disk}, {save, 10, Streamed}, // both are full
 		{save, 151, TooLarge}, {save, 0, Memory},
 	} {
 		got, err := b.Place(c.class, c.size)
@@ -34,19 +34,19 @@
 			t.Errorf("%d: %d bytes go to %v (%v), want %v", i, c.size, got, err, c.want)
 		}
 	}
-	if b.Used(Memory) != 100 || b.Used(Disk) != 191 || b.Placed(Disk) != 3 || b.Placed(Once) != 1 {
+	if b.Used(Memory) != 100 || b.Used(Disk) != 191 || b.Placed(Disk) != 3 || b.Placed(Streamed) != 1 {
 		t.Errorf("memory %d, disk %d", b.Used(Memory), b.Used(Disk))
 	}
 	b.Free(Disk, 61)
-	b.Shut(true)
-	if got, _ := b.Place(save, 61); got != Once {
+	b.SetDiskDisabled(true)
+	if got, _ := b.Place(save, 61); got != Streamed {
 		t.Errorf("with the disk shut: %v", got)
 	}
-	b.Shut(false)
+	b.SetDiskDisabled(false)
 	if got, _ := b.Place(save, 61); got != Disk {
 		t.Errorf("open again: %v", got)
 	}
-	if got, _ := b.Fall(save, 61); got != Once || b.Used(Disk) != 130 {
+	if got, _ := b.FallBack(save, 61); got != Streamed || b.Used(Disk) != 130 {
 		t.Errorf("a body that the disk did not take goes to %v; disk %d", got, b.Used(Disk))
 	}
 }
@@ -66,11 +66,11 @@
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "op") {
 			case 0, 1:
-				c := Class{Most: int64(rapid.IntRange(0, 200).Draw(t, "most")), Memory: int64(rapid.IntRange(0, 100).Draw(t, "each")),
-					Disk: rapid.Bool().Draw(t, "may disk"), Once: rapid.Bool().Draw(t, "may once")}
+				c := Class{MaxSize: int64(rapid.IntRange(0, 200).Draw(t, "most")), MaxInMemory: int64(rapid.IntRange(0, 100).Draw(t, "each")),
+					AllowDisk: rapid.Bool().Draw(t, "may disk"), AllowStream: rapid.Bool().Draw(t, "may once")}
 				size := int64(rapid.IntRange(0, 200).Draw(t, "size"))
 				tier, err := b.Place(c, size)
-				if (tier == TooLarge) != (err != nil) || size > c.Most && tier != TooLarge || tier == Disk && !c.Disk || tier == Once && !c.Once || tier == Memory && size > c.Memory {
+				if (tier == TooLarge) != (err != nil) || size > c.MaxSize && tier != TooLarge || tier == Disk && !c.AllowDisk || tier == Streamed && !c.AllowStream || tier == Memory && size > c.MaxInMemory {
 					t.Fatalf("%+v, %d bytes: %v, %v", c, size, tier, err)
 				}
 				if err == nil {
@@ -83,10 +83,10 @@
 					all = append(all[:i], all[i+1:]...)
 				}
 			case 3:
-				b.Shut(rapid.Bool().Draw(t, "shut"))
+				b.SetDiskDisabled(rapid.Bool().Draw(t, "shut"))
 				for i := range all {
 					if all[i].tier == Disk {
-						tier, err := b.Fall(all[i].c, all[i].size)
+						tier, err := b.FallBack(all[i].c, all[i].size)
 						if tier == Disk {
 							t.Fatal("it falls to where it fell from")
 						}
@@ -118,9 +118,9 @@
 // where its class may be streamed.
 func TestExtend(t *testing.T) {
 	b := NewBudget(Limits{Memory: 100, Disk: 300})
-	save := Class{Most: 150, Memory: 60, Disk: true, Once: true}
-	kept := Class{Most: 150, Memory: 60, Disk: true}
-	quote := Class{Most: 150, Memory: 60}
+	save := Class{MaxSize: 150, MaxInMemory: 60, AllowDisk: true, AllowStream: true}
+	kept := Class{MaxSize: 150, MaxInMemory: 60, AllowDisk: true}
+	quote := Class{MaxSize: 150, MaxInMemory: 60}
 	for i, c := range []struct {
 		class      Class
 		shut       bool
@@ -138,7 +138,7 @@
 		{kept, false, 0, 20, TooLarge, 100, 300}, // all is spent
 		{save, true, 0, 20, TooLarge, 100, 300},
 	} {
-		b.Shut(c.shut)
+		b.SetDiskDisabled(c.shut)
 		got, err := b.Extend(c.class, c.held, c.size)
 		if got != c.want || (err != nil) != (c.want == TooLarge) || b.Used(Memory) != c.memory || b.Used(Disk) != c.disk {
 			t.Errorf("%d: %v (%v), want %v; memory %d, disk %d", i, got, err, c.want, b.Used(Memory), b.Used(Disk))
@@ -158,8 +158,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{Memory: int64(rapid.IntRange(0, 300).Draw(t, "memory")), Heads: 50, Disk: int64(rapid.IntRange(0, 300).Draw(t, "disk"))}
 		b := NewBudget(l)
-		c := Class{Most: int64(rapid.IntRange(1, 200).Draw(t, "most")), Memory: int64(rapid.IntRange(0, 100).Draw(t, "each")),
-			Disk: rapid.Bool().Draw(t, "may disk"), Once: rapid.Bool().Draw(t, "may once")}
+		c := Class{MaxSize: int64(rapid.IntRange(1, 200).Draw(t, "most")), MaxInMemory: int64(rapid.IntRange(0, 100).Draw(t, "each")),
+			AllowDisk: rapid.Bool().Draw(t, "may disk"), AllowStream: rapid.Bool().Draw(t, "may once")}
 		held := make([]int64, 5) // in memory, by body
 		onDisk := make([]bool, len(held))
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -167,16 +167,16 @@
 			if onDisk[i] || rapid.IntRange(0, 4).Draw(t, "ends") == 0 {
 				b.Free(Memory, held[i])
 				if onDisk[i] {
-					b.Free(Disk, c.Most)
+					b.Free(Disk, c.MaxSize)
 				}
 				held[i], onDisk[i] = 0, false
 				continue
 			}
 			size := held[i] + int64(rapid.IntRange(1, 50).Draw(t, "more"))
 			switch tier, err := b.Extend(c, held[i], size); {
-			case tier == Memory && err == nil && size <= c.Most && (size <= c.Memory || c.Once):
+			case tier == Memory && err == nil && size <= c.MaxSize && (size <= c.MaxInMemory || c.AllowStream):
 				held[i] = size
-			case tier == Disk && err == nil && c.Disk:
+			case tier == Disk && err == nil && c.AllowDisk:
 				onDisk[i] = true
 			case tier == TooLarge && err != nil:
 			default:
@@ -186,7 +186,7 @@
 			for i := range held {
 				memory += held[i]
 				if onDisk[i] {
-					disk += c.Most
+					disk += c.MaxSize
 				}
 			}
 			if b.Used(Memory) != memory || b.Used(Disk) != disk || memory > l.Memory || disk > l.Disk {
@@ -279,8 +279,8 @@
 	return s
 }
 
-func keep(s *Spool, ctx context.Context, body []byte) (*Kept, error) {
-	k, err := s.Begin(ctx, int64(len(body)))
+func keep(s *Spool, ctx context.Context, body []byte) (*SpooledBody, error) {
+	k, err := s.Create(ctx, int64(len(body)))
 	if err != nil {
 		return nil, err
 	}
@@ -375,7 +375,7 @@
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
 	for range 5 {
-		if _, err := s.Begin(gone, 10); !errors.Is(err, ErrSlow) {
+		if _, err := s.Create(gone, 10); !errors.Is(err, ErrTimeout) {
 			t.Errorf("%v, want ErrSlow", err)
 		}
 	}
@@ -384,17 +384,17 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error)
 		go func() {
-			_, err := s.Begin(ctx, 10)
+			_, err := s.Create(ctx, 10)
 			done <- err
 		}()
 		cancel()
-		if err := <-done; !errors.Is(err, ErrSlow) {
+		if err := <-done; !errors.Is(err, ErrTimeout) {
 			t.Errorf("%v, want ErrSlow", err)
 		}
 	}
 	close(f.hang)
 	s.Close()
-	if _, err := s.Begin(context.Background(), 10); err != nil && !errors.Is(err, ErrClosed) {
+	if _, err := s.Create(context.Background(), 10); err != nil && !errors.Is(err, ErrClosed) {
 		t.Errorf("after Close: %v", err)
 	}
 	s.Wait()
@@ -406,25 +406,25 @@
 }
 
 func TestDoor(t *testing.T) {
-	var d Door
+	var d Breaker
 	at := time.Duration(0)
-	if !d.Open(at) || !d.Open(at) {
+	if !d.Allow(at) || !d.Allow(at) {
 		t.Error("closed at first")
 	}
 	wait := doorFirst
 	for range 12 {
-		d.Done(at, false)
-		if d.Open(at + wait - 1) {
+		d.Record(at, false)
+		if d.Allow(at + wait - 1) {
 			t.Fatalf("open before %v", wait)
 		}
 		at += wait
-		if !d.Open(at) || d.Open(at) {
+		if !d.Allow(at) || d.Allow(at) {
 			t.Fatal("one body, and one alone, tries again")
 		}
 		wait = min(2*wait, doorLast)
 	}
-	d.Done(at, true)
-	if !d.Open(at) || !d.Open(at) {
+	d.Record(at, true)
+	if !d.Allow(at) || !d.Allow(at) {
 		t.Error("closed after a success")
 	}
 }
--- a/internal/bodies/budget.go
+++ b/internal/bodies/budget.go
@@ -14,7 +14,7 @@
 const (
 	Memory Tier = iota
 	Disk
-	Once     // not kept: streamed to one attempt
+	Streamed // not kept: streamed to one attempt
 	TooLarge // more than its class allows
 	tiers
 )
@@ -25,10 +25,10 @@
 
 // Class is what the settings allow the bodies of one class of requests. Sizes are in bytes.
 type Class struct {
-	Most   int64 // a larger one is turned away
-	Memory int64 // a larger one is not kept in memory
-	Disk   bool  // may be kept on disk
-	Once   bool  // may be streamed without being kept; where it may not, it waits for no tier and is turned away
+	MaxSize     int64 // a larger one is turned away
+	MaxInMemory int64 // a larger one is not kept in memory
+	AllowDisk   bool  // may be kept on disk
+	AllowStream bool  // may be streamed without being kept; where it may not, it waits for no tier and is turned away
 }
 
 // Limits are the totals of the tiers, in bytes; 0 closes a tier. Heads is what heads and answers are sure of beside the
@@ -57,8 +57,8 @@
 	b.count[t]++
 	switch t {
 	case TooLarge:
-		if size > c.Most {
-			return t, fmt.Errorf("a body of %d bytes, and %d are the most", size, c.Most)
+		if size > c.MaxSize {
+			return t, fmt.Errorf("a body of %d bytes, and %d are the most", size, c.MaxSize)
 		}
 		return t, fmt.Errorf("no room for a body of %d bytes", size)
 	case Memory, Disk:
@@ -69,14 +69,14 @@
 
 func (b *Budget) tier(c Class, size int64) Tier {
 	switch {
-	case size > c.Most:
+	case size > c.MaxSize:
 		return TooLarge
-	case size <= c.Memory && b.fits(size):
+	case size <= c.MaxInMemory && b.fits(size):
 		return Memory
-	case c.Disk && !b.shut && b.used[Disk]+size <= b.limits.Disk:
+	case c.AllowDisk && !b.shut && b.used[Disk]+size <= b.limits.Disk:
 		return Disk
-	case c.Once:
-		return Once
+	case c.AllowStream:
+		return Streamed
 	}
 	return TooLarge
 }
@@ -91,14 +91,14 @@
 // it held in memory stays held until the caller gives it back. Once is not among the tiers, as its length is not known:
 // a class that may be streamed goes on in memory beyond what it may keep there otherwise.
 func (b *Budget) Extend(c Class, held, size int64) (Tier, error) {
-	fits := size <= c.Most && b.fits(size-held)
+	fits := size <= c.MaxSize && b.fits(size-held)
 	switch {
-	case fits && size <= c.Memory:
-	case c.Disk && !b.shut && b.used[Disk]+c.Most <= b.limits.Disk:
+	case fits && size <= c.MaxInMemory:
+	case c.AllowDisk && !b.shut && b.used[Disk]+c.MaxSize <= b.limits.Disk:
 		b.count[Disk]++
-		b.used[Disk] += c.Most
+		b.used[Disk] += c.MaxSize
 		return Disk, nil
-	case fits && c.Once:
+	case fits && c.AllowStream:
 	default:
 		b.count[TooLarge]++
 		return TooLarge, fmt.Errorf("no room for a body of %d bytes or more", held)
@@ -110,8 +110,8 @@
 	return Memory, nil
 }
 
-// Hold takes room in memory for what is no body (heads, answers), and tells whether there is any. Release gives it back.
-func (b *Budget) Hold(size int64) bool {
+// ReserveHead takes room in memory for what is no body (heads, answers), and tells whether there is any. Release gives it back.
+func (b *Budget) ReserveHead(size int64) bool {
 	if b.used[Memory]+b.heads+size > b.limits.Memory+b.limits.Heads {
 		return false
 	}
@@ -119,14 +119,14 @@
 	return true
 }
 
-// Release gives back what Hold took.
-func (b *Budget) Release(size int64) { b.heads -= size }
+// ReleaseHead gives back what Hold took.
+func (b *Budget) ReleaseHead(size int64) { b.heads -= size }
 
-// Held is what is held in memory beside bodies, in bytes.
-func (b *Budget) Held() int64 { return b.heads }
+// HeadBytes is what is held in memory beside bodies, in bytes.
+func (b *Budget) HeadBytes() int64 { return b.heads }
 
-// Fall moves a body that could not be written to disk to the next tier. It gives back what Place took.
-func (b *Budget) Fall(c Class, size int64) (Tier, error) {
+// FallBack moves a body that could not be written to disk to the next tier. It gives back what Place took.
+func (b *Budget) FallBack(c Class, size int64) (Tier, error) {
 	b.Free(Disk, size)
 	shut := b.shut
 	b.shut = true // for this one decision
@@ -142,8 +142,8 @@
 	}
 }
 
-// Shut closes the disk's tier, or opens it again.
-func (b *Budget) Shut(shut bool) { b.shut = shut }
+// SetDiskDisabled closes the disk's tier, or opens it again.
+func (b *Budget) SetDiskDisabled(shut bool) { b.shut = shut }
 
 // Used is what a tier holds, in bytes, and Placed how many bodies it was given so far.
 func (b *Budget) Used(t Tier) int64   { return b.used[t] }
--- a/internal/bodies/spool.go
+++ b/internal/bodies/spool.go
@@ -66,8 +66,8 @@
 
 // Errors of Spool. Both wrap what the file system said, where it said something.
 var (
-	ErrSlow   = errors.New("the disk did not answer in time")
-	ErrClosed = errors.New("the spool is closed")
+	ErrTimeout = errors.New("the disk did not answer in time")
+	ErrClosed  = errors.New("the spool is closed")
 )
 
 // Spool writes and reads bodies on a disk that may fail, fill up or hang, without letting a request wait for it beyond
@@ -124,7 +124,7 @@
 	select {
 	case s.jobs <- job:
 	case <-ctx.Done():
-		return fmt.Errorf("%w: every worker is held", ErrSlow)
+		return fmt.Errorf("%w: every worker is held", ErrTimeout)
 	case <-s.done:
 		return ErrClosed
 	}
@@ -140,21 +140,21 @@
 		default:
 		}
 		left = true
-		return ErrSlow
+		return ErrTimeout
 	}
 }
 
-// Kept is a body on disk. One goroutine at a time writes it; it may be read from many.
-type Kept struct {
+// SpooledBody is a body on disk. One goroutine at a time writes it; it may be read from many.
+type SpooledBody struct {
 	spool *Spool
 	file  File
 	size  int64 // that is there
 }
 
-// Begin makes room for a body of a size, until ctx ends at the latest. A disk without that room says so here, before any
+// Create makes room for a body of a size, until ctx ends at the latest. A disk without that room says so here, before any
 // of the body has been read.
-func (s *Spool) Begin(ctx context.Context, size int64) (*Kept, error) {
-	k := &Kept{spool: s}
+func (s *Spool) Create(ctx context.Context, size int64) (*SpooledBody, error) {
+	k := &SpooledBody{spool: s}
 	err := s.call(ctx, func() (err error) {
 		k.file, err = s.fs.Create(size)
 		return err
@@ -170,7 +170,7 @@
 }
 
 // Append writes more of the body. p must not change until Append returns nil: a call that hangs goes on reading it.
-func (k *Kept) Append(ctx context.Context, p []byte) error {
+func (k *SpooledBody) Append(ctx context.Context, p []byte) error {
 	at := k.size
 	err := k.spool.call(ctx, func() error {
 		n, err := k.file.WriteAt(p, at)
@@ -187,11 +187,11 @@
 }
 
 // Size is what is there of the body, in bytes.
-func (k *Kept) Size() int64 { return k.size }
+func (k *SpooledBody) Size() int64 { return k.size }
 
 // ReadAt fills p with what is there from off on. Unless it returns nil, p must not be used again: a call that hangs may
 // still write to it.
-func (k *Kept) ReadAt(ctx context.Context, p []byte, off int64) error {
+func (k *SpooledBody) ReadAt(ctx context.Context, p []byte, off int64) error {
 	if off < 0 || off+int64(len(p)) > k.size {
 		return io.ErrUnexpectedEOF
 	}
@@ -213,13 +213,13 @@
 
 // Close gives the body's room on the disk back. It does not wait for the disk: the file is closed once no call that
 // hangs holds it.
-func (k *Kept) Close() {
+func (k *SpooledBody) Close() {
 	k.spool.wg.Go(func() { k.file.Close() })
 }
 
-// Door decides whether the disk is worth trying. It has no clock: its caller tells the time. After a failure the tier is
+// Breaker decides whether the disk is worth trying. It has no clock: its caller tells the time. After a failure the tier is
 // closed, for longer each time up to a bound, and then one body tries it.
-type Door struct {
+type Breaker struct {
 	wait   time.Duration
 	until  time.Duration
 	trying bool
@@ -230,8 +230,8 @@
 	doorLast  = 30 * time.Second
 )
 
-// Open tells whether a body may try the disk at a moment.
-func (d *Door) Open(now time.Duration) bool {
+// Allow tells whether a body may try the disk at a moment.
+func (d *Breaker) Allow(now time.Duration) bool {
 	if d.wait == 0 {
 		return true
 	}
@@ -242,8 +242,8 @@
 	return true
 }
 
-// Done notes how a try went.
-func (d *Door) Done(now time.Duration, ok bool) {
+// Record notes how a try went.
+func (d *Breaker) Record(now time.Duration, ok bool) {
 	d.trying = false
 	if ok {
 		d.wait = 0
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -268,7 +268,7 @@
 		if c.Loss < 0 || c.Loss >= 1 {
 			return nil, usage("--loss: %v is outside 0 to 1", c.Loss)
 		}
-		set := lab.Setting{Name: "share " + text, Tuning: policy.Tuned(), Share: &lab.Sharing{Use: use, Loss: c.Loss, BytesPS: settings.DefaultBytes}}
+		set := lab.Setting{Name: "share " + text, Tuning: policy.Tuned(), Share: &lab.Sharing{Use: use, Loss: c.Loss, BytesPS: settings.DefaultBytesPerSecond}}
 		if use.Crossing {
 			if len(plans) == 0 || plans[0].Plan == nil {
 				return nil, usage("--share: crossing needs a plan: --sites FILE")
--- a/internal/controlnet/daemon.go
+++ b/internal/controlnet/daemon.go
@@ -90,7 +90,7 @@
 // otherRegions are the subscribers of a writer to the logs of other regions, one for each.
 func (d *daemon) otherRegions() (all []*subscriber.Subscriber) {
 	byRegion := map[string][]settings.Parent{}
-	for _, o := range d.cfg.Others {
+	for _, o := range d.cfg.RegionParents {
 		byRegion[o.Region] = append(byRegion[o.Region], settings.Parent{Name: o.Name, Address: o.Address, Zone: o.Zone})
 	}
 	for region, candidates := range byRegion {
@@ -101,7 +101,7 @@
 
 func (d *daemon) subscriber(regions []string, from []settings.Parent) *subscriber.Subscriber {
 	return subscriber.New(subscriber.Config{Name: d.cfg.Name, Zone: d.cfg.Zone, Regions: regions, Filter: changelog.Filter{All: true},
-		Candidates: Candidates(from), Seed: seed(d.cfg.Name), Limits: LimitsFor(d.cfg.Limits.Silence.D())}, d.clock())
+		Candidates: Candidates(from), Seed: seed(d.cfg.Name), Limits: LimitsFor(d.cfg.Limits.ParentTimeout.D())}, d.clock())
 }
 
 // Candidates are the parents that settings name.
@@ -127,9 +127,9 @@
 		carryMember = d.member.receive
 	}
 	p := publisher.New(publisher.Config{
-		BytesPerSecond:    float64(limits.Bytes),
-		Burst:             burstSeconds * float64(limits.Bytes),
-		MaxSnapshots:      limits.Snapshots,
+		BytesPerSecond:    float64(limits.BytesPerSecond),
+		Burst:             burstSeconds * float64(limits.BytesPerSecond),
+		MaxSnapshots:      limits.MaxSnapshots,
 		HeartbeatInterval: limits.Heartbeat.D(),
 		Seed:              seed(d.cfg.Name),
 		Age:               func(region string, now time.Duration) time.Duration { return d.age(subscribers, region, now) },
@@ -137,7 +137,7 @@
 	for _, store := range d.stores {
 		p.Publish(store)
 	}
-	d.process = NewProcess(Config{Name: d.cfg.Name, Keys: d.cfg.Keys, Cluster: d.cfg.Cluster, MaxSubscribers: limits.Subscribers, StaleAfter: limits.Silence.D(),
+	d.process = NewProcess(Config{Name: d.cfg.Name, Keys: d.cfg.Keys, Cluster: d.cfg.Cluster, MaxSubscribers: limits.MaxSubscribers, StaleAfter: limits.ParentTimeout.D(),
 		Subscribers: subscribers, Publisher: p, Member: carryMember, Clock: d.clock, Log: d.log})
 	if d.member != nil {
 		d.member.process = d.process
--- a/internal/controlnet/member.go
+++ b/internal/controlnet/member.go
@@ -109,7 +109,7 @@
 			m.links[x.ID] = newMemberLink(x)
 		}
 	}
-	storage, state, err := walfile.Open(cfg.State, func(line string) { log.Warn(line) })
+	storage, state, err := walfile.Open(cfg.StateDir, func(line string) { log.Warn(line) })
 	if err != nil {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 // load makes the replica go on from what the storage holds.
 func (m *member) load(ids []uint64, state *quorum.State) (err error) {
 	empty := state.Hard == quorum.HardState{} && state.Snapshot.Index == 0 && len(state.Entries) == 0
-	if err := identify(m.cfg.State, m.cfg.Region, m.id, empty); err != nil {
+	if err := identify(m.cfg.StateDir, m.cfg.Region, m.id, empty); err != nil {
 		return err
 	}
 	if err := m.restore(state.Snapshot.Data); err != nil {
@@ -309,7 +309,7 @@
 	return changes, err
 }
 
-func (m *member) offset(epoch uint64) uint64 { return uint64(m.cfg.Offset) + epoch }
+func (m *member) offset(epoch uint64) uint64 { return uint64(m.cfg.EpochOffset) + epoch }
 
 // propose proposes what is pending once this process is the writer, and gives up what can't be taken any more.
 func (m *member) propose() {
@@ -372,7 +372,7 @@
 
 // compact makes a snapshot of the log where much is behind the last one.
 func (m *member) compact() error {
-	if m.storage.Size() < int64(m.cfg.Limits.Log) {
+	if m.storage.Size() < int64(m.cfg.Limits.LogBytes) {
 		return nil
 	}
 	var position resource.Position
--- a/internal/controlnet/member_test.go
+++ b/internal/controlnet/member_test.go
@@ -52,9 +52,9 @@
 			t.Fatal(err)
 		}
 		all = append(all, &memberUnderTest{t: t, cfg: &settings.ControlProcess{Role: settings.RoleWriter, Name: x.Name, Region: "north",
-			Regions: []string{"north"}, Listen: x.Address, Socket: state + ".sock", Cluster: "test", Keys: [][]byte{testKey}, State: state, Members: members,
-			Limits: settings.ControlLimits{Bytes: 8 << 20, Snapshots: 4, Subscribers: 10, Heartbeat: tomlfile.Duration(200 * time.Millisecond),
-				Silence: tomlfile.Duration(time.Second), Log: 128 << 10}}})
+			Regions: []string{"north"}, Listen: x.Address, Socket: state + ".sock", Cluster: "test", Keys: [][]byte{testKey}, StateDir: state, Members: members,
+			Limits: settings.ControlLimits{BytesPerSecond: 8 << 20, MaxSnapshots: 4, MaxSubscribers: 10, Heartbeat: tomlfile.Duration(200 * time.Millisecond),
+				ParentTimeout: tomlfile.Duration(time.Second), LogBytes: 128 << 10}}})
 	}
 	return all
 }
@@ -132,8 +132,8 @@
 	}
 	for _, m := range all[:2] {
 		eventually(t, m.cfg.Name+"'s log compacted", func() bool {
-			info, err := os.Stat(filepath.Join(m.cfg.State, "log"))
-			return err == nil && info.Size() < int64(m.cfg.Limits.Log)+64<<10 && m.status().Position == last
+			info, err := os.Stat(filepath.Join(m.cfg.StateDir, "log"))
+			return err == nil && info.Size() < int64(m.cfg.Limits.LogBytes)+64<<10 && m.status().Position == last
 		})
 	}
 	all[2].start()
@@ -167,22 +167,22 @@
 		m.stop()
 	}
 	for i, m := range all[1:] {
-		if err := os.RemoveAll(m.cfg.State); err != nil {
+		if err := os.RemoveAll(m.cfg.StateDir); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.CopyFS(m.cfg.State, os.DirFS(all[0].cfg.State)); err != nil {
+		if err := os.CopyFS(m.cfg.StateDir, os.DirFS(all[0].cfg.StateDir)); err != nil {
 			t.Fatal(err)
 		}
 		if err := Serve(context.Background(), m.cfg, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "the folder is that of") {
 			t.Errorf("with another's identity: %v", err)
 		}
 		identity := fmt.Sprintf("region \"north\", member %d\n", i+2)
-		if err := os.WriteFile(filepath.Join(m.cfg.State, "identity"), []byte(identity), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(m.cfg.StateDir, "identity"), []byte(identity), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, m := range all {
-		m.cfg.Offset = 100
+		m.cfg.EpochOffset = 100
 		m.start()
 	}
 	next := applyAnywhere(t, all, largeTenant(2))
@@ -205,17 +205,17 @@
 	data := message.EncodeSnapshot("north", served.Position(), served.Snapshot(changelog.Filter{All: true}))
 	for _, term := range []uint64{2, 3} {
 		m := quorumUnderTest(t, 3)[0]
-		storage, _, err := walfile.Open(m.cfg.State, func(string) {})
+		storage, _, err := walfile.Open(m.cfg.StateDir, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := identify(m.cfg.State, "north", 1, true); err != nil {
+		if err := identify(m.cfg.StateDir, "north", 1, true); err != nil {
 			t.Fatal(err)
 		}
 		if err := storage.Save(quorum.Persist{Hard: &quorum.HardState{Term: term, Vote: 1}, Entries: []quorum.LogEntry{{Index: 1, Term: 1}}}); err != nil {
 			t.Fatal(err)
 		}
-		logPath := filepath.Join(m.cfg.State, "log")
+		logPath := filepath.Join(m.cfg.StateDir, "log")
 		before, err := os.ReadFile(logPath)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/httpcarrier/addresses_test.go
+++ b/internal/httpcarrier/addresses_test.go
@@ -86,7 +86,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n := New(Config{Quota: quota.New(0, 0).Side(admission.BoxSide), Bodies: bodies, DialOn: dial, Log: slog.New(slog.DiscardHandler)})
+		n := New(Config{Quota: quota.New(0, 0).Side(admission.BackendSide), Bodies: bodies, DialOn: dial, Log: slog.New(slog.DiscardHandler)})
 		box := &engine.Backend{ID: "b"}
 		box.SetAddrs([]string{"unix:/first", "127.0.0.1:1"})
 		in, _ := http.NewRequest("POST", "http://x/api", strings.NewReader("a door"))
--- a/internal/httpcarrier/carrier.go
+++ b/internal/httpcarrier/carrier.go
@@ -160,7 +160,7 @@
 		return engine.Result{Outcome: policy.Moot}, false
 	}
 	p := r.Body
-	if p != nil && p.Tier == bodies.Once && !p.Begun.CompareAndSwap(false, true) {
+	if p != nil && p.Tier == bodies.Streamed && !p.Begun.CompareAndSwap(false, true) {
 		n.pool.put(c)
 		return engine.Result{Outcome: policy.Moot}, false // it is not kept, and an earlier attempt has begun to send it
 	}
--- a/internal/httpcarrier/pool.go
+++ b/internal/httpcarrier/pool.go
@@ -41,7 +41,7 @@
 	start time.Time
 
 	mu    sync.Mutex
-	ages  *admission.Ages // for how long boxes keep connections, from all of them together
+	ages  *admission.IdleEstimator // for how long boxes keep connections, from all of them together
 	open  int
 	rest  lists.List // of *backendConn: those with no owner, the longest idle first
 	sweep *time.Timer
@@ -60,7 +60,7 @@
 	// A request written to a connection that the box has just closed ends as a reset: retire it before.
 	p.idle = cfg.Idle * 9 / 10
 	p.told, p.start = cfg.Idle, p.now()
-	p.ages = admission.NewAges(p.told, nil)
+	p.ages = admission.NewIdleEstimator(p.told, nil)
 	return p
 }
 
@@ -69,7 +69,7 @@
 	heard atomic.Int64 // attempts that something came back for
 
 	// Guarded by pool.mu.
-	ages    *admission.Ages
+	ages    *admission.IdleEstimator
 	conns   []*backendConn // those with no owner, the latest last
 	retired bool           // no connection is kept any more
 }
@@ -86,7 +86,7 @@
 	if k, ok := b.Kept.(*kept); ok {
 		return k
 	}
-	k := &kept{ages: admission.NewAges(p.told, p.ages)}
+	k := &kept{ages: admission.NewIdleEstimator(p.told, p.ages)}
 	b.Kept = k
 	return k
 }
@@ -136,9 +136,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if held {
-		c.box.ages.Held(p.now().Sub(p.start), c.rested)
+		c.box.ages.RecordReuse(p.now().Sub(p.start), c.rested)
 	} else {
-		c.box.ages.Broke(p.now().Sub(p.start), c.rested)
+		c.box.ages.RecordReset(p.now().Sub(p.start), c.rested)
 	}
 }
 
@@ -149,7 +149,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now, known := p.now(), b.ages
-	for longest := known.Longest(); len(b.conns) > 0 && now.Sub(b.conns[0].since) > longest; {
+	for longest := known.MaxIdle(); len(b.conns) > 0 && now.Sub(b.conns[0].since) > longest; {
 		p.discard(b.conns[0])
 	}
 	if len(b.conns) == 0 {
@@ -163,7 +163,7 @@
 		}
 	}
 	rested := now.Sub(c.since)
-	if once && rested > known.Sure() || restTime-rested > wait {
+	if once && rested > known.SafeIdle() || restTime-rested > wait {
 		return nil
 	}
 	p.remove(c)
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -88,7 +88,7 @@
 	s := &Front{engine: cfg.Engine, bodies: cfg.Bodies, clock: cfg.Clock, log: cfg.Log,
 		quota: cfg.Quota, extra: make(chan struct{}, max(1, cfg.Extra)), conns: map[*clientConn]struct{}{},
 		tenants: admission.NewTenants(cfg.Shares),
-		account: admission.NewClients(admission.Limits{Asking: cfg.Asking, Silent: silentTime, Slow: readTime})}
+		account: admission.NewClients(admission.Limits{RequestConns: cfg.Asking, SilentAfter: silentTime, SlowAfter: readTime})}
 	if s.waited = cfg.Waited; s.waited == nil {
 		s.waited = sock.Waited
 	}
@@ -116,7 +116,7 @@
 		c.granted = s.quota.Claim(s.Yield)
 		s.mu.Lock()
 		if c.extra = !c.granted; c.extra {
-			c.over = !s.account.Behind(c.account.From) // one of a client that holds little is served all the same
+			c.over = !s.account.BelowMean(c.account.From) // one of a client that holds little is served all the same
 		} else {
 			<-s.extra
 		}
@@ -160,7 +160,7 @@
 func (s *Front) yield(client bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	spare := s.account.Spare(s.now(), client, func(c *admission.Conn) bool { return sock.Pending(c.Owner.(*clientConn).Conn) != sock.Nothing })
+	spare := s.account.EvictionCandidate(s.now(), client, func(c *admission.Conn) bool { return sock.Pending(c.Owner.(*clientConn).Conn) != sock.Nothing })
 	if spare != nil {
 		s.drop(spare.Owner.(*clientConn))
 	}
@@ -182,7 +182,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	s.pressure.Seen(now, late)
+	s.pressure.Observe(now, late)
 	part := s.pressure.Shed(now, rank, classes)
 	return part > 0 && rand.Float64() < part
 }
@@ -236,7 +236,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r.ID != "" {
-		c.account.Past = s.tenants.Past(s.now(), r.Tenant)
+		c.account.OverQuota = s.tenants.Count(s.now(), r.Tenant)
 	}
 	s.account.Begin(s.now(), &c.account, r.ID == "")
 	return !c.closing
@@ -247,7 +247,7 @@
 func (s *Front) leaves(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	leave, drop := s.account.Answer(&c.account)
+	leave, drop := s.account.BeforeAnswer(&c.account)
 	if drop != nil {
 		s.drop(drop.Owner.(*clientConn))
 	}
--- a/internal/kit/lab/node.go
+++ b/internal/kit/lab/node.go
@@ -30,8 +30,8 @@
 	known    map[uint32]policy.Entry // what the list has told it
 	version  int64                   // of the list, where it asks for it
 	watching bool
-	heard    map[*box]time.Duration // when its latest report came in
-	ages     *admission.Ages        // for how long boxes keep connections, from all of them together
+	heard    map[*box]time.Duration   // when its latest report came in
+	ages     *admission.IdleEstimator // for how long boxes keep connections, from all of them together
 	pool     map[*box]*pool
 	idle     []int64 // clients' connections that wait for a request
 	lastTold time.Duration
@@ -46,7 +46,7 @@
 type pool struct {
 	life int
 	idle []time.Duration
-	ages *admission.Ages
+	ages *admission.IdleEstimator
 }
 
 // request is one try of a client at a node.
@@ -117,7 +117,7 @@
 	}
 	n.up, n.out, n.watching, n.timeout = true, false, false, set.ConnectTimeout
 	n.requests, n.pool, n.heard = map[string]*request{}, map[*box]*pool{}, map[*box]time.Duration{}
-	n.ages = admission.NewAges(w.plan.Scenario.Conn.Idle.D(), nil)
+	n.ages = admission.NewIdleEstimator(w.plan.Scenario.Conn.Idle.D(), nil)
 	w.note(trace.Record{Kind: trace.Proc, Node: n.Name, State: trace.Started})
 	w.note(trace.Record{Kind: trace.Proc, Node: n.Name, State: trace.Up})
 	var known []policy.Entry
@@ -306,7 +306,7 @@
 func (n *node) reuse(a *attempt) bool {
 	p := n.pool[a.box]
 	if p == nil || p.life != a.box.life {
-		p = &pool{life: a.box.life, ages: admission.NewAges(n.w.plan.Scenario.Conn.Idle.D(), n.ages)}
+		p = &pool{life: a.box.life, ages: admission.NewIdleEstimator(n.w.plan.Scenario.Conn.Idle.D(), n.ages)}
 		n.pool[a.box] = p
 	}
 	a.box.trim(p)
@@ -315,7 +315,7 @@
 		return false
 	}
 	rested := n.w.now - p.idle[last]
-	if n.w.plan.Scenario.Classes[a.req.need.Class].Effect == "unsafe" && rested > p.ages.Sure() {
+	if n.w.plan.Scenario.Classes[a.req.need.Class].Effect == "unsafe" && rested > p.ages.SafeIdle() {
 		return false
 	}
 	p.idle, a.rested = p.idle[:last], max(rested, 1)
@@ -416,7 +416,7 @@
 				p.idle = append(p.idle, n.w.now)
 			}
 			if a.rested > 0 {
-				p.ages.Held(n.w.now, a.rested)
+				p.ages.RecordReuse(n.w.now, a.rested)
 			}
 		case policy.Reset:
 			a.drop()
--- a/internal/message/body.go
+++ b/internal/message/body.go
@@ -28,13 +28,13 @@
 
 	mu     sync.Mutex
 	budget *bodies.Budget
-	door   bodies.Door
+	door   bodies.Breaker
 }
 
 // NewStore returns the store of a node with so many megabytes of memory, 0 for any number, and settings of our own, which
 // may be nil. An error is one of the folder that they name.
 func NewStore(memoryMB int, own *settings.Bodies, clock engine.Clock) (*Store, error) {
-	s := &Store{classes: map[string]bodies.Class{}, usual: bodies.Class{Most: MaxBody, Memory: MaxBody}, Answer: MaxBody,
+	s := &Store{classes: map[string]bodies.Class{}, usual: bodies.Class{MaxSize: MaxBody, MaxInMemory: MaxBody}, Answer: MaxBody,
 		clock: clock}
 	limits := bodies.Limits{Memory: 1 << 40, Heads: 1 << 40}
 	if memoryMB > 0 {
@@ -45,9 +45,9 @@
 		if own.Memory > 0 {
 			limits.Memory = int64(own.Memory)
 		}
-		s.Answer = max(s.Answer, int64(own.Answer))
+		s.Answer = max(s.Answer, int64(own.MaxAnswer))
 		for _, c := range own.Classes {
-			s.classes[c.Name] = bodies.Class{Most: int64(c.Most), Memory: int64(c.Memory), Disk: c.Disk, Once: c.Once}
+			s.classes[c.Name] = bodies.Class{MaxSize: int64(c.MaxSize), MaxInMemory: int64(c.MaxInMemory), AllowDisk: c.AllowDisk, AllowStream: c.AllowStream}
 		}
 		if d := own.Disk; d.Folder != "" {
 			dir, err := bodies.NewDir(d.Folder)
@@ -92,21 +92,21 @@
 func (s *Store) Hold(size int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.Hold(size)
+	return s.budget.ReserveHead(size)
 }
 
 // Free gives back what Hold took.
 func (s *Store) Free(size int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.Release(size)
+	s.budget.ReleaseHead(size)
 }
 
 // Held is what heads and answers hold in memory, in bytes.
 func (s *Store) Held() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.Held()
+	return s.budget.HeadBytes()
 }
 
 // Stop ends the workers. A call that hangs in the file system outlives it.
@@ -127,10 +127,10 @@
 func (s *Store) place(c bodies.Class, size int64) (bodies.Tier, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.Shut(s.spool == nil)
+	s.budget.SetDiskDisabled(s.spool == nil)
 	tier, err := s.budget.Place(c, size)
-	if tier == bodies.Disk && !s.door.Open(s.clock.Now()) {
-		tier, err = s.budget.Fall(c, size)
+	if tier == bodies.Disk && !s.door.Allow(s.clock.Now()) {
+		tier, err = s.budget.FallBack(c, size)
 	}
 	return tier, err
 }
@@ -139,8 +139,8 @@
 func (s *Store) fall(c bodies.Class, size int64) (bodies.Tier, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.door.Done(s.clock.Now(), false)
-	return s.budget.Fall(c, size)
+	s.door.Record(s.clock.Now(), false)
+	return s.budget.FallBack(c, size)
 }
 
 // Body is a request's body.
@@ -150,8 +150,8 @@
 	size  int64
 	held  bool // room was taken for it
 
-	Memory []byte       // the whole of it, where it is held there
-	kept   *bodies.Kept // on disk; with Once, what had been written when the disk failed
+	Memory []byte              // the whole of it, where it is held there
+	kept   *bodies.SpooledBody // on disk; with Once, what had been written when the disk failed
 
 	// Once: the rest of it, behind what is kept.
 	ahead   []byte // read from the client already
@@ -180,7 +180,7 @@
 	c, size := s.class(class), in.ContentLength
 	tier, err := s.place(c, size)
 	if err != nil {
-		return nil, turnedAway(size > c.Most, err)
+		return nil, turnedAway(size > c.MaxSize, err)
 	}
 	p := &Body{store: s, Tier: tier, size: size, held: true}
 	switch tier {
@@ -195,7 +195,7 @@
 			p.Free()
 			return nil, no
 		}
-	case bodies.Once:
+	case bodies.Streamed:
 		p.stream(in.Body)
 	}
 	return p, nil
@@ -227,7 +227,7 @@
 	s := p.store
 	var chunk []byte // read, and not written
 	err := s.call(ctx, func(ctx context.Context) (err error) {
-		p.kept, err = s.spool.Begin(ctx, p.size)
+		p.kept, err = s.spool.Create(ctx, p.size)
 		return err
 	})
 	for left := p.size; err == nil && left > 0; left -= int64(len(chunk)) {
@@ -266,7 +266,7 @@
 func (s *Store) settled(ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.door.Done(s.clock.Now(), ok)
+	s.door.Record(s.clock.Now(), ok)
 }
 
 var (
@@ -294,7 +294,7 @@
 			off += int64(len(chunk))
 		}
 	}
-	if p.Tier != bodies.Once {
+	if p.Tier != bodies.Streamed {
 		return nil
 	}
 	if len(p.ahead) > 0 {
--- a/internal/message/unsized.go
+++ b/internal/message/unsized.go
@@ -41,7 +41,7 @@
 }
 
 // Most is the largest body that a class allows, in bytes.
-func (s *Store) Most(class string) int64 { return s.class(class).Most }
+func (s *Store) Most(class string) int64 { return s.class(class).MaxSize }
 
 // Len is a body's length in bytes, 0 for none.
 func (p *Body) Len() int64 {
@@ -61,7 +61,7 @@
 	p := u.body
 	for {
 		if len(p.Memory) == cap(p.Memory) {
-			if u.size == u.class.Most {
+			if u.size == u.class.MaxSize {
 				return u.nothingMore()
 			}
 			tier, err := u.extend(false)
@@ -107,23 +107,23 @@
 }
 
 func (u *unsized) tooLarge() *Rejection {
-	return &Rejection{Status: http.StatusRequestEntityTooLarge, Text: fmt.Sprintf("a body of more than %d bytes", u.class.Most)}
+	return &Rejection{Status: http.StatusRequestEntityTooLarge, Text: fmt.Sprintf("a body of more than %d bytes", u.class.MaxSize)}
 }
 
 // extend takes the next step of room, in memory or on disk; there only in memory where the disk just failed.
 func (u *unsized) extend(diskFailed bool) (bodies.Tier, error) {
 	p, s := u.body, u.body.store
-	room := min(max(2*p.size, firstRoom), u.class.Most)
-	if p.size < u.class.Memory {
-		room = min(room, u.class.Memory)
+	room := min(max(2*p.size, firstRoom), u.class.MaxSize)
+	if p.size < u.class.MaxInMemory {
+		room = min(room, u.class.MaxInMemory)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.Shut(s.spool == nil || diskFailed)
+	s.budget.SetDiskDisabled(s.spool == nil || diskFailed)
 	tier, err := s.budget.Extend(u.class, p.size, room)
-	if tier == bodies.Disk && !s.door.Open(s.clock.Now()) {
-		s.budget.Free(bodies.Disk, u.class.Most)
-		s.budget.Shut(true)
+	if tier == bodies.Disk && !s.door.Allow(s.clock.Now()) {
+		s.budget.Free(bodies.Disk, u.class.MaxSize)
+		s.budget.SetDiskDisabled(true)
 		tier, err = s.budget.Extend(u.class, p.size, room)
 	}
 	if err == nil && tier == bodies.Memory {
@@ -138,7 +138,7 @@
 func (u *unsized) moveToDisk(ctx context.Context) (moved bool, no *Rejection) {
 	p, s := u.body, u.body.store
 	err := s.call(ctx, func(ctx context.Context) (err error) {
-		p.kept, err = s.spool.Begin(ctx, u.class.Most)
+		p.kept, err = s.spool.Create(ctx, u.class.MaxSize)
 		return err
 	})
 	if err == nil && len(p.Memory) > 0 {
@@ -150,7 +150,7 @@
 	s.mu.Lock()
 	s.budget.Free(bodies.Memory, p.size)
 	s.mu.Unlock()
-	p.Tier, p.size, p.Memory = bodies.Disk, u.class.Most, nil
+	p.Tier, p.size, p.Memory = bodies.Disk, u.class.MaxSize, nil
 	return true, u.spill(ctx)
 }
 
@@ -162,8 +162,8 @@
 		p.kept = nil
 	}
 	s.mu.Lock()
-	s.door.Done(s.clock.Now(), false)
-	s.budget.Free(bodies.Disk, u.class.Most)
+	s.door.Record(s.clock.Now(), false)
+	s.budget.Free(bodies.Disk, u.class.MaxSize)
 	s.mu.Unlock()
 	if _, err := u.extend(true); err != nil {
 		return turnedAway(false, fmt.Errorf("%w: %w", err, failed))
@@ -178,7 +178,7 @@
 		chunk := make([]byte, chunkSize) // a new one: a call that hangs goes on reading the last
 		n, err := fill(u.client, chunk)
 		u.add(n)
-		if u.size > u.class.Most {
+		if u.size > u.class.MaxSize {
 			s.settled(true)
 			return u.tooLarge()
 		}
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -68,7 +68,7 @@
 			box := newBox(t, echo)
 			r := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
 				c.Own = &settings.File{Bodies: settings.Bodies{Memory: 300 << 10,
-					Classes: []settings.Class{{Name: "save", Most: 1 << 20, Memory: 1, Disk: x.disk != nil, Once: true}}}}
+					Classes: []settings.Class{{Name: "save", MaxSize: 1 << 20, MaxInMemory: 1, AllowDisk: x.disk != nil, AllowStream: true}}}}
 			}, box.entry("s-1"))
 			if x.disk != nil {
 				r.bodies.UseDisk(x.disk, settings.Disk{Workers: 4, Deadline: tomlfile.Duration(20 * time.Millisecond)})
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -99,8 +99,8 @@
 func tieredRig(t *testing.T, d *disk, b *box, wait time.Duration) *rig {
 	t.Helper()
 	own := &settings.File{Bodies: settings.Bodies{Memory: roomForBodies, Classes: []settings.Class{
-		{Name: "save", Most: 1 << 20, Memory: 100 << 10, Disk: true, Once: true},
-		{Name: "quote", Most: 1 << 20, Memory: 100 << 10, Disk: true}}}}
+		{Name: "save", MaxSize: 1 << 20, MaxInMemory: 100 << 10, AllowDisk: true, AllowStream: true},
+		{Name: "quote", MaxSize: 1 << 20, MaxInMemory: 100 << 10, AllowDisk: true}}}}
 	r := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
 		c.Own = own
 	}, b.entry("s-1"))
@@ -114,7 +114,7 @@
 // tiers is how many bodies each tier was given.
 func (r *rig) tiers() [3]int64 {
 	b := r.bodies
-	return [3]int64{b.Placed(bodies.Memory), b.Placed(bodies.Disk), b.Placed(bodies.Once)}
+	return [3]int64{b.Placed(bodies.Memory), b.Placed(bodies.Disk), b.Placed(bodies.Streamed)}
 }
 
 // empty waits until no body is held any more.
@@ -398,7 +398,7 @@
 		return reply(c, 200, "", large)
 	})
 	r := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
-		c.Own = &settings.File{Bodies: settings.Bodies{Answer: 1 << 20}}
+		c.Own = &settings.File{Bodies: settings.Bodies{MaxAnswer: 1 << 20}}
 	}, b.entry("s-1"))
 	c := r.dial(t)
 	for i := range 3 {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -136,7 +136,7 @@
 			return fmt.Errorf("jsonrpc.method[%d].class: the service has no class %q", i, m.Class)
 		case cfg.Settings.Policy.Classes[at].Effect == policy.Keyed && m.Key == "":
 			return fmt.Errorf("jsonrpc.method[%d].key: class %q may go again by its key: say where calls have it", i, m.Class)
-		case m.Patience == 0 && cfg.Settings.Policy.Classes[at].Deadline <= 0:
+		case m.ClientTimeout == 0 && cfg.Settings.Policy.Classes[at].Deadline <= 0:
 			return fmt.Errorf("jsonrpc.method[%d].patience: class %q has no deadline: say how long its clients wait", i, m.Class)
 		}
 	}
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -41,8 +41,8 @@
 		endpoints: newEndpoints(n.engine, own.Services[0], n.cfg.Known.Servers)}
 	s := subscriber.New(subscriber.Config{Name: n.cfg.Name, Zone: n.cfg.Settings.Policy.Zone, Regions: []string{own.Region},
 		Filter: changelog.Filter{Services: slices.Clone(own.Services)}, Candidates: controlnet.Candidates(own.Parents),
-		Seed: n.controlSeed(), Limits: controlnet.LimitsFor(own.Silence.D()), Leaf: true}, n.clock.Since())
-	c.process = controlnet.NewProcess(controlnet.Config{Name: n.cfg.Name, Keys: own.Keys, Cluster: own.Cluster, BytesPerSecond: int(own.Bytes), StaleAfter: own.Silence.D(),
+		Seed: n.controlSeed(), Limits: controlnet.LimitsFor(own.ParentTimeout.D()), Leaf: true}, n.clock.Since())
+	c.process = controlnet.NewProcess(controlnet.Config{Name: n.cfg.Name, Keys: own.Keys, Cluster: own.Cluster, BytesPerSecond: int(own.BytesPerSecond), StaleAfter: own.ParentTimeout.D(),
 		Subscribers: []*subscriber.Subscriber{s}, Applied: c.apply, Clock: n.clock.Since, Log: n.log})
 	return c
 }
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -145,7 +145,7 @@
 			continue
 		}
 		there[key.Name] = true
-		change := admission.ShareChange{Tenant: key.Name, Gone: c.Deleted}
+		change := admission.ShareChange{Tenant: key.Name, Removed: c.Deleted}
 		if !c.Deleted {
 			change.Share = c.Resource.Tenant.Quota / float64(max(1, nodes))
 		}
@@ -153,7 +153,7 @@
 	}
 	for tenant := range before {
 		if !there[tenant] {
-			out = append(out, admission.ShareChange{Tenant: tenant, Gone: true})
+			out = append(out, admission.ShareChange{Tenant: tenant, Removed: true})
 		}
 	}
 	return out
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -128,12 +128,12 @@
 func TestShareChanges(t *testing.T) {
 	changes := []resource.Change{tenantChange("a", 12), tenantChange("b", 0), deletion(resource.KindTenant, "c"),
 		endpointChange("e", "127.0.0.1:1", resource.EndpointReady)}
-	want := []admission.ShareChange{{Tenant: "a", Share: 4}, {Tenant: "b"}, {Tenant: "c", Gone: true}}
+	want := []admission.ShareChange{{Tenant: "a", Share: 4}, {Tenant: "b"}, {Tenant: "c", Removed: true}}
 	if got := shareChanges(serviceName, changes, 3, nil); !slices.Equal(got, want) {
 		t.Errorf("%+v", got)
 	}
 	got := shareChanges(serviceName, changes, 3, map[string]float64{"a": 1, "old": 1})
-	if want = append(want, admission.ShareChange{Tenant: "old", Gone: true}); !slices.Equal(got, want) {
+	if want = append(want, admission.ShareChange{Tenant: "old", Removed: true}); !slices.Equal(got, want) {
 		t.Errorf("with tenants known before: %+v", got)
 	}
 	if got := shareChanges("other", changes, 3, nil); len(got) > 0 {
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -16,7 +16,7 @@
 		return nil
 	}
 	// What is doubted for a quarter of the grace can be served for the module's part of it, 0.6, and still end in time.
-	return membership.New(membership.Config{Hold: d.Hold.D(), Doubt: grace / 4, Calm: d.Calm.D()})
+	return membership.New(membership.Config{Hold: d.HoldTime.D(), Doubt: grace / 4, Calm: d.FlapBackoff.D()})
 }
 
 // names follows the sites that are set in DNS, until ctx ends.
--- a/internal/node/names_test.go
+++ b/internal/node/names_test.go
@@ -51,7 +51,7 @@
 	g := newRegistry(t)
 	r := newRig(t, g, settingsJSON, func(c *Config) {
 		c.Own = &settings.File{DNS: settings.DNS{Servers: []string{dns.Addr}, Timeout: tomlfile.Duration(200 * time.Millisecond),
-			Hold: tomlfile.Duration(time.Minute), Calm: tomlfile.Duration(2 * time.Second),
+			HoldTime: tomlfile.Duration(time.Minute), FlapBackoff: tomlfile.Duration(2 * time.Second),
 			Sites: []settings.Site{{Name: siteName, Zone: "north"}}}}
 	}, list...)
 	wait(t, "the site's names", func() bool {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -136,7 +136,7 @@
 		return nil, fmt.Errorf("bodies: %w", err)
 	}
 	both := cfg.quotas()
-	boxes := both.Side(admission.BoxSide)
+	boxes := both.Side(admission.BackendSide)
 	if cfg.backendQuota != nil {
 		boxes = cfg.backendQuota
 	}
@@ -149,7 +149,7 @@
 		Reports: cfg.Settings.Reports, Bodies: n.bodies, Log: log, Now: cfg.now, Pause: cfg.pause, Dial: dial, DialOn: dialer.DialContext})
 	var carrier engine.Carrier = n.carrier
 	if own.JSONRPC.Listen != "" {
-		n.rpc = rpccarrier.New(rpccarrier.Config{Conns: own.JSONRPC.Conns, Quota: boxes, Beside: own.JSONRPC.Beside, Reports: cfg.Settings.Reports,
+		n.rpc = rpccarrier.New(rpccarrier.Config{Conns: own.JSONRPC.BackendConns, Quota: boxes, Beside: own.JSONRPC.SendMetadata, Reports: cfg.Settings.Reports,
 			Dial: dial, Log: log})
 		carrier = carriers{n.carrier, n.rpc}
 	}
@@ -162,7 +162,7 @@
 	n.front = httpfront.New(httpfront.Config{Engine: n.engine, Bodies: n.bodies, Clock: clock,
 		Quota: both.Side(admission.ClientSide), Extra: cfg.extra(), Asking: cfg.Sockets / 3, Shares: cfg.shares(), Waited: cfg.waited, Log: log})
 	both.Yields(admission.ClientSide, func() bool { return n.front.Lend() || n.rpcs != nil && n.rpcs.Yield() })
-	both.Yields(admission.BoxSide, n.carrier.Yield)
+	both.Yields(admission.BackendSide, n.carrier.Yield)
 	if n.rpc != nil {
 		n.rpcs = rpcfront.New(rpcfront.Config{Engine: n.engine, Quota: both.Side(admission.ClientSide),
 			Methods: cfg.methods(), Inflight: own.JSONRPC.Inflight, Batch: own.JSONRPC.Batch, Idle: own.JSONRPC.Idle.D(), Log: log})
@@ -246,7 +246,7 @@
 func (cfg *Config) methods() map[string]rpcfront.Method {
 	out := map[string]rpcfront.Method{}
 	for _, m := range cfg.Own.JSONRPC.Methods {
-		patience := m.Patience.D()
+		patience := m.ClientTimeout.D()
 		for _, c := range cfg.Settings.Policy.Classes {
 			if c.Name == m.Class && patience == 0 {
 				patience = c.Deadline
--- a/internal/node/refused_linux_amd64_test.go
+++ b/internal/node/refused_linux_amd64_test.go
@@ -85,9 +85,9 @@
 		return echo(c, r, nth)
 	})
 	r := newRig(t, newRegistry(t), settingsJSON, func(c *Config) {
-		c.Own = &settings.File{Bodies: settings.Bodies{Memory: roomForBodies, Answer: 1 << 20,
+		c.Own = &settings.File{Bodies: settings.Bodies{Memory: roomForBodies, MaxAnswer: 1 << 20,
 			Disk:    settings.Disk{Folder: t.TempDir(), Total: 500 << 10, Workers: 2, Deadline: tomlfile.Duration(patience)},
-			Classes: []settings.Class{{Name: "save", Most: 1 << 20, Memory: 100 << 10, Disk: true, Once: true}}}}
+			Classes: []settings.Class{{Name: "save", MaxSize: 1 << 20, MaxInMemory: 100 << 10, AllowDisk: true, AllowStream: true}}}}
 	}, b.entry("s-1"))
 	c := r.dial(t)
 	for i, size := range []int{50 << 10, 200 << 10, 900 << 10} { // in memory, on disk, streamed
--- a/internal/node/rpc_test.go
+++ b/internal/node/rpc_test.go
@@ -145,7 +145,7 @@
 
 func rpcRigWith(t *testing.T, more func(*Config), change func(*settings.JSONRPC), known ...engine.Listed) (*rig, string) {
 	t.Helper()
-	own := &settings.File{JSONRPC: settings.JSONRPC{Listen: "127.0.0.1:0", Inflight: 64, Batch: 100, Conns: 2, Beside: true}}
+	own := &settings.File{JSONRPC: settings.JSONRPC{Listen: "127.0.0.1:0", Inflight: 64, Batch: 100, BackendConns: 2, SendMetadata: true}}
 	own.JSONRPC.Idle.UnmarshalText([]byte("1m"))
 	for _, name := range []string{"subtract", "sum", "get_data", "update", "notify_hello", "notify_sum", "view"} {
 		own.JSONRPC.Methods = append(own.JSONRPC.Methods, settings.Method{Name: name, Class: "view", Deadline: "/deadline_ms"})
@@ -328,7 +328,7 @@
 	}()
 	e := newBox(t, served).entry("s-1")
 	e.RPC = ln.Addr().String()
-	_, addr := rpcRig(t, func(j *settings.JSONRPC) { j.Beside = false }, e) // a strict server turns such members away
+	_, addr := rpcRig(t, func(j *settings.JSONRPC) { j.SendMetadata = false }, e) // a strict server turns such members away
 	for name, framing := range map[string]channel.Framing{"lines": channel.Line, "headed": channel.LSP} {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -411,7 +411,7 @@
 		works(c, m)
 		return works(c, m)
 	})
-	_, addr := rpcRig(t, func(j *settings.JSONRPC) { j.Conns = 1 }, b.entry("s-1"))
+	_, addr := rpcRig(t, func(j *settings.JSONRPC) { j.BackendConns = 1 }, b.entry("s-1"))
 	c := dialRPC(t, addr)
 	c.send(`{"jsonrpc":"2.0","id":1,"method":"sendQuote","params":{"late":true,"deadline_ms":300}}`)
 	if got := c.line(); !same(got, `{"jsonrpc":"2.0","id":1,"error":{"code":-32002,"message":"failed"}}`) {
@@ -516,7 +516,7 @@
 func TestDrainOnASharedConnection(t *testing.T) {
 	t.Parallel()
 	held, let := heldRPCBox(t, "sendQuote", "saveConfig")
-	r, addr := rpcRig(t, func(j *settings.JSONRPC) { j.Inflight, j.Conns = 300, 1 }, held.entry("s-1"))
+	r, addr := rpcRig(t, func(j *settings.JSONRPC) { j.Inflight, j.BackendConns = 300, 1 }, held.entry("s-1"))
 	c := dialRPC(t, addr)
 	for i := range 200 {
 		c.send(fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"saveConfig","params":{"key":"k%d"}}`, i, i))
--- a/internal/node/stub_test.go
+++ b/internal/node/stub_test.go
@@ -200,7 +200,7 @@
 func quotaFor(n int) *quota.Quota {
 	r := quota.New(n+1, 0)
 	r.Side(admission.ClientSide).Take() // a total of 0 would mean no bound
-	return r.Side(admission.BoxSide)
+	return r.Side(admission.BackendSide)
 }
 
 // attempt is one send to a box, without a request of a client.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -88,8 +88,8 @@
 		quotas[t.Name] = t.QuotaPerS
 	}
 	p.replica = shared.New(shared.Config{Name: cfg.Name, Self: escrow.Node{Number: cfg.Policy.Number, Incarnation: uint64(time.Now().UnixMilli())},
-		Nodes: cfg.Policy.Nodes, Site: cfg.Policy.Zone, Quotas: quotas, Sites: cfg.Sites, Terms: escrow.Usual(), Limits: judgement.Usual(), Use: f.Used,
-		BytesPS: int(f.Bytes), Datagram: f.Datagram}, p.now())
+		Nodes: cfg.Policy.Nodes, Site: cfg.Policy.Zone, Quotas: quotas, Sites: cfg.Sites, Terms: escrow.Usual(), Limits: judgement.Usual(), Use: f.Features,
+		BytesPS: int(f.BytesPerSecond), Datagram: f.MaxDatagramBytes}, p.now())
 	keys, err := memberlist.NewKeyring(f.Keys, f.Keys[0])
 	if err != nil {
 		return nil, fmt.Errorf("fleet.key_file: %w", err)
@@ -99,7 +99,7 @@
 			return nil, fmt.Errorf("fleet.audit: %w", err)
 		}
 	}
-	if p.wire, err = newTransport(f.Listen, int(f.Bytes)); err != nil {
+	if p.wire, err = newTransport(f.Listen, int(f.BytesPerSecond)); err != nil {
 		return nil, errors.Join(fmt.Errorf("fleet.listen: %w", err), p.closeAudit())
 	}
 	host, port, err := split(f.Advertise)
@@ -109,7 +109,7 @@
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Label, c.Keyring, c.Transport = cfg.Name, f.Cluster, keys, p.wire
 	c.AdvertiseAddr, c.AdvertisePort = host, port
-	c.UDPBufferSize, c.EnableCompression = f.Datagram, false
+	c.UDPBufferSize, c.EnableCompression = f.MaxDatagramBytes, false
 	c.PushPullInterval, c.TCPTimeout = wholeEvery, streamTime
 	c.ProbeInterval, c.ProbeTimeout = probeEvery, probeTime
 	c.SuspicionMult, c.SuspicionMaxTimeoutMult = 3, 4
@@ -269,7 +269,7 @@
 	p.mu.Unlock()
 	p.send(out)
 	p.stop()
-	if t := p.cfg.Fleet.Settle.D(); t > 0 {
+	if t := p.cfg.Fleet.LeaveTimeout.D(); t > 0 {
 		if err := p.list.Leave(t); err != nil {
 			p.cfg.Log.Debug("the fleet was not told that this node leaves", "err", err)
 		}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -35,8 +35,8 @@
 }
 
 func fleetOf(listen, cluster string, keys [][]byte, seeds ...string) *settings.Fleet {
-	return &settings.Fleet{Listen: listen, Advertise: listen, Seeds: seeds, Cluster: cluster, Keys: keys, Used: shared.Use{Escrow: true, Ejections: true},
-		Bytes: settings.DefaultBytes, Datagram: 1400, Settle: tomlfile.Duration(100 * time.Millisecond)}
+	return &settings.Fleet{Listen: listen, Advertise: listen, Seeds: seeds, Cluster: cluster, Keys: keys, Features: shared.Use{Escrow: true, Ejections: true},
+		BytesPerSecond: settings.DefaultBytesPerSecond, MaxDatagramBytes: 1400, LeaveTimeout: tomlfile.Duration(100 * time.Millisecond)}
 }
 
 // begin starts a node of three; it is stopped when the test ends, unless stop was called.
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -48,7 +48,7 @@
 	}
 	other := 1 - r.side
 	r.all.mu.Lock()
-	lent := r.all.count.Lent(other)
+	lent := r.all.count.AboveFloor(other)
 	r.all.mu.Unlock()
 	return lent && r.all.yield[other] != nil && r.all.yield[other]() && r.Take()
 }
--- a/internal/settings/control.go
+++ b/internal/settings/control.go
@@ -14,14 +14,14 @@
 // Control says from where a node takes the configuration and the endpoints of its service, in place of discovery. Without
 // a service there is no control plane for it.
 type Control struct {
-	Services []string          `toml:"services"` // that this node serves: one, for now
-	Region   string            `toml:"region"`   // the home region of the service
-	Cluster  string            `toml:"cluster"`  // as fleet.cluster
-	Key      string            `toml:"key_file"` // as fleet.key_file
-	Bytes    tomlfile.Size     `toml:"bytes"`    // a second that this node sends to its parents at most
-	Silence  tomlfile.Duration `toml:"silence"`  // after which a parent is given up; several of its heartbeats
-	Parents  []Parent          `toml:"parent"`   // relays, or control processes where there are none
-	Keys     [][]byte          `toml:"-"`        // what key_file holds
+	Services       []string          `toml:"services"` // that this node serves: one, for now
+	Region         string            `toml:"region"`   // the home region of the service
+	Cluster        string            `toml:"cluster"`  // as fleet.cluster
+	KeyFile        string            `toml:"key_file"` // as fleet.key_file
+	BytesPerSecond tomlfile.Size     `toml:"bytes"`    // a second that this node sends to its parents at most
+	ParentTimeout  tomlfile.Duration `toml:"silence"`  // after which a parent is given up; several of its heartbeats
+	Parents        []Parent          `toml:"parent"`   // relays, or control processes where there are none
+	Keys           [][]byte          `toml:"-"`        // what key_file holds
 }
 
 // Parent is a process that serves logs to others.
@@ -72,16 +72,16 @@
 	if err := checkName(keys, "control.region", c.Region); err != nil {
 		return err
 	}
-	if c.Keys, err = checkCluster(keys, "control.", c.Cluster, c.Key); err != nil {
+	if c.Keys, err = checkCluster(keys, "control.", c.Cluster, c.KeyFile); err != nil {
 		return err
 	}
 	if !keys.Has("control.bytes") {
-		c.Bytes = defaultControlBytes
+		c.BytesPerSecond = defaultControlBytes
 	}
-	if err := checkBytes(keys, "control.bytes", c.Bytes); err != nil {
+	if err := checkBytes(keys, "control.bytes", c.BytesPerSecond); err != nil {
 		return err
 	}
-	if c.Silence, err = checkSilence(keys, "control.silence", c.Silence); err != nil {
+	if c.ParentTimeout, err = checkSilence(keys, "control.silence", c.ParentTimeout); err != nil {
 		return err
 	}
 	if len(c.Parents) == 0 {
@@ -148,23 +148,23 @@
 
 // ControlProcess is a process of the control plane, as deploy/control.toml describes it.
 type ControlProcess struct {
-	Role    Role     `toml:"role"`
-	Name    string   `toml:"name"`
-	Region  string   `toml:"region"`
-	Zone    string   `toml:"zone"`
-	Regions []string `toml:"regions"` // whose logs a relay follows; without it its own region's
-	Listen  string   `toml:"listen"`  // an IP address and a port
-	Socket  string   `toml:"socket"`  // where operators ask: a Unix socket, which the process makes
-	Cluster string   `toml:"cluster"`
-	Key     string   `toml:"key_file"`
-	State   string   `toml:"state"`        // a writer's folder, which must exist
-	Offset  int64    `toml:"epoch_offset"` // added to the epochs of the quorum, for a log that was restored from a backup
+	Role        Role     `toml:"role"`
+	Name        string   `toml:"name"`
+	Region      string   `toml:"region"`
+	Zone        string   `toml:"zone"`
+	Regions     []string `toml:"regions"` // whose logs a relay follows; without it its own region's
+	Listen      string   `toml:"listen"`  // an IP address and a port
+	Socket      string   `toml:"socket"`  // where operators ask: a Unix socket, which the process makes
+	Cluster     string   `toml:"cluster"`
+	KeyFile     string   `toml:"key_file"`
+	StateDir    string   `toml:"state"`        // a writer's folder, which must exist
+	EpochOffset int64    `toml:"epoch_offset"` // added to the epochs of the quorum, for a log that was restored from a backup
 
-	Limits  ControlLimits `toml:"limits"`
-	Members []Member      `toml:"member"` // the control processes of the region, this one too; without it this one alone
-	Parents []Parent      `toml:"parent"` // control processes of the region, for a relay
-	Others  []OtherRegion `toml:"region_parent"`
-	Keys    [][]byte      `toml:"-"` // what key_file holds
+	Limits        ControlLimits  `toml:"limits"`
+	Members       []Member       `toml:"member"` // the control processes of the region, this one too; without it this one alone
+	Parents       []Parent       `toml:"parent"` // control processes of the region, for a relay
+	RegionParents []RegionParent `toml:"region_parent"`
+	Keys          [][]byte       `toml:"-"` // what key_file holds
 }
 
 // Member is one of the control processes of a region, which choose the writer among them by majority.
@@ -174,8 +174,8 @@
 	Address string `toml:"address"`
 }
 
-// OtherRegion is a process from which a writer takes the log of another region.
-type OtherRegion struct {
+// RegionParent is a process from which a writer takes the log of another region.
+type RegionParent struct {
 	Region  string `toml:"region"`
 	Name    string `toml:"name"`
 	Address string `toml:"address"`
@@ -184,12 +184,12 @@
 
 // ControlLimits bound what a process of the control plane spends on its subscribers.
 type ControlLimits struct {
-	Bytes       tomlfile.Size     `toml:"bytes"`       // a second that it sends to all subscribers together
-	Snapshots   int               `toml:"snapshots"`   // that it sends at a time
-	Subscribers int               `toml:"subscribers"` // sessions at a time
-	Heartbeat   tomlfile.Duration `toml:"heartbeat"`   // how often each subscriber is told that nothing has changed
-	Silence     tomlfile.Duration `toml:"silence"`     // after which this process gives a parent of its own up
-	Log         tomlfile.Size     `toml:"log"`         // that a writer keeps behind a snapshot until it makes another
+	BytesPerSecond tomlfile.Size     `toml:"bytes"`       // a second that it sends to all subscribers together
+	MaxSnapshots   int               `toml:"snapshots"`   // that it sends at a time
+	MaxSubscribers int               `toml:"subscribers"` // sessions at a time
+	Heartbeat      tomlfile.Duration `toml:"heartbeat"`   // how often each subscriber is told that nothing has changed
+	ParentTimeout  tomlfile.Duration `toml:"silence"`     // after which this process gives a parent of its own up
+	LogBytes       tomlfile.Size     `toml:"log"`         // that a writer keeps behind a snapshot until it makes another
 }
 
 // LoadControlProcess reads the file of a process of the control plane and checks it whole. An error is one line that names
@@ -214,7 +214,7 @@
 			return nil, err
 		}
 	}
-	if c.Keys, err = checkCluster(keys, "", c.Cluster, c.Key); err != nil {
+	if c.Keys, err = checkCluster(keys, "", c.Cluster, c.KeyFile); err != nil {
 		return nil, err
 	}
 	return c, nil
@@ -223,17 +223,17 @@
 func (c *ControlProcess) checkRole(keys *tomlfile.Keys) error {
 	switch c.Role {
 	case RoleWriter:
-		if c.State == "" {
+		if c.StateDir == "" {
 			return keys.Problem("state", "it is missing: a writer needs a folder for its log")
 		}
-		if info, err := os.Stat(c.State); err != nil || !info.IsDir() {
-			return keys.Problem("state", "%q is not a folder that is there", c.State)
+		if info, err := os.Stat(c.StateDir); err != nil || !info.IsDir() {
+			return keys.Problem("state", "%q is not a folder that is there", c.StateDir)
 		}
 		if len(c.Parents) > 0 {
 			return keys.Problem("parent", "a writer has no parent: name other regions' processes in [[region_parent]]")
 		}
-		if c.Offset < 0 {
-			return keys.Problem("epoch_offset", "%d is negative", c.Offset)
+		if c.EpochOffset < 0 {
+			return keys.Problem("epoch_offset", "%d is negative", c.EpochOffset)
 		}
 	case RoleRelay:
 		for _, k := range []string{"state", "epoch_offset", "member[0]", "region_parent[0]"} {
@@ -322,8 +322,8 @@
 	if err := checkParents(keys, "parent", c.Parents); err != nil {
 		return err
 	}
-	parents := make([]Parent, len(c.Others))
-	for i, o := range c.Others {
+	parents := make([]Parent, len(c.RegionParents))
+	for i, o := range c.RegionParents {
 		if err := checkName(keys, fmt.Sprintf("region_parent[%d].region", i), o.Region); err != nil {
 			return err
 		}
@@ -337,33 +337,33 @@
 
 func (l *ControlLimits) check(keys *tomlfile.Keys) (err error) {
 	if !keys.Has("limits.bytes") {
-		l.Bytes = defaultServedBytes
+		l.BytesPerSecond = defaultServedBytes
 	}
 	if !keys.Has("limits.snapshots") {
-		l.Snapshots = defaultServedSnapshots
+		l.MaxSnapshots = defaultServedSnapshots
 	}
 	if !keys.Has("limits.subscribers") {
-		l.Subscribers = defaultServedSubscribers
+		l.MaxSubscribers = defaultServedSubscribers
 	}
 	if !keys.Has("limits.heartbeat") {
 		l.Heartbeat = tomlfile.Duration(defaultHeartbeat)
 	}
 	switch {
-	case l.Snapshots < 1 || l.Snapshots > maxServedSubscribers:
-		return keys.Problem("limits.snapshots", "%d is outside 1 to %d", l.Snapshots, maxServedSubscribers)
-	case l.Subscribers < 1 || l.Subscribers > maxServedSubscribers:
-		return keys.Problem("limits.subscribers", "%d is outside 1 to %d", l.Subscribers, maxServedSubscribers)
+	case l.MaxSnapshots < 1 || l.MaxSnapshots > maxServedSubscribers:
+		return keys.Problem("limits.snapshots", "%d is outside 1 to %d", l.MaxSnapshots, maxServedSubscribers)
+	case l.MaxSubscribers < 1 || l.MaxSubscribers > maxServedSubscribers:
+		return keys.Problem("limits.subscribers", "%d is outside 1 to %d", l.MaxSubscribers, maxServedSubscribers)
 	case l.Heartbeat.D() < 50*time.Millisecond || l.Heartbeat.D() > 10*time.Second:
 		return keys.Problem("limits.heartbeat", "%v is outside 50ms to 10s", l.Heartbeat.D())
 	}
-	if l.Silence, err = checkSilence(keys, "limits.silence", l.Silence); err != nil {
+	if l.ParentTimeout, err = checkSilence(keys, "limits.silence", l.ParentTimeout); err != nil {
 		return err
 	}
 	if !keys.Has("limits.log") {
-		l.Log = defaultLog
+		l.LogBytes = defaultLog
 	}
-	if l.Log < minLog || l.Log > maxControlBytes {
-		return keys.Problem("limits.log", "%d is outside 64KiB to 1GiB", l.Log)
+	if l.LogBytes < minLog || l.LogBytes > maxControlBytes {
+		return keys.Problem("limits.log", "%d is outside 64KiB to 1GiB", l.LogBytes)
 	}
-	return checkBytes(keys, "limits.bytes", l.Bytes)
+	return checkBytes(keys, "limits.bytes", l.BytesPerSecond)
 }
--- a/internal/settings/control_test.go
+++ b/internal/settings/control_test.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c := f.Control; !c.On() || c.Bytes != 8<<10 || c.Silence.D() != 3*time.Second || len(c.Keys) != 1 || len(c.Parents) != 1 || c.Parents[0].Zone != "north-a" {
+	if c := f.Control; !c.On() || c.BytesPerSecond != 8<<10 || c.ParentTimeout.D() != 3*time.Second || len(c.Keys) != 1 || len(c.Parents) != 1 || c.Parents[0].Zone != "north-a" {
 		t.Errorf("%+v", c)
 	}
 	if f, err := Parse("own.toml", nil); err != nil || f.Control.On() {
@@ -90,7 +90,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Limits.Heartbeat.D() != time.Second || c.Limits.Snapshots != 64 || c.Limits.Subscribers != 1000 || c.Limits.Bytes != 8<<20 || c.Limits.Silence.D() != 3*time.Second || c.Regions[0] != "north" || len(c.Members) != 1 || c.Members[0].ID != 1 {
+	if c.Limits.Heartbeat.D() != time.Second || c.Limits.MaxSnapshots != 64 || c.Limits.MaxSubscribers != 1000 || c.Limits.BytesPerSecond != 8<<20 || c.Limits.ParentTimeout.D() != 3*time.Second || c.Regions[0] != "north" || len(c.Members) != 1 || c.Members[0].ID != 1 {
 		t.Errorf("%+v", c)
 	}
 	refusals(t, writer, parse, []struct{ old, new, want string }{
--- a/internal/settings/dns.go
+++ b/internal/settings/dns.go
@@ -33,8 +33,8 @@
 		usual, least, top time.Duration
 	}{
 		{"timeout", &d.Timeout, 500 * time.Millisecond, 10 * time.Millisecond, 10 * time.Second},
-		{"hold", &d.Hold, time.Minute, 30 * time.Second, 24 * time.Hour}, // lists are asked for every 20 s at the least
-		{"calm", &d.Calm, 2 * time.Second, 0, time.Minute},
+		{"hold", &d.HoldTime, time.Minute, 30 * time.Second, 24 * time.Hour}, // lists are asked for every 20 s at the least
+		{"calm", &d.FlapBackoff, 2 * time.Second, 0, time.Minute},
 	} {
 		if !keys.Has("dns." + t.key) {
 			*t.value = tomlfile.Duration(t.usual)
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -16,20 +16,20 @@
 // Fleet is where a running node says what it knows, and whom it shares state with. Without a socket it says so nowhere;
 // without an address to listen on it shares nothing.
 type Fleet struct {
-	Socket    string            `toml:"socket"`    // the path of a Unix socket, which the node makes
-	Listen    string            `toml:"listen"`    // host:port of an IP address, UDP and TCP
-	Advertise string            `toml:"advertise"` // where others reach it, if that is another address
-	Seeds     []string          `toml:"seeds"`     // addresses of some members, any that answers will do
-	Cluster   string            `toml:"cluster"`   // what members have in common: those of another one are refused
-	Key       string            `toml:"key_file"`  // a file with a key of 16, 24 or 32 bytes in hexadecimal, or several: the first writes, all read
-	Use       []string          `toml:"use"`       // what the shared state is used for; without it quotas
-	Bytes     tomlfile.Size     `toml:"bytes"`     // a second that this node sends at most
-	Datagram  int               `toml:"datagram"`  // bytes of the largest datagram
-	Audit     string            `toml:"audit"`     // a file to which each change of what may be spent is written, for rehearsals
-	Skew      []Skew            `toml:"skew"`      // sets the clock by which this node shares state wrong, for rehearsals
-	Keys      [][]byte          `toml:"-"`         // what key_file holds
-	Used      shared.Use        `toml:"-"`         // what use names
-	Settle    tomlfile.Duration `toml:"leave"`     // how long a node that ends takes to say so
+	Socket           string            `toml:"socket"`    // the path of a Unix socket, which the node makes
+	Listen           string            `toml:"listen"`    // host:port of an IP address, UDP and TCP
+	Advertise        string            `toml:"advertise"` // where others reach it, if that is another address
+	Seeds            []string          `toml:"seeds"`     // addresses of some members, any that answers will do
+	Cluster          string            `toml:"cluster"`   // what members have in common: those of another one are refused
+	KeyFile          string            `toml:"key_file"`  // a file with a key of 16, 24 or 32 bytes in hexadecimal, or several: the first writes, all read
+	Use              []string          `toml:"use"`       // what the shared state is used for; without it quotas
+	BytesPerSecond   tomlfile.Size     `toml:"bytes"`     // a second that this node sends at most
+	MaxDatagramBytes int               `toml:"datagram"`  // bytes of the largest datagram
+	Audit            string            `toml:"audit"`     // a file to which each change of what may be spent is written, for rehearsals
+	Skew             []Skew            `toml:"skew"`      // sets the clock by which this node shares state wrong, for rehearsals
+	Keys             [][]byte          `toml:"-"`         // what key_file holds
+	Features         shared.Use        `toml:"-"`         // what use names
+	LeaveTimeout     tomlfile.Duration `toml:"leave"`     // how long a node that ends takes to say so
 }
 
 // Skew sets a clock by so much, at a moment after the start.
@@ -40,10 +40,10 @@
 
 // The defaults of what a file leaves out.
 const (
-	DefaultBytes    = 64 << 10 // a second
-	defaultDatagram = 1400
-	defaultLeave    = 200 * time.Millisecond
-	leastDatagram   = 256
+	DefaultBytesPerSecond = 64 << 10 // a second
+	defaultDatagram       = 1400
+	defaultLeave          = 200 * time.Millisecond
+	leastDatagram         = 256
 )
 
 // ParseUse reads what shared state is used for: quotas, escrow and ejections, or nothing.
@@ -96,31 +96,31 @@
 			return err
 		}
 	}
-	if f.Keys, err = checkCluster(keys, "fleet.", f.Cluster, f.Key); err != nil {
+	if f.Keys, err = checkCluster(keys, "fleet.", f.Cluster, f.KeyFile); err != nil {
 		return err
 	}
-	f.Used = shared.Use{Quotas: true}
+	f.Features = shared.Use{Quotas: true}
 	if keys.Has("fleet.use") {
-		if f.Used, err = ParseUse(f.Use); err != nil {
+		if f.Features, err = ParseUse(f.Use); err != nil {
 			return keys.Problem("fleet.use", "%v", err)
 		}
 	}
 	if !keys.Has("fleet.bytes") {
-		f.Bytes = DefaultBytes
+		f.BytesPerSecond = DefaultBytesPerSecond
 	}
 	if !keys.Has("fleet.datagram") {
-		f.Datagram = defaultDatagram
+		f.MaxDatagramBytes = defaultDatagram
 	}
 	if !keys.Has("fleet.leave") {
-		f.Settle = tomlfile.Duration(defaultLeave)
+		f.LeaveTimeout = tomlfile.Duration(defaultLeave)
 	}
 	switch {
-	case f.Bytes < 1<<10 || f.Bytes > 1<<30:
-		return keys.Problem("fleet.bytes", "%d is outside 1KiB to 1GiB a second", f.Bytes)
-	case f.Datagram < leastDatagram || f.Datagram > 65000:
-		return keys.Problem("fleet.datagram", "%d is outside %d to 65000 bytes", f.Datagram, leastDatagram)
-	case f.Settle < 0 || f.Settle.D() > 10*time.Second:
-		return keys.Problem("fleet.leave", "%v is outside 0s to 10s", f.Settle.D())
+	case f.BytesPerSecond < 1<<10 || f.BytesPerSecond > 1<<30:
+		return keys.Problem("fleet.bytes", "%d is outside 1KiB to 1GiB a second", f.BytesPerSecond)
+	case f.MaxDatagramBytes < leastDatagram || f.MaxDatagramBytes > 65000:
+		return keys.Problem("fleet.datagram", "%d is outside %d to 65000 bytes", f.MaxDatagramBytes, leastDatagram)
+	case f.LeaveTimeout < 0 || f.LeaveTimeout.D() > 10*time.Second:
+		return keys.Problem("fleet.leave", "%v is outside 0s to 10s", f.LeaveTimeout.D())
 	}
 	return nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -26,11 +26,11 @@
 
 // DNS is a second source of boxes beside the list. Without a site there is none.
 type DNS struct {
-	Servers []string          `toml:"servers"` // host:port, UDP and TCP
-	Timeout tomlfile.Duration `toml:"timeout"` // for each question to each server
-	Hold    tomlfile.Duration `toml:"hold"`    // a source that was silent for so long loses its say
-	Calm    tomlfile.Duration `toml:"calm"`    // how long a box that comes and goes stays out at first
-	Sites   []Site            `toml:"site"`
+	Servers     []string          `toml:"servers"` // host:port, UDP and TCP
+	Timeout     tomlfile.Duration `toml:"timeout"` // for each question to each server
+	HoldTime    tomlfile.Duration `toml:"hold"`    // a source that was silent for so long loses its say
+	FlapBackoff tomlfile.Duration `toml:"calm"`    // how long a box that comes and goes stays out at first
+	Sites       []Site            `toml:"site"`
 }
 
 // Site is one SRV name, whose targets are the boxes of a zone.
@@ -41,31 +41,31 @@
 
 // JSONRPC is the second front. Without an address there is none.
 type JSONRPC struct {
-	Listen   string            `toml:"listen"`
-	Inflight int               `toml:"inflight"` // open calls on one connection of a client
-	Batch    int               `toml:"batch"`    // members of a batch
-	Conns    int               `toml:"conns"`    // connections to a box
-	Idle     tomlfile.Duration `toml:"idle"`     // a client's connection with no open call is closed after this
-	Beside   bool              `toml:"beside"`   // boxes are told id, deadline, key and tenant in a member of the node's own
-	Methods  []Method          `toml:"method"`
+	Listen       string            `toml:"listen"`
+	Inflight     int               `toml:"inflight"` // open calls on one connection of a client
+	Batch        int               `toml:"batch"`    // members of a batch
+	BackendConns int               `toml:"conns"`    // connections to a box
+	Idle         tomlfile.Duration `toml:"idle"`     // a client's connection with no open call is closed after this
+	SendMetadata bool              `toml:"beside"`   // boxes are told id, deadline, key and tenant in a member of the node's own
+	Methods      []Method          `toml:"method"`
 }
 
 // Method maps one JSON-RPC method to a class. Pointers are RFC 6901's, into the call's params.
 type Method struct {
-	Name     string            `toml:"name"`
-	Class    string            `toml:"class"`
-	Patience tomlfile.Duration `toml:"patience"` // of a call that tells none
-	Tenant   string            `toml:"tenant"`
-	Key      string            `toml:"key"`      // idempotency key; a class that may go again by its key needs one
-	Deadline string            `toml:"deadline"` // milliseconds
+	Name          string            `toml:"name"`
+	Class         string            `toml:"class"`
+	ClientTimeout tomlfile.Duration `toml:"patience"` // of a call that tells none
+	Tenant        string            `toml:"tenant"`
+	Key           string            `toml:"key"`      // idempotency key; a class that may go again by its key needs one
+	Deadline      string            `toml:"deadline"` // milliseconds
 }
 
 // Bodies say how long bodies are kept for a second attempt, and how large they may be.
 type Bodies struct {
-	Memory  tomlfile.Size `toml:"memory"` // all bodies in memory together
-	Answer  tomlfile.Size `toml:"answer"` // the largest body of an answer; over 64 KiB it is streamed, and may break off
-	Disk    Disk          `toml:"disk"`
-	Classes []Class       `toml:"class"`
+	Memory    tomlfile.Size `toml:"memory"` // all bodies in memory together
+	MaxAnswer tomlfile.Size `toml:"answer"` // the largest body of an answer; over 64 KiB it is streamed, and may break off
+	Disk      Disk          `toml:"disk"`
+	Classes   []Class       `toml:"class"`
 }
 
 // Disk is the tier behind memory. Without a folder there is none.
@@ -78,19 +78,19 @@
 
 // Class is what the bodies of one class of requests may be.
 type Class struct {
-	Name   string        `toml:"name"`
-	Most   tomlfile.Size `toml:"most"`   // a larger one is turned away with 413
-	Memory tomlfile.Size `toml:"memory"` // a larger one is not kept in memory
-	Disk   bool          `toml:"disk"`   // may be kept on disk
-	Once   bool          `toml:"once"`   // may be streamed without being kept: such a request gets no second attempt
+	Name        string        `toml:"name"`
+	MaxSize     tomlfile.Size `toml:"most"`   // a larger one is turned away with 413
+	MaxInMemory tomlfile.Size `toml:"memory"` // a larger one is not kept in memory
+	AllowDisk   bool          `toml:"disk"`   // may be kept on disk
+	AllowStream bool          `toml:"once"`   // may be streamed without being kept: such a request gets no second attempt
 }
 
 // The defaults of what a file leaves out.
 const (
-	DefaultBody     = 64 << 10 // PROTOCOL's largest body
-	defaultWorkers  = 4
-	defaultDeadline = 20 * time.Millisecond
-	largest         = 1 << 30
+	DefaultMaxBodyBytes = 64 << 10 // PROTOCOL's largest body
+	defaultWorkers      = 4
+	defaultDeadline     = 20 * time.Millisecond
+	largest             = 1 << 30
 )
 
 // Load reads a file and checks it whole. An error is one line that names file, line and key.
@@ -121,7 +121,7 @@
 		return nil, keys.Problem("bodies.disk.workers", "%d is outside 1 to 64", d.Workers)
 	case d.Deadline.D() < time.Millisecond || d.Deadline.D() > 10*time.Second:
 		return nil, keys.Problem("bodies.disk.deadline", "%v is outside 1ms to 10s", d.Deadline)
-	case f.Bodies.Answer > largest:
+	case f.Bodies.MaxAnswer > largest:
 		return nil, keys.Problem("bodies.answer", "it is over 1GiB")
 	case d.Folder == "" && d.Total > 0:
 		return nil, keys.Problem("bodies.disk.total", "it needs bodies.disk.folder")
@@ -148,28 +148,28 @@
 	if err := f.Control.check(keys); err != nil {
 		return nil, err
 	}
-	if f.Fleet.Used.Crossing && f.Sites.Plan == nil {
+	if f.Fleet.Features.Crossing && f.Sites.Plan == nil {
 		return nil, keys.Problem("fleet.use", "crossing needs a plan: [[sites.site]]")
 	}
 	seen := map[string]bool{}
 	for i := range f.Bodies.Classes {
 		c, p := &f.Bodies.Classes[i], fmt.Sprintf("bodies.class[%d].", i)
 		if !keys.Has(p + "most") {
-			c.Most = DefaultBody
+			c.MaxSize = DefaultMaxBodyBytes
 		}
 		if !keys.Has(p + "memory") {
-			c.Memory = min(c.Most, DefaultBody)
+			c.MaxInMemory = min(c.MaxSize, DefaultMaxBodyBytes)
 		}
 		switch {
 		case c.Name == "" || seen[c.Name]:
 			return nil, keys.Problem(p+"name", "%q is empty or there twice", c.Name)
-		case c.Most > largest:
+		case c.MaxSize > largest:
 			return nil, keys.Problem(p+"most", "it is over 1GiB")
-		case c.Memory > c.Most:
+		case c.MaxInMemory > c.MaxSize:
 			return nil, keys.Problem(p+"memory", "it is over most")
-		case c.Disk && d.Folder == "":
+		case c.AllowDisk && d.Folder == "":
 			return nil, keys.Problem(p+"disk", "it needs bodies.disk.folder")
-		case c.Memory < c.Most && !c.Disk && !c.Once:
+		case c.MaxInMemory < c.MaxSize && !c.AllowDisk && !c.AllowStream:
 			return nil, keys.Problem(p+"most", "bodies over memory have no tier: allow disk or once")
 		}
 		seen[c.Name] = true
@@ -198,7 +198,7 @@
 		value *int
 		usual int
 		most  int
-	}{{"inflight", &j.Inflight, defaultInflight, 10000}, {"batch", &j.Batch, defaultBatch, 10000}, {"conns", &j.Conns, defaultConns, maxConns}} {
+	}{{"inflight", &j.Inflight, defaultInflight, 10000}, {"batch", &j.Batch, defaultBatch, 10000}, {"conns", &j.BackendConns, defaultConns, maxConns}} {
 		if !keys.Has("jsonrpc." + d.key) {
 			*d.value = d.usual
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c := f.Bodies.Classes[0]; f.Bodies.Memory != 8<<20 || f.Bodies.Disk.Total != 1<<30 || c.Most != 4<<20 || c.Memory != 64<<10 || !c.Disk ||
+	if c := f.Bodies.Classes[0]; f.Bodies.Memory != 8<<20 || f.Bodies.Disk.Total != 1<<30 || c.MaxSize != 4<<20 || c.MaxInMemory != 64<<10 || !c.AllowDisk ||
 		f.Bodies.Disk.Workers != 4 || f.Bodies.Disk.Deadline.D() != 20*time.Millisecond {
 		t.Errorf("%+v", f.Bodies)
 	}
@@ -59,7 +59,7 @@
 key = "/key"
 `
 	f, err := Parse("own.toml", []byte(good))
-	if err != nil || f.JSONRPC.Inflight != 64 || f.JSONRPC.Conns != 4 || f.JSONRPC.Batch != 1000 || f.JSONRPC.Idle.D() != 5*time.Minute {
+	if err != nil || f.JSONRPC.Inflight != 64 || f.JSONRPC.BackendConns != 4 || f.JSONRPC.Batch != 1000 || f.JSONRPC.Idle.D() != 5*time.Minute {
 		t.Fatalf("%+v, %v", f, err)
 	}
 	for _, x := range []struct{ old, new, want string }{
@@ -86,7 +86,7 @@
 func TestDNS(t *testing.T) {
 	good := "[dns]\nservers = [\"127.0.0.1:53\", \"[::1]:53\"]\n[[dns.site]]\nname = \"_config._tcp.tacoma.example.org\"\nzone = \"tacoma\"\n"
 	f, err := Parse("own.toml", []byte(good))
-	if err != nil || f.DNS.Timeout.D() != 500*time.Millisecond || f.DNS.Hold.D() != time.Minute || f.DNS.Calm.D() != 2*time.Second {
+	if err != nil || f.DNS.Timeout.D() != 500*time.Millisecond || f.DNS.HoldTime.D() != time.Minute || f.DNS.FlapBackoff.D() != 2*time.Second {
 		t.Errorf("%+v, %v", f, err)
 	}
 	for _, c := range []struct{ text, want string }{
--- a/internal/settings/sites.go
+++ b/internal/settings/sites.go
@@ -9,27 +9,27 @@
 
 // Sites say what is done when a whole site is lost. Without the table nothing is.
 type Sites struct {
-	Watch  bool       `toml:"watch"`  // each site's standing is watched, also without a plan
-	Full   float64    `toml:"full"`   // part of its capacity up to which a site is filled
-	Refuse []string   `toml:"refuse"` // classes in the order in which they are refused
-	Sites  []PlanSite `toml:"site"`
+	Watch          bool       `toml:"watch"`  // each site's standing is watched, also without a plan
+	MaxUtilization float64    `toml:"full"`   // part of its capacity up to which a site is filled
+	ShedOrder      []string   `toml:"refuse"` // classes in the order in which they are refused
+	Sites          []PlanSite `toml:"site"`
 
 	Plan *sites.Plan `toml:"-"` // nil without a site
 }
 
 // PlanSite is one site of the plan.
 type PlanSite struct {
-	Name     string    `toml:"name"`     // as the list calls its zone
-	Capacity float64   `toml:"capacity"` // mean requests a second that all of its boxes carry when they are warm
-	Boxes    int       `toml:"boxes"`
-	Nodes    int       `toml:"nodes"`
-	Load     float64   `toml:"load"`    // mean requests a second of its own clients on a usual busy day
-	Reserve  float64   `toml:"reserve"` // part of capacity that is never given to what comes from a lost site
-	To       []PlanWay `toml:"to"`
+	Name            string           `toml:"name"`     // as the list calls its zone
+	Capacity        float64          `toml:"capacity"` // mean requests a second that all of its boxes carry when they are warm
+	Backends        int              `toml:"boxes"`
+	Nodes           int              `toml:"nodes"`
+	Load            float64          `toml:"load"`    // mean requests a second of its own clients on a usual busy day
+	Reserve         float64          `toml:"reserve"` // part of capacity that is never given to what comes from a lost site
+	OverflowTargets []OverflowTarget `toml:"to"`
 }
 
-// PlanWay is where part of a lost site's load goes.
-type PlanWay struct {
+// OverflowTarget is where part of a lost site's load goes.
+type OverflowTarget struct {
 	Site string  `toml:"site"`
 	Part float64 `toml:"part"`
 	Most float64 `toml:"most"` // mean requests a second; without it as much as there is room for
@@ -49,7 +49,7 @@
 // check makes the plan and says what is wrong with it.
 func (s *Sites) check(keys *tomlfile.Keys) error {
 	if !keys.Has("sites.full") {
-		s.Full = sites.Usual
+		s.MaxUtilization = sites.Usual
 	}
 	if len(s.Sites) == 0 {
 		for _, k := range []string{"full", "refuse"} {
@@ -62,10 +62,10 @@
 	if keys.Has("sites.watch") && !s.Watch {
 		return keys.Problem("sites.watch", "a plan needs it: leave it out, or take [[sites.site]] away")
 	}
-	p := &sites.Plan{Full: s.Full, Refuse: s.Refuse}
+	p := &sites.Plan{Full: s.MaxUtilization, Refuse: s.ShedOrder}
 	for _, x := range s.Sites {
-		site := sites.Site{Name: x.Name, Capacity: x.Capacity, Boxes: x.Boxes, Nodes: x.Nodes, Load: x.Load, Reserve: x.Reserve}
-		for _, w := range x.To {
+		site := sites.Site{Name: x.Name, Capacity: x.Capacity, Boxes: x.Backends, Nodes: x.Nodes, Load: x.Load, Reserve: x.Reserve}
+		for _, w := range x.OverflowTargets {
 			site.To = append(site.To, sites.Way(w))
 		}
 		p.Sites = append(p.Sites, site)
