--- a/internal/admission/ages.go
+++ b/internal/admission/ages.go
@@ -5,140 +5,145 @@
 	"time"
 )
 
-// IdleEstimator learns for how long a box keeps a connection that rests. What a box tells is the longest; many close sooner,
-// and a request that is written to a connection which the box has given up ends as a reset that may have run.
+// IdleEstimator estimates how long a backend keeps idle connections open. The announced idle timeout is an upper bound:
+// many backends close earlier, and a request written to a connection that the backend has closed ends in a reset after
+// which it is unknown whether the request ran.
 //
-// It counts, by the time for which a connection had rested before it was used again, how many held and how many broke
-// without a byte. Resets that have nothing to do with rest strike young connections as often as old ones: only what
-// goes beyond their share is the rest's doing.
+// It counts, by how long a connection had been idle before its reuse, the connections that carried another request and
+// those that ended without a byte of a response. Resets that are unrelated to idle time hit short-idle connections as
+// often as long-idle ones, so only the excess over their rate is attributed to idle time.
 type IdleEstimator struct {
-	told   time.Duration  // 0 when it is not told
-	all    *IdleEstimator // what was learnt from all boxes together: for one of which too little is known
-	cells  [ageCells]ageCell
-	halved time.Duration
+	idleTimeout time.Duration  // announced by the backend; 0 if unknown
+	shared      *IdleEstimator // estimate over all backends, used while this one has too few samples; may be nil
+	buckets     [idleBucketCount]idleBucket
+	lastHalved  time.Duration
 }
 
-type ageCell struct{ held, broke float64 }
+type idleBucket struct{ reuses, resets float64 }
 
 const (
-	ageCells   = 24
-	firstAge   = 50 * time.Millisecond // younger ones are in the first cell
-	ageFactor  = 1.5
-	enough     = 3    // breaks that make a case
-	doubt      = 3    // uses that held, added to each cell: a few breaks in a thin one prove little
-	tooMany    = 0.3  // share of breaks beyond the usual from which a connection is not worth keeping
-	notSure    = 0.05 // and from which nothing that must not be repeated goes out on it
-	trusted    = time.Second
-	forgetting = time.Minute // what was learnt counts half after this
+	idleBucketCount = 24
+	firstBucketEdge = 50 * time.Millisecond // shorter idle times are in bucket 0
+	bucketFactor    = 1.5
+	minSamples      = 3    // resets, or reuses in a bucket, below which no conclusion is drawn
+	priorReuses     = 3    // added to the reuses of each bucket, so that a few resets among few samples prove little
+	discardExcess   = 0.3  // excess fraction of resets above which a connection is not kept
+	unsafeExcess    = 0.05 // and above which it carries no request that must not be repeated
+	defaultSafeIdle = time.Second
+	halvingInterval = time.Minute // after which the weight of earlier samples is halved
 )
 
-// NewIdleEstimator returns what is known of a box that tells an idle time of told. all, which may be nil, learns along.
-func NewIdleEstimator(told time.Duration, all *IdleEstimator) *IdleEstimator {
-	return &IdleEstimator{told: told, all: all}
+// NewIdleEstimator returns an estimator for a backend that announces idleTimeout. Every sample is also recorded in shared,
+// which may be nil.
+func NewIdleEstimator(idleTimeout time.Duration, shared *IdleEstimator) *IdleEstimator {
+	return &IdleEstimator{idleTimeout: idleTimeout, shared: shared}
 }
 
-// youngest holds the lower edge of each cell.
-var youngest = func() (edges [ageCells]time.Duration) {
-	for i := 1; i < ageCells; i++ {
-		edges[i] = time.Duration(float64(firstAge) * math.Pow(ageFactor, float64(i-1)))
+// bucketEdges holds the lower bound of each bucket.
+var bucketEdges = func() (edges [idleBucketCount]time.Duration) {
+	for i := 1; i < idleBucketCount; i++ {
+		edges[i] = time.Duration(float64(firstBucketEdge) * math.Pow(bucketFactor, float64(i-1)))
 	}
 	return edges
 }()
 
-func ageIndex(age time.Duration) int {
+// bucketIndex returns the bucket that holds an idle time.
+func bucketIndex(idle time.Duration) int {
 	i := 0
-	for i+1 < ageCells && age >= youngest[i+1] {
+	for i+1 < idleBucketCount && idle >= bucketEdges[i+1] {
 		i++
 	}
 	return i
 }
 
-func (a *IdleEstimator) count(now, age time.Duration, held, broke float64) {
-	if a.halved == 0 {
-		a.halved = now
+// count adds samples to the bucket of an idle time, after halving the older ones when due.
+func (a *IdleEstimator) count(now, idle time.Duration, reuses, resets float64) {
+	if a.lastHalved == 0 {
+		a.lastHalved = now
 	}
-	for now-a.halved >= forgetting {
-		a.halved += forgetting
-		for i := range a.cells {
-			a.cells[i].held /= 2
-			a.cells[i].broke /= 2
+	for now-a.lastHalved >= halvingInterval {
+		a.lastHalved += halvingInterval
+		for i := range a.buckets {
+			a.buckets[i].reuses /= 2
+			a.buckets[i].resets /= 2
 		}
 	}
-	c := &a.cells[ageIndex(age)]
-	c.held += held
-	c.broke += broke
-	if a.all != nil {
-		a.all.count(now, age, held, broke)
+	c := &a.buckets[bucketIndex(idle)]
+	c.reuses += reuses
+	c.resets += resets
+	if a.shared != nil {
+		a.shared.count(now, idle, reuses, resets)
 	}
 }
 
-// RecordReuse notes that a connection which had rested for age carried another request.
-func (a *IdleEstimator) RecordReuse(now, age time.Duration) { a.count(now, age, 1, 0) }
+// RecordReuse records that a connection carried another request after having been idle for the given time.
+func (a *IdleEstimator) RecordReuse(now, idle time.Duration) { a.count(now, idle, 1, 0) }
 
-// RecordReset notes that one ended without a byte.
-func (a *IdleEstimator) RecordReset(now, age time.Duration) { a.count(now, age, 0, 1) }
+// RecordReset records that a connection ended without a byte of a response after having been idle for the given time.
+func (a *IdleEstimator) RecordReset(now, idle time.Duration) { a.count(now, idle, 0, 1) }
 
-// source is where to look: the box's own account once it has a case, else that of all.
+// source returns the estimator to use: this backend's own once it has enough resets, otherwise the shared one.
 func (a *IdleEstimator) source() *IdleEstimator {
-	broke := 0.0
-	for _, c := range a.cells {
-		broke += c.broke
+	resets := 0.0
+	for _, c := range a.buckets {
+		resets += c.resets
 	}
-	if broke < enough && a.all != nil {
-		return a.all
+	if resets < minSamples && a.shared != nil {
+		return a.shared
 	}
 	return a
 }
 
-// split is the youngest cell from which on breaks are more than a share beyond what younger ones see; ageCells if none.
-func (a *IdleEstimator) split(beyond, least float64) int {
-	var held, broke float64
-	for _, c := range a.cells {
-		held += c.held
-		broke += c.broke
+// firstFailingBucket returns the lowest bucket from which on the fraction of resets exceeds that of the buckets below it by
+// more than excess, or idleBucketCount if there is none. It needs at least minResets resets from that bucket on.
+func (a *IdleEstimator) firstFailingBucket(excess, minResets float64) int {
+	var reuses, resets float64
+	for _, c := range a.buckets {
+		reuses += c.reuses
+		resets += c.resets
 	}
-	var youngHeld, youngBroke float64
-	for i, c := range a.cells {
-		usual := youngBroke / (youngHeld + youngBroke + 5) // with nothing known none are usual
-		here := c
-		if i+1 < ageCells {
-			here.held, here.broke = here.held+a.cells[i+1].held, here.broke+a.cells[i+1].broke
+	var youngerReuses, youngerResets float64
+	for i, c := range a.buckets {
+		baseline := youngerResets / (youngerReuses + youngerResets + 5) // the 5 keeps the baseline near 0 while there are few samples
+		pooled := c
+		if i+1 < idleBucketCount {
+			pooled.reuses, pooled.resets = pooled.reuses+a.buckets[i+1].reuses, pooled.resets+a.buckets[i+1].resets
 		}
-		// The first cell is what is usual: what breaks there has hardly rested.
-		if i > 0 && broke >= least && c.broke > 0 && here.broke/(here.held+here.broke+doubt) > usual+beyond && broke/(held+broke) > usual+beyond {
+		// Bucket 0 only sets the baseline: its connections were hardly idle.
+		if i > 0 && resets >= minResets && c.resets > 0 && pooled.resets/(pooled.reuses+pooled.resets+priorReuses) > baseline+excess && resets/(reuses+resets) > baseline+excess {
 			return i
 		}
-		held, broke = held-c.held, broke-c.broke
-		youngHeld, youngBroke = youngHeld+c.held, youngBroke+c.broke
+		reuses, resets = reuses-c.reuses, resets-c.resets
+		youngerReuses, youngerResets = youngerReuses+c.reuses, youngerResets+c.resets
 	}
-	return ageCells
+	return idleBucketCount
 }
 
-// MaxIdle is for how long a connection is worth keeping: nine tenths of what is told, or less where it is learnt that
-// most do not hold.
+// MaxIdle returns how long an idle connection is kept: nine tenths of the announced idle timeout, or less where too many
+// of the reused connections were reset.
 func (a *IdleEstimator) MaxIdle() time.Duration {
 	d := time.Duration(math.MaxInt64)
-	if a.told > 0 {
-		d = a.told * 9 / 10
+	if a.idleTimeout > 0 {
+		d = a.idleTimeout * 9 / 10
 	}
-	if i := a.source().split(tooMany, enough); i < ageCells {
-		d = min(d, max(youngest[i]*9/10, firstAge))
+	if i := a.source().firstFailingBucket(discardExcess, minSamples); i < idleBucketCount {
+		d = min(d, max(bucketEdges[i]*9/10, firstBucketEdge))
 	}
 	return d
 }
 
-// SafeIdle is for how long a connection may have rested that is to carry what must not be repeated: a second where nothing
-// is known, longer as older ones are seen to hold, shorter where they break.
+// SafeIdle returns how long a connection may have been idle and still carry a request that must not be repeated: one second
+// without samples, more as longer-idle connections are reused without a reset, less where they are reset.
 func (a *IdleEstimator) SafeIdle() time.Duration {
 	s := a.source()
-	d := trusted
-	for i, c := range s.cells {
-		if c.held >= enough {
-			d = max(d, youngest[i])
+	d := defaultSafeIdle
+	for i, c := range s.buckets {
+		if c.reuses >= minSamples {
+			d = max(d, bucketEdges[i])
 		}
 	}
-	if i := s.split(notSure, 1); i < ageCells {
-		d = min(d, youngest[i]*9/10)
+	if i := s.firstFailingBucket(unsafeExcess, 1); i < idleBucketCount {
+		d = min(d, bucketEdges[i]*9/10)
 	}
 	return min(d, a.MaxIdle())
 }
--- a/internal/admission/clients.go
+++ b/internal/admission/clients.go
@@ -1,17 +1,19 @@
-// Package admission decides who may hold a node's connections: which client connection is kept, which is asked to
-// leave with its next answer, and which is closed when another needs the room. It has no clock, no I/O and no
-// goroutine, and is not safe for concurrent use: its caller tells it the time and what happened, under a lock of its
-// own. Every decision is a constant amount of work, whatever the number of connections.
+// Package admission decides who may hold a node's connections: which client connection is kept, which is closed after
+// its next response, and which is evicted when another needs its descriptor. It also divides descriptors between clients
+// and backends, sheds load while the node is behind, and estimates how long backends keep idle connections. It has no
+// clock, no I/O and no goroutine, and is not safe for concurrent use: its caller passes the time and the events, under a
+// lock of its own. Every decision on a connection takes constant time, whatever the number of connections.
 //
-// Two bounds matter. The node can hold so many connections of clients, of any kind. And clients can hold only a part
-// of a node's descriptors for requests, a third by the protocol: once that many have carried a request and stand idle,
-// no client can send another request, though the node has room and sees nothing. So the node keeps idle connections
-// only while that part is not nearly full.
+// Two limits apply to client connections: the number that the node can hold, of any kind, and the number that clients can
+// hold for requests, which the protocol limits to a third of the node's descriptors. Once that many connections have
+// carried a request and are idle, no client can open another one for a request, although the node has capacity left and
+// cannot see the waiting clients. So the node keeps idle connections only while that limit is not nearly reached.
 //
-// Clients are told apart by address (Conn.From). Where somebody has to go, it is one of the address that holds the most
-// connections of that sort; an address that sends nothing but what can't be read, or nothing at all, is not given the
-// time that a new connection has to speak; and while no connection can be spared, an address that holds more than its
-// part is asked to leave with its answers. A client that behaves can't lose its place to a greedy or broken one so.
+// Clients are distinguished by address (Conn.From). Evictions take a connection of the address that holds the most in the
+// state concerned. An address whose input was nearly always malformed, or that sent nothing, does not get the time that a
+// new connection otherwise has for its first byte. While no connection can be evicted, an address with more connections
+// than the mean has them closed after their responses. So a well-behaved client does not lose its connections to a greedy
+// or broken one.
 package admission
 
 import "time"
@@ -20,213 +22,217 @@
 type State uint8
 
 const (
-	Silent        State = iota // it has said nothing yet
-	Suspected                  // the same, from an address that was served hardly anything and rejected often
-	Reading                    // a request is coming in
+	Silent        State = iota // no byte has been received yet
+	Suspected                  // like Silent, from an address that was rejected often and hardly ever served
+	Reading                    // a request is being received
 	Busy                       // a request is being answered
-	IdleHealth                 // idle; it has asked for nothing but the node's readiness
+	IdleHealth                 // idle; it has carried only readiness checks
 	Idle                       // idle; it has carried a request
-	IdleOverQuota              // the same, its last one of a tenant past its share
+	IdleOverQuota              // like Idle, and the tenant of its last request was over quota
 	closed
 )
 
-// Limits bound clients' connections. Times are of the caller's choosing; zero counts mean no bound.
+// Limits are the limits on client connections. A count of 0 means no limit.
 type Limits struct {
-	Open         int           // connections that may be open, where the caller asks Full
-	RequestConns int           // connections that clients hold for requests at most
-	SilentAfter  time.Duration // a connection that has said nothing for so long goes before others
-	SlowAfter    time.Duration // so does one whose request has been coming for so long
+	Open         int           // open connections; enforced by a caller that checks Full
+	RequestConns int           // connections that clients can hold for requests
+	SilentAfter  time.Duration // a connection without a first byte for so long is evicted before others
+	SlowAfter    time.Duration // and so is one that has been receiving a request for so long
 }
 
 // Conn is one connection. The zero value is not open.
 type Conn struct {
-	Owner     any    // the caller's
-	From      string // the client's address, without a port; the same one for all where addresses tell nothing
-	OverQuota bool   // its last request was of a tenant past its share
-
-	state State
-	asked bool // it has carried a request
-	since time.Duration
-	peer  *peer
-	line  *line
-	all   link[Conn] // among those of its state
-	own   link[Conn] // and of its state and address
+	Owner     any    // set by the caller and not used here
+	From      string // the client's address without the port; one value for all clients if addresses do not distinguish them
+	OverQuota bool   // its last request's tenant was over quota
+
+	state      State
+	hadRequest bool // it has carried a request
+	since      time.Duration
+	peer       *peer
+	queue      *stateQueue
+	queueLink  link[Conn] // in the queue of its state
+	groupLink  link[Conn] // in the group of its state and address
 }
 
-// State tells what the connection is doing.
+// State returns what the connection is doing.
 func (c *Conn) State() State { return c.state }
 
-// Clients are the connections of a node's clients.
+// Clients tracks the client connections of a node.
 type Clients struct {
-	limits  Limits
-	lines   [closed]line // by State
-	open    int
-	asking  int // of the open ones, those that have carried a request or carry one
-	peers   peers
-	now     time.Duration
-	crowded time.Duration // until then nobody could be spared lately
+	limits         Limits
+	queues         [closed]stateQueue // by State
+	open           int
+	requestConns   int // open connections that have carried a request or are carrying one
+	peers          peers
+	now            time.Duration
+	contendedUntil time.Duration // set when no connection could be evicted
 }
 
-// NewClients returns the account of a node that holds none.
+// NewClients returns a Clients without connections.
 func NewClients(l Limits) *Clients {
-	a := &Clients{limits: l, peers: peers{known: map[string]*peer{}}}
-	for s := range a.lines {
-		a.lines[s].state = State(s)
+	a := &Clients{limits: l, peers: peers{byAddress: map[string]*peer{}}}
+	for s := range a.queues {
+		a.queues[s].state = State(s)
 	}
 	return a
 }
 
-// Open is the number of connections that count.
+// Open returns the number of open connections.
 func (a *Clients) Open() int { return a.open }
 
-// RequestConns is how many of them have carried a request.
-func (a *Clients) RequestConns() int { return a.asking }
+// RequestConns returns how many of them have carried a request or are carrying one.
+func (a *Clients) RequestConns() int { return a.requestConns }
 
-// Full tells whether another connection needs room to be made.
+// Full reports whether a connection has to be evicted before another one is added.
 func (a *Clients) Full() bool { return a.limits.Open > 0 && a.open >= a.limits.Open }
 
+// move changes the state of a connection that is still open.
 func (a *Clients) move(now time.Duration, c *Conn, s State) {
 	a.now = max(a.now, now)
-	if c.state == closed || c.line == nil {
-		return // it was closed meanwhile
+	if c.state == closed || c.queue == nil {
+		return // closed or evicted
 	}
-	c.line.remove(c)
+	c.queue.remove(c)
 	c.state, c.since = s, now
-	a.lines[s].push(c)
+	a.queues[s].push(c)
 }
 
-// Add counts a new connection.
+// Add adds a new connection.
 func (a *Clients) Add(now time.Duration, c *Conn) {
 	a.now = max(a.now, now)
-	c.state, c.since, c.asked = Silent, now, false
+	c.state, c.since, c.hadRequest = Silent, now, false
 	c.peer = a.peers.open(c.From)
-	if c.peer.doubtful(now) {
+	if c.peer.suspected(now) {
 		c.state = Suspected
 	}
-	a.lines[c.state].push(c)
+	a.queues[c.state].push(c)
 	a.open++
 }
 
-// Rejected notes that what came on a connection was no request, or that it said nothing in its time.
+// Rejected records that the input on a connection was not a request, or that none came in time.
 func (a *Clients) Rejected(now time.Duration, c *Conn) {
 	if c.peer != nil {
-		c.peer.note(now, 0, 1)
+		c.peer.count(now, 0, 1)
 	}
 }
 
-// BelowMean tells whether an address holds less than the mean of all that hold connections: one more of it may be taken
-// where nobody can be spared.
+// BelowMean reports whether an address holds fewer connections than the mean of all addresses that hold any. One more of
+// it may be accepted when no connection can be evicted.
 func (a *Clients) BelowMean(from string) bool {
-	p := a.peers.known[from]
-	held := 0
+	p := a.peers.byAddress[from]
+	conns := 0
 	if p != nil {
-		held = p.held
+		conns = p.conns
 	}
-	return a.peers.active > 1 && held*a.peers.active < a.open
+	return a.peers.active > 1 && conns*a.peers.active < a.open
 }
 
-// Read notes the first byte of a request.
+// Read records the first byte of a request.
 func (a *Clients) Read(now time.Duration, c *Conn) { a.move(now, c, Reading) }
 
-// Begin notes that a request, or a question for the node's readiness, is being answered.
+// Begin records that a request, or a readiness check if health is set, is being served.
 func (a *Clients) Begin(now time.Duration, c *Conn, health bool) {
 	a.move(now, c, Busy)
-	if !health && !c.asked && c.line != nil {
-		c.asked = true
-		a.asking++
+	if !health && !c.hadRequest && c.queue != nil {
+		c.hadRequest = true
+		a.requestConns++
 	}
 }
 
-// BeforeAnswer decides what becomes of idle connections when c is about to get an answer: drop is one to close, nil for none;
-// leave tells that the answer should ask c itself to leave. Both make room for requests while clients can still open
-// connections for them: there is a quarter left of what they may hold. While nobody can be spared, addresses that hold
-// more than their part leave.
-func (a *Clients) BeforeAnswer(c *Conn) (leave bool, drop *Conn) {
-	if c.line == nil || !c.asked {
+// BeforeAnswer decides which connection to close when c is about to get a response: evict is an idle one to close now, nil
+// for none, and closeAfter reports that c itself should be closed after the response. Either keeps a quarter of
+// Limits.RequestConns free, so that clients can still open connections for requests. While no connection could be evicted,
+// c is closed if its address holds more connections than the mean.
+func (a *Clients) BeforeAnswer(c *Conn) (closeAfter bool, evict *Conn) {
+	if c.queue == nil || !c.hadRequest {
 		return false, nil
 	}
-	if a.now < a.crowded && c.peer.held*a.peers.active > a.open {
+	if a.now < a.contendedUntil && c.peer.conns*a.peers.active > a.open {
 		return true, nil
 	}
-	if a.limits.RequestConns <= 0 || a.asking <= a.limits.RequestConns*3/4 {
+	if a.limits.RequestConns <= 0 || a.requestConns <= a.limits.RequestConns*3/4 {
 		return false, nil
 	}
 	for _, s := range []State{IdleOverQuota, Idle} {
-		if k := a.lines[s].next(); k != nil {
+		if k := a.queues[s].candidate(); k != nil {
 			return false, k
 		}
 	}
-	return true, nil // all others are at work, and this one would be the next to go
+	return true, nil // all others are in use, and c would be the next idle one
 }
 
-// Idle notes that a connection has got its answer and stays.
+// Idle records that a connection has got its response and stays open.
 func (a *Clients) Idle(now time.Duration, c *Conn) {
 	switch {
-	case !c.asked:
+	case !c.hadRequest:
 		a.move(now, c, IdleHealth)
 	case c.OverQuota:
 		a.move(now, c, IdleOverQuota)
 	default:
 		a.move(now, c, Idle)
 	}
-	if c.peer != nil && c.asked {
-		c.peer.note(now, 1, 0)
+	if c.peer != nil && c.hadRequest {
+		c.peer.count(now, 1, 0)
 	}
 }
 
 const (
-	spares    = 4                      // connections of one sort that Spare looks at
-	crowdedTo = 500 * time.Millisecond // for how long nobody to be spared counts
+	maxChecked       = 4                      // connections that EvictionCandidate checks for pending input in each step
+	contentionPeriod = 500 * time.Millisecond // for which a failed search for an eviction candidate has effect
 )
 
-// EvictionCandidate returns a connection to close for another's sake, or nil where all are at work. Those go first whose address is
-// in doubt, then those that have said nothing for long, those whose request takes long to come, those that only ask for
-// the node's readiness, those that their clients keep, tenants past their share first, and at last new ones; of each sort
-// the longest so, of the address that holds most of them. For a box's sake, client telling that it is not, the last few new
-// ones stay: requests are on their way on them, and one that has no room at a box is refused with an answer, which they
-// would not get. Where there are more, most of them are silent.
-// busy tells that something has come on a connection that the account does not know of yet: such a one is left, and few
-// are asked about.
-func (a *Clients) EvictionCandidate(now time.Duration, client bool, busy func(*Conn) bool) *Conn {
+// EvictionCandidate returns a connection to close in favor of another one, or nil if all are in use. The order is: new
+// connections of suspected addresses, connections without a first byte for SilentAfter, those that have been receiving a
+// request for SlowAfter, those that carried only readiness checks, idle ones of tenants over quota, other idle ones, and
+// new ones. Of each kind, it is the one longest in that state, of the address that holds the most.
+//
+// If the descriptor is for a backend connection (forClient is false), the last maxChecked new connections are kept:
+// requests are probably on their way on them and would get no response, whereas a request that finds no connection to a
+// backend is refused with a response. Where there are more new connections, most of them are silent.
+//
+// pending reports input that has arrived on a connection and was not recorded yet. Such a connection is skipped; only a few
+// are checked, which bounds the work.
+func (a *Clients) EvictionCandidate(now time.Duration, forClient bool, pending func(*Conn) bool) *Conn {
 	a.now = max(a.now, now)
-	last := time.Duration(0)
-	if !client && a.lines[Silent].n <= spares {
-		last = a.limits.SilentAfter
+	newAge := time.Duration(0)
+	if !forClient && a.queues[Silent].n <= maxChecked {
+		newAge = a.limits.SilentAfter
 	}
-	for _, from := range []struct {
+	for _, step := range []struct {
 		s   State
 		age time.Duration
-	}{{Suspected, 0}, {Silent, a.limits.SilentAfter}, {Reading, a.limits.SlowAfter}, {IdleHealth, 0}, {IdleOverQuota, 0}, {Idle, 0}, {Silent, last}} {
-		l := &a.lines[from.s]
-		asked := 0
-		// That of the address with most; where those are too young, the longest of all.
-		for c := l.next(); c != nil && asked < spares && now-c.since >= from.age; c = c.own.next {
-			asked++
-			if !busy(c) {
+	}{{Suspected, 0}, {Silent, a.limits.SilentAfter}, {Reading, a.limits.SlowAfter}, {IdleHealth, 0}, {IdleOverQuota, 0}, {Idle, 0}, {Silent, newAge}} {
+		q := &a.queues[step.s]
+		checked := 0
+		// First those of the address with the most connections; if these are too new, the oldest of all.
+		for c := q.candidate(); c != nil && checked < maxChecked && now-c.since >= step.age; c = c.groupLink.next {
+			checked++
+			if !pending(c) {
 				return c
 			}
 		}
-		for c := l.all.first; c != nil && asked < spares && now-c.since >= from.age; c = c.all.next {
-			asked++
-			if !busy(c) {
+		for c := q.conns.first; c != nil && checked < maxChecked && now-c.since >= step.age; c = c.queueLink.next {
+			checked++
+			if !pending(c) {
 				return c
 			}
 		}
 	}
-	a.crowded = now + crowdedTo
+	a.contendedUntil = now + contentionPeriod
 	return nil
 }
 
-// Close takes a connection out. It may be called again.
+// Close removes a connection. Further calls do nothing.
 func (a *Clients) Close(c *Conn) {
-	if c.state == closed || c.line == nil {
+	if c.state == closed || c.queue == nil {
 		return
 	}
-	c.line.remove(c)
+	c.queue.remove(c)
 	c.state = closed
 	a.open--
-	if c.asked {
-		a.asking--
+	if c.hadRequest {
+		a.requestConns--
 	}
 	a.peers.close(c.peer)
 }
--- a/internal/admission/clients_test.go
+++ b/internal/admission/clients_test.go
@@ -10,13 +10,13 @@
 
 const ms = time.Millisecond
 
-func never(*Conn) bool { return false }
+func nonePending(*Conn) bool { return false }
 
 func limits(open, asking int) Limits {
 	return Limits{Open: open, RequestConns: asking, SilentAfter: 200 * ms, SlowAfter: 50 * ms}
 }
 
-// conns opens n connections at times a millisecond apart and brings them to a state.
+// conns opens n connections a millisecond apart and brings them to a state.
 func conns(a *Clients, from time.Duration, n int, s State) []*Conn {
 	var out []*Conn
 	for i := range n {
@@ -36,83 +36,83 @@
 	return out
 }
 
-// Who goes first when room is needed.
-func TestOrderOfSpares(t *testing.T) {
+// The order in which connections are evicted.
+func TestEvictionOrder(t *testing.T) {
 	a := NewClients(limits(100, 100))
 	kept, health := conns(a, 0, 2, Idle), conns(a, 0, 2, IdleHealth)
 	busy, reading := conns(a, 0, 2, Busy), conns(a, 0, 2, Reading)
 	silent, fresh := conns(a, 0, 2, Silent), conns(a, 290*ms, 2, Silent)
 	want := append(append(append(append(silent, reading...), health...), kept...), fresh...)
 	for i, w := range want {
-		c := a.EvictionCandidate(300*ms, true, never)
+		c := a.EvictionCandidate(300*ms, true, nonePending)
 		if c != w {
-			t.Fatalf("the %dth to go is %v, want %v", i, c.State(), w.State())
+			t.Fatalf("eviction %d takes a connection in state %v, want %v", i, c.State(), w.State())
 		}
 		a.Close(c)
 	}
-	if c := a.EvictionCandidate(300*ms, true, never); c != nil || a.Open() != 2 || busy[0].State() != Busy {
-		t.Errorf("a busy connection is spared for nobody: %v", c)
+	if c := a.EvictionCandidate(300*ms, true, nonePending); c != nil || a.Open() != 2 || busy[0].State() != Busy {
+		t.Errorf("a busy connection is evicted: %v", c)
 	}
 }
 
-// For a box's sake no connection goes on which a request is on its way, as that would get no answer; out of a crowd of new
-// ones that say nothing one does.
-func TestLastNewOnesAreNotLent(t *testing.T) {
+// A descriptor for a backend connection must not come from one of the last new client connections: the request on its way
+// would get no response. Of more than maxChecked new connections, one is evicted.
+func TestLastNewConnectionsAreKeptFromBackends(t *testing.T) {
 	a := NewClients(limits(100, 100))
-	fresh := conns(a, 290*ms, spares+1, Silent)
+	fresh := conns(a, 290*ms, maxChecked+1, Silent)
 	for i, want := range []*Conn{fresh[0], nil} {
-		c := a.EvictionCandidate(300*ms, false, never)
+		c := a.EvictionCandidate(300*ms, false, nonePending)
 		if c != want {
-			t.Fatalf("the %dth to go for a box is %p, want %p", i, c, want)
+			t.Fatalf("eviction %d for a backend takes %p, want %p", i, c, want)
 		}
 		if c != nil {
 			a.Close(c)
 		}
 	}
-	if c := a.EvictionCandidate(300*ms, true, never); c != fresh[1] {
-		t.Error("none goes for another client either")
+	if c := a.EvictionCandidate(300*ms, true, nonePending); c != fresh[1] {
+		t.Error("the oldest is not evicted for another client")
 	}
-	if c := a.EvictionCandidate(490*ms+spares*ms, false, never); c != fresh[1] {
-		t.Error("none goes once it has been silent for long")
+	if c := a.EvictionCandidate(490*ms+maxChecked*ms, false, nonePending); c != fresh[1] {
+		t.Error("the oldest is not evicted after SilentAfter")
 	}
 }
 
-func TestSparesWhatHasJustSpoken(t *testing.T) {
+func TestEvictionSkipsPendingInput(t *testing.T) {
 	a := NewClients(limits(100, 100))
 	kept := conns(a, 0, 3, Idle)
 	if c := a.EvictionCandidate(time.Second, true, func(c *Conn) bool { return c == kept[0] }); c != kept[1] {
-		t.Error("the second was to go")
+		t.Error("want the second, as the first has pending input")
 	}
-	asked := 0
-	if c := a.EvictionCandidate(time.Second, true, func(*Conn) bool { asked++; return true }); c != nil || asked > 5*spares {
-		t.Errorf("%v after %d questions", c, asked)
+	checked := 0
+	if c := a.EvictionCandidate(time.Second, true, func(*Conn) bool { checked++; return true }); c != nil || checked > 5*maxChecked {
+		t.Errorf("evicts %v after %d checks", c, checked)
 	}
 }
 
-// Clients that ask once and keep their connections would fill what they may hold; a quarter is kept free.
-func TestIdleConnectionsLeaveRoomForRequests(t *testing.T) {
+// Clients that send one request each and keep their connections would use up RequestConns; a quarter must stay free.
+func TestIdleConnectionsLeaveHeadroomForRequests(t *testing.T) {
 	a := NewClients(limits(184, 128))
 	var at time.Duration
 	open := map[*Conn]bool{}
 	for i := range 2000 {
 		at += 4 * ms
 		if a.RequestConns() >= 128 {
-			t.Fatalf("request %d finds no connection", i)
+			t.Fatalf("request %d: no connection left for requests", i)
 		}
 		c := &Conn{}
 		a.Add(at, c)
 		a.Begin(at, c, false)
 		open[c] = true
-		leave, drop := a.BeforeAnswer(c)
-		if leave {
-			t.Fatalf("request %d: there were idle ones to close", i)
+		closeAfter, evict := a.BeforeAnswer(c)
+		if closeAfter {
+			t.Fatalf("request %d: its own connection is closed although others are idle", i)
 		}
-		if drop != nil {
-			if drop.State() != Idle || !open[drop] {
-				t.Fatalf("dropped a connection that is %v", drop.State())
+		if evict != nil {
+			if evict.State() != Idle || !open[evict] {
+				t.Fatalf("evicts a connection in state %v", evict.State())
 			}
-			a.Close(drop)
-			delete(open, drop)
+			a.Close(evict)
+			delete(open, evict)
 		}
 		a.Idle(at, c)
 	}
@@ -121,39 +121,39 @@
 	}
 }
 
-func TestLeavesWhereNoneIsIdle(t *testing.T) {
+func TestAnswerClosesConnectionWhenNoneIsIdle(t *testing.T) {
 	a := NewClients(limits(184, 128))
 	busy := conns(a, 0, 97, Busy)
-	if leave, drop := a.BeforeAnswer(busy[0]); !leave || drop != nil {
-		t.Errorf("leave %v, drop %v", leave, drop)
+	if closeAfter, evict := a.BeforeAnswer(busy[0]); !closeAfter || evict != nil {
+		t.Errorf("closeAfter %v, evict %v", closeAfter, evict)
 	}
 	a.Close(busy[0])
-	if leave, drop := a.BeforeAnswer(busy[1]); leave || drop != nil {
-		t.Error("with room again it was asked to leave")
+	if closeAfter, evict := a.BeforeAnswer(busy[1]); closeAfter || evict != nil {
+		t.Error("closed although RequestConns has headroom again")
 	}
 	h := conns(a, 0, 3, IdleHealth)
 	a.Begin(0, h[0], true)
-	if leave, drop := a.BeforeAnswer(h[0]); leave || drop != nil || a.RequestConns() != 96 {
-		t.Error("a question for the node's readiness counts as a request")
+	if closeAfter, evict := a.BeforeAnswer(h[0]); closeAfter || evict != nil || a.RequestConns() != 96 {
+		t.Error("a readiness check counts as a request")
 	}
 }
 
-func TestWithoutLimits(t *testing.T) {
+func TestNoLimitsNoEviction(t *testing.T) {
 	a := NewClients(Limits{})
 	c := conns(a, 0, 1000, Idle)
-	if leave, drop := a.BeforeAnswer(c[0]); a.Full() || leave || drop != nil {
-		t.Error("without limits nobody leaves")
+	if closeAfter, evict := a.BeforeAnswer(c[0]); a.Full() || closeAfter || evict != nil {
+		t.Error("full, closed or evicted without limits")
 	}
 }
 
-// Whatever happens in whatever order: the counts are those of the connections, none is counted twice or kept after its
-// close, and what is spared is idle.
-func TestAccountHolds(t *testing.T) {
+// For any sequence of events, the counts match the connections, none is counted twice or after its close, and evicted
+// connections are not in use.
+func TestCountsMatchConnections(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := limits(rapid.IntRange(1, 20).Draw(t, "open"), rapid.IntRange(1, 20).Draw(t, "asking"))
 		a := NewClients(l)
 		var all []*Conn
-		asked := map[*Conn]bool{}
+		hadRequest := map[*Conn]bool{}
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * ms
@@ -162,7 +162,7 @@
 				if a.Full() {
 					c := a.EvictionCandidate(now, true, func(*Conn) bool { return rapid.Bool().Draw(t, "busy") })
 					if c != nil && (c.State() == Busy || c.State() == closed) {
-						t.Fatalf("spared one that is %v", c.State())
+						t.Fatalf("evicts a connection in state %v", c.State())
 					}
 					if c == nil {
 						continue
@@ -185,14 +185,14 @@
 			case 2, 3:
 				c.OverQuota = rapid.Bool().Draw(t, "past")
 				a.Begin(now, c, op == 2)
-				asked[c] = asked[c] || op == 3 && live
+				hadRequest[c] = hadRequest[c] || op == 3 && live
 			case 4, 5:
 				if c.State() == Busy {
-					if _, drop := a.BeforeAnswer(c); drop != nil {
-						if drop.State() != Idle && drop.State() != IdleOverQuota {
-							t.Fatalf("drops one that is %v", drop.State())
+					if _, evict := a.BeforeAnswer(c); evict != nil {
+						if evict.State() != Idle && evict.State() != IdleOverQuota {
+							t.Fatalf("BeforeAnswer evicts a connection in state %v", evict.State())
 						}
-						a.Close(drop)
+						a.Close(evict)
 					}
 					a.Idle(now, c)
 				}
@@ -204,52 +204,52 @@
 			for _, c := range all {
 				if c.State() != closed {
 					open++
-					if asked[c] {
+					if hadRequest[c] {
 						asking++
 					}
 				}
 			}
 			queued, held := 0, map[string]int{}
-			for i := range a.lines {
-				l := &a.lines[i]
+			for i := range a.queues {
+				l := &a.queues[i]
 				queued += l.n
 				size := map[string]int{}
-				for c := l.all.first; c != nil; c = c.all.next {
+				for c := l.conns.first; c != nil; c = c.queueLink.next {
 					size[c.From]++
 					held[c.From]++
 				}
 				most := 0
 				for from, n := range size {
 					most = max(most, n)
-					if g := a.peers.known[from].groups[i]; g.n != n || g.bucket.n != n {
-						t.Fatalf("%v of %s: %d, its group says %d", State(i), from, n, g.n)
+					if g := a.peers.byAddress[from].groups[i]; g.n != n || g.bucket.n != n {
+						t.Fatalf("state %v, address %s: %d connections, the group counts %d", State(i), from, n, g.n)
 					}
 				}
-				if c := l.next(); c != nil && size[c.From] != most || c == nil && most > 0 {
-					t.Fatalf("next is not of the address with most, %d", most)
+				if c := l.candidate(); c != nil && size[c.From] != most || c == nil && most > 0 {
+					t.Fatalf("the candidate is not of the address with the most connections, %d", most)
 				}
 			}
 			for from, n := range held {
-				if a.peers.known[from].held != n {
-					t.Fatalf("%s holds %d, not %d", from, n, a.peers.known[from].held)
+				if a.peers.byAddress[from].conns != n {
+					t.Fatalf("%s holds %d connections, counted as %d", from, n, a.peers.byAddress[from].conns)
 				}
 			}
 			if a.peers.active != len(held) {
-				t.Fatalf("%d addresses hold connections, not %d", len(held), a.peers.active)
+				t.Fatalf("%d addresses hold connections, counted as %d", len(held), a.peers.active)
 			}
 			if a.Open() != open || a.RequestConns() != asking || queued != open || open > l.Open {
-				t.Fatalf("counts %d open, %d asking, %d queued; there are %d and %d", a.Open(), a.RequestConns(), queued, open, asking)
+				t.Fatalf("counts %d open, %d with requests, %d queued; want %d and %d", a.Open(), a.RequestConns(), queued, open, asking)
 			}
 		}
 	})
 }
 
-// One address that takes all the room, in whatever state, makes room before another that holds a single connection.
-func TestGreedyAddressMakesRoom(t *testing.T) {
+// Connections of an address that holds nearly all of them are evicted before the only one of another address.
+func TestEvictionTakesAddressWithMostConnections(t *testing.T) {
 	for _, s := range []State{Silent, Reading, IdleHealth, Idle} {
 		a := NewClients(limits(12, 100))
 		good := &Conn{From: "good"}
-		a.Add(0, good) // for longest
+		a.Add(0, good) // the longest in its state
 		switch s {
 		case Reading:
 			a.Read(0, good)
@@ -259,47 +259,47 @@
 		}
 		conns(a, ms, 11, s) // of the address ""
 		for range 10 {
-			c := a.EvictionCandidate(time.Second, true, never)
+			c := a.EvictionCandidate(time.Second, true, nonePending)
 			if c == nil || c == good {
-				t.Fatalf("%v: the one connection of a good client goes first", s)
+				t.Fatalf("state %v: the only connection of a well-behaved client is evicted", s)
 			}
 			a.Close(c)
 		}
 	}
 }
 
-// With all at work nobody can be spared: then the address that holds most leaves with its answers, and one that holds
-// less than the mean is let in beyond the bound.
-func TestGreedyAddressAtWorkLeaves(t *testing.T) {
+// If all connections are in use, none can be evicted: then the address with the most connections has them closed after
+// their responses, and an address with less than the mean may exceed the limit.
+func TestBusyAddressAboveMeanIsClosed(t *testing.T) {
 	a := NewClients(limits(12, 100))
 	greedy := conns(a, 0, 11, Busy)
 	good := &Conn{From: "good"}
 	a.Add(0, good)
 	a.Begin(0, good, false)
-	if leave, _ := a.BeforeAnswer(greedy[0]); leave {
-		t.Error("it leaves though nobody wanted room")
+	if closeAfter, _ := a.BeforeAnswer(greedy[0]); closeAfter {
+		t.Error("closed without a failed eviction")
 	}
-	if a.EvictionCandidate(ms, true, never) != nil {
-		t.Fatal("one that works is spared")
+	if a.EvictionCandidate(ms, true, nonePending) != nil {
+		t.Fatal("a busy connection is evicted")
 	}
-	if leave, _ := a.BeforeAnswer(greedy[0]); !leave {
-		t.Error("the greedy one stays")
+	if closeAfter, _ := a.BeforeAnswer(greedy[0]); !closeAfter {
+		t.Error("a connection of the address above the mean is kept")
 	}
-	if leave, _ := a.BeforeAnswer(good); leave {
-		t.Error("the good one leaves")
+	if closeAfter, _ := a.BeforeAnswer(good); closeAfter {
+		t.Error("a connection of the address below the mean is closed")
 	}
 	if !a.BelowMean("good") || !a.BelowMean("new") || a.BelowMean("") {
-		t.Error("who is behind")
+		t.Error("BelowMean is wrong")
 	}
-	a.Idle(2*time.Second, greedy[1]) // room again
-	if leave, _ := a.BeforeAnswer(greedy[0]); leave {
-		t.Error("it leaves long after")
+	a.Idle(2*time.Second, greedy[1]) // after contentionPeriod
+	if closeAfter, _ := a.BeforeAnswer(greedy[0]); closeAfter {
+		t.Error("closed long after the failed eviction")
 	}
 }
 
-// An address that was only ever rejected has no time to be silent in; one that stands for many clients, some of them bad,
-// has, and so has the doubted one after a while.
-func TestDoubt(t *testing.T) {
+// A new connection of an address that was only ever rejected is suspected. One of an address shared by many clients, some
+// of them faulty, is not, and the suspicion decays.
+func TestSuspectedAddresses(t *testing.T) {
 	a := NewClients(limits(100, 100))
 	for i := range 20 {
 		bad, mixed, other := &Conn{From: "bad"}, &Conn{From: "mixed"}, &Conn{From: "mixed"}
@@ -320,58 +320,58 @@
 	late := &Conn{From: "bad"}
 	a.Add(5*time.Minute, late)
 	if late.State() != Silent {
-		t.Error("doubt lasts for ever")
+		t.Error("still suspected after 5 minutes")
 	}
 }
 
-// Of the idle connections those of tenants past their share go first.
-func TestPastTheirShareGoFirst(t *testing.T) {
+// Idle connections of tenants over quota are evicted before others, and the request rate decides which tenants these are.
+func TestOverQuotaConnectionsGoFirst(t *testing.T) {
 	a := NewClients(limits(100, 4))
 	kept := conns(a, 0, 3, Idle)
-	past := &Conn{OverQuota: true}
-	a.Add(9*ms, past)
-	a.Begin(9*ms, past, false)
-	a.Idle(9*ms, past)
-	if _, drop := a.BeforeAnswer(kept[0]); drop != past {
-		t.Error("another goes first")
+	overQuota := &Conn{OverQuota: true}
+	a.Add(9*ms, overQuota)
+	a.Begin(9*ms, overQuota, false)
+	a.Idle(9*ms, overQuota)
+	if _, evict := a.BeforeAnswer(kept[0]); evict != overQuota {
+		t.Error("BeforeAnswer evicts another connection")
 	}
-	if c := a.EvictionCandidate(time.Second, true, never); c != past {
-		t.Error("another is spared first")
+	if c := a.EvictionCandidate(time.Second, true, nonePending); c != overQuota {
+		t.Error("EvictionCandidate returns another connection")
 	}
 	tn := NewTenants(map[string]float64{"big": 10})
 	n := 0
-	for i := range 200 { // 20 a second
+	for i := range 200 { // 20 per second
 		if tn.Count(time.Duration(i)*50*ms, "big") {
 			n++
 		}
 		if tn.Count(time.Duration(i)*50*ms, "untold") {
-			t.Fatal("one without a share is past it")
+			t.Fatal("a tenant without a share is over quota")
 		}
 	}
 	if n < 150 {
-		t.Errorf("at twice its share it is past it in %d of 200 requests", n)
+		t.Errorf("at twice its share, over quota in %d of 200 requests", n)
 	}
-	for i := range 100 { // 5 a second
+	for i := range 100 { // 5 per second
 		if at := 10*time.Second + time.Duration(i)*200*ms; tn.Count(at, "big") && at > 20*time.Second {
-			t.Fatal("still past its share at half of it")
+			t.Fatal("still over quota at half of its share")
 		}
 	}
 }
 
-// Addresses are remembered within a bound.
-func TestAddressesAreBounded(t *testing.T) {
+// The number of remembered addresses without connections is bounded.
+func TestIdleAddressesAreBounded(t *testing.T) {
 	a := NewClients(limits(100, 100))
-	for i := range 3 * peersKept {
+	for i := range 3 * maxIdlePeers {
 		c := &Conn{From: fmt.Sprint(i)}
 		a.Add(0, c)
 		a.Close(c)
 	}
-	if n := len(a.peers.known); n != peersKept {
-		t.Errorf("%d addresses are kept", n)
+	if n := len(a.peers.byAddress); n != maxIdlePeers {
+		t.Errorf("%d addresses are remembered", n)
 	}
 }
 
-// Each side always gets its floor, never more than there is, and what lies between goes to whoever asks.
+// Each side always gets its floor, the total is never exceeded, and what exceeds the floors goes to the side that needs it.
 func TestDescriptors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 60).Draw(t, "total")
@@ -394,19 +394,19 @@
 				used[s]++
 			}
 			if used[0]+used[1] > total || used[s] > total-floor || d.Used(s) != used[s] || d.AboveFloor(s) != (used[s] > floor) {
-				t.Fatalf("%v of %d, floor %d; it says %d", used, total, floor, d.Used(s))
+				t.Fatalf("used %v of %d, floor %d; counted %d", used, total, floor, d.Used(s))
 			}
 		}
 	})
 	d := NewDescriptors(0, 0)
 	for range 1000 {
 		if !d.Take(ClientSide) {
-			t.Fatal("a bound where none is set")
+			t.Fatal("refused although there is no limit")
 		}
 	}
 }
 
-// A decision costs the same whatever the number of connections.
+// The cost of a decision must not depend on the number of connections.
 func BenchmarkDecisions(b *testing.B) {
 	for _, addresses := range []int{1, 1000} {
 		for _, n := range []int{100, 1000, 100000} {
@@ -435,12 +435,12 @@
 		i++
 		c := &Conn{From: from[i%addresses]}
 		if a.Full() {
-			a.Close(a.EvictionCandidate(now, true, never))
+			a.Close(a.EvictionCandidate(now, true, nonePending))
 		}
 		a.Add(now, c)
 		a.Begin(now, c, false)
-		if _, drop := a.BeforeAnswer(c); drop != nil {
-			a.Close(drop)
+		if _, evict := a.BeforeAnswer(c); evict != nil {
+			a.Close(evict)
 		}
 		a.Idle(now, c)
 	}
--- a/internal/admission/descriptors.go
+++ b/internal/admission/descriptors.go
@@ -1,6 +1,6 @@
 package admission
 
-// Side is who holds a descriptor of the node.
+// Side is the kind of connection that a descriptor of the node is used for.
 type Side uint8
 
 const (
@@ -9,22 +9,22 @@
 	sides
 )
 
-// Descriptors shares out the node's descriptors between its two sides. Each is sure of a floor; what lies between the
-// floors goes to whoever needs it first. A floor is never lent: a side below its own can always take one more, however
-// much the other one holds. Every decision is a constant amount of work.
+// Descriptors divides the node's descriptors between the two sides. Each side is guaranteed a floor, and what exceeds both
+// floors goes to the side that needs it first. A side below its floor can always take one more descriptor, however many
+// the other side holds. Every decision takes constant time.
 type Descriptors struct {
 	total int
 	floor int
 	used  [sides]int
 }
 
-// NewDescriptors returns the account of a total, of which each side is sure of floor; floor is at most half of total.
-// A total of 0 means no bound.
+// NewDescriptors returns Descriptors with the given total and floor of each side. A floor above half of the total is
+// reduced to that. A total of 0 means no limit.
 func NewDescriptors(total, floor int) *Descriptors {
 	return &Descriptors{total: total, floor: min(floor, total/2)}
 }
 
-// Take takes one for a side, if it may have one.
+// Take reserves a descriptor for a side and reports whether it may have one.
 func (d *Descriptors) Take(s Side) bool {
 	if d.total > 0 && d.used[s]+max(d.used[1-s], d.floor) >= d.total {
 		return false
@@ -33,11 +33,12 @@
 	return true
 }
 
-// Give gives one back.
+// Give returns a descriptor of a side.
 func (d *Descriptors) Give(s Side) { d.used[s]-- }
 
-// Used is what a side holds.
+// Used returns the number of descriptors that a side holds.
 func (d *Descriptors) Used(s Side) int { return d.used[s] }
 
-// AboveFloor tells whether a side holds more than its floor, so that one of its idle ones may go to the other.
+// AboveFloor reports whether a side holds more than its floor, so that one of its idle connections may be closed for the
+// other side.
 func (d *Descriptors) AboveFloor(s Side) bool { return d.total > 0 && d.used[s] > d.floor }
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -1,156 +1,157 @@
 package admission
 
-// link is a place in a chain.
+// link is the position of an element in a linkedList.
 type link[T any] struct{ prev, next *T }
 
-// chain is a list whose places are held by what stands in it, so that nothing is allocated. at tells which of an element's
-// places is the chain's.
-type chain[T any] struct{ first, last *T }
+// linkedList is an intrusive doubly linked list: elements hold their own links, so that nothing is allocated. The linkOf
+// parameter of its methods returns the link that an element has for this list.
+type linkedList[T any] struct{ first, last *T }
 
-func (q *chain[T]) push(x *T, at func(*T) *link[T]) {
-	*at(x) = link[T]{prev: q.last}
+func (q *linkedList[T]) push(x *T, linkOf func(*T) *link[T]) {
+	*linkOf(x) = link[T]{prev: q.last}
 	if q.last != nil {
-		at(q.last).next = x
+		linkOf(q.last).next = x
 	} else {
 		q.first = x
 	}
 	q.last = x
 }
 
-func (q *chain[T]) remove(x *T, at func(*T) *link[T]) {
-	l := at(x)
+func (q *linkedList[T]) remove(x *T, linkOf func(*T) *link[T]) {
+	l := linkOf(x)
 	if l.prev != nil {
-		at(l.prev).next = l.next
+		linkOf(l.prev).next = l.next
 	} else {
 		q.first = l.next
 	}
 	if l.next != nil {
-		at(l.next).prev = l.prev
+		linkOf(l.next).prev = l.prev
 	} else {
 		q.last = l.prev
 	}
 	*l = link[T]{}
 }
 
-func inAll(c *Conn) *link[Conn]      { return &c.all }
-func inOwn(c *Conn) *link[Conn]      { return &c.own }
-func inBucket(g *group) *link[group] { return &g.place }
+func queueLinkOf(c *Conn) *link[Conn]    { return &c.queueLink }
+func groupLinkOf(c *Conn) *link[Conn]    { return &c.groupLink }
+func bucketLinkOf(g *group) *link[group] { return &g.bucketLink }
 
-// group is the connections of one address in one state, the longest first.
+// group holds the connections of one address in one state, the longest in it first.
 type group struct {
-	conns  chain[Conn]
-	n      int
-	bucket *bucket
-	place  link[group] // in its bucket
+	conns      linkedList[Conn]
+	n          int
+	bucket     *bucket
+	bucketLink link[group] // in the list of its bucket
 }
 
-// bucket is the groups of one size, those that came to it first first.
+// bucket holds the groups of one size, in the order in which they reached it.
 type bucket struct {
-	n          int
-	groups     chain[group]
-	less, more *bucket
+	n               int
+	groups          linkedList[group]
+	smaller, larger *bucket
 }
 
-// line is the connections of one state, in the order in which they came to it, and by address. Every change and every
-// look is a constant amount of work: groups stand in buckets by their size, and change it by one at a time.
-type line struct {
-	state State
-	all   chain[Conn]
-	n     int
-	least *bucket // of the smallest groups,
-	most  *bucket // and of the largest
-	free  *bucket // to be used again, linked by more
+// stateQueue holds the connections of one state, in the order in which they entered it and by address. Every operation
+// takes constant time: groups are kept in buckets by size, and a change moves a group to an adjacent size.
+type stateQueue struct {
+	state    State
+	conns    linkedList[Conn]
+	n        int
+	smallest *bucket // holds the smallest groups
+	largest  *bucket // holds the largest groups
+	free     *bucket // for reuse, linked by larger
 }
 
-// next is the connection of the address that holds most of them which has been in this state for longest; nil for none.
-func (l *line) next() *Conn {
-	if l.most == nil {
+// candidate returns the connection that has been in this state for longest, of the address that holds the most in it, or
+// nil if there is none.
+func (l *stateQueue) candidate() *Conn {
+	if l.largest == nil {
 		return nil
 	}
-	return l.most.groups.first.conns.first
+	return l.largest.groups.first.conns.first
 }
 
-func (l *line) push(c *Conn) {
-	c.line = l
-	l.all.push(c, inAll)
+func (l *stateQueue) push(c *Conn) {
+	c.queue = l
+	l.conns.push(c, queueLinkOf)
 	l.n++
 	g := &c.peer.groups[l.state]
-	g.conns.push(c, inOwn)
+	g.conns.push(c, groupLinkOf)
 	l.resize(g, g.n+1)
 }
 
-func (l *line) remove(c *Conn) {
-	c.line = nil
-	l.all.remove(c, inAll)
+func (l *stateQueue) remove(c *Conn) {
+	c.queue = nil
+	l.conns.remove(c, queueLinkOf)
 	l.n--
 	g := &c.peer.groups[l.state]
-	g.conns.remove(c, inOwn)
+	g.conns.remove(c, groupLinkOf)
 	l.resize(g, g.n-1)
 }
 
-// resize moves a group to the bucket of its new size, which is one more or less than its old one.
-func (l *line) resize(g *group, n int) {
-	old, to := g.bucket, (*bucket)(nil)
+// resize moves a group to the bucket of size n, which differs from its current size by one.
+func (l *stateQueue) resize(g *group, n int) {
+	old, target := g.bucket, (*bucket)(nil)
 	switch {
 	case n == 0:
 	case old == nil:
-		if to = l.least; to == nil || to.n != n {
-			to = l.insert(n, nil)
+		if target = l.smallest; target == nil || target.n != n {
+			target = l.insert(n, nil)
 		}
 	case n > old.n:
-		if to = old.more; to == nil || to.n != n {
-			to = l.insert(n, old)
+		if target = old.larger; target == nil || target.n != n {
+			target = l.insert(n, old)
 		}
 	default:
-		if to = old.less; to == nil || to.n != n {
-			to = l.insert(n, old.less)
+		if target = old.smaller; target == nil || target.n != n {
+			target = l.insert(n, old.smaller)
 		}
 	}
 	if old != nil {
-		old.groups.remove(g, inBucket)
+		old.groups.remove(g, bucketLinkOf)
 		if old.groups.first == nil {
 			l.drop(old)
 		}
 	}
-	g.n, g.bucket = n, to
-	if to != nil {
-		to.groups.push(g, inBucket)
+	g.n, g.bucket = n, target
+	if target != nil {
+		target.groups.push(g, bucketLinkOf)
 	}
 }
 
-// insert puts a bucket behind another; nil for the front.
-func (l *line) insert(n int, behind *bucket) *bucket {
+// insert adds a bucket for groups of size n after prev, or at the front if prev is nil.
+func (l *stateQueue) insert(n int, prev *bucket) *bucket {
 	b := l.free
 	if b != nil {
-		l.free = b.more
+		l.free = b.larger
 	} else {
 		b = &bucket{}
 	}
-	*b = bucket{n: n, less: behind, more: l.least}
-	if behind != nil {
-		b.more, behind.more = behind.more, b
+	*b = bucket{n: n, smaller: prev, larger: l.smallest}
+	if prev != nil {
+		b.larger, prev.larger = prev.larger, b
 	} else {
-		l.least = b
+		l.smallest = b
 	}
-	if b.more != nil {
-		b.more.less = b
+	if b.larger != nil {
+		b.larger.smaller = b
 	} else {
-		l.most = b
+		l.largest = b
 	}
 	return b
 }
 
-func (l *line) drop(b *bucket) {
-	if b.less != nil {
-		b.less.more = b.more
+func (l *stateQueue) drop(b *bucket) {
+	if b.smaller != nil {
+		b.smaller.larger = b.larger
 	} else {
-		l.least = b.more
+		l.smallest = b.larger
 	}
-	if b.more != nil {
-		b.more.less = b.less
+	if b.larger != nil {
+		b.larger.smaller = b.smaller
 	} else {
-		l.most = b.less
+		l.largest = b.smaller
 	}
-	*b = bucket{more: l.free}
+	*b = bucket{larger: l.free}
 	l.free = b
 }
--- a/internal/admission/peers.go
+++ b/internal/admission/peers.go
@@ -7,66 +7,69 @@
 )
 
 const (
-	peersKept  = 4096             // addresses without a connection that are remembered
-	peerMemory = 30 * time.Second // what an address did is forgotten over this
-	doubtFrom  = 8.0              // so much that was rejected lately,
-	doubtTimes = 9.0              // and so many times what was served, puts an address in doubt
+	maxIdlePeers         = 4096             // remembered addresses without a connection
+	peerTimeConstant     = 30 * time.Second // decay time of the counts of an address
+	suspectMinRejected   = 8.0              // an address is suspected from so many recent rejections
+	suspectRejectedRatio = 9.0              // and so many rejections for each served request
 )
 
-// peer is one address of clients.
+// peer is a client address.
 type peer struct {
-	from     string
-	held     int // connections
-	groups   [closed]group
-	at       time.Duration // of the counts:
-	served   float64
-	rejected float64
-	idle     *list.Element // among those without a connection
+	from        string
+	conns       int // open connections
+	groups      [closed]group
+	countedAt   time.Duration // last decay of served and rejected
+	served      float64
+	rejected    float64
+	idleElement *list.Element // in peers.idle; nil while it has a connection
 }
 
-func (p *peer) note(now time.Duration, served, rejected float64) {
-	f := math.Exp(-float64(max(0, now-p.at)) / float64(peerMemory))
-	p.served, p.rejected, p.at = p.served*f+served, p.rejected*f+rejected, max(now, p.at)
+// count adds to the decaying counts.
+func (p *peer) count(now time.Duration, served, rejected float64) {
+	f := math.Exp(-float64(max(0, now-p.countedAt)) / float64(peerTimeConstant))
+	p.served, p.rejected, p.countedAt = p.served*f+served, p.rejected*f+rejected, max(now, p.countedAt)
 }
 
-// doubtful tells whether an address lately sent next to nothing that could be served. One that stands for many clients
-// (a front layer) is not in doubt for the bad ones among them.
-func (p *peer) doubtful(now time.Duration) bool {
-	p.note(now, 0, 0)
-	return p.rejected >= doubtFrom && p.rejected >= doubtTimes*p.served
+// suspected reports whether hardly anything that an address sent recently could be served. An address shared by many
+// clients (a proxy) does not become suspected because of a few faulty ones among them.
+func (p *peer) suspected(now time.Duration) bool {
+	p.count(now, 0, 0)
+	return p.rejected >= suspectMinRejected && p.rejected >= suspectRejectedRatio*p.served
 }
 
-// peers are the addresses that hold connections, and the latest of those that held some.
+// peers holds the addresses with open connections and the most recent ones without.
 type peers struct {
-	known  map[string]*peer
-	active int       // that hold connections
-	rest   list.List // of *peer: that hold none, the longest first
+	byAddress map[string]*peer
+	active    int       // number of addresses with connections
+	idle      list.List // of *peer: addresses without connections, the longest first
 }
 
+// open records a connection of an address and returns its peer.
 func (ps *peers) open(from string) *peer {
-	p := ps.known[from]
+	p := ps.byAddress[from]
 	if p == nil {
 		p = &peer{from: from}
-		ps.known[from] = p
+		ps.byAddress[from] = p
 	}
-	if p.held == 0 {
+	if p.conns == 0 {
 		ps.active++
-		if p.idle != nil {
-			ps.rest.Remove(p.idle)
-			p.idle = nil
+		if p.idleElement != nil {
+			ps.idle.Remove(p.idleElement)
+			p.idleElement = nil
 		}
 	}
-	p.held++
+	p.conns++
 	return p
 }
 
+// close records that a connection of an address has ended.
 func (ps *peers) close(p *peer) {
-	if p.held--; p.held > 0 {
+	if p.conns--; p.conns > 0 {
 		return
 	}
 	ps.active--
-	p.idle = ps.rest.PushBack(p)
-	if ps.rest.Len() > peersKept {
-		delete(ps.known, ps.rest.Remove(ps.rest.Front()).(*peer).from)
+	p.idleElement = ps.idle.PushBack(p)
+	if ps.idle.Len() > maxIdlePeers {
+		delete(ps.byAddress, ps.idle.Remove(ps.idle.Front()).(*peer).from)
 	}
 }
--- a/internal/admission/pressure.go
+++ b/internal/admission/pressure.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-// Pressure notices that the node itself is behind, by how long requests waited in the kernel before they were read, and
-// says what to refuse before anything is done for it: the cheapest classes first, more as the wait grows.
+// Pressure detects that the node itself is overloaded, by how long requests waited in the kernel before they were read, and
+// decides what fraction of each class to shed before any work is done: the lowest-ranked classes first, more as the wait
+// grows.
 type Pressure struct {
-	wait time.Duration // mean of late, the latest counting most
+	wait time.Duration // exponentially weighted mean
 	at   time.Duration
 }
 
 const (
-	pressureFrom = 60 * time.Millisecond  // a mean wait from which requests are refused
-	pressureAll  = 300 * time.Millisecond // and from which all are
-	pressureFor  = 250 * time.Millisecond // what is older than this counts for a third
-	pressureStep = 0.1                    // what one request counts for at the least among many at once
+	shedFromWait     = 60 * time.Millisecond  // mean wait above which requests are shed
+	shedAllWait      = 300 * time.Millisecond // and from which all are
+	waitTimeConstant = 250 * time.Millisecond // decay time of the mean: a sample this old has about a third of its weight
+	minSampleWeight  = 0.1                    // of a sample, for requests that arrive at nearly the same time
 )
 
-// Observe notes how long a request had waited.
+// Observe records how long a request had waited.
 func (p *Pressure) Observe(now, waited time.Duration) {
-	share := max(1-math.Exp(-float64(now-p.at)/float64(pressureFor)), pressureStep)
-	p.wait += time.Duration(share * float64(waited-p.wait))
+	weight := max(1-math.Exp(-float64(now-p.at)/float64(waitTimeConstant)), minSampleWeight)
+	p.wait += time.Duration(weight * float64(waited-p.wait))
 	p.at = now
 }
 
-// Shed is the part of the requests of a class to refuse: rank 0 is the cheapest of so many classes.
+// Shed returns the fraction of the requests of a class to shed. Rank 0 is the class to shed first, of the given number of
+// classes.
 func (p *Pressure) Shed(now time.Duration, rank, classes int) float64 {
-	wait := float64(p.wait) * math.Exp(-float64(now-p.at)/float64(pressureFor)) // nothing comes: nothing waits
-	level := (wait - float64(pressureFrom)) / float64(pressureAll-pressureFrom)
+	wait := float64(p.wait) * math.Exp(-float64(now-p.at)/float64(waitTimeConstant)) // without new samples the mean decays
+	level := (wait - float64(shedFromWait)) / float64(shedAllWait-shedFromWait)
 	return min(max(level*float64(classes)-float64(rank), 0), 1)
 }
--- a/internal/admission/tenants.go
+++ b/internal/admission/tenants.go
@@ -6,58 +6,59 @@
 )
 
 const (
-	tenantMemory = 3 * time.Second // over which a tenant's rate is taken
-	tenantFrom   = 5.0             // requests of a tenant lately, below which its rate says nothing
+	tenantTimeConstant = 3 * time.Second // decay time of a tenant's request count
+	minTenantRequests  = 5.0             // recent requests below which the rate is not significant
 )
 
-// Tenants tells which tenants ask for more than their share of this node, so that theirs are the first connections to
-// make room. What becomes of their requests is the decision module's.
+// Tenants determines which tenants send more than their share of this node, so that their idle connections are evicted
+// first. The policy decides on their requests.
 type Tenants struct {
-	shares map[string]float64 // requests a second
-	seen   map[string]*rate
+	shares map[string]float64 // requests per second
+	rates  map[string]*requestCount
 }
 
-type rate struct {
-	n  float64 // decayed count
-	at time.Duration
+// requestCount is a decaying count of requests.
+type requestCount struct {
+	value   float64 // as of updated
+	updated time.Duration
 }
 
-// NewTenants returns the account of shares in requests a second. A tenant without one is never past it.
+// NewTenants returns Tenants with the given shares in requests per second. A tenant without a share is never over quota.
 func NewTenants(shares map[string]float64) *Tenants {
-	return &Tenants{shares: shares, seen: map[string]*rate{}}
+	return &Tenants{shares: shares, rates: map[string]*requestCount{}}
 }
 
-// ShareChange sets a tenant's share of this node in requests a second, or takes it away.
+// ShareChange sets a tenant's share of this node in requests per second, or removes it.
 type ShareChange struct {
 	Tenant  string
 	Share   float64
 	Removed bool
 }
 
-// Change sets and takes away shares. What was counted of a tenant that keeps one stays.
+// Change applies changes of shares. The request count of a tenant whose share changes is kept.
 func (t *Tenants) Change(changes []ShareChange) {
 	for _, c := range changes {
 		if c.Removed {
 			delete(t.shares, c.Tenant)
-			delete(t.seen, c.Tenant)
+			delete(t.rates, c.Tenant)
 		} else {
 			t.shares[c.Tenant] = c.Share
 		}
 	}
 }
 
-// Count counts a request and tells whether its tenant is past its share.
+// Count records a request and reports whether its tenant is over quota.
 func (t *Tenants) Count(now time.Duration, tenant string) bool {
 	share, ok := t.shares[tenant]
 	if !ok {
 		return false
 	}
-	r := t.seen[tenant] // bounded by the shares
+	r := t.rates[tenant] // rates has no more entries than shares
 	if r == nil {
-		r = &rate{at: now}
-		t.seen[tenant] = r
+		r = &requestCount{updated: now}
+		t.rates[tenant] = r
 	}
-	r.n = r.n*math.Exp(-float64(max(0, now-r.at))/float64(tenantMemory)) + 1
-	r.at = max(r.at, now)
-	return r.n >= tenantFrom && r.n/tenantMemory.Seconds() > share
+	r.value = r.value*math.Exp(-float64(max(0, now-r.updated))/float64(tenantTimeConstant)) + 1
+	r.updated = max(r.updated, now)
+	return r.value >= minTenantRequests && r.value/tenantTimeConstant.Seconds() > share
 }
