--- a/internal/bodies/spool.go
+++ b/internal/bodies/spool.go
@@ -15,39 +15,39 @@
 	"time"
 )
 
-// File is what Spool needs of a file.
+// File is a spool file.
 type File interface {
 	io.ReaderAt
 	io.WriterAt
 	Close() error
 }
 
-// FS creates files that nobody else sees: a file that it returns has no name any more, so that nothing is left after a
-// crash, and gives its room back when it is closed. Where it can it sets size bytes aside, or says that there are not so
-// many.
+// FS creates anonymous files: a file that it returns has been unlinked, so that nothing is left after a crash and its space
+// is freed when it is closed. Where the file system supports it, Create preallocates size bytes, and fails if there is not
+// enough space.
 type FS interface {
 	Create(size int64) (File, error)
 }
 
-// Dir is a folder of the operating system as an FS. Its files can be read by their owner alone while they have a name.
+// Dir is an FS on a directory of the operating system. Until a file is unlinked, only its owner can read it.
 type Dir struct {
 	path string
 	n    atomic.Uint64
 }
 
-// NewDir returns an FS on a folder, which must be there and be writable.
+// NewDir returns an FS on a directory, which must exist. It has to be writable, which is not checked here.
 func NewDir(path string) (*Dir, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if !info.IsDir() {
-		return nil, &fs.PathError{Op: "spool", Path: path, Err: errors.New("it is not a folder")}
+		return nil, &fs.PathError{Op: "spool", Path: path, Err: errors.New("not a directory")}
 	}
 	return &Dir{path: path}, nil
 }
 
-// Create opens a new file, takes its name away and sets its room aside (fallocate(2), where the file system knows it).
+// Create opens a new file, unlinks it and preallocates its space (fallocate(2), where the file system supports it).
 func (d *Dir) Create(size int64) (File, error) {
 	name := filepath.Join(d.path, "body-"+strconv.Itoa(os.Getpid())+"-"+strconv.FormatUint(d.n.Add(1), 10))
 	f, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
@@ -64,15 +64,15 @@
 	return f, nil
 }
 
-// Errors of Spool. Both wrap what the file system said, where it said something.
+// Errors of Spool.
 var (
-	ErrTimeout = errors.New("the disk did not answer in time")
-	ErrClosed  = errors.New("the spool is closed")
+	ErrTimeout = errors.New("disk did not respond in time")
+	ErrClosed  = errors.New("spool is closed")
 )
 
-// Spool writes and reads bodies on a disk that may fail, fill up or hang, without letting a request wait for it beyond
-// a deadline: all calls to the file system are made by a fixed number of workers. A call that hangs holds its worker;
-// with all of them held the spool answers ErrSlow at once.
+// Spool writes and reads bodies on a disk that may fail, fill up or hang, without letting a request wait for it beyond its
+// deadline: a fixed number of workers makes all calls to the file system. A call that hangs blocks its worker. While all
+// workers are blocked, a call returns ErrTimeout when its context ends.
 type Spool struct {
 	fs   FS
 	jobs chan func()
@@ -80,7 +80,7 @@
 	wg   sync.WaitGroup
 }
 
-// NewSpool starts a spool with so many workers.
+// NewSpool starts a spool with the given number of workers.
 func NewSpool(files FS, workers int) *Spool {
 	s := &Spool{fs: files, jobs: make(chan func()), done: make(chan struct{})}
 	for range workers {
@@ -100,59 +100,58 @@
 	return s
 }
 
-// Close ends the workers. A call that hangs in the file system ends when that lets go; Close does not wait for it, Wait
-// does.
+// Close stops the workers. It does not wait for calls that hang in the file system; Wait does.
 func (s *Spool) Close() { close(s.done) }
 
-// Wait returns once every worker has ended and every file is closed.
+// Wait returns after all workers have stopped and all files that are being closed are closed.
 func (s *Spool) Wait() { s.wg.Wait() }
 
-// call runs f on a worker and waits for it until ctx ends. Where it does not end in time, late is called with its
-// outcome once it does.
+// call runs f on a worker and waits until it returns or ctx ends. If f has started and returns only after ctx has ended,
+// late is called with its result.
 func (s *Spool) call(ctx context.Context, f func() error, late func(error)) error {
 	var mu sync.Mutex
-	left, ended := false, make(chan error, 1)
+	abandoned, result := false, make(chan error, 1)
 	job := func() {
 		err := f()
 		mu.Lock()
 		defer mu.Unlock()
-		if left {
+		if abandoned {
 			late(err)
 		}
-		ended <- err
+		result <- err
 	}
 	select {
 	case s.jobs <- job:
 	case <-ctx.Done():
-		return fmt.Errorf("%w: every worker is held", ErrTimeout)
+		return fmt.Errorf("%w: all workers are busy", ErrTimeout)
 	case <-s.done:
 		return ErrClosed
 	}
 	select {
-	case err := <-ended:
+	case err := <-result:
 		return err
 	case <-ctx.Done():
 		mu.Lock()
 		defer mu.Unlock()
 		select {
-		case err := <-ended: // at this moment
+		case err := <-result: // f returned just now
 			return err
 		default:
 		}
-		left = true
+		abandoned = true
 		return ErrTimeout
 	}
 }
 
-// SpooledBody is a body on disk. One goroutine at a time writes it; it may be read from many.
+// SpooledBody is a body on disk. Only one goroutine may write it at a time; several may read it concurrently.
 type SpooledBody struct {
 	spool *Spool
 	file  File
-	size  int64 // that is there
+	size  int64 // bytes written
 }
 
-// Create makes room for a body of a size, until ctx ends at the latest. A disk without that room says so here, before any
-// of the body has been read.
+// Create creates a file for a body of size bytes, waiting at most until ctx ends. If the disk has not enough space for it,
+// and the file system can preallocate, Create fails, before any of the body has been read.
 func (s *Spool) Create(ctx context.Context, size int64) (*SpooledBody, error) {
 	k := &SpooledBody{spool: s}
 	err := s.call(ctx, func() (err error) {
@@ -164,12 +163,13 @@
 		}
 	})
 	if err != nil {
-		return nil, fmt.Errorf("keep a body: %w", err)
+		return nil, fmt.Errorf("spool request body: %w", err)
 	}
 	return k, nil
 }
 
-// Append writes more of the body. p must not change until Append returns nil: a call that hangs goes on reading it.
+// Append writes more of the body. Unless it returns nil, p must not be modified any more: a write that hangs may still
+// read it.
 func (k *SpooledBody) Append(ctx context.Context, p []byte) error {
 	at := k.size
 	err := k.spool.call(ctx, func() error {
@@ -180,16 +180,16 @@
 		return err
 	}, func(error) {})
 	if err != nil {
-		return fmt.Errorf("keep a body: %w", err)
+		return fmt.Errorf("spool request body: %w", err)
 	}
 	k.size += int64(len(p))
 	return nil
 }
 
-// Size is what is there of the body, in bytes.
+// Size returns the bytes written so far.
 func (k *SpooledBody) Size() int64 { return k.size }
 
-// ReadAt fills p with what is there from off on. Unless it returns nil, p must not be used again: a call that hangs may
+// ReadAt fills p from the body, starting at off. Unless it returns nil, p must not be used again: a read that hangs may
 // still write to it.
 func (k *SpooledBody) ReadAt(ctx context.Context, p []byte, off int64) error {
 	if off < 0 || off+int64(len(p)) > k.size {
@@ -206,49 +206,50 @@
 		return err
 	}, func(error) {})
 	if err != nil {
-		return fmt.Errorf("read a body back: %w", err)
+		return fmt.Errorf("read spooled body: %w", err)
 	}
 	return nil
 }
 
-// Close gives the body's room on the disk back. It does not wait for the disk: the file is closed once no call that
-// hangs holds it.
+// Close frees the space of the body on disk. It does not wait for the disk: the file is closed in the background, once no
+// hanging call uses it.
 func (k *SpooledBody) Close() {
 	k.spool.wg.Go(func() { k.file.Close() })
 }
 
-// Breaker decides whether the disk is worth trying. It has no clock: its caller tells the time. After a failure the tier is
-// closed, for longer each time up to a bound, and then one body tries it.
+// Breaker is a circuit breaker for the disk. After a failure it allows no body to use the disk for a backoff, which doubles
+// with each further failure up to a limit, and then allows a single body as a probe. It has no clock: its caller passes
+// the time.
 type Breaker struct {
-	wait   time.Duration
-	until  time.Duration
-	trying bool
+	backoff time.Duration
+	retryAt time.Duration
+	probing bool
 }
 
 const (
-	doorFirst = 250 * time.Millisecond
-	doorLast  = 30 * time.Second
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 30 * time.Second
 )
 
-// Allow tells whether a body may try the disk at a moment.
+// Allow reports whether a body may use the disk now. The caller reports the result to Record.
 func (d *Breaker) Allow(now time.Duration) bool {
-	if d.wait == 0 {
+	if d.backoff == 0 {
 		return true
 	}
-	if now < d.until || d.trying {
+	if now < d.retryAt || d.probing {
 		return false
 	}
-	d.trying = true
+	d.probing = true
 	return true
 }
 
-// Record notes how a try went.
+// Record records whether using the disk succeeded.
 func (d *Breaker) Record(now time.Duration, ok bool) {
-	d.trying = false
+	d.probing = false
 	if ok {
-		d.wait = 0
+		d.backoff = 0
 		return
 	}
-	d.wait = min(max(2*d.wait, doorFirst), doorLast)
-	d.until = now + d.wait
+	d.backoff = min(max(2*d.backoff, minBackoff), maxBackoff)
+	d.retryAt = now + d.backoff
 }
