--- a/internal/settings/control.go
+++ b/internal/settings/control.go
@@ -11,60 +11,60 @@
 	"craneglade/internal/tomlfile"
 )
 
-// Control says from where a node takes the configuration and the endpoints of its service, in place of discovery. Without
-// a service there is no control plane for it.
+// Control configures the control plane as the source of a node's configuration and the endpoints of its service, in place
+// of discovery. Without a service the control plane is not used.
 type Control struct {
-	Services       []string          `toml:"services"` // that this node serves: one, for now
+	Services       []string          `toml:"services"` // served by this node; exactly one is supported
 	Region         string            `toml:"region"`   // the home region of the service
 	Cluster        string            `toml:"cluster"`  // as fleet.cluster
 	KeyFile        string            `toml:"key_file"` // as fleet.key_file
-	BytesPerSecond tomlfile.Size     `toml:"bytes"`    // a second that this node sends to its parents at most
-	ParentTimeout  tomlfile.Duration `toml:"silence"`  // after which a parent is given up; several of its heartbeats
-	Parents        []Parent          `toml:"parent"`   // relays, or control processes where there are none
-	Keys           [][]byte          `toml:"-"`        // what key_file holds
+	BytesPerSecond tomlfile.Size     `toml:"bytes"`    // maximum per second that this node sends to its parents
+	ParentTimeout  tomlfile.Duration `toml:"silence"`  // silence after which the connection to a parent is closed; several of its heartbeats
+	Parents        []Parent          `toml:"parent"`   // relays, or control processes if there are no relays
+	Keys           [][]byte          `toml:"-"`        // read from key_file
 }
 
-// Parent is a process that serves logs to others.
+// Parent is a process that serves resource logs to others.
 type Parent struct {
 	Name    string `toml:"name"`
 	Address string `toml:"address"` // an IP address and a port
 	Zone    string `toml:"zone"`
 }
 
-// Limits of the control plane's settings.
+// Defaults and limits of the control plane's settings.
 const (
-	defaultControlBytes      = 8 << 10 // a second
-	minControlBytes          = 1 << 10
-	maxControlBytes          = 1 << 30
-	maxNameBytes             = resource.MaxNameBytes
-	maxParents               = 64
-	defaultHeartbeat         = time.Second
-	defaultSilence           = 3 * time.Second
-	defaultLog               = 16 << 20
-	minLog                   = 64 << 10
-	minSilence               = 200 * time.Millisecond
-	maxSilence               = time.Minute
-	defaultServedBytes       = 8 << 20 // a second, to all subscribers together
-	defaultServedSnapshots   = 64
-	defaultServedSubscribers = 1000
-	maxServedSubscribers     = 10000
+	defaultControlBytesPerSecond = 8 << 10
+	minControlBytes              = 1 << 10
+	maxControlBytes              = 1 << 30
+	maxNameBytes                 = resource.MaxNameBytes
+	maxParents                   = 64
+	defaultHeartbeat             = time.Second
+	defaultParentTimeout         = 3 * time.Second
+	defaultLogBytes              = 16 << 20
+	minLogBytes                  = 64 << 10
+	minParentTimeout             = 200 * time.Millisecond
+	maxParentTimeout             = time.Minute
+	defaultServedBytesPerSecond  = 8 << 20 // for all subscribers together
+	defaultServedSnapshots       = 64
+	defaultServedSubscribers     = 1000
+	maxServedSubscribers         = 10000
 )
 
-// On tells whether the control plane is used.
+// On reports whether the control plane is used.
 func (c *Control) On() bool { return len(c.Services) > 0 }
 
-// check fills in what is left out and says what is wrong.
+// check sets defaults and returns an error for an invalid setting.
 func (c *Control) check(keys *tomlfile.Keys) (err error) {
 	if !c.On() {
 		for _, k := range []string{"region", "cluster", "key_file", "bytes", "silence", "parent[0]"} {
 			if keys.Has("control." + k) {
-				return keys.Problem("control.services", "it is missing, and control.%s does nothing without it", k)
+				return keys.Problem("control.services", "missing, and control.%s has no effect without it", k)
 			}
 		}
 		return nil
 	}
 	if len(c.Services) > 1 {
-		return keys.Problem("control.services", "%d are named, and a process serves one service", len(c.Services))
+		return keys.Problem("control.services", "%d services are given, and a process serves only one", len(c.Services))
 	}
 	if err := checkName(keys, "control.services", c.Services[0]); err != nil {
 		return err
@@ -76,20 +76,21 @@
 		return err
 	}
 	if !keys.Has("control.bytes") {
-		c.BytesPerSecond = defaultControlBytes
+		c.BytesPerSecond = defaultControlBytesPerSecond
 	}
 	if err := checkBytes(keys, "control.bytes", c.BytesPerSecond); err != nil {
 		return err
 	}
-	if c.ParentTimeout, err = checkSilence(keys, "control.silence", c.ParentTimeout); err != nil {
+	if c.ParentTimeout, err = checkParentTimeout(keys, "control.silence", c.ParentTimeout); err != nil {
 		return err
 	}
 	if len(c.Parents) == 0 {
-		return keys.Problem("control.parent", "none is named: give name, address and zone of two or more in [[control.parent]]")
+		return keys.Problem("control.parent", "missing: give name, address and zone of two or more in [[control.parent]]")
 	}
 	return checkParents(keys, "control.parent", c.Parents)
 }
 
+// checkName returns an error if name is not a valid name.
 func checkName(keys *tomlfile.Keys, key, name string) error {
 	if name == "" || len(name) > maxNameBytes {
 		return keys.Problem(key, "%q is not a name of 1 to %d bytes", name, maxNameBytes)
@@ -97,17 +98,18 @@
 	return nil
 }
 
-// checkSilence returns how long a parent may be silent: value, or the default where the file names none.
-func checkSilence(keys *tomlfile.Keys, key string, value tomlfile.Duration) (tomlfile.Duration, error) {
+// checkParentTimeout returns value, or the default if the file does not set key, or an error if it is out of range.
+func checkParentTimeout(keys *tomlfile.Keys, key string, value tomlfile.Duration) (tomlfile.Duration, error) {
 	if !keys.Has(key) {
-		return tomlfile.Duration(defaultSilence), nil
+		return tomlfile.Duration(defaultParentTimeout), nil
 	}
-	if value.D() < minSilence || value.D() > maxSilence {
-		return 0, keys.Problem(key, "%v is outside %v to %v", value, minSilence, maxSilence)
+	if value.D() < minParentTimeout || value.D() > maxParentTimeout {
+		return 0, keys.Problem(key, "%v is outside %v to %v", value, minParentTimeout, maxParentTimeout)
 	}
 	return value, nil
 }
 
+// checkBytes returns an error if a size per second is out of range.
 func checkBytes(keys *tomlfile.Keys, key string, size tomlfile.Size) error {
 	if size < minControlBytes || size > maxControlBytes {
 		return keys.Problem(key, "%d is outside 1KiB to 1GiB a second", size)
@@ -115,10 +117,10 @@
 	return nil
 }
 
-// checkParents checks the entries of the array of tables that key names.
+// checkParents checks the entries of the array of tables at key.
 func checkParents(keys *tomlfile.Keys, key string, parents []Parent) error {
 	if len(parents) > maxParents {
-		return keys.Problem(key, "%d are named, and %d are the most", len(parents), maxParents)
+		return keys.Problem(key, "%d entries exceed the limit of %d", len(parents), maxParents)
 	}
 	seen := map[string]bool{}
 	for i, p := range parents {
@@ -127,7 +129,7 @@
 			return err
 		}
 		if seen[p.Name] {
-			return keys.Problem(entry+"name", "%q is there twice", p.Name)
+			return keys.Problem(entry+"name", "%q is a duplicate", p.Name)
 		}
 		seen[p.Name] = true
 		if err := checkAddress(keys, entry+"address", p.Address); err != nil {
@@ -137,44 +139,44 @@
 	return nil
 }
 
-// Role is what a process of the control plane does.
+// Role is the role of a control plane process.
 type Role string
 
 // The roles.
 const (
-	RoleWriter Role = "writer" // changes the log of its region, and serves it
-	RoleRelay  Role = "relay"  // serves replicas of all logs that it follows
+	RoleWriter Role = "writer" // appends to the log of its region and serves it
+	RoleRelay  Role = "relay"  // serves replicas of the logs that it follows
 )
 
-// ControlProcess is a process of the control plane, as deploy/control.toml describes it.
+// ControlProcess holds the settings of a control plane process; deploy/control.toml is an example.
 type ControlProcess struct {
 	Role        Role     `toml:"role"`
 	Name        string   `toml:"name"`
 	Region      string   `toml:"region"`
 	Zone        string   `toml:"zone"`
-	Regions     []string `toml:"regions"` // whose logs a relay follows; without it its own region's
+	Regions     []string `toml:"regions"` // whose logs a relay follows; by default only its own region
 	Listen      string   `toml:"listen"`  // an IP address and a port
-	Socket      string   `toml:"socket"`  // where operators ask: a Unix socket, which the process makes
+	Socket      string   `toml:"socket"`  // path of the Unix socket for operators, which the process creates
 	Cluster     string   `toml:"cluster"`
 	KeyFile     string   `toml:"key_file"`
-	StateDir    string   `toml:"state"`        // a writer's folder, which must exist
-	EpochOffset int64    `toml:"epoch_offset"` // added to the epochs of the quorum, for a log that was restored from a backup
+	StateDir    string   `toml:"state"`        // directory of a writer, which must exist
+	EpochOffset int64    `toml:"epoch_offset"` // added to the epochs of the quorum, for a log restored from a backup
 
 	Limits        ControlLimits  `toml:"limits"`
-	Members       []Member       `toml:"member"` // the control processes of the region, this one too; without it this one alone
-	Parents       []Parent       `toml:"parent"` // control processes of the region, for a relay
+	Members       []Member       `toml:"member"` // all control processes of the region, including this one; by default only this one
+	Parents       []Parent       `toml:"parent"` // of a relay: control processes of its region
 	RegionParents []RegionParent `toml:"region_parent"`
-	Keys          [][]byte       `toml:"-"` // what key_file holds
+	Keys          [][]byte       `toml:"-"` // read from key_file
 }
 
-// Member is one of the control processes of a region, which choose the writer among them by majority.
+// Member is one of the control processes of a region, which elect the writer among them by majority.
 type Member struct {
-	ID      uint64 `toml:"id"` // from 1 on; it stays the member's own for as long as its state folder does
+	ID      uint64 `toml:"id"` // from 1; must not change while the member's state directory exists
 	Name    string `toml:"name"`
 	Address string `toml:"address"`
 }
 
-// RegionParent is a process from which a writer takes the log of another region.
+// RegionParent is a process from which a writer follows the log of another region.
 type RegionParent struct {
 	Region  string `toml:"region"`
 	Name    string `toml:"name"`
@@ -182,18 +184,18 @@
 	Zone    string `toml:"zone"`
 }
 
-// ControlLimits bound what a process of the control plane spends on its subscribers.
+// ControlLimits limits what a control plane process spends on its subscribers.
 type ControlLimits struct {
-	BytesPerSecond tomlfile.Size     `toml:"bytes"`       // a second that it sends to all subscribers together
-	MaxSnapshots   int               `toml:"snapshots"`   // that it sends at a time
-	MaxSubscribers int               `toml:"subscribers"` // sessions at a time
-	Heartbeat      tomlfile.Duration `toml:"heartbeat"`   // how often each subscriber is told that nothing has changed
-	ParentTimeout  tomlfile.Duration `toml:"silence"`     // after which this process gives a parent of its own up
-	LogBytes       tomlfile.Size     `toml:"log"`         // that a writer keeps behind a snapshot until it makes another
+	BytesPerSecond tomlfile.Size     `toml:"bytes"`       // maximum per second sent to all subscribers together
+	MaxSnapshots   int               `toml:"snapshots"`   // sent at the same time
+	MaxSubscribers int               `toml:"subscribers"` // concurrent sessions
+	Heartbeat      tomlfile.Duration `toml:"heartbeat"`   // interval of messages to a subscriber while nothing changes
+	ParentTimeout  tomlfile.Duration `toml:"silence"`     // silence after which this process closes the connection to a parent of its own
+	LogBytes       tomlfile.Size     `toml:"log"`         // size of the log since the last snapshot at which a writer makes another
 }
 
-// LoadControlProcess reads the file of a process of the control plane and checks it whole. An error is one line that names
-// file, line and key.
+// LoadControlProcess reads and checks the settings file of a control plane process. An error is one line that names file,
+// line and key.
 func LoadControlProcess(path string) (*ControlProcess, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -202,7 +204,7 @@
 	return ParseControlProcess(path, text)
 }
 
-// ParseControlProcess is LoadControlProcess for text; file is its name for errors.
+// ParseControlProcess is like LoadControlProcess for text. file is the name used in errors.
 func ParseControlProcess(file string, text []byte) (*ControlProcess, error) {
 	c := &ControlProcess{}
 	keys, err := tomlfile.Decode(file, text, c)
@@ -224,13 +226,13 @@
 	switch c.Role {
 	case RoleWriter:
 		if c.StateDir == "" {
-			return keys.Problem("state", "it is missing: a writer needs a folder for its log")
+			return keys.Problem("state", "missing: a writer needs a directory for its log")
 		}
 		if info, err := os.Stat(c.StateDir); err != nil || !info.IsDir() {
-			return keys.Problem("state", "%q is not a folder that is there", c.StateDir)
+			return keys.Problem("state", "%q is not an existing directory", c.StateDir)
 		}
 		if len(c.Parents) > 0 {
-			return keys.Problem("parent", "a writer has no parent: name other regions' processes in [[region_parent]]")
+			return keys.Problem("parent", "a writer has no parent: give other regions' processes in [[region_parent]]")
 		}
 		if c.EpochOffset < 0 {
 			return keys.Problem("epoch_offset", "%d is negative", c.EpochOffset)
@@ -238,11 +240,11 @@
 	case RoleRelay:
 		for _, k := range []string{"state", "epoch_offset", "member[0]", "region_parent[0]"} {
 			if keys.Has(k) {
-				return keys.Problem(k, "it is for a writer, and this is a relay")
+				return keys.Problem(k, "only allowed for a writer, and this is a relay")
 			}
 		}
 		if len(c.Parents) == 0 {
-			return keys.Problem("parent", "none is named: give name, address and zone of the region's control processes in [[parent]]")
+			return keys.Problem("parent", "missing: give name, address and zone of the region's control processes in [[parent]]")
 		}
 	default:
 		return keys.Problem("role", `%q is neither "writer" nor "relay"`, c.Role)
@@ -268,7 +270,7 @@
 		c.Regions = []string{c.Region}
 	}
 	if sorted := slices.Sorted(slices.Values(c.Regions)); len(slices.Compact(sorted)) < len(c.Regions) {
-		return keys.Problem("regions", "one of them is there twice")
+		return keys.Problem("regions", "a region is given twice")
 	}
 	return nil
 }
@@ -278,12 +280,12 @@
 		return err
 	}
 	if _, _, err := reach.Network("unix:" + c.Socket); err != nil {
-		return keys.Problem("socket", "%q is not a path from / of at most 107 bytes", c.Socket)
+		return keys.Problem("socket", "%q is not an absolute path of at most 107 bytes", c.Socket)
 	}
 	return nil
 }
 
-// checkMembers checks the members of the region's quorum. Where none are named this process is the only one.
+// checkMembers checks the members of the region's quorum. By default this process is the only one.
 func (c *ControlProcess) checkMembers(keys *tomlfile.Keys) error {
 	if c.Role != RoleWriter {
 		return nil
@@ -293,19 +295,19 @@
 		return nil
 	}
 	if n := len(c.Members); n != 1 && n != 3 && n != 5 {
-		return keys.Problem("member", "%d are named: it takes 1, 3 or 5, this process among them", n)
+		return keys.Problem("member", "%d are given: it takes 1, 3 or 5, including this process", n)
 	}
 	ids, names := map[uint64]bool{}, map[string]bool{}
 	for i, m := range c.Members {
 		entry := fmt.Sprintf("member[%d].", i)
 		if m.ID == 0 || ids[m.ID] {
-			return keys.Problem(entry+"id", "%d is 0 or there twice", m.ID)
+			return keys.Problem(entry+"id", "%d is 0 or a duplicate", m.ID)
 		}
 		if err := checkName(keys, entry+"name", m.Name); err != nil {
 			return err
 		}
 		if names[m.Name] {
-			return keys.Problem(entry+"name", "%q is there twice", m.Name)
+			return keys.Problem(entry+"name", "%q is a duplicate", m.Name)
 		}
 		if err := checkAddress(keys, entry+"address", m.Address); err != nil {
 			return err
@@ -337,7 +339,7 @@
 
 func (l *ControlLimits) check(keys *tomlfile.Keys) (err error) {
 	if !keys.Has("limits.bytes") {
-		l.BytesPerSecond = defaultServedBytes
+		l.BytesPerSecond = defaultServedBytesPerSecond
 	}
 	if !keys.Has("limits.snapshots") {
 		l.MaxSnapshots = defaultServedSnapshots
@@ -356,13 +358,13 @@
 	case l.Heartbeat.D() < 50*time.Millisecond || l.Heartbeat.D() > 10*time.Second:
 		return keys.Problem("limits.heartbeat", "%v is outside 50ms to 10s", l.Heartbeat.D())
 	}
-	if l.ParentTimeout, err = checkSilence(keys, "limits.silence", l.ParentTimeout); err != nil {
+	if l.ParentTimeout, err = checkParentTimeout(keys, "limits.silence", l.ParentTimeout); err != nil {
 		return err
 	}
 	if !keys.Has("limits.log") {
-		l.LogBytes = defaultLog
+		l.LogBytes = defaultLogBytes
 	}
-	if l.LogBytes < minLog || l.LogBytes > maxControlBytes {
+	if l.LogBytes < minLogBytes || l.LogBytes > maxControlBytes {
 		return keys.Problem("limits.log", "%d is outside 64KiB to 1GiB", l.LogBytes)
 	}
 	return checkBytes(keys, "limits.bytes", l.BytesPerSecond)
--- a/internal/settings/control_test.go
+++ b/internal/settings/control_test.go
@@ -18,10 +18,10 @@
 	return path
 }
 
-// refusals parses good with each replacement, and wants one line that has want in it.
-func refusals(t *testing.T, good string, parse func(text []byte) error, all []struct{ old, new, want string }) {
+// checkErrors parses good with each replacement and expects an error of one line that contains want.
+func checkErrors(t *testing.T, good string, parse func(text []byte) error, cases []struct{ old, new, want string }) {
 	t.Helper()
-	for _, x := range all {
+	for _, x := range cases {
 		text := strings.Replace(good, x.old, x.new, 1)
 		if text == good {
 			t.Fatalf("%q is not in the file", x.old)
@@ -53,9 +53,9 @@
 	if f, err := Parse("own.toml", nil); err != nil || f.Control.On() {
 		t.Errorf("without the section: %v, on %v", err, f.Control.On())
 	}
-	refusals(t, good, func(text []byte) error { _, err := Parse("own.toml", text); return err }, []struct{ old, new, want string }{
-		{`services = ["configurator"]`, ``, "own.toml:1: control.services: it is missing, and control.region does nothing without it"},
-		{`["configurator"]`, `["a", "b"]`, "own.toml:2: control.services: 2 are named, and a process serves one service"},
+	checkErrors(t, good, func(text []byte) error { _, err := Parse("own.toml", text); return err }, []struct{ old, new, want string }{
+		{`services = ["configurator"]`, ``, "own.toml:1: control.services: missing, and control.region has no effect without it"},
+		{`["configurator"]`, `["a", "b"]`, "own.toml:2: control.services: 2 services are given, and a process serves only one"},
 		{`["configurator"]`, `[""]`, "own.toml:2: control.services"},
 		{`"north"`, `""`, `own.toml:3: control.region: "" is not a name of 1 to 128 bytes`},
 		{`"company"`, `""`, "own.toml:4: control.cluster"},
@@ -63,9 +63,9 @@
 		{`key_file`, "silence = \"10ms\"\nkey_file", "own.toml:5: control.silence: 10ms is outside 200ms to 1m0s"},
 		{`key_file`, "byts = \"12KiB\"\nkey_file", "own.toml:5: control.byts: no such key; did you mean bytes?"},
 		{`"127.0.0.1:7960"`, `"relay:7960"`, `own.toml:8: control.parent[0].address: "relay:7960" is not an IP address and a port`},
-		{`zone = "north-a"`, "[[control.parent]]\nname = \"relay-1\"", `control.parent[1].name: "relay-1" is there twice`},
+		{`zone = "north-a"`, "[[control.parent]]\nname = \"relay-1\"", `control.parent[1].name: "relay-1" is a duplicate`},
 		{`"relay-1"`, `""`, "own.toml:7: control.parent[0].name"},
-		{good[strings.Index(good, "[[control.parent]]"):], "", "control.parent: none is named"},
+		{good[strings.Index(good, "[[control.parent]]"):], "", "control.parent: missing"},
 	})
 }
 
@@ -93,11 +93,11 @@
 	if c.Limits.Heartbeat.D() != time.Second || c.Limits.MaxSnapshots != 64 || c.Limits.MaxSubscribers != 1000 || c.Limits.BytesPerSecond != 8<<20 || c.Limits.ParentTimeout.D() != 3*time.Second || c.Regions[0] != "north" || len(c.Members) != 1 || c.Members[0].ID != 1 {
 		t.Errorf("%+v", c)
 	}
-	refusals(t, writer, parse, []struct{ old, new, want string }{
+	checkErrors(t, writer, parse, []struct{ old, new, want string }{
 		{`"writer"`, `"reader"`, `control.toml:1: role: "reader" is neither "writer" nor "relay"`},
-		{`"writer"`, `"relay"`, `control.toml:9: state: it is for a writer, and this is a relay`},
-		{fmt.Sprintf("%q", state), `"/no/such/folder"`, `control.toml:9: state: "/no/such/folder" is not a folder that is there`},
-		{fmt.Sprintf("state = %q", state), ``, `state: it is missing`},
+		{`"writer"`, `"relay"`, `control.toml:9: state: only allowed for a writer, and this is a relay`},
+		{fmt.Sprintf("%q", state), `"/no/such/folder"`, `control.toml:9: state: "/no/such/folder" is not an existing directory`},
+		{fmt.Sprintf("state = %q", state), ``, `state: missing: a writer needs a directory`},
 		{`"north-1"`, `""`, "control.toml:2: name"},
 		{`"127.0.0.1:7960"`, `"7960"`, "control.toml:5: listen"},
 		{`"/run/craneglade/north-1.sock"`, `"north-1.sock"`, "control.toml:6: socket"},
@@ -111,8 +111,8 @@
 		{`[[region_parent]]`, "[limits]\nsubscribers = 0\n[[region_parent]]", "control.toml:11: limits.subscribers: 0 is outside 1 to 10000"},
 		{`zone`, "regions = [\"south\"]\nzone", "control.toml:4: regions: a writer follows the regions of [[region_parent]]"},
 		{`zone`, "epoch_offset = -1\nzone", "control.toml:4: epoch_offset: -1 is negative"},
-		{`[[region_parent]]`, "[[member]]\nid = 1\nname = \"north-1\"\naddress = \"127.0.0.1:1\"\n[[member]]\nid = 2\nname = \"x\"\n[[region_parent]]", "member: 2 are named: it takes 1, 3 or 5"},
-		{`[[region_parent]]`, "[[member]]\nid = 0\n[[region_parent]]", "control.toml:11: member[0].id: 0 is 0 or there twice"},
+		{`[[region_parent]]`, "[[member]]\nid = 1\nname = \"north-1\"\naddress = \"127.0.0.1:1\"\n[[member]]\nid = 2\nname = \"x\"\n[[region_parent]]", "member: 2 are given: it takes 1, 3 or 5"},
+		{`[[region_parent]]`, "[[member]]\nid = 0\n[[region_parent]]", "control.toml:11: member[0].id: 0 is 0 or a duplicate"},
 		{`[[region_parent]]`, "[[member]]\nid = 1\nname = \"x\"\naddress = \"x:1\"\n[[region_parent]]", "control.toml:13: member[0].address"},
 		{`[[region_parent]]`, "[[member]]\nid = 1\nname = \"x\"\naddress = \"127.0.0.1:1\"\n[[region_parent]]", `member: this process, "north-1", is not among them`},
 	})
@@ -131,13 +131,13 @@
 	if err := parse([]byte(relay)); err != nil {
 		t.Fatal(err)
 	}
-	refusals(t, relay, parse, []struct{ old, new, want string }{
-		{`["north", "south"]`, `["north", "north"]`, "control.toml:4: regions: one of them is there twice"},
-		{relay[strings.Index(relay, "[[parent]]"):], "", "parent: none is named"},
+	checkErrors(t, relay, parse, []struct{ old, new, want string }{
+		{`["north", "south"]`, `["north", "north"]`, "control.toml:4: regions: a region is given twice"},
+		{relay[strings.Index(relay, "[[parent]]"):], "", "parent: missing: give name"},
 	})
 }
 
-// The example is good as it stands, but for its paths, and so is all that is commented out in it.
+// The example files must be valid, apart from their paths, and so must the settings that are commented out in them.
 func TestControlExample(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/control.toml")
 	if err != nil {
--- a/internal/settings/dns.go
+++ b/internal/settings/dns.go
@@ -10,16 +10,16 @@
 	"craneglade/internal/tomlfile"
 )
 
-// check fills in what is left out and says what is wrong.
+// check sets defaults and returns an error for an invalid setting.
 func (d *DNS) check(keys *tomlfile.Keys) error {
 	if len(d.Sites) == 0 {
 		if keys.Has("dns.servers") || keys.Has("dns.timeout") || keys.Has("dns.hold") || keys.Has("dns.calm") {
-			return keys.Problem("dns.site", "none is named, and the rest of dns does nothing without one")
+			return keys.Problem("dns.site", "missing, and the other keys of dns have no effect without it")
 		}
 		return nil
 	}
 	if len(d.Servers) == 0 {
-		return keys.Problem("dns.servers", `it is missing: name one or more, such as ["127.0.0.1:53"]`)
+		return keys.Problem("dns.servers", `missing: give one or more, such as ["127.0.0.1:53"]`)
 	}
 	for i, s := range d.Servers {
 		host, port, err := net.SplitHostPort(s)
@@ -28,30 +28,30 @@
 		}
 	}
 	for _, t := range []struct {
-		key               string
-		value             *tomlfile.Duration
-		usual, least, top time.Duration
+		key                        string
+		value                      *tomlfile.Duration
+		defaultValue, lower, upper time.Duration
 	}{
 		{"timeout", &d.Timeout, 500 * time.Millisecond, 10 * time.Millisecond, 10 * time.Second},
-		{"hold", &d.HoldTime, time.Minute, 30 * time.Second, 24 * time.Hour}, // lists are asked for every 20 s at the least
+		{"hold", &d.HoldTime, time.Minute, 30 * time.Second, 24 * time.Hour}, // lists are fetched at least every 20 s
 		{"calm", &d.FlapBackoff, 2 * time.Second, 0, time.Minute},
 	} {
 		if !keys.Has("dns." + t.key) {
-			*t.value = tomlfile.Duration(t.usual)
+			*t.value = tomlfile.Duration(t.defaultValue)
 		}
-		if v := t.value.D(); v < t.least || v > t.top {
-			return keys.Problem("dns."+t.key, "%v is outside %v to %v", v, t.least, t.top)
+		if v := t.value.D(); v < t.lower || v > t.upper {
+			return keys.Problem("dns."+t.key, "%v is outside %v to %v", v, t.lower, t.upper)
 		}
 	}
 	seen := map[string]bool{}
 	for i, s := range d.Sites {
 		p := fmt.Sprintf("dns.site[%d].", i)
 		if _, ok := dns.IsDomainName(s.Name); !ok || s.Name == "" || seen[dns.CanonicalName(s.Name)] {
-			return keys.Problem(p+"name", "%q is no domain name, or there twice", s.Name)
+			return keys.Problem(p+"name", "%q is not a domain name or a duplicate", s.Name)
 		}
 		seen[dns.CanonicalName(s.Name)] = true
 		if s.Zone == "" {
-			return keys.Problem(p+"zone", "it is missing: say which zone the boxes of %s are in, as the list has it", s.Name)
+			return keys.Problem(p+"zone", "missing: give the zone of the backends of %s, as in the list", s.Name)
 		}
 	}
 	return nil
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -13,40 +13,40 @@
 	"craneglade/internal/tomlfile"
 )
 
-// Fleet is where a running node says what it knows, and whom it shares state with. Without a socket it says so nowhere;
-// without an address to listen on it shares nothing.
+// Fleet configures the socket on which a node reports its state and the nodes with which it shares state. Without a socket
+// it reports nothing; without an address to listen on it shares nothing.
 type Fleet struct {
-	Socket           string            `toml:"socket"`    // the path of a Unix socket, which the node makes
-	Listen           string            `toml:"listen"`    // host:port of an IP address, UDP and TCP
-	Advertise        string            `toml:"advertise"` // where others reach it, if that is another address
-	Seeds            []string          `toml:"seeds"`     // addresses of some members, any that answers will do
-	Cluster          string            `toml:"cluster"`   // what members have in common: those of another one are refused
-	KeyFile          string            `toml:"key_file"`  // a file with a key of 16, 24 or 32 bytes in hexadecimal, or several: the first writes, all read
-	Use              []string          `toml:"use"`       // what the shared state is used for; without it quotas
-	BytesPerSecond   tomlfile.Size     `toml:"bytes"`     // a second that this node sends at most
-	MaxDatagramBytes int               `toml:"datagram"`  // bytes of the largest datagram
-	Audit            string            `toml:"audit"`     // a file to which each change of what may be spent is written, for rehearsals
-	Skew             []Skew            `toml:"skew"`      // sets the clock by which this node shares state wrong, for rehearsals
-	Keys             [][]byte          `toml:"-"`         // what key_file holds
-	Features         shared.Use        `toml:"-"`         // what use names
-	LeaveTimeout     tomlfile.Duration `toml:"leave"`     // how long a node that ends takes to say so
+	Socket           string            `toml:"socket"`    // path of a Unix socket, which the node creates
+	Listen           string            `toml:"listen"`    // IP address and port, for UDP and TCP
+	Advertise        string            `toml:"advertise"` // address at which others reach it, if different
+	Seeds            []string          `toml:"seeds"`     // addresses of some members; one that responds is enough
+	Cluster          string            `toml:"cluster"`   // name of the cluster; members of another one are refused
+	KeyFile          string            `toml:"key_file"`  // file with keys of 16, 24 or 32 bytes in hexadecimal; the first encrypts, all decrypt
+	Use              []string          `toml:"use"`       // what the shared state is used for; by default quotas
+	BytesPerSecond   tomlfile.Size     `toml:"bytes"`     // maximum per second that this node sends
+	MaxDatagramBytes int               `toml:"datagram"`  // size of the largest datagram
+	Audit            string            `toml:"audit"`     // file to which each change of a spendable budget is written, for tests
+	Skew             []Skew            `toml:"skew"`      // offsets of the clock used for shared state, for tests
+	Keys             [][]byte          `toml:"-"`         // read from key_file
+	Features         shared.Use        `toml:"-"`         // parsed from use
+	LeaveTimeout     tomlfile.Duration `toml:"leave"`     // how long a node that shuts down announces that it leaves
 }
 
-// Skew sets a clock by so much, at a moment after the start.
+// Skew shifts a clock by an offset, at a time after the start.
 type Skew struct {
 	At tomlfile.Duration `toml:"at"`
-	By float64           `toml:"by"` // seconds; negative for back
+	By float64           `toml:"by"` // seconds, may be negative
 }
 
-// The defaults of what a file leaves out.
+// Defaults and limits.
 const (
-	DefaultBytesPerSecond = 64 << 10 // a second
-	defaultDatagram       = 1400
-	defaultLeave          = 200 * time.Millisecond
-	leastDatagram         = 256
+	DefaultBytesPerSecond   = 64 << 10 // default of Fleet.BytesPerSecond
+	defaultMaxDatagramBytes = 1400
+	defaultLeaveTimeout     = 200 * time.Millisecond
+	minDatagramBytes        = 256
 )
 
-// ParseUse reads what shared state is used for: quotas, escrow and ejections, or nothing.
+// ParseUse parses what shared state is used for: quotas, escrow, ejections and crossing, or nothing.
 func ParseUse(names []string) (shared.Use, error) {
 	var u shared.Use
 	for _, name := range names {
@@ -67,17 +67,17 @@
 	return u, nil
 }
 
-// check fills in what is left out and says what is wrong.
+// check sets defaults and returns an error for an invalid setting.
 func (f *Fleet) check(keys *tomlfile.Keys) (err error) {
 	if p := f.Socket; p != "" {
 		if _, _, err := reach.Network("unix:" + p); err != nil {
-			return keys.Problem("fleet.socket", "%q is not a path from / of at most 107 bytes", p)
+			return keys.Problem("fleet.socket", "%q is not an absolute path of at most 107 bytes", p)
 		}
 	}
 	if f.Listen == "" {
 		for _, k := range []string{"advertise", "seeds", "cluster", "key_file", "use", "bytes", "datagram", "audit", "skew", "leave"} {
 			if keys.Has("fleet." + k) {
-				return keys.Problem("fleet.listen", "it is missing, and fleet.%s does nothing without it", k)
+				return keys.Problem("fleet.listen", "missing, and fleet.%s has no effect without it", k)
 			}
 		}
 		return nil
@@ -109,23 +109,23 @@
 		f.BytesPerSecond = DefaultBytesPerSecond
 	}
 	if !keys.Has("fleet.datagram") {
-		f.MaxDatagramBytes = defaultDatagram
+		f.MaxDatagramBytes = defaultMaxDatagramBytes
 	}
 	if !keys.Has("fleet.leave") {
-		f.LeaveTimeout = tomlfile.Duration(defaultLeave)
+		f.LeaveTimeout = tomlfile.Duration(defaultLeaveTimeout)
 	}
 	switch {
 	case f.BytesPerSecond < 1<<10 || f.BytesPerSecond > 1<<30:
 		return keys.Problem("fleet.bytes", "%d is outside 1KiB to 1GiB a second", f.BytesPerSecond)
-	case f.MaxDatagramBytes < leastDatagram || f.MaxDatagramBytes > 65000:
-		return keys.Problem("fleet.datagram", "%d is outside %d to 65000 bytes", f.MaxDatagramBytes, leastDatagram)
+	case f.MaxDatagramBytes < minDatagramBytes || f.MaxDatagramBytes > 65000:
+		return keys.Problem("fleet.datagram", "%d is outside %d to 65000 bytes", f.MaxDatagramBytes, minDatagramBytes)
 	case f.LeaveTimeout < 0 || f.LeaveTimeout.D() > 10*time.Second:
 		return keys.Problem("fleet.leave", "%v is outside 0s to 10s", f.LeaveTimeout.D())
 	}
 	return nil
 }
 
-// checkAddress says what is wrong with the address of a process of this fleet.
+// checkAddress returns an error if addr is not an IP address and a port.
 func checkAddress(keys *tomlfile.Keys, key, addr string) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil || net.ParseIP(host) == nil || port == "" {
@@ -134,13 +134,13 @@
 	return nil
 }
 
-// checkCluster checks the cluster's name and reads the keys of the table that prefix names.
+// checkCluster checks the cluster name and reads the key file. prefix is the table of both, with a final dot.
 func checkCluster(keys *tomlfile.Keys, prefix, cluster, keyFile string) ([][]byte, error) {
 	if cluster == "" || len(cluster) > 255 {
-		return nil, keys.Problem(prefix+"cluster", "%q: give all nodes of this fleet, and no other's, one name of 1 to 255 bytes", cluster)
+		return nil, keys.Problem(prefix+"cluster", "%q: give all nodes of this fleet the same name of 1 to 255 bytes, and no other fleet", cluster)
 	}
 	if keyFile == "" {
-		return nil, keys.Problem(prefix+"key_file", "it is missing: name a file with a key of 16, 24 or 32 bytes in hexadecimal")
+		return nil, keys.Problem(prefix+"key_file", "missing: give a file with a key of 16, 24 or 32 bytes in hexadecimal")
 	}
 	all, err := readKeys(keyFile)
 	if err != nil {
@@ -149,6 +149,7 @@
 	return all, nil
 }
 
+// readKeys reads a file of keys in hexadecimal, separated by white space.
 func readKeys(path string) (all [][]byte, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -157,12 +158,12 @@
 	for i, line := range strings.Fields(string(text)) {
 		k, err := hex.DecodeString(line)
 		if n := len(k); err != nil || n != 16 && n != 24 && n != 32 {
-			return nil, fmt.Errorf("%s: key %d is not 16, 24 or 32 bytes in hexadecimal", path, i+1) // it is not shown: a log is no place for it
+			return nil, fmt.Errorf("%s: key %d is not 16, 24 or 32 bytes in hexadecimal", path, i+1) // without the key, which must not get into a log
 		}
 		all = append(all, k)
 	}
 	if len(all) == 0 {
-		return nil, fmt.Errorf("%s: there is no key in it", path)
+		return nil, fmt.Errorf("%s: contains no key", path)
 	}
 	return all, nil
 }
--- a/internal/settings/fleet_test.go
+++ b/internal/settings/fleet_test.go
@@ -15,8 +15,8 @@
 	if err := os.WriteFile(key, []byte("000102030405060708090a0b0c0d0e0f\nf0f1f2f3f4f5f6f7f8f9fafbfcfdfeff\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	bad := filepath.Join(filepath.Dir(key), "bad")
-	if err := os.WriteFile(bad, []byte("secret"), 0o600); err != nil {
+	badKey := filepath.Join(filepath.Dir(key), "bad")
+	if err := os.WriteFile(badKey, []byte("secret"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	good := fmt.Sprintf(`[fleet]
@@ -36,13 +36,13 @@
 		t.Errorf("%v", err)
 	}
 	for _, x := range []struct{ old, new, want string }{
-		{`listen = "127.0.0.1:7946"`, ``, "own.toml:1: fleet.listen: it is missing, and fleet.seeds does nothing without it"},
+		{`listen = "127.0.0.1:7946"`, ``, "own.toml:1: fleet.listen: missing, and fleet.seeds has no effect without it"},
 		{`"127.0.0.1:7946"`, `"somewhere:7946"`, `own.toml:2: fleet.listen: "somewhere:7946" is not an IP address and a port`},
 		{`"127.0.0.1:7947"`, `"127.0.0.1"`, "own.toml:3: fleet.seeds"},
 		{`"configurator"`, `""`, "own.toml:4: fleet.cluster"},
-		{fmt.Sprintf("key_file = %q\n", key), ``, "fleet.key_file: it is missing"},
+		{fmt.Sprintf("key_file = %q\n", key), ``, "fleet.key_file: missing"},
 		{fmt.Sprintf("%q", key), `"/no/such/key"`, "own.toml:5: fleet.key_file: open /no/such/key"},
-		{fmt.Sprintf("%q", key), fmt.Sprintf("%q", bad), "key 1 is not 16, 24 or 32 bytes in hexadecimal"},
+		{fmt.Sprintf("%q", key), fmt.Sprintf("%q", badKey), "key 1 is not 16, 24 or 32 bytes in hexadecimal"},
 		{`cluster`, "use = [\"all\"]\ncluster", `own.toml:4: fleet.use: "all" is none of quotas, escrow, ejections, crossing and nothing`},
 		{`cluster`, "datagram = 100\ncluster", "own.toml:4: fleet.datagram: 100 is outside 256 to 65000 bytes"},
 		{`cluster`, "bytes = \"1MiB\"\nleave = \"1m\"\ncluster", "own.toml:5: fleet.leave"},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the node's own file, deploy/craneglade.toml by custom, which serve --config names. What it holds
-// is off where there is no file: the platform's configuration alone is what PROTOCOL and DEPLOY describe.
+// Package settings reads the node's settings file, which serve --config names (deploy/craneglade.toml is the example), and
+// the settings file of control plane processes. Everything in the node's file is off without the file: PROTOCOL and DEPLOY
+// describe the platform's configuration alone.
 package settings
 
 import (
@@ -14,7 +15,7 @@
 	"craneglade/internal/tomlfile"
 )
 
-// File is all that the file may hold.
+// File is the contents of the settings file.
 type File struct {
 	Bodies  Bodies  `toml:"bodies"`
 	JSONRPC JSONRPC `toml:"jsonrpc"`
@@ -24,76 +25,76 @@
 	Control Control `toml:"control"`
 }
 
-// DNS is a second source of boxes beside the list. Without a site there is none.
+// DNS configures DNS as a second source of backends beside the list. Without a site it is off.
 type DNS struct {
-	Servers     []string          `toml:"servers"` // host:port, UDP and TCP
-	Timeout     tomlfile.Duration `toml:"timeout"` // for each question to each server
-	HoldTime    tomlfile.Duration `toml:"hold"`    // a source that was silent for so long loses its say
-	FlapBackoff tomlfile.Duration `toml:"calm"`    // how long a box that comes and goes stays out at first
+	Servers     []string          `toml:"servers"` // IP address and port, for UDP and TCP
+	Timeout     tomlfile.Duration `toml:"timeout"` // of each query to each server
+	HoldTime    tomlfile.Duration `toml:"hold"`    // time without an update after which a source loses its vote
+	FlapBackoff tomlfile.Duration `toml:"calm"`    // how long a flapping backend stays out at first
 	Sites       []Site            `toml:"site"`
 }
 
-// Site is one SRV name, whose targets are the boxes of a zone.
+// Site is an SRV name, whose targets are the backends of a zone.
 type Site struct {
 	Name string `toml:"name"`
 	Zone string `toml:"zone"`
 }
 
-// JSONRPC is the second front. Without an address there is none.
+// JSONRPC configures the JSON-RPC front. Without an address it is off.
 type JSONRPC struct {
 	Listen       string            `toml:"listen"`
-	Inflight     int               `toml:"inflight"` // open calls on one connection of a client
-	Batch        int               `toml:"batch"`    // members of a batch
-	BackendConns int               `toml:"conns"`    // connections to a box
-	Idle         tomlfile.Duration `toml:"idle"`     // a client's connection with no open call is closed after this
-	SendMetadata bool              `toml:"beside"`   // boxes are told id, deadline, key and tenant in a member of the node's own
+	Inflight     int               `toml:"inflight"` // maximum calls in flight on a client connection
+	Batch        int               `toml:"batch"`    // maximum calls in a batch
+	BackendConns int               `toml:"conns"`    // connections per backend
+	Idle         tomlfile.Duration `toml:"idle"`     // after which a client connection with no call in flight is closed
+	SendMetadata bool              `toml:"beside"`   // send id, deadline, key and tenant to backends in an additional member
 	Methods      []Method          `toml:"method"`
 }
 
-// Method maps one JSON-RPC method to a class. Pointers are RFC 6901's, into the call's params.
+// Method maps a JSON-RPC method to a class. Tenant, Key and Deadline are JSON pointers (RFC 6901) into the call's params.
 type Method struct {
 	Name          string            `toml:"name"`
 	Class         string            `toml:"class"`
-	ClientTimeout tomlfile.Duration `toml:"patience"` // of a call that tells none
+	ClientTimeout tomlfile.Duration `toml:"patience"` // of a call without a deadline
 	Tenant        string            `toml:"tenant"`
-	Key           string            `toml:"key"`      // idempotency key; a class that may go again by its key needs one
+	Key           string            `toml:"key"`      // idempotency key, required if the class is retried by key
 	Deadline      string            `toml:"deadline"` // milliseconds
 }
 
-// Bodies say how long bodies are kept for a second attempt, and how large they may be.
+// Bodies configures where request bodies are kept for a second attempt, and how large bodies may be.
 type Bodies struct {
-	Memory    tomlfile.Size `toml:"memory"` // all bodies in memory together
-	MaxAnswer tomlfile.Size `toml:"answer"` // the largest body of an answer; over 64 KiB it is streamed, and may break off
+	Memory    tomlfile.Size `toml:"memory"` // total of all bodies in memory
+	MaxAnswer tomlfile.Size `toml:"answer"` // largest response body; above 64 KiB it is streamed, and may be cut short
 	Disk      Disk          `toml:"disk"`
 	Classes   []Class       `toml:"class"`
 }
 
-// Disk is the tier behind memory. Without a folder there is none.
+// Disk configures the disk tier of bodies. Without a folder it is off.
 type Disk struct {
 	Folder   string            `toml:"folder"`
 	Total    tomlfile.Size     `toml:"total"`
-	Workers  int               `toml:"workers"`  // calls to the file system at a time
-	Deadline tomlfile.Duration `toml:"deadline"` // for each call; a body whose call is late goes to the next tier
+	Workers  int               `toml:"workers"`  // concurrent calls to the file system
+	Deadline tomlfile.Duration `toml:"deadline"` // of each call; a body whose call times out goes to the next tier
 }
 
-// Class is what the bodies of one class of requests may be.
+// Class configures the bodies of one class of requests.
 type Class struct {
 	Name        string        `toml:"name"`
-	MaxSize     tomlfile.Size `toml:"most"`   // a larger one is turned away with 413
-	MaxInMemory tomlfile.Size `toml:"memory"` // a larger one is not kept in memory
-	AllowDisk   bool          `toml:"disk"`   // may be kept on disk
-	AllowStream bool          `toml:"once"`   // may be streamed without being kept: such a request gets no second attempt
+	MaxSize     tomlfile.Size `toml:"most"`   // a larger body is rejected with 413
+	MaxInMemory tomlfile.Size `toml:"memory"` // a larger body is not kept in memory
+	AllowDisk   bool          `toml:"disk"`   // a body may be kept on disk
+	AllowStream bool          `toml:"once"`   // a body may be streamed without being kept; its request gets no second attempt
 }
 
-// The defaults of what a file leaves out.
+// Defaults and limits of the node's file.
 const (
-	DefaultMaxBodyBytes = 64 << 10 // PROTOCOL's largest body
+	DefaultMaxBodyBytes = 64 << 10 // the largest body of PROTOCOL
 	defaultWorkers      = 4
 	defaultDeadline     = 20 * time.Millisecond
-	largest             = 1 << 30
+	maxBodyBytes        = 1 << 30
 )
 
-// Load reads a file and checks it whole. An error is one line that names file, line and key.
+// Load reads and checks a settings file. An error is one line that names file, line and key.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -102,7 +103,7 @@
 	return Parse(path, text)
 }
 
-// Parse is Load for text; file is its name for errors.
+// Parse is like Load for text. file is the name used in errors.
 func Parse(file string, text []byte) (*File, error) {
 	f := &File{}
 	keys, err := tomlfile.Decode(file, text, f)
@@ -121,12 +122,12 @@
 		return nil, keys.Problem("bodies.disk.workers", "%d is outside 1 to 64", d.Workers)
 	case d.Deadline.D() < time.Millisecond || d.Deadline.D() > 10*time.Second:
 		return nil, keys.Problem("bodies.disk.deadline", "%v is outside 1ms to 10s", d.Deadline)
-	case f.Bodies.MaxAnswer > largest:
-		return nil, keys.Problem("bodies.answer", "it is over 1GiB")
+	case f.Bodies.MaxAnswer > maxBodyBytes:
+		return nil, keys.Problem("bodies.answer", "larger than 1GiB")
 	case d.Folder == "" && d.Total > 0:
-		return nil, keys.Problem("bodies.disk.total", "it needs bodies.disk.folder")
+		return nil, keys.Problem("bodies.disk.total", "requires bodies.disk.folder")
 	case d.Folder != "" && d.Total == 0:
-		return nil, keys.Problem("bodies.disk.folder", "it needs bodies.disk.total")
+		return nil, keys.Problem("bodies.disk.folder", "requires bodies.disk.total")
 	}
 	if d.Folder != "" {
 		if _, err := bodies.NewDir(d.Folder); err != nil {
@@ -149,7 +150,7 @@
 		return nil, err
 	}
 	if f.Fleet.Features.Crossing && f.Sites.Plan == nil {
-		return nil, keys.Problem("fleet.use", "crossing needs a plan: [[sites.site]]")
+		return nil, keys.Problem("fleet.use", "crossing requires a plan: [[sites.site]]")
 	}
 	seen := map[string]bool{}
 	for i := range f.Bodies.Classes {
@@ -162,15 +163,15 @@
 		}
 		switch {
 		case c.Name == "" || seen[c.Name]:
-			return nil, keys.Problem(p+"name", "%q is empty or there twice", c.Name)
-		case c.MaxSize > largest:
-			return nil, keys.Problem(p+"most", "it is over 1GiB")
+			return nil, keys.Problem(p+"name", "%q is empty or a duplicate", c.Name)
+		case c.MaxSize > maxBodyBytes:
+			return nil, keys.Problem(p+"most", "larger than 1GiB")
 		case c.MaxInMemory > c.MaxSize:
-			return nil, keys.Problem(p+"memory", "it is over most")
+			return nil, keys.Problem(p+"memory", "larger than most")
 		case c.AllowDisk && d.Folder == "":
-			return nil, keys.Problem(p+"disk", "it needs bodies.disk.folder")
+			return nil, keys.Problem(p+"disk", "requires bodies.disk.folder")
 		case c.MaxInMemory < c.MaxSize && !c.AllowDisk && !c.AllowStream:
-			return nil, keys.Problem(p+"most", "bodies over memory have no tier: allow disk or once")
+			return nil, keys.Problem(p+"most", "bodies larger than memory have no tier: allow disk or once")
 		}
 		seen[c.Name] = true
 	}
@@ -178,61 +179,61 @@
 }
 
 const (
-	defaultInflight = 64
-	defaultBatch    = 1000
-	defaultConns    = 4
-	maxConns        = 76 // a box's limit, by PROTOCOL
-	defaultIdle     = 5 * time.Minute
+	defaultInflightCalls = 64
+	defaultBatchCalls    = 1000
+	defaultBackendConns  = 4
+	maxBackendConns      = 76 // limit of a backend in PROTOCOL
+	defaultIdleTimeout   = 5 * time.Minute
 )
 
-// check fills in what is left out and says what is wrong.
+// check sets defaults and returns an error for an invalid setting.
 func (j *JSONRPC) check(keys *tomlfile.Keys) error {
 	if j.Listen == "" {
 		if len(j.Methods) > 0 || keys.Has("jsonrpc.inflight") || keys.Has("jsonrpc.batch") || keys.Has("jsonrpc.conns") {
-			return keys.Problem("jsonrpc.listen", "it is missing, and the rest of jsonrpc does nothing without it")
+			return keys.Problem("jsonrpc.listen", "missing, and the other keys of jsonrpc have no effect without it")
 		}
 		return nil
 	}
 	for _, d := range []struct {
-		key   string
-		value *int
-		usual int
-		most  int
-	}{{"inflight", &j.Inflight, defaultInflight, 10000}, {"batch", &j.Batch, defaultBatch, 10000}, {"conns", &j.BackendConns, defaultConns, maxConns}} {
+		key          string
+		value        *int
+		defaultValue int
+		upper        int
+	}{{"inflight", &j.Inflight, defaultInflightCalls, 10000}, {"batch", &j.Batch, defaultBatchCalls, 10000}, {"conns", &j.BackendConns, defaultBackendConns, maxBackendConns}} {
 		if !keys.Has("jsonrpc." + d.key) {
-			*d.value = d.usual
+			*d.value = d.defaultValue
 		}
-		if *d.value < 1 || *d.value > d.most {
-			return keys.Problem("jsonrpc."+d.key, "%d is outside 1 to %d", *d.value, d.most)
+		if *d.value < 1 || *d.value > d.upper {
+			return keys.Problem("jsonrpc."+d.key, "%d is outside 1 to %d", *d.value, d.upper)
 		}
 	}
 	if !keys.Has("jsonrpc.idle") {
-		j.Idle = tomlfile.Duration(defaultIdle)
+		j.Idle = tomlfile.Duration(defaultIdleTimeout)
 	}
 	if _, _, err := net.SplitHostPort(j.Listen); err != nil {
 		return keys.Problem("jsonrpc.listen", "%q is not host:port", j.Listen)
 	}
 	if j.Idle.D() < 2*time.Second {
-		return keys.Problem("jsonrpc.idle", "%v is under 2s", j.Idle.D())
+		return keys.Problem("jsonrpc.idle", "%v is less than 2s", j.Idle.D())
 	}
 	seen := map[string]bool{}
 	for i, m := range j.Methods {
 		p := fmt.Sprintf("jsonrpc.method[%d].", i)
 		if m.Name == "" || seen[m.Name] {
-			return keys.Problem(p+"name", "%q is empty or there twice", m.Name)
+			return keys.Problem(p+"name", "%q is empty or a duplicate", m.Name)
 		}
 		seen[m.Name] = true
 		if m.Class == "" {
-			return keys.Problem(p+"class", "it is missing")
+			return keys.Problem(p+"class", "missing")
 		}
 		for _, at := range []struct{ key, pointer string }{{"tenant", m.Tenant}, {"key", m.Key}, {"deadline", m.Deadline}} {
 			if at.pointer != "" && !jsontext.Pointer(at.pointer).IsValid() {
-				return keys.Problem(p+at.key, "%q is no JSON pointer (RFC 6901): it begins with /", at.pointer)
+				return keys.Problem(p+at.key, "%q is not a JSON pointer (RFC 6901), which begins with /", at.pointer)
 			}
 		}
 	}
 	if len(j.Methods) == 0 {
-		return keys.Problem("jsonrpc.method", "none is named: every call would be told that there is no such method")
+		return keys.Problem("jsonrpc.method", "missing: every call would fail with an unknown method")
 	}
 	return nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestFiles(t *testing.T) {
+func TestBodies(t *testing.T) {
 	dir := t.TempDir()
 	f, err := Parse("own.toml", fmt.Appendf(nil, `
 [bodies]
@@ -32,16 +32,16 @@
 		{"[bodies]\nmemry = \"8MiB\"", "own.toml:2: bodies.memry: no such key; did you mean memory?"},
 		{"[bodies]\nmemory = \"8MB\"", `own.toml:2: bodies.memory: "8MB" is no size: write a whole number and a unit, such as "64KiB"`},
 		{"[bodies]\nmemory = \"-1MiB\"", "is no size"},
-		{"[bodies.disk]\ntotal = \"1MiB\"", "own.toml:2: bodies.disk.total: it needs bodies.disk.folder"},
-		{"[bodies.disk]\nfolder = \"/\"", "own.toml:2: bodies.disk.folder: it needs bodies.disk.total"},
+		{"[bodies.disk]\ntotal = \"1MiB\"", "own.toml:2: bodies.disk.total: requires bodies.disk.folder"},
+		{"[bodies.disk]\nfolder = \"/\"", "own.toml:2: bodies.disk.folder: requires bodies.disk.total"},
 		{"[bodies.disk]\nfolder = \"/no/such\"\ntotal = \"1MiB\"", "own.toml:2: bodies.disk.folder: stat /no/such"},
 		{disk + "workers = 0", "own.toml:4: bodies.disk.workers: 0 is outside 1 to 64"},
 		{disk + "deadline = \"1us\"", "own.toml:4: bodies.disk.deadline: 1µs is outside 1ms to 10s"},
-		{"[[bodies.class]]\nname = \"a\"\n[[bodies.class]]\nname = \"a\"", `own.toml:4: bodies.class[1].name: "a" is empty or there twice`},
-		{"[[bodies.class]]\nname = \"a\"\nmemory = \"65KiB\"", "own.toml:3: bodies.class[0].memory: it is over most"},
-		{"[[bodies.class]]\nname = \"a\"\ndisk = true", "own.toml:3: bodies.class[0].disk: it needs bodies.disk.folder"},
-		{"[[bodies.class]]\nname = \"a\"\nmost = \"1MiB\"", "own.toml:3: bodies.class[0].most: bodies over memory have no tier: allow disk or once"},
-		{"[[bodies.class]]\nname = \"a\"\nmost = \"2GiB\"\nonce = true", "own.toml:3: bodies.class[0].most: it is over 1GiB"},
+		{"[[bodies.class]]\nname = \"a\"\n[[bodies.class]]\nname = \"a\"", `own.toml:4: bodies.class[1].name: "a" is empty or a duplicate`},
+		{"[[bodies.class]]\nname = \"a\"\nmemory = \"65KiB\"", "own.toml:3: bodies.class[0].memory: larger than most"},
+		{"[[bodies.class]]\nname = \"a\"\ndisk = true", "own.toml:3: bodies.class[0].disk: requires bodies.disk.folder"},
+		{"[[bodies.class]]\nname = \"a\"\nmost = \"1MiB\"", "own.toml:3: bodies.class[0].most: bodies larger than memory have no tier: allow disk or once"},
+		{"[[bodies.class]]\nname = \"a\"\nmost = \"2GiB\"\nonce = true", "own.toml:3: bodies.class[0].most: larger than 1GiB"},
 	} {
 		_, err := Parse("own.toml", []byte(c.text))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
@@ -90,15 +90,15 @@
 		t.Errorf("%+v, %v", f, err)
 	}
 	for _, c := range []struct{ text, want string }{
-		{"[dns]\nservers = [\"127.0.0.1:53\"]", "dns.site: none is named"},
+		{"[dns]\nservers = [\"127.0.0.1:53\"]", "dns.site: missing"},
 		{strings.Replace(good, "127.0.0.1:53", "ns.example.org:53", 1), `dns.servers: "ns.example.org:53" (number 1) is not an IP address and a port`},
-		{strings.Replace(good, "servers = [\"127.0.0.1:53\", \"[::1]:53\"]", "", 1), "dns.servers: it is missing"},
+		{strings.Replace(good, "servers = [\"127.0.0.1:53\", \"[::1]:53\"]", "", 1), "dns.servers: missing"},
 		{strings.Replace(good, "[dns]", "[dns]\nhold = \"5s\"", 1), "own.toml:2: dns.hold: 5s is outside 30s to 24h0m0s"},
 		{strings.Replace(good, "[dns]", "[dns]\ntimeout = \"0s\"", 1), "own.toml:2: dns.timeout: 0s is outside 10ms to 10s"},
 		{strings.Replace(good, "_config._tcp.", strings.Repeat("a", 64)+".", 1), "dns.site[0].name"},
-		{strings.Replace(good, "zone = \"tacoma\"", "", 1), "dns.site[0].zone: it is missing"},
+		{strings.Replace(good, "zone = \"tacoma\"", "", 1), "dns.site[0].zone: missing"},
 		{good + "[[dns.site]]\nname = \"_CONFIG._tcp.tacoma.example.org.\"\nzone = \"x\"", "dns.site[1].name"},
-		{"[fleet]\nsocket = \"n.sock\"", `own.toml:2: fleet.socket: "n.sock" is not a path from /`},
+		{"[fleet]\nsocket = \"n.sock\"", `own.toml:2: fleet.socket: "n.sock" is not an absolute path`},
 	} {
 		_, err := Parse("own.toml", []byte(c.text))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
--- a/internal/settings/sites.go
+++ b/internal/settings/sites.go
@@ -7,38 +7,38 @@
 	"craneglade/internal/tomlfile"
 )
 
-// Sites say what is done when a whole site is lost. Without the table nothing is.
+// Sites configures what is done when a whole site is lost. Without the table nothing is done.
 type Sites struct {
-	Watch          bool       `toml:"watch"`  // each site's standing is watched, also without a plan
-	MaxUtilization float64    `toml:"full"`   // part of its capacity up to which a site is filled
-	ShedOrder      []string   `toml:"refuse"` // classes in the order in which they are refused
+	Watch          bool       `toml:"watch"`  // watch the health state of each site, also without a plan
+	MaxUtilization float64    `toml:"full"`   // fraction of its capacity up to which a site is filled
+	ShedOrder      []string   `toml:"refuse"` // classes in the order in which their requests are refused
 	Sites          []PlanSite `toml:"site"`
 
-	Plan *sites.Plan `toml:"-"` // nil without a site
+	Plan *sites.Plan `toml:"-"` // nil without sites
 }
 
-// PlanSite is one site of the plan.
+// PlanSite is a site of the plan.
 type PlanSite struct {
-	Name            string           `toml:"name"`     // as the list calls its zone
-	Capacity        float64          `toml:"capacity"` // mean requests a second that all of its boxes carry when they are warm
+	Name            string           `toml:"name"`     // the name of its zone in the list
+	Capacity        float64          `toml:"capacity"` // mean requests per second that all of its backends can serve when warm
 	Backends        int              `toml:"boxes"`
 	Nodes           int              `toml:"nodes"`
-	Load            float64          `toml:"load"`    // mean requests a second of its own clients on a usual busy day
-	Reserve         float64          `toml:"reserve"` // part of capacity that is never given to what comes from a lost site
+	Load            float64          `toml:"load"`    // mean requests per second of its own clients on a normal busy day
+	Reserve         float64          `toml:"reserve"` // fraction of capacity that is never used for the load of a lost site
 	OverflowTargets []OverflowTarget `toml:"to"`
 }
 
-// OverflowTarget is where part of a lost site's load goes.
+// OverflowTarget is a site that takes a fraction of a lost site's load.
 type OverflowTarget struct {
 	Site string  `toml:"site"`
 	Part float64 `toml:"part"`
-	Most float64 `toml:"most"` // mean requests a second; without it as much as there is room for
+	Most float64 `toml:"most"` // maximum mean requests per second; by default limited only by headroom
 }
 
-// On tells whether anything is to be done.
+// On reports whether sites are watched or a plan is set.
 func (s *Sites) On() bool { return s.Watch || s.Plan != nil }
 
-// Names are the sites of the plan.
+// Names returns the names of the sites of the plan.
 func (s *Sites) Names() (out []string) {
 	for _, x := range s.Sites {
 		out = append(out, x.Name)
@@ -46,7 +46,7 @@
 	return out
 }
 
-// check makes the plan and says what is wrong with it.
+// check creates the plan and returns an error for an invalid setting.
 func (s *Sites) check(keys *tomlfile.Keys) error {
 	if !keys.Has("sites.full") {
 		s.MaxUtilization = sites.Usual
@@ -54,13 +54,13 @@
 	if len(s.Sites) == 0 {
 		for _, k := range []string{"full", "refuse"} {
 			if keys.Has("sites." + k) {
-				return keys.Problem("sites."+k, "it does nothing without [[sites.site]]")
+				return keys.Problem("sites."+k, "no effect without [[sites.site]]")
 			}
 		}
 		return nil
 	}
 	if keys.Has("sites.watch") && !s.Watch {
-		return keys.Problem("sites.watch", "a plan needs it: leave it out, or take [[sites.site]] away")
+		return keys.Problem("sites.watch", "a plan requires it: omit it, or remove [[sites.site]]")
 	}
 	p := &sites.Plan{Full: s.MaxUtilization, Refuse: s.ShedOrder}
 	for _, x := range s.Sites {
--- a/internal/settings/sites_test.go
+++ b/internal/settings/sites_test.go
@@ -37,7 +37,7 @@
 		t.Errorf("%v", err)
 	}
 	if f, err := Parse("own.toml", nil); err != nil || f.Sites.On() {
-		t.Errorf("on without a word: %v", err)
+		t.Errorf("on without the table: %v", err)
 	}
 	for _, x := range []struct{ old, new, want string }{
 		{`capacity = 180`, `capacity = 0`, "own.toml:5: sites.site[0].capacity: 0 is no number of requests a second over 0"},
@@ -45,8 +45,8 @@
 		{`site = "everett"`, `site = "seattle"`, `own.toml:10: sites.site[0].to`},
 		{`part = 1.0`, `part = 0.6`, "own.toml:10: sites.site[0].to: the parts add up to 0.600, and not to 1"},
 		{"[sites]\n", "[sites]\nfull = 2.0\n", "own.toml:2: sites.full: 2 is outside 0.1 to 1"},
-		{"[sites]\n", "[sites]\nwatch = false\n", "own.toml:2: sites.watch: a plan needs it"},
-		{good, "[sites]\nfull = 0.5\n", "own.toml:2: sites.full: it does nothing without [[sites.site]]"},
+		{"[sites]\n", "[sites]\nwatch = false\n", "own.toml:2: sites.watch: a plan requires it"},
+		{good, "[sites]\nfull = 0.5\n", "own.toml:2: sites.full: no effect without [[sites.site]]"},
 	} {
 		_, err := Parse("own.toml", []byte(strings.Replace(good, x.old, x.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "\n") {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads this program's own TOML files (TOML v1.0.0) strictly: an unknown key, a wrong type and a wrong
-// unit are errors of one line that names file, line and key, and where it can what would be right.
+// Package tomlfile reads this program's own TOML files (TOML v1.0.0) strictly: an unknown key, a wrong type and a wrong or
+// missing unit are errors. An error is one line with the file, line and key, and a suggestion where there is one.
 package tomlfile
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Duration is a time span written as Go writes them: "30s", "1m30s", "250ms", "1.5ms".
+// Duration is a duration in the syntax of Go: "30s", "1m30s", "250ms", "1.5ms".
 type Duration time.Duration
 
-// UnmarshalText reads a duration; an error tells the form.
+// UnmarshalText parses a duration. An error describes the syntax.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -29,18 +29,19 @@
 	return nil
 }
 
-// D is the duration as the time package's.
+// D returns the duration as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// S is the duration in seconds.
+// S returns the duration in seconds.
 func (d Duration) S() float64 { return time.Duration(d).Seconds() }
 
+// String formats the duration in the syntax of Go.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// Size is a number of bytes written with a unit: "64KiB", "8MiB", "1GiB", or "512B".
+// Size is a number of bytes, written with a unit: "64KiB", "8MiB", "1GiB" or "512B".
 type Size int64
 
-// UnmarshalText reads a size; an error tells the form.
+// UnmarshalText parses a size. An error describes the syntax.
 func (z *Size) UnmarshalText(text []byte) error {
 	for i, unit := range []string{"KiB", "MiB", "GiB", "B"} {
 		digits, ok := strings.CutSuffix(string(text), unit)
@@ -60,26 +61,26 @@
 	return fmt.Errorf(`%q is no size: write a whole number and a unit, such as "64KiB" or "8MiB"`, text)
 }
 
-// Keys are the keys that a file names, with their lines. Entries of arrays of tables are numbered: event[1].at.
+// Keys holds the keys that a file sets, with their lines. Entries of arrays of tables are numbered: event[1].at.
 type Keys struct {
 	file  string
-	where map[string]int
+	lines map[string]int
 }
 
-// Has tells whether the file names a key.
+// Has reports whether the file sets a key.
 func (k *Keys) Has(key string) bool {
-	_, ok := k.where[key]
+	_, ok := k.lines[key]
 	return ok
 }
 
-// Decode reads text into v, a pointer to a struct, and returns the keys that it names. file is for errors.
+// Decode decodes text into v, a pointer to a struct, and returns the keys that it sets. file is the name used in errors.
 func Decode(file string, text []byte, v any) (*Keys, error) {
 	k := &Keys{file: file}
-	var bare []string
-	k.where, bare = lines(text)
+	var unitless []string
+	k.lines, unitless = keyLines(text)
 	units := unitsOf(reflect.TypeOf(v).Elem(), "", map[string]string{})
-	for _, key := range bare {
-		if form := units[strings.Join(strings.FieldsFunc(key, inIndex()), "")]; form != "" {
+	for _, key := range unitless {
+		if form := units[strings.Join(strings.FieldsFunc(key, indexRunes()), "")]; form != "" {
 			return nil, k.Problem(key, "a number without a unit: write %s", form)
 		}
 	}
@@ -91,12 +92,12 @@
 			e := strict.Errors[0]
 			row, _ := e.Position()
 			key := strings.Join(e.Key(), ".")
-			return nil, fmt.Errorf("%s:%d: %s: no such key%s", file, row, key, near(key, keysOf(reflect.TypeOf(v).Elem(), nil)))
+			return nil, fmt.Errorf("%s:%d: %s: no such key%s", file, row, key, suggestion(key, keysOf(reflect.TypeOf(v).Elem(), nil)))
 		}
 		var de *toml.DecodeError
 		if errors.As(err, &de) {
 			row, _ := de.Position()
-			text := wrongType(strings.TrimPrefix(de.Error(), "toml: "))
+			text := describeMismatch(strings.TrimPrefix(de.Error(), "toml: "))
 			if key := strings.Join(de.Key(), "."); key != "" {
 				text = key + ": " + text
 			}
@@ -107,12 +108,12 @@
 	return k, nil
 }
 
-// typeMismatch is what the decoder says of a value of another type than its field's.
+// typeMismatch matches the decoder's error for a value whose type differs from that of its field.
 var typeMismatch = regexp.MustCompile(`^cannot decode TOML (\w+) into struct field \S+ of type (\S+)$`)
 
-// wrongType words a value of a wrong type for who writes the file, who knows nothing of the program's types. Any other
-// text stays as it is.
-func wrongType(text string) string {
+// describeMismatch rewords the decoder's error for a value of a wrong type without the program's types, which the author of
+// the file does not know. Any other text is returned unchanged.
+func describeMismatch(text string) string {
 	m := typeMismatch.FindStringSubmatch(text)
 	if m == nil {
 		return text
@@ -127,11 +128,11 @@
 	default:
 		want = "a table"
 	}
-	return fmt.Sprintf("a TOML %s is no value of it: write %s", m[1], want)
+	return fmt.Sprintf("a TOML %s is not allowed here: write %s", m[1], want)
 }
 
-// inIndex tells the runes of an index, as in event[12].at, from the others.
-func inIndex() func(rune) bool {
+// indexRunes returns a function that reports for each rune in turn whether it belongs to an index, as in event[12].at.
+func indexRunes() func(rune) bool {
 	inside := false
 	return func(r rune) bool {
 		if r == '[' {
@@ -145,8 +146,8 @@
 	}
 }
 
-// unitsOf finds the keys whose values carry a unit, and the form of those.
-func unitsOf(t reflect.Type, prefix string, into map[string]string) map[string]string {
+// unitsOf adds to units the keys of t whose values carry a unit, each with the syntax of its value.
+func unitsOf(t reflect.Type, prefix string, units map[string]string) map[string]string {
 	for i := range t.NumField() {
 		name := t.Field(i).Tag.Get("toml")
 		if name == "" {
@@ -158,23 +159,24 @@
 		}
 		switch {
 		case f == reflect.TypeFor[Duration]():
-			into[prefix+name] = `text, such as "30s" or "250ms"`
+			units[prefix+name] = `text, such as "30s" or "250ms"`
 		case f == reflect.TypeFor[Size]():
-			into[prefix+name] = `text, such as "64KiB" or "8MiB"`
+			units[prefix+name] = `text, such as "64KiB" or "8MiB"`
 		case f.Kind() == reflect.Struct:
-			unitsOf(f, prefix+name+".", into)
+			unitsOf(f, prefix+name+".", units)
 		}
 	}
-	return into
+	return units
 }
 
-// lines maps each key path to its line, and lists the keys of plain numbers; entries of arrays of tables are numbered: event[1].at.
-func lines(text []byte) (where map[string]int, bare []string) {
-	where, count := map[string]int{}, map[string]int{}
+// keyLines maps each key path to its line, and lists the keys of plain numbers. Entries of arrays of tables are numbered:
+// event[1].at.
+func keyLines(text []byte) (byKey map[string]int, unitless []string) {
+	byKey, count := map[string]int{}, map[string]int{}
 	var p unstable.Parser
 	p.Reset(text)
 	prefix := ""
-	counted, line := 0, 1 // the line at which a byte stands; expressions come in their order
+	counted, line := 0, 1 // line is that of the byte counted; expressions come in file order
 	for p.NextExpression() {
 		e := p.Expression()
 		var parts []string
@@ -197,7 +199,7 @@
 				key = prefix + "." + key
 			}
 			if v := e.Value().Kind; v == unstable.Integer || v == unstable.Float {
-				bare = append(bare, key)
+				unitless = append(unitless, key)
 			}
 		default:
 			continue
@@ -205,18 +207,18 @@
 		if e.Kind != unstable.KeyValue {
 			key = prefix
 		}
-		where[key] = line
+		byKey[key] = line
 	}
-	return where, bare
+	return byKey, unitless
 }
 
-// near names the known key that is closest to an unknown one.
-func near(key string, known []string) string {
+// suggestion returns a hint with the known key that is closest to an unknown one, if one is close.
+func suggestion(key string, known []string) string {
 	last := key[strings.LastIndexByte(key, '.')+1:]
-	best, dist := "", 3
+	best, bestDistance := "", 3
 	for _, k := range known {
-		if d := distance(last, k); d < dist {
-			best, dist = k, d
+		if d := editDistance(last, k); d < bestDistance {
+			best, bestDistance = k, d
 		}
 	}
 	if best == "" {
@@ -225,8 +227,8 @@
 	return fmt.Sprintf("; did you mean %s?", best)
 }
 
-// distance is the edit distance of two short words.
-func distance(a, b string) int {
+// editDistance returns the Levenshtein distance of two words.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for i := range row {
 		row[i] = i
@@ -246,23 +248,24 @@
 	return row[len(b)]
 }
 
-// Problem is an error at a key; the line is that of the key, else of the table that it would stand in.
+// Problem returns an error at a key. Its line is that of the key or, if the file does not set the key, of the table to
+// which it would belong.
 func (k *Keys) Problem(key, format string, args ...any) error {
-	line, ok := k.where[key]
+	line, ok := k.lines[key]
 	for up := key; !ok && up != ""; {
 		if i := strings.LastIndexByte(up, '.'); i >= 0 {
 			up = up[:i]
 		} else {
 			up = ""
 		}
-		if line, ok = k.where[up]; !ok && strings.HasSuffix(up, "]") { // an entry of an array that stands in one line
-			line, ok = k.where[up[:strings.LastIndexByte(up, '[')]]
+		if line, ok = k.lines[up]; !ok && strings.HasSuffix(up, "]") { // an entry of an inline array
+			line, ok = k.lines[up[:strings.LastIndexByte(up, '[')]]
 		}
 	}
 	return fmt.Errorf("%s:%d: %s: %s", k.file, max(line, 1), key, fmt.Sprintf(format, args...))
 }
 
-// keysOf lists all the keys that a struct takes.
+// keysOf appends the names of all keys of a struct type to keys.
 func keysOf(t reflect.Type, keys []string) []string {
 	for i := range t.NumField() {
 		name := t.Field(i).Tag.Get("toml")
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A value of a wrong type is told in one line with file, line and key, and in words of the file, not of the program.
-func TestValuesOfAWrongType(t *testing.T) {
+// The error for a value of a wrong type must be one line with file, line and key, without the program's type names.
+func TestTypeMismatchErrors(t *testing.T) {
 	type step struct {
 		Nodes int     `toml:"nodes"`
 		Part  float64 `toml:"part"`
@@ -12,11 +12,11 @@
 		Sizes []int   `toml:"sizes"`
 	}
 	for text, want := range map[string]string{
-		"[[step]]\nnodes = \"x\"":   "plan.toml:2: step.nodes: a TOML string is no value of it: write a whole number",
-		"[[step]]\npart = \"x\"":    "plan.toml:2: step.part: a TOML string is no value of it: write a number",
-		"[[step]]\n\nname = 3":      "plan.toml:3: step.name: a TOML integer is no value of it: write text in quotes",
-		"[[step]]\non = 1":          "plan.toml:2: step.on: a TOML integer is no value of it: write true or false",
-		"[[step]]\nsizes = \"few\"": "plan.toml:2: step.sizes: a TOML string is no value of it: write a list in brackets",
+		"[[step]]\nnodes = \"x\"":   "plan.toml:2: step.nodes: a TOML string is not allowed here: write a whole number",
+		"[[step]]\npart = \"x\"":    "plan.toml:2: step.part: a TOML string is not allowed here: write a number",
+		"[[step]]\n\nname = 3":      "plan.toml:3: step.name: a TOML integer is not allowed here: write text in quotes",
+		"[[step]]\non = 1":          "plan.toml:2: step.on: a TOML integer is not allowed here: write true or false",
+		"[[step]]\nsizes = \"few\"": "plan.toml:2: step.sizes: a TOML string is not allowed here: write a list in brackets",
 	} {
 		var plan struct {
 			Steps []step `toml:"step"`
