--- a/internal/admission/ages.go
+++ b/internal/admission/ages.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// IdleEstimator estimates how long a backend keeps idle connections open. The announced idle timeout is an upper bound:
-// many backends close earlier, and a request written to a connection that the backend has closed ends in a reset after
-// which it is unknown whether the request ran.
+// IdleEstimator estimates how long a backend keeps idle connections open. The configured idle timeout is an upper
+// bound: many backends close earlier, and a request written to a connection that the backend has closed ends in a reset
+// after which it is unknown whether the request ran.
 //
 // It counts, by how long a connection had been idle before its reuse, the connections that carried another request and
 // those that ended without a byte of a response. Resets that are unrelated to idle time hit short-idle connections as
 // often as long-idle ones, so only the excess over their rate is attributed to idle time.
 type IdleEstimator struct {
-	idleTimeout time.Duration  // announced by the backend; 0 if unknown
+	idleTimeout time.Duration  // of the backend, as configured; 0 if unknown
 	shared      *IdleEstimator // estimate over all backends, used while this one has too few samples; may be nil
 	buckets     [idleBucketCount]idleBucket
 	lastHalved  time.Duration
@@ -33,8 +33,8 @@
 	halvingInterval = time.Minute // after which the weight of earlier samples is halved
 )
 
-// NewIdleEstimator returns an estimator for a backend that announces idleTimeout. Every sample is also recorded in shared,
-// which may be nil.
+// NewIdleEstimator returns an estimator for a backend with a configured idleTimeout, 0 if unknown. Every sample is also
+// recorded in shared, which may be nil.
 func NewIdleEstimator(idleTimeout time.Duration, shared *IdleEstimator) *IdleEstimator {
 	return &IdleEstimator{idleTimeout: idleTimeout, shared: shared}
 }
@@ -94,8 +94,8 @@
 	return a
 }
 
-// firstFailingBucket returns the lowest bucket from which on the fraction of resets exceeds that of the buckets below it by
-// more than excess, or idleBucketCount if there is none. It needs at least minResets resets from that bucket on.
+// firstFailingBucket returns the lowest bucket from which on the fraction of resets exceeds that of the buckets below
+// it by more than excess, or idleBucketCount if there is none. It needs at least minResets resets from that bucket on.
 func (a *IdleEstimator) firstFailingBucket(excess, minResets float64) int {
 	var reuses, resets float64
 	for _, c := range a.buckets {
@@ -119,8 +119,8 @@
 	return idleBucketCount
 }
 
-// MaxIdle returns how long an idle connection is kept: nine tenths of the announced idle timeout, or less where too many
-// of the reused connections were reset.
+// MaxIdle returns how long an idle connection is kept: nine tenths of the configured idle timeout, or less where too
+// many of the reused connections were reset.
 func (a *IdleEstimator) MaxIdle() time.Duration {
 	d := time.Duration(math.MaxInt64)
 	if a.idleTimeout > 0 {
@@ -132,8 +132,8 @@
 	return d
 }
 
-// SafeIdle returns how long a connection may have been idle and still carry a request that must not be repeated: one second
-// without samples, more as longer-idle connections are reused without a reset, less where they are reset.
+// SafeIdle returns how long a connection may have been idle and still carry a request that must not be repeated: one
+// second without samples, more as longer-idle connections are reused without a reset, less where they are reset.
 func (a *IdleEstimator) SafeIdle() time.Duration {
 	s := a.source()
 	d := defaultSafeIdle
--- a/internal/admission/ages_test.go
+++ b/internal/admission/ages_test.go
@@ -13,9 +13,9 @@
 	resetFraction float64
 }
 
-// simulateReuse plays n reuses of connections with random idle times of a third of maxIdle on average. It returns how many
-// were reset because the backend had closed them, and how many of these could have carried a request that must not be
-// repeated.
+// simulateReuse plays n reuses of connections with random idle times of a third of maxIdle on average. It returns how
+// many were reset because the backend had closed them, and how many of these could have carried a request that must not
+// be repeated.
 func simulateReuse(a *IdleEstimator, b backendModel, n int, maxIdle time.Duration, rng *rand.Rand) (closedResets, unsafe int) {
 	now := time.Duration(0)
 	for range n {
@@ -44,12 +44,12 @@
 	for _, idle := range []time.Duration{300 * ms, 900 * ms, 3 * time.Second} {
 		for _, reset := range []float64{0, 0.08} {
 			a := NewIdleEstimator(60*time.Second, nil)
-			broke, unsafe := simulateReuse(a, backendModel{idle, reset}, 3000, 10*time.Second, rand.New(rand.NewPCG(1, uint64(idle))))
+			closedResets, unsafe := simulateReuse(a, backendModel{idle, reset}, 3000, 10*time.Second, rand.New(rand.NewPCG(1, uint64(idle))))
 			if l := a.MaxIdle(); l > idle || l < idle/3 {
 				t.Errorf("idle timeout %v, other resets %.2f: MaxIdle is %v", idle, reset, l)
 			}
-			if broke > 25 || unsafe > 3 {
-				t.Errorf("idle timeout %v, other resets %.2f: %d resets of closed connections, %d of them within SafeIdle", idle, reset, broke, unsafe)
+			if closedResets > 25 || unsafe > 3 {
+				t.Errorf("idle timeout %v, other resets %.2f: %d resets of closed connections, %d of them within SafeIdle", idle, reset, closedResets, unsafe)
 			}
 		}
 	}
@@ -60,7 +60,7 @@
 	a := NewIdleEstimator(60*time.Second, nil)
 	simulateReuse(a, backendModel{time.Hour, 0.15}, 3000, 30*time.Second, rand.New(rand.NewPCG(2, 2)))
 	if l := a.MaxIdle(); l != 54*time.Second {
-		t.Errorf("MaxIdle is %v, want nine tenths of the announced idle timeout", l)
+		t.Errorf("MaxIdle is %v, want nine tenths of the configured idle timeout", l)
 	}
 }
 
@@ -83,7 +83,7 @@
 		t.Errorf("after 500 reuses: SafeIdle is %v", a.SafeIdle())
 	}
 	if NewIdleEstimator(0, nil).MaxIdle() < time.Hour {
-		t.Error("MaxIdle is limited without an announced idle timeout")
+		t.Error("MaxIdle is limited without a configured idle timeout")
 	}
 }
 
--- a/internal/admission/clients.go
+++ b/internal/admission/clients.go
@@ -1,19 +1,20 @@
 // Package admission decides who may hold a node's connections: which client connection is kept, which is closed after
-// its next response, and which is evicted when another needs its descriptor. It also divides descriptors between clients
-// and backends, sheds load while the node is behind, and estimates how long backends keep idle connections. It has no
-// clock, no I/O and no goroutine, and is not safe for concurrent use: its caller passes the time and the events, under a
-// lock of its own. Every decision on a connection takes constant time, whatever the number of connections.
+// its next response, and which is evicted when another needs its descriptor. It also divides descriptors between
+// clients and backends, sheds load while the node is behind, and estimates how long backends keep idle connections. It
+// has no clock, no I/O and no goroutine, and is not safe for concurrent use: its caller passes the time and the events,
+// under a lock of its own. Every decision on a connection takes constant time, whatever the number of connections.
 //
-// Two limits apply to client connections: the number that the node can hold, of any kind, and the number that clients can
-// hold for requests, which the protocol limits to a third of the node's descriptors. Once that many connections have
-// carried a request and are idle, no client can open another one for a request, although the node has capacity left and
-// cannot see the waiting clients. So the node keeps idle connections only while that limit is not nearly reached.
+// Two limits apply to client connections: the number that the node can hold, of any kind, and the number that clients
+// can hold for requests, which the protocol limits to a third of the node's descriptors. Once that many connections
+// have carried a request and are idle, no client can open another one for a request, although the node has capacity
+// left and cannot see the waiting clients. So the node keeps idle connections only while that limit is not nearly
+// reached.
 //
-// Clients are distinguished by address (Conn.From). Evictions take a connection of the address that holds the most in the
-// state concerned. An address whose input was nearly always malformed, or that sent nothing, does not get the time that a
-// new connection otherwise has for its first byte. While no connection can be evicted, an address with more connections
-// than the mean has them closed after their responses. So a well-behaved client does not lose its connections to a greedy
-// or broken one.
+// Clients are distinguished by address (Conn.From). Evictions take a connection of the address that holds the most in
+// the state concerned. An address whose input was nearly always malformed, or that sent nothing, does not get the time
+// that a new connection otherwise has for its first byte. While no connection can be evicted, an address with more
+// connections than the mean has them closed after their responses. So a well-behaved client does not lose its
+// connections to a greedy or broken one.
 package admission
 
 import "time"
@@ -49,7 +50,7 @@
 	state      State
 	hadRequest bool // it has carried a request
 	since      time.Duration
-	peer       *peer
+	address    *clientAddress
 	queue      *stateQueue
 	queueLink  link[Conn] // in the queue of its state
 	groupLink  link[Conn] // in the group of its state and address
@@ -64,14 +65,14 @@
 	queues         [closed]stateQueue // by State
 	open           int
 	requestConns   int // open connections that have carried a request or are carrying one
-	peers          peers
+	addresses      addressTable
 	now            time.Duration
 	contendedUntil time.Duration // set when no connection could be evicted
 }
 
 // NewClients returns a Clients without connections.
 func NewClients(l Limits) *Clients {
-	a := &Clients{limits: l, peers: peers{byAddress: map[string]*peer{}}}
+	a := &Clients{limits: l, addresses: addressTable{byAddress: map[string]*clientAddress{}}}
 	for s := range a.queues {
 		a.queues[s].state = State(s)
 	}
@@ -102,8 +103,8 @@
 func (a *Clients) Add(now time.Duration, c *Conn) {
 	a.now = max(a.now, now)
 	c.state, c.since, c.hadRequest = Silent, now, false
-	c.peer = a.peers.open(c.From)
-	if c.peer.suspected(now) {
+	c.address = a.addresses.open(c.From)
+	if c.address.suspected(now) {
 		c.state = Suspected
 	}
 	a.queues[c.state].push(c)
@@ -112,20 +113,20 @@
 
 // Rejected records that the input on a connection was not a request, or that none came in time.
 func (a *Clients) Rejected(now time.Duration, c *Conn) {
-	if c.peer != nil {
-		c.peer.count(now, 0, 1)
+	if c.address != nil {
+		c.address.count(now, 0, 1)
 	}
 }
 
-// BelowMean reports whether an address holds fewer connections than the mean of all addresses that hold any. One more of
-// it may be accepted when no connection can be evicted.
+// BelowMean reports whether an address holds fewer connections than the mean of all addresses that hold any. One more
+// of it may be accepted when no connection can be evicted.
 func (a *Clients) BelowMean(from string) bool {
-	p := a.peers.byAddress[from]
+	p := a.addresses.byAddress[from]
 	conns := 0
 	if p != nil {
 		conns = p.conns
 	}
-	return a.peers.active > 1 && conns*a.peers.active < a.open
+	return a.addresses.active > 1 && conns*a.addresses.active < a.open
 }
 
 // Read records the first byte of a request.
@@ -140,15 +141,15 @@
 	}
 }
 
-// BeforeAnswer decides which connection to close when c is about to get a response: evict is an idle one to close now, nil
-// for none, and closeAfter reports that c itself should be closed after the response. Either keeps a quarter of
-// Limits.RequestConns free, so that clients can still open connections for requests. While no connection could be evicted,
-// c is closed if its address holds more connections than the mean.
+// BeforeAnswer decides which connection to close when c is about to get a response: evict is an idle one to close now,
+// nil for none, and closeAfter reports that c itself should be closed after the response. Either keeps a quarter of
+// Limits.RequestConns free, so that clients can still open connections for requests. While no connection could be
+// evicted, c is closed if its address holds more connections than the mean.
 func (a *Clients) BeforeAnswer(c *Conn) (closeAfter bool, evict *Conn) {
 	if c.queue == nil || !c.hadRequest {
 		return false, nil
 	}
-	if a.now < a.contendedUntil && c.peer.conns*a.peers.active > a.open {
+	if a.now < a.contendedUntil && c.address.conns*a.addresses.active > a.open {
 		return true, nil
 	}
 	if a.limits.RequestConns <= 0 || a.requestConns <= a.limits.RequestConns*3/4 {
@@ -172,8 +173,8 @@
 	default:
 		a.move(now, c, Idle)
 	}
-	if c.peer != nil && c.hadRequest {
-		c.peer.count(now, 1, 0)
+	if c.address != nil && c.hadRequest {
+		c.address.count(now, 1, 0)
 	}
 }
 
@@ -183,16 +184,16 @@
 )
 
 // EvictionCandidate returns a connection to close in favor of another one, or nil if all are in use. The order is: new
-// connections of suspected addresses, connections without a first byte for SilentAfter, those that have been receiving a
-// request for SlowAfter, those that carried only readiness checks, idle ones of tenants over quota, other idle ones, and
-// new ones. Of each kind, it is the one longest in that state, of the address that holds the most.
+// connections of suspected addresses, connections without a first byte for SilentAfter, those that have been receiving
+// a request for SlowAfter, those that carried only readiness checks, idle ones of tenants over quota, other idle ones,
+// and new ones. Of each kind, it is the one longest in that state, of the address that holds the most.
 //
 // If the descriptor is for a backend connection (forClient is false), the last maxChecked new connections are kept:
 // requests are probably on their way on them and would get no response, whereas a request that finds no connection to a
 // backend is refused with a response. Where there are more new connections, most of them are silent.
 //
-// pending reports input that has arrived on a connection and was not recorded yet. Such a connection is skipped; only a few
-// are checked, which bounds the work.
+// pending reports input that has arrived on a connection and was not recorded yet. Such a connection is skipped; only a
+// few are checked, which bounds the work.
 func (a *Clients) EvictionCandidate(now time.Duration, forClient bool, pending func(*Conn) bool) *Conn {
 	a.now = max(a.now, now)
 	newAge := time.Duration(0)
@@ -234,5 +235,5 @@
 	if c.hadRequest {
 		a.requestConns--
 	}
-	a.peers.close(c.peer)
+	a.addresses.close(c.address)
 }
--- a/internal/admission/clients_test.go
+++ b/internal/admission/clients_test.go
@@ -12,8 +12,8 @@
 
 func nonePending(*Conn) bool { return false }
 
-func limits(open, asking int) Limits {
-	return Limits{Open: open, RequestConns: asking, SilentAfter: 200 * ms, SlowAfter: 50 * ms}
+func limits(open, requestConns int) Limits {
+	return Limits{Open: open, RequestConns: requestConns, SilentAfter: 200 * ms, SlowAfter: 50 * ms}
 }
 
 // conns opens n connections a millisecond apart and brings them to a state.
@@ -55,8 +55,8 @@
 	}
 }
 
-// A descriptor for a backend connection must not come from one of the last new client connections: the request on its way
-// would get no response. Of more than maxChecked new connections, one is evicted.
+// A descriptor for a backend connection must not come from one of the last new client connections: the request on its
+// way would get no response. Of more than maxChecked new connections, one is evicted.
 func TestLastNewConnectionsAreKeptFromBackends(t *testing.T) {
 	a := NewClients(limits(100, 100))
 	fresh := conns(a, 290*ms, maxChecked+1, Silent)
@@ -200,28 +200,28 @@
 				a.Close(c)
 				a.Close(c)
 			}
-			open, asking := 0, 0
+			open, requestConns := 0, 0
 			for _, c := range all {
 				if c.State() != closed {
 					open++
 					if hadRequest[c] {
-						asking++
+						requestConns++
 					}
 				}
 			}
-			queued, held := 0, map[string]int{}
+			queued, perAddress := 0, map[string]int{}
 			for i := range a.queues {
 				l := &a.queues[i]
 				queued += l.n
 				size := map[string]int{}
 				for c := l.conns.first; c != nil; c = c.queueLink.next {
 					size[c.From]++
-					held[c.From]++
+					perAddress[c.From]++
 				}
 				most := 0
 				for from, n := range size {
 					most = max(most, n)
-					if g := a.peers.byAddress[from].groups[i]; g.n != n || g.bucket.n != n {
+					if g := a.addresses.byAddress[from].groups[i]; g.n != n || g.bucket.n != n {
 						t.Fatalf("state %v, address %s: %d connections, the group counts %d", State(i), from, n, g.n)
 					}
 				}
@@ -229,16 +229,16 @@
 					t.Fatalf("the candidate is not of the address with the most connections, %d", most)
 				}
 			}
-			for from, n := range held {
-				if a.peers.byAddress[from].conns != n {
-					t.Fatalf("%s holds %d connections, counted as %d", from, n, a.peers.byAddress[from].conns)
+			for from, n := range perAddress {
+				if a.addresses.byAddress[from].conns != n {
+					t.Fatalf("%s holds %d connections, counted as %d", from, n, a.addresses.byAddress[from].conns)
 				}
 			}
-			if a.peers.active != len(held) {
-				t.Fatalf("%d addresses hold connections, counted as %d", len(held), a.peers.active)
+			if a.addresses.active != len(perAddress) {
+				t.Fatalf("%d addresses hold connections, counted as %d", len(perAddress), a.addresses.active)
 			}
-			if a.Open() != open || a.RequestConns() != asking || queued != open || open > l.Open {
-				t.Fatalf("counts %d open, %d with requests, %d queued; want %d and %d", a.Open(), a.RequestConns(), queued, open, asking)
+			if a.Open() != open || a.RequestConns() != requestConns || queued != open || open > l.Open {
+				t.Fatalf("counts %d open, %d with requests, %d queued; want %d and %d", a.Open(), a.RequestConns(), queued, open, requestConns)
 			}
 		}
 	})
@@ -297,8 +297,8 @@
 	}
 }
 
-// A new connection of an address that was only ever rejected is suspected. One of an address shared by many clients, some
-// of them faulty, is not, and the suspicion decays.
+// A new connection of an address that was only ever rejected is suspected. One of an address shared by many clients,
+// some of them faulty, is not, and the suspicion decays.
 func TestSuspectedAddresses(t *testing.T) {
 	a := NewClients(limits(100, 100))
 	for i := range 20 {
@@ -324,7 +324,8 @@
 	}
 }
 
-// Idle connections of tenants over quota are evicted before others, and the request rate decides which tenants these are.
+// Idle connections of tenants over quota are evicted before others, and the request rate decides which tenants these
+// are.
 func TestOverQuotaConnectionsGoFirst(t *testing.T) {
 	a := NewClients(limits(100, 4))
 	kept := conns(a, 0, 3, Idle)
@@ -361,17 +362,18 @@
 // The number of remembered addresses without connections is bounded.
 func TestIdleAddressesAreBounded(t *testing.T) {
 	a := NewClients(limits(100, 100))
-	for i := range 3 * maxIdlePeers {
+	for i := range 3 * maxIdleAddresses {
 		c := &Conn{From: fmt.Sprint(i)}
 		a.Add(0, c)
 		a.Close(c)
 	}
-	if n := len(a.peers.byAddress); n != maxIdlePeers {
+	if n := len(a.addresses.byAddress); n != maxIdleAddresses {
 		t.Errorf("%d addresses are remembered", n)
 	}
 }
 
-// Each side always gets its floor, the total is never exceeded, and what exceeds the floors goes to the side that needs it.
+// Each side always gets its floor, the total is never exceeded, and what exceeds the floors goes to the side that needs
+// it.
 func TestDescriptors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 60).Draw(t, "total")
--- a/internal/admission/descriptors.go
+++ b/internal/admission/descriptors.go
@@ -9,9 +9,9 @@
 	sides
 )
 
-// Descriptors divides the node's descriptors between the two sides. Each side is guaranteed a floor, and what exceeds both
-// floors goes to the side that needs it first. A side below its floor can always take one more descriptor, however many
-// the other side holds. Every decision takes constant time.
+// Descriptors divides the node's descriptors between the two sides. Each side is guaranteed a floor, and what exceeds
+// both floors goes to the side that needs it first. A side below its floor can always take one more descriptor, however
+// many the other side holds. Every decision takes constant time.
 type Descriptors struct {
 	total int
 	floor int
@@ -39,6 +39,6 @@
 // Used returns the number of descriptors that a side holds.
 func (d *Descriptors) Used(s Side) int { return d.used[s] }
 
-// AboveFloor reports whether a side holds more than its floor, so that one of its idle connections may be closed for the
-// other side.
+// AboveFloor reports whether a side holds more than its floor, so that one of its idle connections may be closed for
+// the other side.
 func (d *Descriptors) AboveFloor(s Side) bool { return d.total > 0 && d.used[s] > d.floor }
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -3,8 +3,8 @@
 // link is the position of an element in a linkedList.
 type link[T any] struct{ prev, next *T }
 
-// linkedList is an intrusive doubly linked list: elements hold their own links, so that nothing is allocated. The linkOf
-// parameter of its methods returns the link that an element has for this list.
+// linkedList is an intrusive doubly linked list: elements hold their own links, so that nothing is allocated. The
+// linkOf parameter of its methods returns the link that an element has for this list.
 type linkedList[T any] struct{ first, last *T }
 
 func (q *linkedList[T]) push(x *T, linkOf func(*T) *link[T]) {
@@ -62,8 +62,8 @@
 	free     *bucket // for reuse, linked by larger
 }
 
-// candidate returns the connection that has been in this state for longest, of the address that holds the most in it, or
-// nil if there is none.
+// candidate returns the connection that has been in this state for longest, of the address that holds the most in it,
+// or nil if there is none.
 func (l *stateQueue) candidate() *Conn {
 	if l.largest == nil {
 		return nil
@@ -71,20 +71,22 @@
 	return l.largest.groups.first.conns.first
 }
 
+// push adds a connection as the newest of this state.
 func (l *stateQueue) push(c *Conn) {
 	c.queue = l
 	l.conns.push(c, queueLinkOf)
 	l.n++
-	g := &c.peer.groups[l.state]
+	g := &c.address.groups[l.state]
 	g.conns.push(c, groupLinkOf)
 	l.resize(g, g.n+1)
 }
 
+// remove takes out a connection.
 func (l *stateQueue) remove(c *Conn) {
 	c.queue = nil
 	l.conns.remove(c, queueLinkOf)
 	l.n--
-	g := &c.peer.groups[l.state]
+	g := &c.address.groups[l.state]
 	g.conns.remove(c, groupLinkOf)
 	l.resize(g, g.n-1)
 }
@@ -110,7 +112,7 @@
 	if old != nil {
 		old.groups.remove(g, bucketLinkOf)
 		if old.groups.first == nil {
-			l.drop(old)
+			l.removeBucket(old)
 		}
 	}
 	g.n, g.bucket = n, target
@@ -141,7 +143,8 @@
 	return b
 }
 
-func (l *stateQueue) drop(b *bucket) {
+// removeBucket unlinks an empty bucket and keeps it for reuse.
+func (l *stateQueue) removeBucket(b *bucket) {
 	if b.smaller != nil {
 		b.smaller.larger = b.larger
 	} else {
--- a/internal/admission/peers.go
+++ b/internal/admission/peers.go
@@ -7,48 +7,48 @@
 )
 
 const (
-	maxIdlePeers         = 4096             // remembered addresses without a connection
-	peerTimeConstant     = 30 * time.Second // decay time of the counts of an address
+	maxIdleAddresses     = 4096             // remembered addresses without a connection
+	addressTimeConstant  = 30 * time.Second // decay time of the counts of an address
 	suspectMinRejected   = 8.0              // an address is suspected from so many recent rejections
 	suspectRejectedRatio = 9.0              // and so many rejections for each served request
 )
 
-// peer is a client address.
-type peer struct {
+// clientAddress holds the connections and the history of a client address.
+type clientAddress struct {
 	from        string
 	conns       int // open connections
 	groups      [closed]group
 	countedAt   time.Duration // last decay of served and rejected
 	served      float64
 	rejected    float64
-	idleElement *list.Element // in peers.idle; nil while it has a connection
+	idleElement *list.Element // in addressTable.idle; nil while it has a connection
 }
 
 // count adds to the decaying counts.
-func (p *peer) count(now time.Duration, served, rejected float64) {
-	f := math.Exp(-float64(max(0, now-p.countedAt)) / float64(peerTimeConstant))
+func (p *clientAddress) count(now time.Duration, served, rejected float64) {
+	f := math.Exp(-float64(max(0, now-p.countedAt)) / float64(addressTimeConstant))
 	p.served, p.rejected, p.countedAt = p.served*f+served, p.rejected*f+rejected, max(now, p.countedAt)
 }
 
 // suspected reports whether hardly anything that an address sent recently could be served. An address shared by many
 // clients (a proxy) does not become suspected because of a few faulty ones among them.
-func (p *peer) suspected(now time.Duration) bool {
+func (p *clientAddress) suspected(now time.Duration) bool {
 	p.count(now, 0, 0)
 	return p.rejected >= suspectMinRejected && p.rejected >= suspectRejectedRatio*p.served
 }
 
-// peers holds the addresses with open connections and the most recent ones without.
-type peers struct {
-	byAddress map[string]*peer
+// addressTable holds the client addresses with open connections and the most recent ones without.
+type addressTable struct {
+	byAddress map[string]*clientAddress
 	active    int       // number of addresses with connections
-	idle      list.List // of *peer: addresses without connections, the longest first
+	idle      list.List // of *clientAddress: addresses without connections, the longest first
 }
 
-// open records a connection of an address and returns its peer.
-func (ps *peers) open(from string) *peer {
+// open records a connection of an address and returns its entry.
+func (ps *addressTable) open(from string) *clientAddress {
 	p := ps.byAddress[from]
 	if p == nil {
-		p = &peer{from: from}
+		p = &clientAddress{from: from}
 		ps.byAddress[from] = p
 	}
 	if p.conns == 0 {
@@ -63,13 +63,13 @@
 }
 
 // close records that a connection of an address has ended.
-func (ps *peers) close(p *peer) {
+func (ps *addressTable) close(p *clientAddress) {
 	if p.conns--; p.conns > 0 {
 		return
 	}
 	ps.active--
 	p.idleElement = ps.idle.PushBack(p)
-	if ps.idle.Len() > maxIdlePeers {
-		delete(ps.byAddress, ps.idle.Remove(ps.idle.Front()).(*peer).from)
+	if ps.idle.Len() > maxIdleAddresses {
+		delete(ps.byAddress, ps.idle.Remove(ps.idle.Front()).(*clientAddress).from)
 	}
 }
--- a/internal/admission/tenants.go
+++ b/internal/admission/tenants.go
@@ -23,7 +23,8 @@
 	updated time.Duration
 }
 
-// NewTenants returns Tenants with the given shares in requests per second. A tenant without a share is never over quota.
+// NewTenants returns Tenants with the given shares in requests per second. A tenant without a share is never over
+// quota.
 func NewTenants(shares map[string]float64) *Tenants {
 	return &Tenants{shares: shares, rates: map[string]*requestCount{}}
 }
--- a/internal/bodies/bodies_test.go
+++ b/internal/bodies/bodies_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// For any sequence of Place, FallBack and Free, no total is exceeded, no space leaks, and each body has one tier that its
-// class allows.
+// For any sequence of Place, FallBack and Free, no total is exceeded, no space leaks, and each body has one tier that
+// its class allows.
 func TestBudgetAccounting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{Memory: int64(rapid.IntRange(0, 300).Draw(t, "memory")), Disk: int64(rapid.IntRange(0, 300).Draw(t, "disk"))}
@@ -114,8 +114,8 @@
 	})
 }
 
-// A body of unknown size uses memory up to MaxInMemory of its class, then the disk, and more memory only if its class may
-// be streamed.
+// A body of unknown size uses memory up to MaxInMemory of its class, then the disk, and more memory only if its class
+// may be streamed.
 func TestExtend(t *testing.T) {
 	b := NewBudget(Limits{Memory: 100, Disk: 300})
 	save := Class{MaxSize: 150, MaxInMemory: 60, AllowDisk: true, AllowStream: true}
@@ -368,8 +368,8 @@
 	}
 }
 
-// A disk that hangs blocks the workers but no caller: every call returns when its context ends, also while all workers are
-// blocked.
+// A disk that hangs blocks the workers but no caller: every call returns when its context ends, also while all workers
+// are blocked.
 func TestHangingDiskDoesNotBlockCallers(t *testing.T) {
 	f := &faultyFS{hang: make(chan struct{})}
 	s := NewSpool(f, 2)
--- a/internal/bodies/budget.go
+++ b/internal/bodies/budget.go
@@ -1,9 +1,9 @@
-// Package bodies keeps request bodies for as long as an attempt may need them: in memory up to a size per body and a total,
-// then on disk up to a total of its own, then not at all. Budget chooses the tier of a body without I/O; Spool does the
-// I/O of the disk tier.
+// Package bodies keeps request bodies for as long as an attempt may need them: in memory up to a size per body and a
+// total, then on disk up to a total of its own, then not at all. Budget chooses the tier of a body without I/O; Spool
+// does the I/O of the disk tier.
 //
-// A body in memory or on disk can be sent again. A body that is not kept is streamed once, and its request gets no second
-// attempt after its first has started to send, whatever the effect of the request.
+// A body in memory or on disk can be sent again. A body that is not kept is streamed once, and its request gets no
+// second attempt after its first has started to send, whatever the effect of the request.
 package bodies
 
 import "fmt"
@@ -32,8 +32,8 @@
 	AllowStream bool  // a body may be streamed without being kept; otherwise it is rejected when no tier has space
 }
 
-// Limits are the totals of the tiers, in bytes; 0 disables a tier. Heads is memory reserved for message heads and responses.
-// These may also use what bodies leave of Memory, but bodies never use Heads.
+// Limits are the totals of the tiers, in bytes; 0 disables a tier. Heads is memory reserved for message heads and
+// responses. These may also use what bodies leave of Memory, but bodies never use Heads.
 type Limits struct {
 	Memory int64
 	Heads  int64
@@ -89,9 +89,9 @@
 }
 
 // Extend reserves more space for a body of unknown size, of which reserved bytes are in memory already, and returns its
-// tier. If that is Memory, size bytes are reserved now. If it is Disk, the maximum size of the class is reserved there, and the
-// memory stays reserved until the caller frees it. Extend never returns Streamed, as that needs a known length: a class
-// with AllowStream may exceed MaxInMemory instead.
+// tier. If that is Memory, size bytes are reserved now. If it is Disk, the maximum size of the class is reserved there,
+// and the memory stays reserved until the caller frees it. Extend never returns Streamed, as that needs a known length:
+// a class with AllowStream may exceed MaxInMemory instead.
 func (b *Budget) Extend(c Class, reserved, size int64) (Tier, error) {
 	fits := size <= c.MaxSize && b.fitsMemory(size-reserved)
 	switch {
@@ -112,8 +112,8 @@
 	return Memory, nil
 }
 
-// ReserveHead reserves memory for a message head or a response, and reports whether there is enough. ReleaseHead releases
-// it.
+// ReserveHead reserves memory for a message head or a response, and reports whether there is enough. ReleaseHead
+// releases it.
 func (b *Budget) ReserveHead(size int64) bool {
 	if b.used[Memory]+b.heads+size > b.limits.Memory+b.limits.Heads {
 		return false
--- a/internal/bodies/spool.go
+++ b/internal/bodies/spool.go
@@ -22,9 +22,9 @@
 	Close() error
 }
 
-// FS creates anonymous files: a file that it returns has been unlinked, so that nothing is left after a crash and its space
-// is freed when it is closed. Where the file system supports it, Create preallocates size bytes, and fails if there is not
-// enough space.
+// FS creates anonymous files: a file that it returns has been unlinked, so that nothing is left after a crash and its
+// space is freed when it is closed. Where the file system supports it, Create preallocates size bytes, and fails if
+// there is not enough space.
 type FS interface {
 	Create(size int64) (File, error)
 }
@@ -70,9 +70,9 @@
 	ErrClosed  = errors.New("spool is closed")
 )
 
-// Spool writes and reads bodies on a disk that may fail, fill up or hang, without letting a request wait for it beyond its
-// deadline: a fixed number of workers makes all calls to the file system. A call that hangs blocks its worker. While all
-// workers are blocked, a call returns ErrTimeout when its context ends.
+// Spool writes and reads bodies on a disk that may fail, fill up or hang, without letting a request wait for it beyond
+// its deadline: a fixed number of workers makes all calls to the file system. A call that hangs blocks its worker.
+// While all workers are blocked, a call returns ErrTimeout when its context ends.
 type Spool struct {
 	fs   FS
 	jobs chan func()
@@ -106,8 +106,8 @@
 // Wait returns after all workers have stopped and all files that are being closed are closed.
 func (s *Spool) Wait() { s.wg.Wait() }
 
-// call runs f on a worker and waits until it returns or ctx ends. If f has started and returns only after ctx has ended,
-// late is called with its result.
+// call runs f on a worker and waits until it returns or ctx ends. If f has started and returns only after ctx has
+// ended, late is called with its result.
 func (s *Spool) call(ctx context.Context, f func() error, late func(error)) error {
 	var mu sync.Mutex
 	abandoned, result := false, make(chan error, 1)
@@ -150,8 +150,8 @@
 	size  int64 // bytes written
 }
 
-// Create creates a file for a body of size bytes, waiting at most until ctx ends. If the disk has not enough space for it,
-// and the file system can preallocate, Create fails, before any of the body has been read.
+// Create creates a file for a body of size bytes, waiting at most until ctx ends. If the disk has not enough space for
+// it, and the file system can preallocate, Create fails, before any of the body has been read.
 func (s *Spool) Create(ctx context.Context, size int64) (*SpooledBody, error) {
 	k := &SpooledBody{spool: s}
 	err := s.call(ctx, func() (err error) {
@@ -211,15 +211,15 @@
 	return nil
 }
 
-// Close frees the space of the body on disk. It does not wait for the disk: the file is closed in the background, once no
-// hanging call uses it.
+// Close frees the space of the body on disk. It does not wait for the disk: the file is closed in the background, once
+// no hanging call uses it.
 func (k *SpooledBody) Close() {
 	k.spool.wg.Go(func() { k.file.Close() })
 }
 
-// Breaker is a circuit breaker for the disk. After a failure it allows no body to use the disk for a backoff, which doubles
-// with each further failure up to a limit, and then allows a single body as a probe. It has no clock: its caller passes
-// the time.
+// Breaker is a circuit breaker for the disk. After a failure it allows no body to use the disk for a backoff, which
+// doubles with each further failure up to a limit, and then allows a single body as a probe. It has no clock: its
+// caller passes the time.
 type Breaker struct {
 	backoff time.Duration
 	retryAt time.Duration
--- a/internal/settings/control.go
+++ b/internal/settings/control.go
@@ -11,8 +11,8 @@
 	"craneglade/internal/tomlfile"
 )
 
-// Control configures the control plane as the source of a node's configuration and the endpoints of its service, in place
-// of discovery. Without a service the control plane is not used.
+// Control configures the control plane as the source of a node's configuration and the endpoints of its service, in
+// place of discovery. Without a service the control plane is not used.
 type Control struct {
 	Services       []string          `toml:"services"` // served by this node; exactly one is supported
 	Region         string            `toml:"region"`   // the home region of the service
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// checkParentTimeout returns value, or the default if the file does not set key, or an error if it is out of range.
+// checkParentTimeout returns value, the default if the file does not set key, or an error if value is out of range.
 func checkParentTimeout(keys *tomlfile.Keys, key string, value tomlfile.Duration) (tomlfile.Duration, error) {
 	if !keys.Has(key) {
 		return tomlfile.Duration(defaultParentTimeout), nil
@@ -194,8 +194,8 @@
 	LogBytes       tomlfile.Size     `toml:"log"`         // size of the log since the last snapshot at which a writer makes another
 }
 
-// LoadControlProcess reads and checks the settings file of a control plane process. An error is one line that names file,
-// line and key.
+// LoadControlProcess reads and checks the settings file of a control plane process. An error is one line that names
+// file, line and key.
 func LoadControlProcess(path string) (*ControlProcess, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -13,8 +13,8 @@
 	"craneglade/internal/tomlfile"
 )
 
-// Fleet configures the socket on which a node reports its state and the nodes with which it shares state. Without a socket
-// it reports nothing; without an address to listen on it shares nothing.
+// Fleet configures the socket on which a node reports its state and the nodes with which it shares state. Without a
+// socket it reports nothing; without an address to listen on it shares nothing.
 type Fleet struct {
 	Socket           string            `toml:"socket"`    // path of a Unix socket, which the node creates
 	Listen           string            `toml:"listen"`    // IP address and port, for UDP and TCP
@@ -25,8 +25,8 @@
 	Use              []string          `toml:"use"`       // what the shared state is used for; by default quotas
 	BytesPerSecond   tomlfile.Size     `toml:"bytes"`     // maximum per second that this node sends
 	MaxDatagramBytes int               `toml:"datagram"`  // size of the largest datagram
-	Audit            string            `toml:"audit"`     // file to which each change of a spendable budget is written, for tests
-	Skew             []Skew            `toml:"skew"`      // offsets of the clock used for shared state, for tests
+	Audit            string            `toml:"audit"`     // file that records each change of a spendable budget, for test runs
+	Skew             []Skew            `toml:"skew"`      // offsets of the clock used for shared state, for test runs
 	Keys             [][]byte          `toml:"-"`         // read from key_file
 	Features         shared.Use        `toml:"-"`         // parsed from use
 	LeaveTimeout     tomlfile.Duration `toml:"leave"`     // how long a node that shuts down announces that it leaves
@@ -137,7 +137,7 @@
 // checkCluster checks the cluster name and reads the key file. prefix is the table of both, with a final dot.
 func checkCluster(keys *tomlfile.Keys, prefix, cluster, keyFile string) ([][]byte, error) {
 	if cluster == "" || len(cluster) > 255 {
-		return nil, keys.Problem(prefix+"cluster", "%q: give all nodes of this fleet the same name of 1 to 255 bytes, and no other fleet", cluster)
+		return nil, keys.Problem(prefix+"cluster", "%q: give all nodes of this fleet one name of 1 to 255 bytes that no other fleet has", cluster)
 	}
 	if keyFile == "" {
 		return nil, keys.Problem(prefix+"key_file", "missing: give a file with a key of 16, 24 or 32 bytes in hexadecimal")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the node's settings file, which serve --config names (deploy/craneglade.toml is the example), and
-// the settings file of control plane processes. Everything in the node's file is off without the file: PROTOCOL and DEPLOY
-// describe the platform's configuration alone.
+// Package settings reads the node's settings file, which serve --config names (deploy/craneglade.toml is the example),
+// and the settings file of control plane processes. Everything in the node's file is off without the file: PROTOCOL and
+// DEPLOY describe the platform's configuration alone.
 package settings
 
 import (
@@ -30,7 +30,7 @@
 	Servers     []string          `toml:"servers"` // IP address and port, for UDP and TCP
 	Timeout     tomlfile.Duration `toml:"timeout"` // of each query to each server
 	HoldTime    tomlfile.Duration `toml:"hold"`    // time without an update after which a source loses its vote
-	FlapBackoff tomlfile.Duration `toml:"calm"`    // how long a flapping backend stays out at first
+	FlapBackoff tomlfile.Duration `toml:"calm"`    // how long a flapping backend stays out at first, doubled each time
 	Sites       []Site            `toml:"site"`
 }
 
@@ -51,7 +51,8 @@
 	Methods      []Method          `toml:"method"`
 }
 
-// Method maps a JSON-RPC method to a class. Tenant, Key and Deadline are JSON pointers (RFC 6901) into the call's params.
+// Method maps a JSON-RPC method to a class. Tenant, Key and Deadline are JSON pointers (RFC 6901) into the call's
+// params.
 type Method struct {
 	Name          string            `toml:"name"`
 	Class         string            `toml:"class"`
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads this program's own TOML files (TOML v1.0.0) strictly: an unknown key, a wrong type and a wrong or
-// missing unit are errors. An error is one line with the file, line and key, and a suggestion where there is one.
+// Package tomlfile reads this program's own TOML files (TOML v1.0.0) strictly: an unknown key, a wrong type and a wrong
+// or missing unit are errors. An error is one line with the file, line and key, and a suggestion where there is one.
 package tomlfile
 
 import (
@@ -73,7 +73,8 @@
 	return ok
 }
 
-// Decode decodes text into v, a pointer to a struct, and returns the keys that it sets. file is the name used in errors.
+// Decode decodes text into v, a pointer to a struct, and returns the keys that it sets. file is the name used in
+// errors.
 func Decode(file string, text []byte, v any) (*Keys, error) {
 	k := &Keys{file: file}
 	var unitless []string
@@ -111,8 +112,8 @@
 // typeMismatch matches the decoder's error for a value whose type differs from that of its field.
 var typeMismatch = regexp.MustCompile(`^cannot decode TOML (\w+) into struct field \S+ of type (\S+)$`)
 
-// describeMismatch rewords the decoder's error for a value of a wrong type without the program's types, which the author of
-// the file does not know. Any other text is returned unchanged.
+// describeMismatch rewords the decoder's error for a value of a wrong type without the program's types, which the
+// author of the file does not know. Any other text is returned unchanged.
 func describeMismatch(text string) string {
 	m := typeMismatch.FindStringSubmatch(text)
 	if m == nil {
@@ -169,8 +170,8 @@
 	return units
 }
 
-// keyLines maps each key path to its line, and lists the keys of plain numbers. Entries of arrays of tables are numbered:
-// event[1].at.
+// keyLines maps each key path to its line, and lists the keys of plain numbers. Entries of arrays of tables are
+// numbered: event[1].at.
 func keyLines(text []byte) (byKey map[string]int, unitless []string) {
 	byKey, count := map[string]int{}, map[string]int{}
 	var p unstable.Parser
