--- a/internal/httpcarrier/carrier.go
+++ b/internal/httpcarrier/carrier.go
@@ -161,7 +161,7 @@
 		return engine.Result{Outcome: policy.NeverSent}, false
 	}
 	p := r.Body
-	if p != nil && p.Tier == bodies.Once && !p.Started.CompareAndSwap(false, true) {
+	if p != nil && p.Tier == bodies.Streamed && !p.Started.CompareAndSwap(false, true) {
 		n.pool.put(c)
 		return engine.Result{Outcome: policy.NeverSent}, false // the body is not stored, and an earlier attempt has started to send it
 	}
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -91,7 +91,7 @@
 	s := &Front{engine: cfg.Engine, bodies: cfg.Bodies, clock: cfg.Clock, log: cfg.Log,
 		quota: cfg.Quota, rejectSlots: make(chan struct{}, max(1, cfg.RejectSlots)), conns: map[*clientConn]struct{}{},
 		tenants: admission.NewTenants(cfg.TenantShares),
-		account: admission.NewClients(admission.Limits{Asking: cfg.MaxRequestConns, Silent: silentTimeout, Slow: slowReadAfter})}
+		account: admission.NewClients(admission.Limits{RequestConns: cfg.MaxRequestConns, SilentAfter: silentTimeout, SlowAfter: slowReadAfter})}
 	if s.receiveDelay = cfg.ReceiveDelay; s.receiveDelay == nil {
 		s.receiveDelay = sock.SinceLastReceive
 	}
@@ -119,7 +119,7 @@
 		c.hasDescriptor = s.quota.AcquireOrReclaim(s.EvictIdle)
 		s.mu.Lock()
 		if c.usesRejectSlot = !c.hasDescriptor; c.usesRejectSlot {
-			c.overLimit = !s.account.Behind(c.account.From) // a client with fewer connections than average is served all the same
+			c.overLimit = !s.account.BelowMean(c.account.From) // a client with fewer connections than average is served all the same
 		} else {
 			<-s.rejectSlots
 		}
@@ -165,7 +165,7 @@
 func (s *Front) evictIdle(forClient bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	spare := s.account.Spare(s.now(), forClient, func(c *admission.Conn) bool { return sock.Pending(c.Owner.(*clientConn).Conn) != sock.Empty })
+	spare := s.account.EvictionCandidate(s.now(), forClient, func(c *admission.Conn) bool { return sock.Pending(c.Owner.(*clientConn).Conn) != sock.Empty })
 	if spare != nil {
 		s.evict(spare.Owner.(*clientConn))
 	}
@@ -187,7 +187,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	s.pressure.Seen(now, delay)
+	s.pressure.Observe(now, delay)
 	fraction := s.pressure.Shed(now, rank, classes)
 	return fraction > 0 && rand.Float64() < fraction
 }
@@ -241,7 +241,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r.ID != "" {
-		c.account.Past = s.tenants.Past(s.now(), r.Tenant)
+		c.account.OverQuota = s.tenants.Count(s.now(), r.Tenant)
 	}
 	s.account.Begin(s.now(), &c.account, r.ID == "")
 	return !c.closing
@@ -252,7 +252,7 @@
 func (s *Front) closesAfterAnswer(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	closeAfter, victim := s.account.Answer(&c.account)
+	closeAfter, victim := s.account.BeforeAnswer(&c.account)
 	if victim != nil {
 		s.evict(victim.Owner.(*clientConn))
 	}
--- a/internal/message/body.go
+++ b/internal/message/body.go
@@ -28,13 +28,13 @@
 
 	mu          sync.Mutex
 	budget      *bodies.Budget
-	diskBreaker bodies.Door
+	diskBreaker bodies.Breaker
 }
 
 // NewStore returns the store of a node with memoryMB megabytes of memory, or without a limit if memoryMB is 0. The body
 // settings cfg may be nil. It fails if the spool folder that cfg names can't be used.
 func NewStore(memoryMB int, cfg *settings.Bodies, clock engine.Clock) (*Store, error) {
-	s := &Store{classes: map[string]bodies.Class{}, defaultClass: bodies.Class{Most: MaxBodyBytes, Memory: MaxBodyBytes}, MaxAnswer: MaxBodyBytes,
+	s := &Store{classes: map[string]bodies.Class{}, defaultClass: bodies.Class{MaxSize: MaxBodyBytes, MaxInMemory: MaxBodyBytes}, MaxAnswer: MaxBodyBytes,
 		clock: clock}
 	limits := bodies.Limits{Memory: 1 << 40, Heads: 1 << 40}
 	if memoryMB > 0 {
@@ -45,9 +45,9 @@
 		if cfg.Memory > 0 {
 			limits.Memory = int64(cfg.Memory)
 		}
-		s.MaxAnswer = max(s.MaxAnswer, int64(cfg.Answer))
+		s.MaxAnswer = max(s.MaxAnswer, int64(cfg.MaxAnswer))
 		for _, c := range cfg.Classes {
-			s.classes[c.Name] = bodies.Class{Most: int64(c.Most), Memory: int64(c.Memory), Disk: c.Disk, Once: c.Once}
+			s.classes[c.Name] = bodies.Class{MaxSize: int64(c.MaxSize), MaxInMemory: int64(c.MaxInMemory), AllowDisk: c.AllowDisk, AllowStream: c.AllowStream}
 		}
 		if d := cfg.Disk; d.Folder != "" {
 			dir, err := bodies.NewDir(d.Folder)
@@ -92,21 +92,21 @@
 func (s *Store) Reserve(size int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.Hold(size)
+	return s.budget.ReserveHead(size)
 }
 
 // Release returns size bytes that Reserve took.
 func (s *Store) Release(size int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.Release(size)
+	s.budget.ReleaseHead(size)
 }
 
 // Reserved returns the memory reserved for heads and answers, in bytes.
 func (s *Store) Reserved() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.Held()
+	return s.budget.HeadBytes()
 }
 
 // Stop ends the disk workers. It does not wait for a call that hangs in the file system.
@@ -127,10 +127,10 @@
 func (s *Store) place(c bodies.Class, size int64) (bodies.Tier, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.Shut(s.spool == nil)
+	s.budget.SetDiskDisabled(s.spool == nil)
 	tier, err := s.budget.Place(c, size)
-	if tier == bodies.Disk && !s.diskBreaker.Open(s.clock.Now()) {
-		tier, err = s.budget.Fall(c, size)
+	if tier == bodies.Disk && !s.diskBreaker.Allow(s.clock.Now()) {
+		tier, err = s.budget.FallBack(c, size)
 	}
 	return tier, err
 }
@@ -139,8 +139,8 @@
 func (s *Store) placeInNextTier(c bodies.Class, size int64) (bodies.Tier, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.diskBreaker.Done(s.clock.Now(), false)
-	return s.budget.Fall(c, size)
+	s.diskBreaker.Record(s.clock.Now(), false)
+	return s.budget.FallBack(c, size)
 }
 
 // Body is the body of a request.
@@ -150,8 +150,8 @@
 	size     int64
 	reserved bool // space in the budget is reserved for it
 
-	Memory  []byte       // the complete body, in the memory tier
-	spooled *bodies.Kept // on disk; in tier Once, what had been written when the disk failed
+	Memory  []byte              // the complete body, in the memory tier
+	spooled *bodies.SpooledBody // on disk; in tier Once, what had been written when the disk failed
 
 	// Tier Once: the rest of the body, after the spooled part.
 	buffered []byte // already read from the client
@@ -180,7 +180,7 @@
 	c, size := s.class(class), in.ContentLength
 	tier, err := s.place(c, size)
 	if err != nil {
-		return nil, rejectBody(size > c.Most, err)
+		return nil, rejectBody(size > c.MaxSize, err)
 	}
 	p := &Body{store: s, Tier: tier, size: size, reserved: true}
 	switch tier {
@@ -195,7 +195,7 @@
 			p.Release()
 			return nil, rej
 		}
-	case bodies.Once:
+	case bodies.Streamed:
 		p.stream(in.Body)
 	}
 	return p, nil
@@ -227,7 +227,7 @@
 	s := p.store
 	var chunk []byte // read from the client, not yet written
 	err := s.withDiskTimeout(ctx, func(ctx context.Context) (err error) {
-		p.spooled, err = s.spool.Begin(ctx, p.size)
+		p.spooled, err = s.spool.Create(ctx, p.size)
 		return err
 	})
 	for remaining := p.size; err == nil && remaining > 0; remaining -= int64(len(chunk)) {
@@ -266,7 +266,7 @@
 func (s *Store) noteDiskResult(ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.diskBreaker.Done(s.clock.Now(), ok)
+	s.diskBreaker.Record(s.clock.Now(), ok)
 }
 
 var (
@@ -294,7 +294,7 @@
 			off += int64(len(chunk))
 		}
 	}
-	if p.Tier != bodies.Once {
+	if p.Tier != bodies.Streamed {
 		return nil
 	}
 	if len(p.buffered) > 0 {
--- a/internal/message/unsized.go
+++ b/internal/message/unsized.go
@@ -41,7 +41,7 @@
 }
 
 // MaxBodySize returns the size of the largest body that a class allows, in bytes.
-func (s *Store) MaxBodySize(class string) int64 { return s.class(class).Most }
+func (s *Store) MaxBodySize(class string) int64 { return s.class(class).MaxSize }
 
 // Len returns the length of a body in bytes, 0 for nil.
 func (p *Body) Len() int64 {
@@ -61,7 +61,7 @@
 	p := u.body
 	for {
 		if len(p.Memory) == cap(p.Memory) {
-			if u.size == u.class.Most {
+			if u.size == u.class.MaxSize {
 				return u.expectEnd()
 			}
 			tier, err := u.extend(false)
@@ -107,23 +107,23 @@
 }
 
 func (u *unsizedReader) tooLarge() *Rejection {
-	return &Rejection{Status: http.StatusRequestEntityTooLarge, Text: fmt.Sprintf("a body of more than %d bytes", u.class.Most)}
+	return &Rejection{Status: http.StatusRequestEntityTooLarge, Text: fmt.Sprintf("a body of more than %d bytes", u.class.MaxSize)}
 }
 
 // extend reserves the next step of space, in memory or on disk; only in memory if diskFailed.
 func (u *unsizedReader) extend(diskFailed bool) (bodies.Tier, error) {
 	p, s := u.body, u.body.store
-	newSize := min(max(2*p.size, initialBytes), u.class.Most)
-	if p.size < u.class.Memory {
-		newSize = min(newSize, u.class.Memory)
+	newSize := min(max(2*p.size, initialBytes), u.class.MaxSize)
+	if p.size < u.class.MaxInMemory {
+		newSize = min(newSize, u.class.MaxInMemory)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.Shut(s.spool == nil || diskFailed)
+	s.budget.SetDiskDisabled(s.spool == nil || diskFailed)
 	tier, err := s.budget.Extend(u.class, p.size, newSize)
-	if tier == bodies.Disk && !s.diskBreaker.Open(s.clock.Now()) {
-		s.budget.Free(bodies.Disk, u.class.Most)
-		s.budget.Shut(true)
+	if tier == bodies.Disk && !s.diskBreaker.Allow(s.clock.Now()) {
+		s.budget.Free(bodies.Disk, u.class.MaxSize)
+		s.budget.SetDiskDisabled(true)
 		tier, err = s.budget.Extend(u.class, p.size, newSize)
 	}
 	if err == nil && tier == bodies.Memory {
@@ -138,7 +138,7 @@
 func (u *unsizedReader) moveToDisk(ctx context.Context) (moved bool, rej *Rejection) {
 	p, s := u.body, u.body.store
 	err := s.withDiskTimeout(ctx, func(ctx context.Context) (err error) {
-		p.spooled, err = s.spool.Begin(ctx, u.class.Most)
+		p.spooled, err = s.spool.Create(ctx, u.class.MaxSize)
 		return err
 	})
 	if err == nil && len(p.Memory) > 0 {
@@ -150,7 +150,7 @@
 	s.mu.Lock()
 	s.budget.Free(bodies.Memory, p.size)
 	s.mu.Unlock()
-	p.Tier, p.size, p.Memory = bodies.Disk, u.class.Most, nil
+	p.Tier, p.size, p.Memory = bodies.Disk, u.class.MaxSize, nil
 	return true, u.spill(ctx)
 }
 
@@ -162,8 +162,8 @@
 		p.spooled = nil
 	}
 	s.mu.Lock()
-	s.diskBreaker.Done(s.clock.Now(), false)
-	s.budget.Free(bodies.Disk, u.class.Most)
+	s.diskBreaker.Record(s.clock.Now(), false)
+	s.budget.Free(bodies.Disk, u.class.MaxSize)
 	s.mu.Unlock()
 	if _, err := u.extend(true); err != nil {
 		return rejectBody(false, fmt.Errorf("%w: %w", err, failed))
@@ -179,7 +179,7 @@
 		chunk := make([]byte, chunkBytes) // a new buffer each time: a hanging write may still read the last one
 		n, err := fill(u.client, chunk)
 		u.add(n)
-		if u.size > u.class.Most {
+		if u.size > u.class.MaxSize {
 			s.noteDiskResult(true)
 			return u.tooLarge()
 		}
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -99,8 +99,8 @@
 func startTieredNode(t *testing.T, d *disk, b *stubBackend, wait time.Duration) *testNode {
 	t.Helper()
 	file := &settings.File{Bodies: settings.Bodies{Memory: bodyMemory, Classes: []settings.Class{
-		{Name: "save", Most: 1 << 20, Memory: 100 << 10, Disk: true, Once: true},
-		{Name: "quote", Most: 1 << 20, Memory: 100 << 10, Disk: true}}}}
+		{Name: "save", MaxSize: 1 << 20, MaxInMemory: 100 << 10, AllowDisk: true, AllowStream: true},
+		{Name: "quote", MaxSize: 1 << 20, MaxInMemory: 100 << 10, AllowDisk: true}}}}
 	r := startNode(t, newStubDiscovery(t), settingsJSON, func(c *Config) {
 		c.LocalSettings = file
 	}, b.entry("s-1"))
@@ -114,7 +114,7 @@
 // placedByTier returns how many bodies were placed in each tier.
 func (r *testNode) placedByTier() [3]int64 {
 	b := r.bodies
-	return [3]int64{b.Placed(bodies.Memory), b.Placed(bodies.Disk), b.Placed(bodies.Once)}
+	return [3]int64{b.Placed(bodies.Memory), b.Placed(bodies.Disk), b.Placed(bodies.Streamed)}
 }
 
 // waitReleased waits until the memory and the files of all bodies are released.
@@ -400,7 +400,7 @@
 		return writeResponse(c, 200, "", large)
 	})
 	r := startNode(t, newStubDiscovery(t), settingsJSON, func(c *Config) {
-		c.LocalSettings = &settings.File{Bodies: settings.Bodies{Answer: 1 << 20}}
+		c.LocalSettings = &settings.File{Bodies: settings.Bodies{MaxAnswer: 1 << 20}}
 	}, b.entry("s-1"))
 	c := r.dial(t)
 	for i := range 3 {
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -41,8 +41,8 @@
 		endpoints: newEndpoints(n.engine, cfg.Services[0], n.cfg.Known.Backends)}
 	s := subscriber.New(subscriber.Config{Name: n.cfg.Name, Zone: n.cfg.Settings.Policy.Zone, Regions: []string{cfg.Region},
 		Filter: changelog.Filter{Services: slices.Clone(cfg.Services)}, Candidates: controlnet.Candidates(cfg.Parents),
-		Seed: n.controlSeed(), Limits: controlnet.LimitsFor(cfg.Silence.D()), Leaf: true}, n.clock.Elapsed())
-	c.process = controlnet.NewProcess(controlnet.Config{Name: n.cfg.Name, Keys: cfg.Keys, Cluster: cfg.Cluster, BytesPerSecond: int(cfg.Bytes), StaleAfter: cfg.Silence.D(),
+		Seed: n.controlSeed(), Limits: controlnet.LimitsFor(cfg.ParentTimeout.D()), Leaf: true}, n.clock.Elapsed())
+	c.process = controlnet.NewProcess(controlnet.Config{Name: n.cfg.Name, Keys: cfg.Keys, Cluster: cfg.Cluster, BytesPerSecond: int(cfg.BytesPerSecond), StaleAfter: cfg.ParentTimeout.D(),
 		Subscribers: []*subscriber.Subscriber{s}, Applied: c.apply, Clock: n.clock.Elapsed, Log: n.log})
 	return c
 }
--- a/internal/node/names_test.go
+++ b/internal/node/names_test.go
@@ -51,7 +51,7 @@
 	g := newStubDiscovery(t)
 	r := startNode(t, g, settingsJSON, func(c *Config) {
 		c.LocalSettings = &settings.File{DNS: settings.DNS{Servers: []string{dns.Addr}, Timeout: tomlfile.Duration(200 * time.Millisecond),
-			Hold: tomlfile.Duration(time.Minute), Calm: tomlfile.Duration(2 * time.Second),
+			HoldTime: tomlfile.Duration(time.Minute), FlapBackoff: tomlfile.Duration(2 * time.Second),
 			Sites: []settings.Site{{Name: siteName, Zone: "north"}}}}
 	}, list...)
 	wait(t, "the backends from DNS", func() bool {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -135,7 +135,7 @@
 		return nil, fmt.Errorf("bodies: %w", err)
 	}
 	quotas := cfg.newQuotas()
-	backendQuota := quotas.Side(admission.BoxSide)
+	backendQuota := quotas.Side(admission.BackendSide)
 	if cfg.backendQuota != nil {
 		backendQuota = cfg.backendQuota
 	}
@@ -148,7 +148,7 @@
 		AcceptLoadReports: cfg.Settings.Reports, Bodies: n.bodies, Log: log, Now: cfg.now, Sleep: cfg.pause, Dial: dial, DialNetwork: dialer.DialContext})
 	var carrier engine.Carrier = n.carrier
 	if file.JSONRPC.Listen != "" {
-		n.rpcCarrier = rpccarrier.New(rpccarrier.Config{MaxConnsPerBackend: file.JSONRPC.Conns, Quota: backendQuota, SendMetadata: file.JSONRPC.Beside, AcceptLoadReports: cfg.Settings.Reports,
+		n.rpcCarrier = rpccarrier.New(rpccarrier.Config{MaxConnsPerBackend: file.JSONRPC.BackendConns, Quota: backendQuota, SendMetadata: file.JSONRPC.SendMetadata, AcceptLoadReports: cfg.Settings.Reports,
 			Dial: dial, Log: log})
 		carrier = carriers{n.carrier, n.rpcCarrier}
 	}
@@ -161,7 +161,7 @@
 	n.front = httpfront.New(httpfront.Config{Engine: n.engine, Bodies: n.bodies, Clock: clock,
 		Quota: quotas.Side(admission.ClientSide), RejectSlots: cfg.rejectionConns(), MaxRequestConns: cfg.Sockets / 3, TenantShares: cfg.tenantShares(), ReceiveDelay: cfg.sinceLastReceive, Log: log})
 	quotas.SetReclaim(admission.ClientSide, func() bool { return n.front.EvictIdleForBackend() || n.rpcFront != nil && n.rpcFront.EvictIdle() })
-	quotas.SetReclaim(admission.BoxSide, n.carrier.EvictIdle)
+	quotas.SetReclaim(admission.BackendSide, n.carrier.EvictIdle)
 	if n.rpcCarrier != nil {
 		n.rpcFront = rpcfront.New(rpcfront.Config{Engine: n.engine, Quota: quotas.Side(admission.ClientSide),
 			Methods: cfg.rpcMethods(), MaxInflight: file.JSONRPC.Inflight, MaxBatch: file.JSONRPC.Batch, IdleTimeout: file.JSONRPC.Idle.D(), Log: log})
@@ -247,7 +247,7 @@
 func (cfg *Config) rpcMethods() map[string]rpcfront.Method {
 	out := map[string]rpcfront.Method{}
 	for _, m := range cfg.LocalSettings.JSONRPC.Methods {
-		timeout := m.Patience.D()
+		timeout := m.ClientTimeout.D()
 		for _, c := range cfg.Settings.Policy.Classes {
 			if c.Name == m.Class && timeout == 0 {
 				timeout = c.Deadline
--- a/internal/node/refused_linux_amd64_test.go
+++ b/internal/node/refused_linux_amd64_test.go
@@ -85,9 +85,9 @@
 		return echo(c, r, nth)
 	})
 	r := startNode(t, newStubDiscovery(t), settingsJSON, func(c *Config) {
-		c.LocalSettings = &settings.File{Bodies: settings.Bodies{Memory: bodyMemory, Answer: 1 << 20,
+		c.LocalSettings = &settings.File{Bodies: settings.Bodies{Memory: bodyMemory, MaxAnswer: 1 << 20,
 			Disk:    settings.Disk{Folder: t.TempDir(), Total: 500 << 10, Workers: 2, Deadline: tomlfile.Duration(testTimeout)},
-			Classes: []settings.Class{{Name: "save", Most: 1 << 20, Memory: 100 << 10, Disk: true, Once: true}}}}
+			Classes: []settings.Class{{Name: "save", MaxSize: 1 << 20, MaxInMemory: 100 << 10, AllowDisk: true, AllowStream: true}}}}
 	}, b.entry("s-1"))
 	c := r.dial(t)
 	for i, size := range []int{50 << 10, 200 << 10, 900 << 10} { // in memory, on disk, streamed
--- a/internal/node/stub_test.go
+++ b/internal/node/stub_test.go
@@ -201,7 +201,7 @@
 func quotaFor(n int) *quota.Quota {
 	r := quota.New(n+1, 0)
 	r.Side(admission.ClientSide).Acquire() // a total of 0 would mean no limit
-	return r.Side(admission.BoxSide)
+	return r.Side(admission.BackendSide)
 }
 
 // attempt sends one attempt to a backend, without a client request.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -89,8 +89,8 @@
 		quotas[t.Name] = t.QuotaPerS
 	}
 	p.replica = shared.New(shared.Config{Name: cfg.Name, Self: escrow.Node{Number: cfg.Policy.Number, Incarnation: uint64(time.Now().UnixMilli())},
-		Nodes: cfg.Policy.Nodes, Site: cfg.Policy.Zone, Quotas: quotas, OverflowSites: cfg.OverflowSites, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: f.Used,
-		BytesPerSecond: int(f.Bytes), DatagramBytes: f.Datagram}, p.now())
+		Nodes: cfg.Policy.Nodes, Site: cfg.Policy.Zone, Quotas: quotas, OverflowSites: cfg.OverflowSites, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: f.Features,
+		BytesPerSecond: int(f.BytesPerSecond), DatagramBytes: f.MaxDatagramBytes}, p.now())
 	keys, err := memberlist.NewKeyring(f.Keys, f.Keys[0])
 	if err != nil {
 		return nil, fmt.Errorf("fleet.key_file: %w", err)
@@ -100,7 +100,7 @@
 			return nil, fmt.Errorf("fleet.audit: %w", err)
 		}
 	}
-	if p.transport, err = newTransport(f.Listen, int(f.Bytes)); err != nil {
+	if p.transport, err = newTransport(f.Listen, int(f.BytesPerSecond)); err != nil {
 		return nil, errors.Join(fmt.Errorf("fleet.listen: %w", err), p.closeAudit())
 	}
 	host, port, err := splitAddr(f.Advertise)
@@ -110,7 +110,7 @@
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Label, c.Keyring, c.Transport = cfg.Name, f.Cluster, keys, p.transport
 	c.AdvertiseAddr, c.AdvertisePort = host, port
-	c.UDPBufferSize, c.EnableCompression = f.Datagram, false
+	c.UDPBufferSize, c.EnableCompression = f.MaxDatagramBytes, false
 	c.PushPullInterval, c.TCPTimeout = pushPullInterval, streamTimeout
 	c.ProbeInterval, c.ProbeTimeout = probeInterval, probeTimeout
 	c.SuspicionMult, c.SuspicionMaxTimeoutMult = 3, 4
@@ -272,7 +272,7 @@
 	p.mu.Unlock()
 	p.send(out)
 	p.stop()
-	if t := p.cfg.Fleet.Settle.D(); t > 0 {
+	if t := p.cfg.Fleet.LeaveTimeout.D(); t > 0 {
 		if err := p.list.Leave(t); err != nil {
 			p.cfg.Log.Debug("can't announce that this node leaves", "err", err)
 		}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -35,8 +35,8 @@
 }
 
 func fleetOf(listen, cluster string, keys [][]byte, seeds ...string) *settings.Fleet {
-	return &settings.Fleet{Listen: listen, Advertise: listen, Seeds: seeds, Cluster: cluster, Keys: keys, Used: shared.Use{Escrow: true, Ejections: true},
-		Bytes: settings.DefaultBytes, Datagram: 1400, Settle: tomlfile.Duration(100 * time.Millisecond)}
+	return &settings.Fleet{Listen: listen, Advertise: listen, Seeds: seeds, Cluster: cluster, Keys: keys, Features: shared.Use{Escrow: true, Ejections: true},
+		BytesPerSecond: settings.DefaultBytesPerSecond, MaxDatagramBytes: 1400, LeaveTimeout: tomlfile.Duration(100 * time.Millisecond)}
 }
 
 // startNode starts one node of three. It stops when the test ends, unless stop was called.
