--- a/internal/controlnet/member.go
+++ b/internal/controlnet/member.go
@@ -340,7 +340,7 @@
 	}
 	p.nonce = make([]byte, nonceSize)
 	rand.Read(p.nonce) // never fails: see crypto/rand
-	if err := m.replica.ProposeIn(epoch, append(slices.Clone(p.nonce), message.EncodeChanges(p.changes)...)); err != nil {
+	if err := m.replica.ProposeInEpoch(epoch, append(slices.Clone(p.nonce), message.EncodeChanges(p.changes)...)); err != nil {
 		return err
 	}
 	p.proposed, p.epoch = true, epoch
--- a/internal/controlnet/walfile/walfile.go
+++ b/internal/controlnet/walfile/walfile.go
@@ -93,7 +93,7 @@
 			snapshot.Index, state.Snapshot.Index)
 	}
 	// A crash may have come after the snapshot was renamed and before the log was.
-	if err := state.Take(quorum.Persist{Snapshot: &snapshot}); err != nil {
+	if err := state.Apply(quorum.Persist{Snapshot: &snapshot}); err != nil {
 		return quorum.State{}, fmt.Errorf("%s: %w: %v", f.path(snapshotName), ErrCorrupt, err)
 	}
 	return state, nil
@@ -153,7 +153,7 @@
 		if err != nil {
 			return quorum.State{}, 0, err
 		}
-		if err := state.Take(persist); err != nil {
+		if err := state.Apply(persist); err != nil {
 			return quorum.State{}, 0, fmt.Errorf("%w: the record at byte %d: %v", ErrCorrupt, whole, err)
 		}
 		whole += size
@@ -204,7 +204,7 @@
 	if p.Snapshot != nil {
 		short := p
 		short.Snapshot = &quorum.Snapshot{Index: p.Snapshot.Index, Term: p.Snapshot.Term}
-		if err := next.Take(short); err != nil {
+		if err := next.Apply(short); err != nil {
 			return err
 		}
 		if err := f.replace(snapshotName, encodePersist(quorum.Persist{Snapshot: p.Snapshot}, true)); err != nil {
@@ -213,7 +213,7 @@
 		f.state = next
 		return f.rewriteLog(next)
 	}
-	if err := next.Take(p); err != nil {
+	if err := next.Apply(p); err != nil {
 		return err
 	}
 	if err := f.append(encodePersist(p, false)); err != nil {
--- a/internal/controlnet/walfile/walfile_test.go
+++ b/internal/controlnet/walfile/walfile_test.go
@@ -59,7 +59,7 @@
 	t.Helper()
 	var state quorum.State
 	for _, p := range saves[:count] {
-		if err := state.Take(p); err != nil {
+		if err := state.Apply(p); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -248,7 +248,7 @@
 		write(t, dir, logName+temporaryName, oldLog[:len(oldLog)/2])
 		f, state := mustOpen(t, dir)
 		want := after(t, at)
-		if err := want.Take(quorum.Persist{Snapshot: saves[at].Snapshot}); err != nil {
+		if err := want.Apply(quorum.Persist{Snapshot: saves[at].Snapshot}); err != nil {
 			t.Fatal(err)
 		}
 		if !same(state, want) {
@@ -303,7 +303,7 @@
 			p := drawPersist(t, &state)
 			before, oldSize = state, f.Size()
 			before.Entries = slices.Clone(state.Entries)
-			if err := state.Take(p); err != nil {
+			if err := state.Apply(p); err != nil {
 				t.Fatal(err)
 			}
 			if err := f.Save(p); err != nil {
--- a/internal/controlplane/quorum/cluster_test.go
+++ b/internal/controlplane/quorum/cluster_test.go
@@ -147,13 +147,13 @@
 func (c *cluster) persist(p *process, what Persist) error {
 	if c.faults.keepConflicts && len(what.Entries) > 0 && what.Entries[0].Index <= p.stored.lastIndex() {
 		kept := slices.Clone(p.stored.Entries)
-		if err := p.stored.Take(what); err != nil {
+		if err := p.stored.Apply(what); err != nil {
 			return err
 		}
 		copy(p.stored.Entries, kept[:min(len(kept), len(p.stored.Entries))])
 		return nil
 	}
-	return p.stored.Take(what)
+	return p.stored.Apply(what)
 }
 
 // work does all that a process has to do. It may crash before and after each part of it.
--- a/internal/controlplane/quorum/replica.go
+++ b/internal/controlplane/quorum/replica.go
@@ -245,12 +245,12 @@
 // NotWriterError), ErrBusy, ErrTooLarge, ErrFailed.
 func (r *Replica) Propose(changes []byte) error {
 	_, epoch := r.Writer()
-	return r.ProposeIn(epoch, changes)
+	return r.ProposeInEpoch(epoch, changes)
 }
 
-// ProposeIn is Propose for changes that were checked against the log as the writer of an epoch has it: in another epoch they
+// ProposeInEpoch is Propose for changes that were checked against the log as the writer of an epoch has it: in another epoch they
 // are refused.
-func (r *Replica) ProposeIn(epoch uint64, changes []byte) error {
+func (r *Replica) ProposeInEpoch(epoch uint64, changes []byte) error {
 	if len(changes) > MaxProposalBytes {
 		return fmt.Errorf("%w: %d bytes, at most %d", ErrTooLarge, len(changes), MaxProposalBytes)
 	}
--- a/internal/controlplane/quorum/replica_test.go
+++ b/internal/controlplane/quorum/replica_test.go
@@ -127,7 +127,7 @@
 			t.Errorf("replica %d: %v, and the writer is %d", p.id, err, writer.id)
 		}
 	}
-	if err := writer.replica.ProposeIn(epoch-1, []byte("x")); !errors.Is(err, ErrNotWriter) {
+	if err := writer.replica.ProposeInEpoch(epoch-1, []byte("x")); !errors.Is(err, ErrNotWriter) {
 		t.Errorf("in an older epoch: %v", err)
 	}
 	if err := writer.replica.Propose(make([]byte, MaxProposalBytes+1)); !errors.Is(err, ErrTooLarge) {
@@ -141,7 +141,7 @@
 	c, old, epoch := elected(t)
 	late := fmt.Appendf(nil, "by %d in %d: late", old.id, epoch)
 	c.group[old.id] = 1
-	if err := old.replica.ProposeIn(epoch, late); err != nil {
+	if err := old.replica.ProposeInEpoch(epoch, late); err != nil {
 		t.Fatal(err)
 	}
 	steps(t, c, 100)
@@ -150,7 +150,7 @@
 	}
 	clear(c.group)
 	steps(t, c, 30)
-	if err := old.replica.ProposeIn(epoch, late); !errors.Is(err, ErrNotWriter) {
+	if err := old.replica.ProposeInEpoch(epoch, late); !errors.Is(err, ErrNotWriter) {
 		t.Errorf("late: %v", err)
 	}
 	var next *process
@@ -257,7 +257,7 @@
 	var s State
 	take := func(p Persist) {
 		t.Helper()
-		if err := s.Take(p); err != nil {
+		if err := s.Apply(p); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -283,7 +283,7 @@
 		"a gap within":       {Entries: entries(9, 5, 7)},
 		"a snapshot too old": {Snapshot: &Snapshot{Index: 3, Term: 9}},
 	} {
-		if err := s.Take(p); !errors.Is(err, ErrState) {
+		if err := s.Apply(p); !errors.Is(err, ErrState) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/controlplane/quorum/state.go
+++ b/internal/controlplane/quorum/state.go
@@ -49,8 +49,8 @@
 // Empty reports whether there is nothing to keep.
 func (p *Persist) Empty() bool { return p.Hard == nil && p.Snapshot == nil && len(p.Entries) == 0 }
 
-// Take brings the state to what it is after a Persist. The error wraps ErrState; the state is not to be used then.
-func (s *State) Take(p Persist) error {
+// Apply brings the state to what it is after a Persist. The error wraps ErrState; the state is not to be used then.
+func (s *State) Apply(p Persist) error {
 	if p.Snapshot != nil {
 		if err := s.takeSnapshot(*p.Snapshot); err != nil {
 			return err
--- a/internal/controlplane/quorum/store_test.go
+++ b/internal/controlplane/quorum/store_test.go
@@ -49,7 +49,7 @@
 func (p *controlProcess) work(t *testing.T, send func(quorum.Outgoing)) {
 	t.Helper()
 	for ready, ok := p.replica.Ready(); ok; ready, ok = p.replica.Ready() {
-		if err := p.stored.Take(ready.Persist); err != nil {
+		if err := p.stored.Apply(ready.Persist); err != nil {
 			t.Fatal(err)
 		}
 		for _, m := range ready.Send {
