--- a/internal/controlplane/resource/hash.go
+++ b/internal/controlplane/resource/hash.go
@@ -8,7 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The numbers of the hashed fields. They are never used anew: the hash has to be the same in every process and version.
+// Field numbers in the canonical encoding that is hashed. They are never reused or changed, because the hash must be equal
+// in every process and version.
 const (
 	hashedRegion byte = iota + 1
 	hashedDrainGrace
@@ -24,11 +25,11 @@
 	hashedQuota
 )
 
-const hashBufferBytes = 512 // enough for most resources, so that hashing one allocates nothing
+const hashBufferBytes = 512 // fits most resources, so that hashing does not allocate
 
-// Hash is the same for equal resources, in every process and version of the program, and differs otherwise but for one
-// pair in 2^64. Fields at their zero value are left out, so that a field which a later version adds changes nothing until
-// it is used.
+// Hash returns a 64-bit hash that is the same for equal resources in every process and version of the program. Different
+// resources collide with a probability of about 1 in 2^64. Fields with their zero value are left out, so a field that a
+// later version adds does not change the hash until it is set.
 func (r *Resource) Hash() uint64 {
 	var buffer [hashBufferBytes]byte
 	return xxhash.Sum64(r.appendCanonical(buffer[:0]))
@@ -79,14 +80,14 @@
 	return binary.AppendUvarint(append(b, field), value)
 }
 
-const sizeOverhead = 24 // bytes for the numbers of a resource, roughly
+const resourceOverheadBytes = 24 // approximate encoded size of a resource's numeric fields
 
-// Size is about the bytes of a change on the wire, for limits and budgets.
+// Size returns the approximate size of the change on the wire in bytes, for limits and budgets.
 func (c *Change) Size() int { return c.Resource.Size() }
 
-// Size is about the bytes of a resource on the wire, for limits and budgets.
+// Size returns the approximate size of the resource on the wire in bytes, for limits and budgets.
 func (r *Resource) Size() int {
-	size := sizeOverhead + len(r.Key.Service) + len(r.Key.Name)
+	size := resourceOverheadBytes + len(r.Key.Service) + len(r.Key.Name)
 	if r.Service != nil {
 		size += len(r.Service.Region)
 	}
--- a/internal/controlplane/resource/hash_test.go
+++ b/internal/controlplane/resource/hash_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// The hash is part of what versions tell each other: these values never change.
-func TestHashIsThatOfEveryVersion(t *testing.T) {
+// Versions of the program compare digests made of these hashes, so the values must never change.
+func TestHashIsStableAcrossVersions(t *testing.T) {
 	for _, c := range []struct {
 		resource Resource
 		want     uint64
@@ -24,34 +24,35 @@
 	}
 }
 
-// Any field that differs makes another hash; an equal copy makes the same.
-func TestHashSeesEveryField(t *testing.T) {
+// A field left out of the hash would hide a difference between two replicas: changing any one field must change the hash,
+// and an equal copy must have the same hash.
+func TestHashCoversEveryField(t *testing.T) {
 	seen := map[uint64]string{}
-	note := func(r Resource, what string) {
-		if other, twice := seen[r.Hash()]; twice {
-			t.Errorf("%s hashes as %s", what, other)
+	record := func(r Resource, name string) {
+		if other, duplicate := seen[r.Hash()]; duplicate {
+			t.Errorf("%s has the same hash as %s", name, other)
 		}
-		seen[r.Hash()] = what
+		seen[r.Hash()] = name
 	}
 	for _, make := range []func() Resource{
 		func() Resource { return service("cart") }, func() Resource { return endpoint("cart", "e") },
 		func() Resource { return route("cart", "r") }, func() Resource { return tenant("cart", "t") },
 	} {
 		plain := make()
-		note(plain, plain.Key.String())
+		record(plain, plain.Key.String())
 		if again := make(); again.Hash() != plain.Hash() {
-			t.Errorf("%s: a copy hashes differently", plain.Key)
+			t.Errorf("%s: an equal copy has a different hash", plain.Key)
 		}
 		for i := range fieldsOf(&plain).NumField() {
 			r := make()
 			fields := fieldsOf(&r)
-			bump(fields.Field(i))
-			note(r, plain.Key.String()+" "+fields.Type().Field(i).Name)
+			modifyField(fields.Field(i))
+			record(r, plain.Key.String()+" "+fields.Type().Field(i).Name)
 		}
 	}
 }
 
-// fieldsOf is the struct of the value of a resource.
+// fieldsOf returns the struct of the resource's value for reflection.
 func fieldsOf(r *Resource) reflect.Value {
 	for _, v := range []any{r.Service, r.Endpoint, r.Route, r.Tenant} {
 		if value := reflect.ValueOf(v); !value.IsNil() {
@@ -61,7 +62,7 @@
 	panic("a resource without a value")
 }
 
-func bump(field reflect.Value) {
+func modifyField(field reflect.Value) {
 	switch field.Kind() {
 	case reflect.String:
 		field.SetString(field.String() + "x")
@@ -74,15 +75,15 @@
 	}
 }
 
-// Texts of a key can't be shifted from one to the next.
-func TestHashSeparatesTexts(t *testing.T) {
+// Moving a character from the end of one part of a key to the start of the next must change the hash.
+func TestHashSeparatesKeyParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(2, 20, 60).Draw(t, "text")
 		cut := rapid.IntRange(0, len(text)-1).Draw(t, "cut")
 		a := Resource{Key: Key{text[:cut], KindTenant, text[cut:]}, Tenant: &Tenant{}}
 		b := Resource{Key: Key{text[:cut+1], KindTenant, text[cut+1:]}, Tenant: &Tenant{}}
 		if a.Hash() == b.Hash() {
-			t.Errorf("%q hashes as %q", a.Key, b.Key)
+			t.Errorf("%q has the same hash as %q", a.Key, b.Key)
 		}
 	})
 }
--- a/internal/controlplane/resource/validate.go
+++ b/internal/controlplane/resource/validate.go
@@ -10,46 +10,47 @@
 	"unicode/utf8"
 )
 
-// Limits on what a resource and a transaction may hold.
+// Limits on a resource and on a transaction.
 const (
 	MaxNameBytes        = 128  // of a service, an endpoint, a route, a tenant, a region, a zone or a class
 	MaxHostBytes        = 253  // of a route's host, as in DNS
 	MaxPathBytes        = 1024 // of a route's path prefix
-	MaxAttempts         = 100  // for one request
+	MaxAttempts         = 100  // per request
 	MaxDrainGrace       = 24 * time.Hour
-	MaxStartedMS        = 253402300799999 // the last millisecond of the year 9999
+	MaxStartedMS        = 253402300799999 // Unix time of the last millisecond of the year 9999
 	MaxChanges          = 10000           // of one transaction
-	MaxTransactionBytes = 1 << 20         // of one transaction, as Change.Size counts them
+	MaxTransactionBytes = 1 << 20         // of one transaction, as the sum of Change.Size
 )
 
-const quotedBytes = 60 // of a text that an error quotes
+const maxQuotedBytes = 60 // of a string quoted in an error; the rest is cut off
 
-// InvalidError says what is wrong with one field of a resource, in one line.
+// InvalidError reports an invalid field of a resource.
 type InvalidError struct {
 	Key     Key
 	Field   string // such as "address"; "name" and "service" are those of the key
-	Problem string // what is there
-	Want    string // what would be right
+	Problem string // the invalid value, or what is wrong
+	Want    string // what is valid
 }
 
-// Error is one line, whatever the resource holds.
+// Error returns one short line, whatever the resource holds.
 func (e *InvalidError) Error() string {
 	key := Key{Service: shorten(e.Key.Service), Kind: e.Key.Kind, Name: shorten(e.Key.Name)}
 	return fmt.Sprintf("%s: %s: %s; %s", key, e.Field, e.Problem, e.Want)
 }
 
-// TransactionError says what is wrong with a transaction as a whole, in one line.
+// TransactionError reports a transaction that is invalid as a whole.
 type TransactionError struct {
 	Problem string
 	Want    string
 }
 
+// Error returns one line.
 func (e *TransactionError) Error() string {
 	return fmt.Sprintf("transaction: %s; %s", e.Problem, e.Want)
 }
 
-// ValidateChanges checks the changes of one transaction as a writer takes it: its size, each change, and that no key is
-// changed twice. The error is an InvalidError or a TransactionError.
+// ValidateChanges checks the changes of one transaction before a writer appends it: their number and size, each change,
+// and that no key is changed twice. The error is an InvalidError or a TransactionError.
 func ValidateChanges(changes []Change) error {
 	if len(changes) == 0 {
 		return &TransactionError{"no changes", "give at least one"}
@@ -67,8 +68,8 @@
 	return ValidateEach(changes)
 }
 
-// ValidateEach checks each change, and that no key is changed twice; their number and size are the caller's matter. The
-// error is an InvalidError.
+// ValidateEach checks each change, and that no key is changed twice. It does not limit the number or size of the changes.
+// The error is an InvalidError.
 func ValidateEach(changes []Change) error {
 	seen := make(map[Key]struct{}, len(changes))
 	for i := range changes {
@@ -76,7 +77,7 @@
 			return err
 		}
 		key := changes[i].Resource.Key
-		if _, twice := seen[key]; twice {
+		if _, duplicate := seen[key]; duplicate {
 			return &InvalidError{key, "name", "changed twice in one transaction", "change each resource once"}
 		}
 		seen[key] = struct{}{}
@@ -92,18 +93,18 @@
 	if err := c.Resource.Key.Validate(); err != nil {
 		return err
 	}
-	if c.Resource.values() != 0 {
+	if c.Resource.valueCount() != 0 {
 		return &InvalidError{c.Resource.Key, "value", "one is given, though the resource is deleted", "give the key only"}
 	}
 	return nil
 }
 
-// Validate checks a resource by itself. The error is an InvalidError.
+// Validate checks a resource on its own, not against others. The error is an InvalidError.
 func (r *Resource) Validate() error {
 	if err := r.Key.Validate(); err != nil {
 		return err
 	}
-	if r.values() != 1 || !r.hasOwnKind() {
+	if r.valueCount() != 1 || !r.hasValueOfKind() {
 		return &InvalidError{r.Key, "value", "not exactly that of its kind", "set the " + r.Key.Kind.String() + " alone"}
 	}
 	switch r.Key.Kind {
@@ -135,8 +136,8 @@
 	return nil
 }
 
-// values is how many of the fields for values are set.
-func (r *Resource) values() int {
+// valueCount returns how many of the value pointers are set.
+func (r *Resource) valueCount() int {
 	count := 0
 	for _, set := range [...]bool{r.Service != nil, r.Endpoint != nil, r.Route != nil, r.Tenant != nil} {
 		if set {
@@ -146,7 +147,8 @@
 	return count
 }
 
-func (r *Resource) hasOwnKind() bool {
+// hasValueOfKind reports whether the value pointer that matches Key.Kind is set.
+func (r *Resource) hasValueOfKind() bool {
 	switch r.Key.Kind {
 	case KindService:
 		return r.Service != nil
@@ -256,12 +258,12 @@
 
 func isPathRune(c rune) bool { return c > ' ' && c < 0x7f && c != '?' && c != '#' }
 
-// quote is a text as an error shows it: in one line, shortened.
+// quote returns the text quoted, on one line and shortened, for an error.
 func quote(text string) string { return fmt.Sprintf("%q", shorten(text)) }
 
 func shorten(text string) string {
-	if len(text) <= quotedBytes {
+	if len(text) <= maxQuotedBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:quotedBytes], "") + "..."
+	return strings.ToValidUTF8(text[:maxQuotedBytes], "") + "..."
 }
--- a/internal/controlplane/resource/validate_test.go
+++ b/internal/controlplane/resource/validate_test.go
@@ -42,54 +42,54 @@
 func TestInvalidResources(t *testing.T) {
 	for _, c := range []struct {
 		change Change
-		want   string // the whole line
+		want   string // the complete error text
 	}{
-		{changed(endpoint("cart", "e"), func(r *Resource) { r.Endpoint.Address = "cart.example:80" }),
+		{changeWith(endpoint("cart", "e"), func(r *Resource) { r.Endpoint.Address = "cart.example:80" }),
 			`endpoint "e" of service "cart": address: "cart.example:80"; an IP address and port as in 10.0.0.1:8080 or [fd00::1]:8080`},
-		{changed(endpoint("cart", "e"), func(r *Resource) { r.Endpoint.Address = "0.0.0.0:80" }),
+		{changeWith(endpoint("cart", "e"), func(r *Resource) { r.Endpoint.Address = "0.0.0.0:80" }),
 			`endpoint "e" of service "cart": address: "0.0.0.0:80" can't be connected to; an IP address and port as in 10.0.0.1:8080 or [fd00::1]:8080`},
-		{changed(endpoint("cart", "e"), func(r *Resource) { r.Endpoint.Address = "127.0.0.1:0" }),
+		{changeWith(endpoint("cart", "e"), func(r *Resource) { r.Endpoint.Address = "127.0.0.1:0" }),
 			`endpoint "e" of service "cart": address: "127.0.0.1:0" can't be connected to; an IP address and port as in 10.0.0.1:8080 or [fd00::1]:8080`},
-		{changed(endpoint("cart", "e"), func(r *Resource) { r.Endpoint.Address = "127.0.0.1:080" }),
+		{changeWith(endpoint("cart", "e"), func(r *Resource) { r.Endpoint.Address = "127.0.0.1:080" }),
 			`endpoint "e" of service "cart": address: "127.0.0.1:080"; an IP address and port as in 10.0.0.1:8080 or [fd00::1]:8080`},
-		{changed(endpoint("cart", "e"), func(r *Resource) { r.Endpoint.State = 0 }),
+		{changeWith(endpoint("cart", "e"), func(r *Resource) { r.Endpoint.State = 0 }),
 			`endpoint "e" of service "cart": state: 0 is not known; 1 for ready, 2 for draining`},
-		{changed(endpoint("cart", "e"), func(r *Resource) { r.Endpoint.Zone = "a b" }),
+		{changeWith(endpoint("cart", "e"), func(r *Resource) { r.Endpoint.Zone = "a b" }),
 			`endpoint "e" of service "cart": zone: "a b"; printable UTF-8 without spaces`},
-		{changed(endpoint("cart", "e"), func(r *Resource) { r.Endpoint.Class = strings.Repeat("x", 129) }),
+		{changeWith(endpoint("cart", "e"), func(r *Resource) { r.Endpoint.Class = strings.Repeat("x", 129) }),
 			`endpoint "e" of service "cart": class: 129 bytes; at most 128`},
-		{changed(endpoint("cart", "e"), func(r *Resource) { r.Endpoint.StartedMS = MaxStartedMS + 1 }),
+		{changeWith(endpoint("cart", "e"), func(r *Resource) { r.Endpoint.StartedMS = MaxStartedMS + 1 }),
 			`endpoint "e" of service "cart": start: 253402300800000 ms; Unix milliseconds up to the year 9999`},
-		{changed(endpoint("cart", "e"), func(r *Resource) { r.Key.Name = "line\nbreak" }),
+		{changeWith(endpoint("cart", "e"), func(r *Resource) { r.Key.Name = "line\nbreak" }),
 			`endpoint "line\nbreak" of service "cart": name: "line\nbreak"; printable UTF-8 without spaces`},
-		{changed(endpoint("cart", "e"), func(r *Resource) { r.Key.Service = "" }),
+		{changeWith(endpoint("cart", "e"), func(r *Resource) { r.Key.Service = "" }),
 			`endpoint "e" of service "": service: missing; 1 to 128 bytes without spaces`},
-		{changed(endpoint("cart", "e"), func(r *Resource) { r.Key.Kind = 9 }),
+		{changeWith(endpoint("cart", "e"), func(r *Resource) { r.Key.Kind = 9 }),
 			`kind 9 "e" of service "cart": kind: 9 is not known; the kinds are 1 to 4`},
-		{changed(endpoint("cart", "e"), func(r *Resource) { r.Tenant = &Tenant{} }),
+		{changeWith(endpoint("cart", "e"), func(r *Resource) { r.Tenant = &Tenant{} }),
 			`endpoint "e" of service "cart": value: not exactly that of its kind; set the endpoint alone`},
-		{changed(endpoint("cart", "e"), func(r *Resource) { r.Endpoint, r.Tenant = nil, &Tenant{} }),
+		{changeWith(endpoint("cart", "e"), func(r *Resource) { r.Endpoint, r.Tenant = nil, &Tenant{} }),
 			`endpoint "e" of service "cart": value: not exactly that of its kind; set the endpoint alone`},
 		{Change{Resource: endpoint("cart", "e"), Deleted: true},
 			`endpoint "e" of service "cart": value: one is given, though the resource is deleted; give the key only`},
-		{changed(service("cart"), func(r *Resource) { r.Key.Name = "carts" }), `service "cart": name: "carts"; a service has its own name twice`},
-		{changed(service("cart"), func(r *Resource) { r.Service.Region = "" }), `service "cart": region: missing; 1 to 128 bytes without spaces`},
-		{changed(service("cart"), func(r *Resource) { r.Service.DrainGrace = time.Microsecond }),
+		{changeWith(service("cart"), func(r *Resource) { r.Key.Name = "carts" }), `service "cart": name: "carts"; a service has its own name twice`},
+		{changeWith(service("cart"), func(r *Resource) { r.Service.Region = "" }), `service "cart": region: missing; 1 to 128 bytes without spaces`},
+		{changeWith(service("cart"), func(r *Resource) { r.Service.DrainGrace = time.Microsecond }),
 			`service "cart": drain grace: 1µs; whole milliseconds from 0s to 24h0m0s`},
-		{changed(service("cart"), func(r *Resource) { r.Service.MaxAttempts = 0 }), `service "cart": max attempts: 0; from 1 to 100`},
-		{changed(route("cart", "r"), func(r *Resource) { r.Route.Host = "Shop.example" }),
+		{changeWith(service("cart"), func(r *Resource) { r.Service.MaxAttempts = 0 }), `service "cart": max attempts: 0; from 1 to 100`},
+		{changeWith(route("cart", "r"), func(r *Resource) { r.Route.Host = "Shop.example" }),
 			`route "r" of service "cart": host: "Shop.example"; lower-case letters, digits, '-', '_' and '.'`},
-		{changed(route("cart", "r"), func(r *Resource) { r.Route.Host = strings.Repeat("a", 254) }),
+		{changeWith(route("cart", "r"), func(r *Resource) { r.Route.Host = strings.Repeat("a", 254) }),
 			`route "r" of service "cart": host: 254 bytes; at most 253`},
-		{changed(route("cart", "r"), func(r *Resource) { r.Route.PathPrefix = "cart" }),
+		{changeWith(route("cart", "r"), func(r *Resource) { r.Route.PathPrefix = "cart" }),
 			`route "r" of service "cart": path prefix: "cart"; it begins with "/"`},
-		{changed(route("cart", "r"), func(r *Resource) { r.Route.PathPrefix = "/cart?x" }),
+		{changeWith(route("cart", "r"), func(r *Resource) { r.Route.PathPrefix = "/cart?x" }),
 			`route "r" of service "cart": path prefix: "/cart?x"; ASCII without spaces, '?' and '#'`},
-		{changed(route("cart", "r"), func(r *Resource) { r.Route.PathPrefix = "/" + strings.Repeat("a", 1024) }),
+		{changeWith(route("cart", "r"), func(r *Resource) { r.Route.PathPrefix = "/" + strings.Repeat("a", 1024) }),
 			`route "r" of service "cart": path prefix: 1025 bytes; at most 1024`},
-		{changed(tenant("cart", "t"), func(r *Resource) { r.Tenant.Quota = math.NaN() }),
+		{changeWith(tenant("cart", "t"), func(r *Resource) { r.Tenant.Quota = math.NaN() }),
 			`tenant "t" of service "cart": quota: NaN requests a second; a finite number, not negative`},
-		{changed(tenant("cart", "t"), func(r *Resource) { r.Tenant.Quota = -1 }),
+		{changeWith(tenant("cart", "t"), func(r *Resource) { r.Tenant.Quota = -1 }),
 			`tenant "t" of service "cart": quota: -1 requests a second; a finite number, not negative`},
 	} {
 		err := c.change.Validate()
@@ -100,12 +100,12 @@
 	}
 }
 
-func changed(r Resource, change func(*Resource)) Change {
+func changeWith(r Resource, change func(*Resource)) Change {
 	change(&r)
 	return Change{Resource: r}
 }
 
-// A hostile name makes no long and no second line.
+// Names with line breaks or of great length must not make an error longer than one short line.
 func TestErrorsAreOneShortLine(t *testing.T) {
 	hostile := strings.Repeat("é\n", 1000)
 	err := (&Resource{Key: Key{hostile, KindTenant, hostile}, Tenant: &Tenant{}}).Validate()
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestTransactionAsAWhole(t *testing.T) {
+func TestTransactionLimitsAndDuplicates(t *testing.T) {
 	var many, large []Change
 	for i := range MaxChanges + 1 {
 		many = append(many, Change{Resource: tenant("cart", fmt.Sprint(i))})
@@ -133,7 +133,7 @@
 		"large": {large, "transaction: 1092522 bytes; at most 1048576 fit; split it"},
 		"twice": {[]Change{{Resource: tenant("cart", "t")}, {Resource: Resource{Key: Key{"cart", KindTenant, "t"}}, Deleted: true}},
 			`tenant "t" of service "cart": name: changed twice in one transaction; change each resource once`},
-		"one bad": {[]Change{{Resource: service("cart")}, changed(tenant("cart", "t"), func(r *Resource) { r.Tenant = nil })},
+		"one bad": {[]Change{{Resource: service("cart")}, changeWith(tenant("cart", "t"), func(r *Resource) { r.Tenant = nil })},
 			`tenant "t" of service "cart": value: not exactly that of its kind; set the tenant alone`},
 	} {
 		if err := ValidateChanges(c.changes); err == nil || err.Error() != c.want {
@@ -141,6 +141,6 @@
 		}
 	}
 	if err := ValidateChanges(many[:MaxChanges]); err != nil {
-		t.Errorf("the most changes: %v", err)
+		t.Errorf("the maximum number of changes: %v", err)
 	}
 }
