--- a/internal/controlplane/changelog/bench_test.go
+++ b/internal/controlplane/changelog/bench_test.go
@@ -10,7 +10,7 @@
 	"craneglade/internal/controlplane/resource"
 )
 
-// fleet is what one log holds at a size: services with 18 endpoints, 4 routes and 161 tenants each.
+// fleet returns that many resources of a log, in services with 18 endpoints, 4 routes and 161 tenants each.
 func fleet(size int) []resource.Resource {
 	const perService = 1 + 18 + 4 + 161
 	all := make([]resource.Resource, 0, size+perService)
@@ -56,11 +56,11 @@
 func endpointChange(n int) []resource.Change {
 	r := endpointResource(serviceName(n%5), n%5, 3)
 	r.Endpoint.StartedMS += uint64(n)
-	return set(r)
+	return setChanges(r)
 }
 
-// few is a node's subscription, as far as the store has services.
-func few(s *Store) Filter {
+// nodeFilter returns the subscription of a node: 200 services, or all if the store has fewer.
+func nodeFilter(s *Store) Filter {
 	services := make([]string, min(200, len(s.services)))
 	for i := range services {
 		services[i] = serviceName(i)
@@ -105,22 +105,22 @@
 }
 
 func BenchmarkChangesOfAll(b *testing.B) {
-	benchmarkChanges(b, func(*Store) Filter { return everything })
+	benchmarkChanges(b, func(*Store) Filter { return allServices })
 }
 
-func BenchmarkChangesOf200Services(b *testing.B) { benchmarkChanges(b, few) }
+func BenchmarkChangesOf200Services(b *testing.B) { benchmarkChanges(b, nodeFilter) }
 
 func BenchmarkSnapshotOfAll(b *testing.B) {
 	atSizes(b, func(b *testing.B, s *Store) {
 		for b.Loop() {
-			s.Snapshot(everything)
+			s.Snapshot(allServices)
 		}
 	})
 }
 
 func BenchmarkSnapshotOf200Services(b *testing.B) {
 	atSizes(b, func(b *testing.B, s *Store) {
-		f := few(s)
+		f := nodeFilter(s)
 		for b.Loop() {
 			s.Snapshot(f)
 		}
@@ -129,18 +129,18 @@
 
 func BenchmarkDigestOf200Services(b *testing.B) {
 	atSizes(b, func(b *testing.B, s *Store) {
-		f := few(s)
+		f := nodeFilter(s)
 		for b.Loop() {
 			s.Digest(f)
 		}
 	})
 }
 
-// BenchmarkReplace reports the live heap of a store, its resources included as they come from the wire, for each resource.
+// BenchmarkReplace also reports the live heap per resource of a store with resources decoded from the wire.
 func BenchmarkReplace(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			before := heap()
+			before := liveHeapBytes()
 			all := fromWire(b, fleet(size))
 			var s *Store
 			for b.Loop() {
@@ -151,7 +151,7 @@
 			}
 			clear(all)
 			all = nil
-			b.ReportMetric(float64(heap()-before)/float64(size), "heap-B/resource")
+			b.ReportMetric(float64(liveHeapBytes()-before)/float64(size), "heap-B/resource")
 			runtime.KeepAlive(s)
 		})
 	}
@@ -165,7 +165,7 @@
 	return slices.Clip(read)
 }
 
-func heap() uint64 {
+func liveHeapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/internal/controlplane/changelog/check.go
+++ b/internal/controlplane/changelog/check.go
@@ -6,72 +6,72 @@
 	"craneglade/internal/controlplane/resource"
 )
 
-// balance is what a transaction does to one service.
-type balance struct {
-	present bool // the service's own resource, afterwards
-	size    int  // its resources, afterwards
-	other   resource.Key
+// serviceOutcome is the state of one service after a transaction.
+type serviceOutcome struct {
+	exists    bool         // the service's own resource exists
+	resources int          // number of its resources, its own included
+	lastSet   resource.Key // of the last resource that the transaction sets; zero for none
 }
 
-// checkServices checks changes against the state: a service belongs to the log of its home region, and the resources of a
-// service exist no longer than the service itself. The error is a resource.InvalidError.
+// checkServices checks changes against the state: a service must be in the log of its home region, and resources must not
+// exist without their service. The error is a resource.InvalidError.
 func (s *Store) checkServices(changes []resource.Change) error {
-	balances := make(map[string]*balance)
+	outcomes := make(map[string]*serviceOutcome)
 	for i := range changes {
 		change := &changes[i]
 		if err := s.checkRegion(&change.Resource); err != nil {
 			return err
 		}
 		name := change.Resource.Key.Service
-		current, ok := balances[name]
+		outcome, ok := outcomes[name]
 		if !ok {
-			current = s.balanceOf(name)
-			balances[name] = current
+			outcome = s.outcomeOf(name)
+			outcomes[name] = outcome
 		}
 		_, existed := s.Get(change.Resource.Key)
-		current.add(change, existed)
+		outcome.add(change, existed)
 	}
 	for i := range changes {
 		name := changes[i].Resource.Key.Service
-		if after := balances[name]; after.size > 0 && !after.present {
-			return missingService(name, after)
+		if outcome := outcomes[name]; outcome.resources > 0 && !outcome.exists {
+			return missingService(name, outcome)
 		}
 	}
 	return nil
 }
 
-func (s *Store) balanceOf(name string) *balance {
+func (s *Store) outcomeOf(name string) *serviceOutcome {
 	found, ok := s.services[name]
 	if !ok {
-		return &balance{}
+		return &serviceOutcome{}
 	}
 	_, present := found.get(resource.KindService, name)
-	return &balance{present: present, size: found.items.Len()}
+	return &serviceOutcome{exists: present, resources: found.items.Len()}
 }
 
-func (b *balance) add(change *resource.Change, existed bool) {
+func (o *serviceOutcome) add(change *resource.Change, existed bool) {
 	key := change.Resource.Key
 	if key.Kind == resource.KindService {
-		b.present = !change.Deleted
+		o.exists = !change.Deleted
 	}
 	switch {
 	case change.Deleted && existed:
-		b.size--
+		o.resources--
 	case !change.Deleted && !existed:
-		b.size++
+		o.resources++
 	}
 	if !change.Deleted {
-		b.other = key
+		o.lastSet = key
 	}
 }
 
-func missingService(name string, after *balance) error {
-	if after.other.Service == "" {
+func missingService(name string, outcome *serviceOutcome) error {
+	if outcome.lastSet.Service == "" {
 		key := resource.Key{Service: name, Kind: resource.KindService, Name: name}
-		return &resource.InvalidError{Key: key, Field: "name", Problem: fmt.Sprintf("deleted, and %d of its resources stay", after.size),
+		return &resource.InvalidError{Key: key, Field: "name", Problem: fmt.Sprintf("deleted, and %d of its resources stay", outcome.resources),
 			Want: "delete these in the same transaction"}
 	}
-	return &resource.InvalidError{Key: after.other, Field: "service", Problem: "not in the log", Want: "set it in the same transaction or before"}
+	return &resource.InvalidError{Key: outcome.lastSet, Field: "service", Problem: "not in the log", Want: "set it in the same transaction or before"}
 }
 
 func (s *Store) checkRegion(r *resource.Resource) error {
@@ -82,12 +82,12 @@
 		Want: "only the log of its home region changes a service"}
 }
 
-// checkComplete checks that each service with resources exists itself. The error is a resource.InvalidError.
-func (s *Store) checkComplete() error {
-	for _, each := range s.services {
-		if _, present := each.get(resource.KindService, each.name); !present {
-			first, _ := each.items.Min()
-			return missingService(each.name, &balance{other: each.resource(first).Key})
+// checkServicesExist checks that the service of every resource exists. The error is a resource.InvalidError.
+func (s *Store) checkServicesExist() error {
+	for _, svc := range s.services {
+		if _, present := svc.get(resource.KindService, svc.name); !present {
+			first, _ := svc.items.Min()
+			return missingService(svc.name, &serviceOutcome{lastSet: svc.resource(first).Key})
 		}
 	}
 	return nil
--- a/internal/controlplane/changelog/history.go
+++ b/internal/controlplane/changelog/history.go
@@ -7,27 +7,28 @@
 	"craneglade/internal/controlplane/resource"
 )
 
-// history is the latest transactions: from which positions a delta can be given, and which services each touched. What was
-// changed is remembered by the services.
+// history holds the latest transactions: the positions from which a delta can be computed, and the services that each
+// transaction changed. The changed keys are kept in service.recentChanges.
 type history struct {
 	limits Limits
-	spans  []span // each begins where the one before ends
+	spans  []span // oldest first; each starts at the end of the previous one
 	bytes  int
 }
 
-// span is what a store took at once: one transaction of the writer, or several that a replica was sent as one delta.
+// span is a step of the log that was applied at once: one transaction of the writer, or several that a replica received as
+// one delta.
 type span struct {
 	from, to resource.Position
-	services []*service // that it changed, each once
+	services []*service // that changed, without duplicates
 	bytes    int
 }
 
 const (
-	spanBytes         = 96 // a span with its list of services, about
-	recentChangeBytes = 48 // a recentChange with its share of slack, about
+	spanBytes         = 96 // approximate memory of a span with its list of services
+	recentChangeBytes = 48 // approximate memory of a recentChange, with unused capacity of its slice
 )
 
-// historyBytes is about what the history of a transaction takes.
+// historyBytes returns the approximate memory that the history of a transaction uses.
 func historyBytes(changes []resource.Change) int {
 	total := spanBytes
 	for i := range changes {
@@ -36,8 +37,8 @@
 	return total
 }
 
-// add puts a span at the end and returns those that have to go for it.
-func (h *history) add(s span) (forgotten []span) {
+// add appends a span and returns the oldest spans that it evicted to stay within the limits.
+func (h *history) add(s span) (evicted []span) {
 	h.spans = append(h.spans, s)
 	h.bytes += s.bytes
 	count := 0
@@ -45,17 +46,17 @@
 		h.bytes -= h.spans[count].bytes
 		count++
 	}
-	forgotten = slices.Clone(h.spans[:count])
+	evicted = slices.Clone(h.spans[:count])
 	clear(h.spans[:count])
 	h.spans = h.spans[count:]
-	return forgotten
+	return evicted
 }
 
-// reaches reports whether what changed after a position is known.
+// covers reports whether the history holds all changes after a position.
 //
-// A position within a span of one epoch is known too, where a replica was sent several transactions as one: versions grow
-// by one, so a writer of that epoch stood there, and the span's changes bring its state up to the span's end.
-func (h *history) reaches(from resource.Position) bool {
+// It also covers positions inside a span of one epoch, where a replica received several transactions as one delta: versions
+// increase by one, so the log was at each of these positions, and the changes of the span lead from there to its end.
+func (h *history) covers(from resource.Position) bool {
 	i, _ := slices.BinarySearchFunc(h.spans, from.Version, func(s span, v uint64) int { return cmp.Compare(s.to.Version, v) })
 	if i == len(h.spans) {
 		return false
@@ -68,8 +69,8 @@
 	return oneEpoch && s.from.Version < from.Version && from.Version < s.to.Version
 }
 
-// after is the spans that changed something after a position that history reaches.
-func (h *history) after(from resource.Position) []span {
+// spansAfter returns the spans with changes after a position that the history covers.
+func (h *history) spansAfter(from resource.Position) []span {
 	i, _ := slices.BinarySearchFunc(h.spans, from.Version+1, func(s span, v uint64) int { return cmp.Compare(s.to.Version, v) })
 	return h.spans[i:]
 }
--- a/internal/controlplane/changelog/property_test.go
+++ b/internal/controlplane/changelog/property_test.go
@@ -14,7 +14,7 @@
 	"craneglade/internal/controlplane/resource"
 )
 
-// model is a log as simple as can be: all states that it ever had.
+// model is a reference implementation of a log: it keeps the complete state at each position.
 type model struct {
 	positions []resource.Position
 	states    []map[resource.Key]resource.Resource
@@ -26,7 +26,7 @@
 
 func (m *model) last() map[resource.Key]resource.Resource { return m.states[len(m.states)-1] }
 
-func (m *model) take(t resource.Transaction) {
+func (m *model) apply(t resource.Transaction) {
 	next := maps.Clone(m.last())
 	for _, c := range t.Changes {
 		if c.Deleted {
@@ -38,7 +38,7 @@
 	m.positions, m.states = append(m.positions, t.Position), append(m.states, next)
 }
 
-// snapshot is what a filter covers of a state, by kind and key.
+// snapshot returns the resources of a state that a filter covers, sorted by kind and key.
 func snapshot(state map[resource.Key]resource.Resource, f Filter) []resource.Resource {
 	all := []resource.Resource{}
 	for key, r := range state {
@@ -54,7 +54,7 @@
 
 var serviceNames = []string{"cart", "pay", "search"}
 
-// drawTransaction draws changes of which each service's own resource comes and goes with the others.
+// drawTransaction draws changes that create and delete each service's own resource together with its other resources.
 func drawTransaction(t *rapid.T, state map[resource.Key]resource.Resource) []resource.Change {
 	var changes []resource.Change
 	for _, name := range serviceNames {
@@ -104,14 +104,14 @@
 
 func drawFilter(t *rapid.T) Filter {
 	if rapid.Bool().Draw(t, "all") {
-		return everything
+		return allServices
 	}
 	services := rapid.SliceOfDistinct(rapid.SampledFrom(append([]string{"absent"}, serviceNames...)), rapid.ID).Draw(t, "services")
 	slices.Sort(services)
 	return Filter{Services: services}
 }
 
-// replica is a store that follows another by deltas, or by a snapshot where history doesn't reach back.
+// replica is a store that follows another by deltas, or by a snapshot if the parent's history doesn't reach back.
 type replica struct {
 	store  *Store
 	parent *Store
@@ -141,37 +141,37 @@
 	return true
 }
 
-func checkAgainst(t *rapid.T, s *Store, m *model, held, asked Filter) {
+func checkAgainstModel(t *rapid.T, s *Store, m *model, subscribed, queried Filter) {
 	at := slices.Index(m.positions, s.Position())
 	if at < 0 {
-		t.Fatalf("the store is at %s, where the log never was", s.Position())
+		t.Fatalf("the store is at %s, which was never a position of the log", s.Position())
 	}
-	want := snapshot(m.states[at], held)
+	want := snapshot(m.states[at], subscribed)
 	if s.Len() != len(want) {
 		t.Fatalf("%d resources, want %d", s.Len(), len(want))
 	}
-	if got := s.Snapshot(everything); !reflect.DeepEqual(got, want) {
+	if got := s.Snapshot(allServices); !reflect.DeepEqual(got, want) {
 		t.Fatalf("at %s\ngot  %+v\nwant %+v", s.Position(), got, want)
 	}
-	if s.Digest(everything) != message.DigestOf(want) {
+	if s.Digest(allServices) != message.DigestOf(want) {
 		t.Fatalf("at %s: digest of all", s.Position())
 	}
-	if !held.All {
+	if !subscribed.All {
 		return
 	}
-	part := snapshot(m.states[at], asked)
-	if got := s.Snapshot(asked); !reflect.DeepEqual(got, part) || s.Digest(asked) != message.DigestOf(part) {
-		t.Fatalf("at %s, %v\ngot  %+v\nwant %+v", s.Position(), asked, got, part)
+	wantQueried := snapshot(m.states[at], queried)
+	if got := s.Snapshot(queried); !reflect.DeepEqual(got, wantQueried) || s.Digest(queried) != message.DigestOf(wantQueried) {
+		t.Fatalf("at %s, %v\ngot  %+v\nwant %+v", s.Position(), queried, got, wantQueried)
 	}
 }
 
-// A store, and replicas that follow it or each other with any filter and at any time, hold at each position what the
-// simple model held there, and have its digest.
-func TestStoresAgreeWithTheModel(t *testing.T) {
+// A writer's store, and replicas that follow it or each other with any filter and at any time, must have the resources and
+// the digest that the reference model has at the same position.
+func TestStoresMatchReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Transactions: rapid.IntRange(1, 8).Draw(t, "transactions"), Bytes: rapid.SampledFrom([]int{500, 1 << 20}).Draw(t, "bytes")}
 		m, writer := newModel(), NewStore(region, limits)
-		relay := &replica{NewStore(region, limits), writer, everything}
+		relay := &replica{NewStore(region, limits), writer, allServices}
 		replicas := []*replica{relay}
 		for range 3 {
 			parent := rapid.SampledFrom([]*Store{writer, relay.store}).Draw(t, "parent")
@@ -181,16 +181,16 @@
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			if rapid.IntRange(0, 2).Draw(t, "what") > 0 {
 				epoch += uint64(rapid.IntRange(0, 4).Draw(t, "epoch") / 4)
-				m.take(mustAppendIn(t, writer, epoch, drawTransaction(t, m.last())))
+				m.apply(mustAppendIn(t, writer, epoch, drawTransaction(t, m.last())))
 			} else {
 				follower := rapid.SampledFrom(replicas).Draw(t, "follower")
 				if rapid.Bool().Draw(t, "turns to the writer") {
 					follower.parent = writer
 				}
 				follower.follow(t)
-				checkAgainst(t, follower.store, m, follower.filter, drawFilter(t))
+				checkAgainstModel(t, follower.store, m, follower.filter, drawFilter(t))
 			}
-			checkAgainst(t, writer, m, everything, drawFilter(t))
+			checkAgainstModel(t, writer, m, allServices, drawFilter(t))
 		}
 	})
 }
@@ -203,14 +203,14 @@
 	return transaction
 }
 
-// Whatever position of the log a subscriber has, a delta brings it to the snapshot, or is known to be out of reach; in
-// reach are the last transactions as far as the limits go.
-func TestADeltaFromAnyPosition(t *testing.T) {
+// From each position that the history covers, a delta must lead to the state of a snapshot; the history covers the number
+// of transactions that the limits set.
+func TestDeltaFromAnyPosition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 12).Draw(t, "transactions")
 		m, writer := newModel(), NewStore(region, Limits{Transactions: limit})
 		for epoch := range rapid.SliceOfN(rapid.Bool(), 1, 15).Draw(t, "transactions made") {
-			m.take(mustAppendIn(t, writer, uint64(epoch/3+1), drawTransaction(t, m.last())))
+			m.apply(mustAppendIn(t, writer, uint64(epoch/3+1), drawTransaction(t, m.last())))
 		}
 		f := drawFilter(t)
 		for i, from := range m.positions {
@@ -223,7 +223,7 @@
 			if delta != (behind <= limit) {
 				t.Fatalf("%d transactions behind with a history of %d: delta %t", behind, limit, delta)
 			}
-			checkAgainst(t, store, m, f, f)
+			checkAgainstModel(t, store, m, f, f)
 		}
 	})
 }
--- a/internal/controlplane/changelog/read.go
+++ b/internal/controlplane/changelog/read.go
@@ -8,50 +8,50 @@
 	"craneglade/internal/controlplane/resource"
 )
 
-// Changes is what changed within a filter after a position and up to Position: one change for each key, by key, with the
-// resource as it is now. ok is false where history does not reach back to the position, or where the log never stood there.
-// The cost grows with the services of the filter, or with the transactions after the position where the filter is for all.
+// Changes returns the changes within a filter after a position up to Position: one change per key, sorted by key, with the
+// current resource. ok is false if the history does not reach back to the position, or if the log was never at it. The cost
+// grows with the services of the filter, or with the transactions after the position if the filter covers all services.
 func (s *Store) Changes(f Filter, from resource.Position) (changes []resource.Change, ok bool) {
 	if from == s.position {
 		return nil, true
 	}
-	if !s.history.reaches(from) {
+	if !s.history.covers(from) {
 		return nil, false
 	}
-	for _, candidate := range s.changedCandidates(f, from) {
-		changes = candidate.changesAfter(from.Version, changes)
+	for _, svc := range s.changedCandidates(f, from) {
+		changes = svc.changesAfter(from.Version, changes)
 	}
 	return changes, true
 }
 
-// changedCandidates are the services of a filter that may have changed after a position, by name.
+// changedCandidates returns the services of a filter that may have changed after a position, sorted by name.
 func (s *Store) changedCandidates(f Filter, from resource.Position) []*service {
 	if !f.All {
-		return s.selected(f)
+		return s.selectedServices(f)
 	}
-	var touched []*service
-	for _, later := range s.history.after(from) {
-		touched = append(touched, later.services...)
+	var changed []*service
+	for _, later := range s.history.spansAfter(from) {
+		changed = append(changed, later.services...)
 	}
-	return sortedByName(touched)
+	return sortedByName(changed)
 }
 
-// Snapshot is all resources within a filter, by kind, then key.
+// Snapshot returns all resources within a filter, sorted by kind, then key.
 func (s *Store) Snapshot(f Filter) []resource.Resource {
-	services, size := s.selected(f), 0
-	for _, selected := range services {
-		size += selected.items.Len()
+	services, size := s.selectedServices(f), 0
+	for _, svc := range services {
+		size += svc.items.Len()
 	}
 	all := make([]resource.Resource, 0, size)
 	for kind := resource.KindService; kind.Known(); kind++ {
-		for _, selected := range services {
-			all = selected.appendKind(kind, all)
+		for _, svc := range services {
+			all = svc.appendKind(kind, all)
 		}
 	}
 	return all
 }
 
-// Digest is that of the resources within a filter. It is kept up to date for each service.
+// Digest returns the digest of the resources within a filter. It adds up digests that are maintained per service.
 func (s *Store) Digest(f Filter) message.Digest {
 	if f.All {
 		return s.digest
@@ -65,13 +65,13 @@
 	return total
 }
 
-// selected are the services of a filter that the store holds, by name.
-func (s *Store) selected(f Filter) []*service {
+// selectedServices returns the services of a filter that the store holds, sorted by name.
+func (s *Store) selectedServices(f Filter) []*service {
 	var services []*service
 	if f.All {
 		services = make([]*service, 0, len(s.services))
-		for _, each := range s.services {
-			services = append(services, each)
+		for _, svc := range s.services {
+			services = append(services, svc)
 		}
 		return sortedByName(services)
 	}
@@ -84,7 +84,7 @@
 	return slices.Compact(services)
 }
 
-// sortedByName sorts services and drops repeated ones.
+// sortedByName sorts services by name and removes duplicates.
 func sortedByName(services []*service) []*service {
 	slices.SortFunc(services, func(a, b *service) int { return cmp.Compare(a.name, b.name) })
 	return slices.Compact(services)
--- a/internal/controlplane/changelog/service.go
+++ b/internal/controlplane/changelog/service.go
@@ -10,31 +10,31 @@
 	"craneglade/internal/controlplane/resource"
 )
 
-const treeDegree = 16 // of a service's tree: nodes have 15 to 31 items
+const treeDegree = 16 // B-tree nodes hold 15 to 31 items
 
-// service is all that a store holds of one service.
+// service holds the resources and the recent changes of one service.
 type service struct {
-	name   string // shared by the keys of its resources
-	digest message.Digest
-	items  *btree.BTreeG[item]
-	recent []recentChange // what history reaches back to, oldest first
+	name          string // the string that the keys of all its resources share
+	digest        message.Digest
+	items         *btree.BTreeG[item]
+	recentChanges []recentChange // those that the history covers, oldest first
 }
 
-// item is a resource within its service. Its kind is the type of the value.
+// item is a resource within its service. The type of the value determines the kind.
 type item struct {
 	name  string
 	value any // *resource.Service, *resource.Endpoint, *resource.Route or *resource.Tenant
 }
 
-// recentChange tells that a transaction set or deleted a resource.
+// recentChange records that the transaction of a version set or deleted a resource.
 type recentChange struct {
 	version uint64
 	name    string
 	kind    resource.Kind
 }
 
-func newService(name string, nodes *btree.FreeListG[item]) *service {
-	return &service{name: name, items: btree.NewWithFreeListG(treeDegree, itemLess, nodes)}
+func newService(name string, freeList *btree.FreeListG[item]) *service {
+	return &service{name: name, items: btree.NewWithFreeListG(treeDegree, itemLess, freeList)}
 }
 
 func itemLess(a, b item) bool {
@@ -55,8 +55,8 @@
 	return 0
 }
 
-// pivot is an item to search for.
-func pivot(kind resource.Kind, name string) item {
+// searchKey returns an item without a value, to search the tree for.
+func searchKey(kind resource.Kind, name string) item {
 	switch kind {
 	case resource.KindService:
 		return item{name, (*resource.Service)(nil)}
@@ -98,7 +98,7 @@
 }
 
 func (s *service) get(kind resource.Kind, name string) (resource.Resource, bool) {
-	found, ok := s.items.Get(pivot(kind, name))
+	found, ok := s.items.Get(searchKey(kind, name))
 	if !ok {
 		return resource.Resource{}, false
 	}
@@ -108,60 +108,61 @@
 func (s *service) put(r *resource.Resource) {
 	old, replaced := s.items.ReplaceOrInsert(itemOf(r))
 	if replaced {
-		s.subtract(old)
+		s.removeFromDigest(old)
 	}
 	s.digest = s.digest.Add(r)
 }
 
 func (s *service) remove(key resource.Key) {
-	if old, existed := s.items.Delete(pivot(key.Kind, key.Name)); existed {
-		s.subtract(old)
+	if old, existed := s.items.Delete(searchKey(key.Kind, key.Name)); existed {
+		s.removeFromDigest(old)
 	}
 }
 
-func (s *service) subtract(old item) {
+func (s *service) removeFromDigest(old item) {
 	r := s.resource(old)
 	s.digest = s.digest.Remove(&r)
 }
 
-// noteChange remembers that a transaction changed a resource, and reports whether it is the first of that transaction.
-func (s *service) noteChange(version uint64, key resource.Key) (first bool) {
-	first = s.lastChanged() != version
-	s.recent = append(s.recent, recentChange{version, key.Name, key.Kind})
+// recordChange records that a transaction changed a resource, and reports whether this is the transaction's first change of
+// the service.
+func (s *service) recordChange(version uint64, key resource.Key) (first bool) {
+	first = s.lastChangedVersion() != version
+	s.recentChanges = append(s.recentChanges, recentChange{version, key.Name, key.Kind})
 	return first
 }
 
-// lastChanged is the latest version that changed the service, as far as history reaches back; 0 for none.
-func (s *service) lastChanged() uint64 {
-	if len(s.recent) == 0 {
+// lastChangedVersion returns the latest version in the history that changed the service; 0 for none.
+func (s *service) lastChangedVersion() uint64 {
+	if len(s.recentChanges) == 0 {
 		return 0
 	}
-	return s.recent[len(s.recent)-1].version
+	return s.recentChanges[len(s.recentChanges)-1].version
 }
 
-// forgetChanges drops what is remembered of versions up to one.
-func (s *service) forgetChanges(version uint64) {
-	kept := s.recentAfter(version)
+// dropChangesUpTo removes the recent changes up to a version, and reallocates the rest if that frees half of the memory.
+func (s *service) dropChangesUpTo(version uint64) {
+	kept := s.recentChangesAfter(version)
 	if len(kept) == 0 {
-		s.recent = nil
-	} else if len(kept) <= cap(s.recent)/2 {
-		s.recent = slices.Clone(kept)
+		s.recentChanges = nil
+	} else if len(kept) <= cap(s.recentChanges)/2 {
+		s.recentChanges = slices.Clone(kept)
 	} else {
-		s.recent = kept
+		s.recentChanges = kept
 	}
 }
 
-func (s *service) recentAfter(version uint64) []recentChange {
-	first, _ := slices.BinarySearchFunc(s.recent, version+1, func(c recentChange, v uint64) int { return cmp.Compare(c.version, v) })
-	return s.recent[first:]
+func (s *service) recentChangesAfter(version uint64) []recentChange {
+	first, _ := slices.BinarySearchFunc(s.recentChanges, version+1, func(c recentChange, v uint64) int { return cmp.Compare(c.version, v) })
+	return s.recentChanges[first:]
 }
 
-// changesAfter appends what changed after a version, by kind and name, with the resources as they are now.
+// changesAfter appends the changes after a version, sorted by kind and name, with the current resources.
 func (s *service) changesAfter(version uint64, changes []resource.Change) []resource.Change {
-	if s.lastChanged() <= version {
+	if s.lastChangedVersion() <= version {
 		return changes
 	}
-	keys := slices.Clone(s.recentAfter(version))
+	keys := slices.Clone(s.recentChangesAfter(version))
 	slices.SortFunc(keys, compareKeys)
 	keys = slices.CompactFunc(keys, func(a, b recentChange) bool { return compareKeys(a, b) == 0 })
 	for _, key := range keys {
@@ -178,9 +179,9 @@
 	return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.name, b.name))
 }
 
-// appendKind appends the resources of one kind, by name.
+// appendKind appends the resources of one kind, sorted by name.
 func (s *service) appendKind(kind resource.Kind, all []resource.Resource) []resource.Resource {
-	s.items.AscendGreaterOrEqual(pivot(kind, ""), func(i item) bool {
+	s.items.AscendGreaterOrEqual(searchKey(kind, ""), func(i item) bool {
 		if i.kind() != kind {
 			return false
 		}
--- a/internal/controlplane/changelog/store.go
+++ b/internal/controlplane/changelog/store.go
@@ -1,8 +1,8 @@
-// Package changelog keeps one replica of the log of one region: all resources at a position, and the latest transactions,
-// so that a subscriber that was away is sent what changed and not everything. Resources are indexed by service, so that
-// what a subscription to a few services costs grows with these and not with the log.
+// Package changelog implements a replica of the log of one region: all resources at a position, and a bounded history of
+// the latest transactions, so that a subscriber that reconnects receives a delta and not a full snapshot. Resources are
+// indexed by service, so that the cost of a subscription grows with its services and not with the log.
 //
-// There is no I/O, clock or goroutine here. A Store belongs to one goroutine at a time.
+// The package does no I/O, reads no clock and starts no goroutines. A Store is not safe for concurrent use.
 package changelog
 
 import (
@@ -16,21 +16,21 @@
 	"craneglade/internal/controlplane/resource"
 )
 
-// Errors of Append, Apply and Replace; what they return wraps one of these or is an error of package resource. The store
-// stays as it was.
+// Errors of Append, Apply and Replace. What they return wraps one of these or is an error of package resource, and the
+// store is unchanged.
 var (
-	ErrFenced = errors.New("epoch is older than the log's") // from a writer that was deposed
+	ErrFenced = errors.New("epoch is older than the log's") // from a deposed writer
 	ErrGap    = errors.New("does not follow the log's position")
-	ErrBehind = errors.New("not after the log's position") // doubled, late, or from a log that went back
+	ErrBehind = errors.New("not after the log's position") // duplicate, late, or from a log restored to an earlier position
 )
 
-// Limits bound the history of a store. Zero fields have the defaults.
+// Limits bounds the history of a store. Zero fields mean the defaults.
 type Limits struct {
-	Transactions int // that history holds at most
-	Bytes        int // that history takes at most, about
+	Transactions int // max entries; a delta applied to a replica counts as one
+	Bytes        int // max memory, approximate
 }
 
-// The defaults of Limits: about a day of a large fleet's changes.
+// The defaults of Limits hold about one day of a large fleet's changes.
 const (
 	DefaultTransactions = 32768
 	DefaultBytes        = 16 << 20
@@ -46,13 +46,13 @@
 	return l
 }
 
-// Filter is what a subscription covers.
+// Filter selects the services that a subscription covers.
 type Filter struct {
 	All      bool     // every service
-	Services []string // sorted; where All is false
+	Services []string // sorted; ignored if All is set
 }
 
-// Contains reports whether the filter covers a service.
+// Contains reports whether the filter covers the service.
 func (f Filter) Contains(service string) bool {
 	if f.All {
 		return true
@@ -69,29 +69,29 @@
 	count    int            // resources
 	digest   message.Digest // of all resources
 	history  history
-	nodes    *btree.FreeListG[item] // shared by the trees of all services
+	freeList *btree.FreeListG[item] // shared by the trees of all services
 }
 
-// NewStore makes the replica of a log in which nothing was written yet.
+// NewStore returns a replica of an empty log.
 func NewStore(region string, limits Limits) *Store {
 	return &Store{
 		region:   region,
 		services: make(map[string]*service),
 		history:  history{limits: limits.withDefaults()},
-		nodes:    btree.NewFreeListG[item](btree.DefaultFreeListSize),
+		freeList: btree.NewFreeListG[item](btree.DefaultFreeListSize),
 	}
 }
 
-// Region is the region whose log this is.
+// Region returns the region of the log.
 func (s *Store) Region() string { return s.region }
 
-// Position is that of the latest transaction.
+// Position returns the position of the latest transaction.
 func (s *Store) Position() resource.Position { return s.position }
 
-// Len is the number of resources.
+// Len returns the number of resources.
 func (s *Store) Len() int { return s.count }
 
-// Get finds a resource.
+// Get returns the resource with the key and whether it exists.
 func (s *Store) Get(key resource.Key) (resource.Resource, bool) {
 	found, ok := s.services[key.Service]
 	if !ok {
@@ -100,7 +100,7 @@
 	return found.get(key.Kind, key.Name)
 }
 
-// Append adds a writer's transaction to its own log, whole or not at all. The version grows by one. Errors: ErrFenced, and
+// Append atomically adds a transaction to the writer's own log and increases the version by one. Errors are ErrFenced, and
 // those of resource.ValidateChanges.
 func (s *Store) Append(epoch uint64, changes []resource.Change) (resource.Transaction, error) {
 	if epoch == 0 || epoch < s.position.Epoch {
@@ -116,15 +116,15 @@
 		Position: resource.Position{Epoch: epoch, Version: s.position.Version + 1},
 		Changes:  slices.Clone(changes),
 	}
-	s.take(t)
+	s.commit(t)
 	return t, nil
 }
 
-// Apply adds to a replica what changed after position from and up to that of t, whole or not at all. Errors: ErrGap where
-// the replica stands elsewhere and needs what lies between, ErrBehind where it already is as far, ErrFenced for what an
-// older epoch wrote, and those of resource.ValidateEach.
+// Apply atomically applies to a replica the changes after the position from up to t.Position. Errors are ErrGap if the
+// replica is not at from and lacks changes in between, ErrBehind if it already is at t.Position or later, ErrFenced for
+// changes of an older epoch, and those of resource.ValidateEach.
 func (s *Store) Apply(t resource.Transaction, from resource.Position) error {
-	if err := s.checkOrder(t.Position, from); err != nil {
+	if err := s.checkDeltaPositions(t.Position, from); err != nil {
 		return fmt.Errorf("log of %q at %s: changes from %s to %s: %w", s.region, s.position, from, t.Position, err)
 	}
 	if err := resource.ValidateEach(t.Changes); err != nil {
@@ -133,12 +133,12 @@
 	if err := s.checkServices(t.Changes); err != nil {
 		return err
 	}
-	s.take(t)
+	s.commit(t)
 	return nil
 }
 
-// checkOrder reports whether what goes from one position to another can be taken here.
-func (s *Store) checkOrder(to, from resource.Position) error {
+// checkDeltaPositions checks that a delta between two positions continues the log at the store's position.
+func (s *Store) checkDeltaPositions(to, from resource.Position) error {
 	switch {
 	case to.Epoch < s.position.Epoch:
 		return ErrFenced
@@ -150,55 +150,57 @@
 	return nil
 }
 
-// take brings a transaction that was checked into the state and the history.
-func (s *Store) take(t resource.Transaction) {
-	touched := make([]*service, 0, min(len(t.Changes), 16))
+// commit applies a checked transaction to the state and adds it to the history.
+func (s *Store) commit(t resource.Transaction) {
+	changedServices := make([]*service, 0, min(len(t.Changes), 16))
 	for i := range t.Changes {
-		changed := s.change(&t.Changes[i])
-		if changed.noteChange(t.Position.Version, t.Changes[i].Resource.Key) {
-			touched = append(touched, changed)
+		svc := s.applyChange(&t.Changes[i])
+		if svc.recordChange(t.Position.Version, t.Changes[i].Resource.Key) {
+			changedServices = append(changedServices, svc)
 		}
 	}
-	forgotten := s.history.add(span{from: s.position, to: t.Position, services: touched, bytes: historyBytes(t.Changes)})
+	evicted := s.history.add(span{from: s.position, to: t.Position, services: changedServices, bytes: historyBytes(t.Changes)})
 	s.position = t.Position
-	for _, old := range forgotten {
-		s.forget(old)
+	for _, old := range evicted {
+		s.evictSpan(old)
 	}
 }
 
-// change brings one change into the state and returns the service that it was about.
-func (s *Store) change(c *resource.Change) *service {
+// applyChange applies one change to the state and returns its service.
+func (s *Store) applyChange(c *resource.Change) *service {
 	key := c.Resource.Key
-	changed, ok := s.services[key.Service]
+	svc, ok := s.services[key.Service]
 	if !ok {
-		changed = newService(key.Service, s.nodes)
-		s.services[key.Service] = changed
+		svc = newService(key.Service, s.freeList)
+		s.services[key.Service] = svc
 	}
-	before, size := changed.digest, changed.items.Len()
+	before, size := svc.digest, svc.items.Len()
 	if c.Deleted {
-		changed.remove(key)
+		svc.remove(key)
 	} else {
-		changed.put(&c.Resource)
+		svc.put(&c.Resource)
 	}
-	s.digest += changed.digest - before
-	s.count += changed.items.Len() - size
-	return changed
+	s.digest += svc.digest - before
+	s.count += svc.items.Len() - size
+	return svc
 }
 
-// forget drops what services remember of a span that left the history, and services of which nothing is left.
-func (s *Store) forget(old span) {
-	for _, touched := range old.services {
-		touched.forgetChanges(old.to.Version)
-		if touched.items.Len() == 0 && len(touched.recent) == 0 {
-			delete(s.services, touched.name)
+// evictSpan removes the changes of a span that left the history from its services, and deletes services without resources
+// and changes.
+func (s *Store) evictSpan(old span) {
+	for _, svc := range old.services {
+		svc.dropChangesUpTo(old.to.Version)
+		if svc.items.Len() == 0 && len(svc.recentChanges) == 0 {
+			delete(s.services, svc.name)
 		}
 	}
 }
 
-// Replace brings the replica to a snapshot, whole or not at all. The history starts anew. The same position again is taken,
-// so that a replica whose digest is wrong can be mended. Errors: ErrFenced, ErrBehind, and those of package resource.
+// Replace atomically replaces all resources by those of a snapshot and clears the history. A snapshot of the store's own
+// position is accepted, so that a replica with a wrong digest can be repaired. Errors are ErrFenced, ErrBehind, and those
+// of package resource.
 func (s *Store) Replace(position resource.Position, all []resource.Resource) error {
-	if err := s.checkNotOlder(position); err != nil {
+	if err := s.checkSnapshotPosition(position); err != nil {
 		return fmt.Errorf("log of %q at %s: snapshot of %s: %w", s.region, s.position, position, err)
 	}
 	fresh := NewStore(s.region, s.history.limits)
@@ -211,19 +213,19 @@
 			return err
 		}
 		count := fresh.count
-		fresh.change(&resource.Change{Resource: all[i]})
+		fresh.applyChange(&resource.Change{Resource: all[i]})
 		if fresh.count == count {
 			return &resource.InvalidError{Key: all[i].Key, Field: "name", Problem: "twice in one snapshot", Want: "each resource once"}
 		}
 	}
-	if err := fresh.checkComplete(); err != nil {
+	if err := fresh.checkServicesExist(); err != nil {
 		return err
 	}
 	*s = *fresh
 	return nil
 }
 
-func (s *Store) checkNotOlder(position resource.Position) error {
+func (s *Store) checkSnapshotPosition(position resource.Position) error {
 	switch {
 	case position.Epoch < s.position.Epoch:
 		return ErrFenced
