--- a/internal/controlplane/message/compress.go
+++ b/internal/controlplane/message/compress.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	compressFrom  = 512 // bytes; less is not worth it
-	compressLevel = flate.DefaultCompression
+	minCompressBytes = 512 // smaller input saves too little
+	compressionLevel = flate.DefaultCompression
 )
 
-// writers keeps compressors, which are large, for the next use.
-var writers = sync.Pool{New: func() any {
-	w, err := flate.NewWriter(nil, compressLevel)
-	if err != nil { // only for a level that doesn't exist
+// compressors reuses flate writers, which are large to allocate.
+var compressors = sync.Pool{New: func() any {
+	w, err := flate.NewWriter(nil, compressionLevel)
+	if err != nil { // only for an invalid level
 		panic(err)
 	}
 	return w
 }}
 
-// compress writes b in less than two thirds of its bytes (RFC 1951), or reports that this can't be done.
-func compress(b []byte) (small []byte, ok bool) {
-	if len(b) < compressFrom || len(b) > MaxFrameBytes {
+// compress returns b compressed with DEFLATE (RFC 1951). ok is false if b is too short or too long, or if the result isn't
+// smaller than two thirds of b.
+func compress(b []byte) (compressed []byte, ok bool) {
+	if len(b) < minCompressBytes || len(b) > MaxFrameBytes {
 		return nil, false
 	}
 	var out bytes.Buffer
-	w := writers.Get().(*flate.Writer)
-	defer writers.Put(w)
+	w := compressors.Get().(*flate.Writer)
+	defer compressors.Put(w)
 	w.Reset(&out)
 	if _, err := w.Write(b); err != nil {
 		return nil, false
@@ -40,9 +41,9 @@
 	return out.Bytes(), out.Len() < len(b)*2/3
 }
 
-// decompress reads what compress wrote, up to a number of bytes.
-func decompress(small []byte, limit int) ([]byte, error) {
-	r := flate.NewReader(bytes.NewReader(small))
+// decompress reverses compress. The error wraps ErrTooLarge if the result has more than limit bytes.
+func decompress(compressed []byte, limit int) ([]byte, error) {
+	r := flate.NewReader(bytes.NewReader(compressed))
 	b, err := io.ReadAll(io.LimitReader(r, int64(limit)+1))
 	if err != nil {
 		return nil, malformed("compressed resources: %v", err)
--- a/internal/controlplane/message/digest.go
+++ b/internal/controlplane/message/digest.go
@@ -2,13 +2,13 @@
 
 import "craneglade/internal/controlplane/resource"
 
-// Add is the digest of the set with one more resource.
+// Add returns the digest of the set with r added.
 func (d Digest) Add(r *resource.Resource) Digest { return d + Digest(r.Hash()) }
 
-// Remove is the digest of the set without the resource, which was in it.
+// Remove returns the digest of the set with r removed. r must have been in the set.
 func (d Digest) Remove(r *resource.Resource) Digest { return d - Digest(r.Hash()) }
 
-// DigestOf is the digest of a set of resources.
+// DigestOf returns the digest of a set of resources.
 func DigestOf(all []resource.Resource) Digest {
 	var d Digest
 	for i := range all {
--- a/internal/controlplane/message/message.go
+++ b/internal/controlplane/message/message.go
@@ -1,8 +1,8 @@
-// Package message defines what the processes of the control plane tell each other. A session between a subscriber (a node,
-// a relay or a control process) and a publisher (its parent) carries the logs of all regions; each message names the region
-// whose log it is about.
+// Package message defines the messages between the processes of the control plane and their encoding. A session between a
+// subscriber (a node, a relay or a control process) and a publisher (its parent) carries the logs of all regions; each
+// message names the region of the log that it refers to.
 //
-// There is no I/O, clock or goroutine here.
+// The package does no I/O, reads no clock and starts no goroutines.
 package message
 
 import (
@@ -14,33 +14,33 @@
 // Message is one of Subscribe, SnapshotPart, Delta, Heartbeat, Acknowledge and Busy.
 type Message interface{ RegionName() string }
 
-// Subscribe asks a parent for the log of a region, from the position that the subscriber has. A later one on the same
-// session replaces the subscription.
+// Subscribe subscribes to the log of a region, starting at the subscriber's position. A later Subscribe on the same session
+// replaces the subscription.
 type Subscribe struct {
 	Region   string
-	All      bool              // every service: relays and control processes
-	Services []string          // sorted; the services that the subscriber serves, where All is false
-	Have     resource.Position // zero for nothing
-	Digest   Digest            // of the resources that the subscriber has, within the subscription
-	Standby  bool              // heartbeats only: the subscriber keeps this parent for the case that its other one fails
+	All      bool              // subscribe to all services, as relays and control processes do
+	Services []string          // sorted; the services that the subscriber serves, if All is not set
+	Have     resource.Position // the subscriber's position; zero if it has no state
+	Digest   Digest            // of the subscriber's resources within the subscription
+	Standby  bool              // send heartbeats only: this parent is the fallback for another one
 }
 
-// Digest is the sum, modulo 2^64, of the hashes of a set of resources, whatever their order.
+// Digest is the sum, modulo 2^64, of the hashes of a set of resources. It doesn't depend on their order.
 type Digest uint64
 
-// SnapshotPart is a piece of all that a subscription holds at one position. A snapshot is taken in whole with its last
-// part, or not at all.
+// SnapshotPart is one part of a snapshot of a subscription's resources at one position. A subscriber applies a snapshot
+// atomically once it has received the last part.
 type SnapshotPart struct {
 	Region    string
 	Position  resource.Position
-	Index     uint32 // from 0, in order
+	Index     uint32 // of the part, from 0; parts are sent in order
 	Last      bool
 	Resources []resource.Resource
-	Digest    Digest // of the whole snapshot; in the last part
+	Digest    Digest // of the complete snapshot; in the last part
 }
 
-// Delta is what changed within a subscription after one position and up to another. It applies to no state but that of
-// From exactly.
+// Delta holds the changes of a subscription's resources after one position up to another. It applies only to a state that
+// is exactly at From.
 type Delta struct {
 	Region  string
 	From    resource.Position
@@ -49,43 +49,43 @@
 	Digest  Digest // of the subscription's resources at To
 }
 
-// Heartbeat tells that a log has not moved, or how far it has. Age is how long ago the writer was known to stand there, by
-// the sum of the delays on the way, each measured on one clock.
+// Heartbeat reports the position of a parent's log. Age is the time since the writer was known to be at that position: the
+// sum of the delays on the path from the writer, each measured with a single clock.
 type Heartbeat struct {
 	Region   string
-	Position resource.Position // that the parent has
-	Sent     resource.Position // up to which the subscriber was sent what it subscribes to
+	Position resource.Position // of the parent's log
+	Sent     resource.Position // up to which the parent has sent the subscription
 	Digest   Digest            // of the subscription's resources at Sent
 	Age      time.Duration
 }
 
-// Acknowledge tells a parent what its subscriber has in force, or what it could not take.
+// Acknowledge reports to a parent the position that its subscriber has applied, or a change that it rejected.
 type Acknowledge struct {
 	Region   string
 	Position resource.Position
-	Refused  string // one line that names the resource and the field; "" where the position is in force
+	Refused  string // the error of a rejected change, one line with the resource and the field; "" if Position was applied
 }
 
-// Busy tells a subscriber that its parent starts no further snapshot now.
+// Busy reports to a subscriber that its parent has no capacity for a further snapshot now.
 type Busy struct {
 	Region     string
 	RetryAfter time.Duration
 }
 
-// RegionName is the region whose log the message is about.
+// RegionName returns the region of the log.
 func (m *Subscribe) RegionName() string { return m.Region }
 
-// RegionName is the region whose log the message is about.
+// RegionName returns the region of the log.
 func (m *SnapshotPart) RegionName() string { return m.Region }
 
-// RegionName is the region whose log the message is about.
+// RegionName returns the region of the log.
 func (m *Delta) RegionName() string { return m.Region }
 
-// RegionName is the region whose log the message is about.
+// RegionName returns the region of the log.
 func (m *Heartbeat) RegionName() string { return m.Region }
 
-// RegionName is the region whose log the message is about.
+// RegionName returns the region of the log.
 func (m *Acknowledge) RegionName() string { return m.Region }
 
-// RegionName is the region whose log the message is about.
+// RegionName returns the region of the log.
 func (m *Busy) RegionName() string { return m.Region }
--- a/internal/controlplane/message/size_test.go
+++ b/internal/controlplane/message/size_test.go
@@ -8,7 +8,8 @@
 	"craneglade/internal/controlplane/resource"
 )
 
-// sizes are messages as nodes are sent them, and the bytes that each may take, about a tenth over what was measured.
+// sizes are typical messages to nodes and the max size of each. The limits have a headroom of about a tenth, to detect an
+// encoding that grows.
 var sizes = map[string]struct {
 	message Message
 	limit   int // bytes of the frame
@@ -33,17 +34,17 @@
 		if size > c.limit {
 			t.Errorf("%s: %d bytes, at most %d", name, size, c.limit)
 		}
-		plain := size
+		uncompressed := size
 		if part, ok := c.message.(*SnapshotPart); ok {
-			plain = len(appendResources(nil, fieldPartGroup, part.Resources))
+			uncompressed = len(appendResources(nil, fieldPartGroup, part.Resources))
 		}
-		t.Logf("%s: %d bytes in a frame, %d not compressed", name, size, plain)
+		t.Logf("%s: %d bytes in a frame, %d not compressed", name, size, uncompressed)
 	}
 }
 
-// BenchmarkCompress weighs levels of compression for a snapshot of 200 services.
+// BenchmarkCompress compares compression levels for a snapshot of 200 services.
 func BenchmarkCompress(b *testing.B) {
-	plain := appendResources(nil, fieldPartGroup, fleet(200, 18, 4, 0))
+	uncompressed := appendResources(nil, fieldPartGroup, fleet(200, 18, 4, 0))
 	for _, level := range []struct {
 		name  string
 		level int
@@ -57,10 +58,10 @@
 			for b.Loop() {
 				out.Reset()
 				w.Reset(&out)
-				_, _ = w.Write(plain)
+				_, _ = w.Write(uncompressed)
 				_ = w.Close()
 			}
-			b.ReportMetric(float64(out.Len())/float64(len(plain)), "of-plain")
+			b.ReportMetric(float64(out.Len())/float64(len(uncompressed)), "of-plain")
 		})
 	}
 }
--- a/internal/controlplane/message/wire.go
+++ b/internal/controlplane/message/wire.go
@@ -13,24 +13,24 @@
 )
 
 // A frame is a Protocol Buffers message (https://protobuf.dev/programming-guides/encoding) that holds any number of
-// messages. A field, a message or a resource of a kind that a reader does not know is passed over and counted, so that
-// older and newer versions run side by side: a new version adds fields and kinds, and changes the meaning of none.
+// messages. A decoder skips and counts fields, messages and kinds of resources that it does not know, so that older and
+// newer versions interoperate: a new version may add fields and kinds, but not change the meaning of existing ones.
 
-// FrameVersion is that of what is written. A reader takes any from 1 on.
+// FrameVersion is the version that Encode writes. Decode accepts any version from 1.
 const FrameVersion = 1
 
 // Limits on a frame.
 const (
 	MaxFrameBytes    = 4 << 20
 	MaxFrameMessages = 1024
-	MaxResources     = 65536 // of one frame, set or deleted
+	MaxResources     = 65536 // set or deleted in one frame
 	MaxServices      = 16384 // of one subscription
-	MaxRefusedBytes  = 1024  // of the line of an Acknowledge
+	MaxRefusedBytes  = 1024  // of Acknowledge.Refused
 )
 
-// Errors of Decode, which wraps one of them.
+// Errors of Decode; what it returns wraps one of them.
 var (
-	ErrMalformed = errors.New("malformed frame") // no version writes this
+	ErrMalformed = errors.New("malformed frame") // written by no version of the program
 	ErrTooLarge  = errors.New("frame over its limits")
 )
 
@@ -45,7 +45,7 @@
 	fieldBusy
 )
 
-// fieldRegion is the same field in all messages.
+// fieldRegion has the same number in all messages.
 const fieldRegion protowire.Number = 1
 
 // The fields of a Subscribe, after the region.
@@ -66,7 +66,7 @@
 	fieldPartLast
 	fieldPartDigest
 	fieldPartGroup
-	fieldPartCompressed // a sequence of fields fieldPartGroup, compressed
+	fieldPartCompressed // DEFLATE of a sequence of fieldPartGroup fields
 )
 
 // The fields of a Delta, after the region.
@@ -79,7 +79,7 @@
 	fieldDeltaGroup
 )
 
-// The fields of a Heartbeat, after the region. Where those of Sent are missing, Sent is Position.
+// The fields of a Heartbeat, after the region. If those of Sent are missing, Sent equals Position.
 const (
 	fieldHeartbeatEpoch protowire.Number = iota + 2
 	fieldHeartbeatVersion
@@ -99,14 +99,14 @@
 // The fields of a Busy, after the region.
 const fieldBusyRetryAfter protowire.Number = 2 // milliseconds, rounded up
 
-// Skipped counts what a reader did not know.
+// Skipped counts what a decoder skipped because it did not know it.
 type Skipped struct {
 	Messages  int
 	Resources int // set or deleted
 	Fields    int
 }
 
-// Encode writes a frame. It does not hold it against the limits, as Decode does.
+// Encode encodes messages as a frame. Unlike Decode it does not enforce the limits.
 func Encode(messages ...Message) []byte {
 	b := appendVarint(nil, fieldFrameVersion, FrameVersion)
 	for _, m := range messages {
@@ -129,66 +129,66 @@
 }
 
 func (m *Subscribe) encode() []byte {
-	b := appendText(nil, fieldRegion, m.Region)
+	b := appendNonEmptyString(nil, fieldRegion, m.Region)
 	b = appendBool(b, fieldSubscribeAll, m.All)
 	for _, service := range m.Services {
 		b = appendString(b, fieldSubscribeService, service)
 	}
-	b = appendNumber(b, fieldSubscribeHaveEpoch, m.Have.Epoch)
-	b = appendNumber(b, fieldSubscribeHaveVersion, m.Have.Version)
+	b = appendNonZeroVarint(b, fieldSubscribeHaveEpoch, m.Have.Epoch)
+	b = appendNonZeroVarint(b, fieldSubscribeHaveVersion, m.Have.Version)
 	b = appendDigest(b, fieldSubscribeDigest, m.Digest)
 	return appendBool(b, fieldSubscribeStandby, m.Standby)
 }
 
 func (m *SnapshotPart) encode() []byte {
-	b := appendText(nil, fieldRegion, m.Region)
-	b = appendNumber(b, fieldPartEpoch, m.Position.Epoch)
-	b = appendNumber(b, fieldPartVersion, m.Position.Version)
-	b = appendNumber(b, fieldPartIndex, uint64(m.Index))
+	b := appendNonEmptyString(nil, fieldRegion, m.Region)
+	b = appendNonZeroVarint(b, fieldPartEpoch, m.Position.Epoch)
+	b = appendNonZeroVarint(b, fieldPartVersion, m.Position.Version)
+	b = appendNonZeroVarint(b, fieldPartIndex, uint64(m.Index))
 	b = appendBool(b, fieldPartLast, m.Last)
 	b = appendDigest(b, fieldPartDigest, m.Digest)
 	groups := appendResources(nil, fieldPartGroup, m.Resources)
-	if small, ok := compress(groups); ok {
-		return appendBytes(b, fieldPartCompressed, small)
+	if compressed, ok := compress(groups); ok {
+		return appendBytes(b, fieldPartCompressed, compressed)
 	}
 	return append(b, groups...)
 }
 
 func (m *Delta) encode() []byte {
-	b := appendText(nil, fieldRegion, m.Region)
-	b = appendNumber(b, fieldDeltaFromEpoch, m.From.Epoch)
-	b = appendNumber(b, fieldDeltaFromVersion, m.From.Version)
-	b = appendNumber(b, fieldDeltaToEpoch, m.To.Epoch)
-	b = appendNumber(b, fieldDeltaToVersion, m.To.Version)
+	b := appendNonEmptyString(nil, fieldRegion, m.Region)
+	b = appendNonZeroVarint(b, fieldDeltaFromEpoch, m.From.Epoch)
+	b = appendNonZeroVarint(b, fieldDeltaFromVersion, m.From.Version)
+	b = appendNonZeroVarint(b, fieldDeltaToEpoch, m.To.Epoch)
+	b = appendNonZeroVarint(b, fieldDeltaToVersion, m.To.Version)
 	b = appendDigest(b, fieldDeltaDigest, m.Digest)
 	return appendChanges(b, fieldDeltaGroup, m.Changes)
 }
 
 func (m *Heartbeat) encode() []byte {
-	b := appendText(nil, fieldRegion, m.Region)
-	b = appendNumber(b, fieldHeartbeatEpoch, m.Position.Epoch)
-	b = appendNumber(b, fieldHeartbeatVersion, m.Position.Version)
+	b := appendNonEmptyString(nil, fieldRegion, m.Region)
+	b = appendNonZeroVarint(b, fieldHeartbeatEpoch, m.Position.Epoch)
+	b = appendNonZeroVarint(b, fieldHeartbeatVersion, m.Position.Version)
 	if m.Sent != m.Position {
 		b = appendVarint(b, fieldHeartbeatSentEpoch, m.Sent.Epoch)
 		b = appendVarint(b, fieldHeartbeatSentVersion, m.Sent.Version)
 	}
 	b = appendDigest(b, fieldHeartbeatDigest, m.Digest)
-	return appendNumber(b, fieldHeartbeatAge, milliseconds(m.Age))
+	return appendNonZeroVarint(b, fieldHeartbeatAge, milliseconds(m.Age))
 }
 
 func (m *Acknowledge) encode() []byte {
-	b := appendText(nil, fieldRegion, m.Region)
-	b = appendNumber(b, fieldAcknowledgeEpoch, m.Position.Epoch)
-	b = appendNumber(b, fieldAcknowledgeVersion, m.Position.Version)
-	return appendText(b, fieldAcknowledgeRefused, m.Refused)
+	b := appendNonEmptyString(nil, fieldRegion, m.Region)
+	b = appendNonZeroVarint(b, fieldAcknowledgeEpoch, m.Position.Epoch)
+	b = appendNonZeroVarint(b, fieldAcknowledgeVersion, m.Position.Version)
+	return appendNonEmptyString(b, fieldAcknowledgeRefused, m.Refused)
 }
 
 func (m *Busy) encode() []byte {
-	return appendNumber(appendText(nil, fieldRegion, m.Region), fieldBusyRetryAfter, milliseconds(m.RetryAfter))
+	return appendNonZeroVarint(appendNonEmptyString(nil, fieldRegion, m.Region), fieldBusyRetryAfter, milliseconds(m.RetryAfter))
 }
 
-// Decode reads a frame. The error wraps ErrMalformed or ErrTooLarge and is one line; nothing of such a frame is to be used.
-// That resources are valid is not checked here.
+// Decode decodes a frame. The error wraps ErrMalformed or ErrTooLarge and is one line; no messages are returned with it.
+// Decode does not validate resources.
 func Decode(b []byte) ([]Message, Skipped, error) {
 	d := decoder{}
 	if len(b) > MaxFrameBytes {
@@ -200,11 +200,11 @@
 	return d.messages, d.skipped, nil
 }
 
-// decoder reads one frame.
+// decoder decodes one frame.
 type decoder struct {
 	messages     []Message
 	resources    int
-	decompressed int // bytes
+	decompressed int // bytes so far
 	skipped      Skipped
 }
 
@@ -212,7 +212,7 @@
 	version, count := uint64(0), 0
 	err := eachField(b, func(f field) error {
 		if f.number == fieldFrameVersion {
-			return f.readNumber(&version)
+			return f.readUint64(&version)
 		}
 		if count++; count > MaxFrameMessages {
 			return fmt.Errorf("%w: more than %d messages", ErrTooLarge, MaxFrameMessages)
@@ -260,17 +260,17 @@
 	err := d.fields(f, func(f field) error {
 		switch f.number {
 		case fieldRegion:
-			return f.readShared(&m.Region)
+			return f.readInterned(&m.Region)
 		case fieldSubscribeAll:
 			return f.readBool(&m.All)
 		case fieldSubscribeService:
 			return f.appendService(&m.Services)
 		case fieldSubscribeHaveEpoch:
-			return f.readNumber(&m.Have.Epoch)
+			return f.readUint64(&m.Have.Epoch)
 		case fieldSubscribeHaveVersion:
-			return f.readNumber(&m.Have.Version)
+			return f.readUint64(&m.Have.Version)
 		case fieldSubscribeDigest:
-			return f.readNumber((*uint64)(&m.Digest))
+			return f.readUint64((*uint64)(&m.Digest))
 		case fieldSubscribeStandby:
 			return f.readBool(&m.Standby)
 		}
@@ -284,17 +284,17 @@
 	err := d.fields(f, func(f field) error {
 		switch f.number {
 		case fieldRegion:
-			return f.readShared(&m.Region)
+			return f.readInterned(&m.Region)
 		case fieldPartEpoch:
-			return f.readNumber(&m.Position.Epoch)
+			return f.readUint64(&m.Position.Epoch)
 		case fieldPartVersion:
-			return f.readNumber(&m.Position.Version)
+			return f.readUint64(&m.Position.Version)
 		case fieldPartIndex:
-			return f.readIndex(&m.Index)
+			return f.readUint32(&m.Index)
 		case fieldPartLast:
 			return f.readBool(&m.Last)
 		case fieldPartDigest:
-			return f.readNumber((*uint64)(&m.Digest))
+			return f.readUint64((*uint64)(&m.Digest))
 		case fieldPartGroup:
 			return d.resourceGroup(f, &m.Resources)
 		case fieldPartCompressed:
@@ -306,10 +306,10 @@
 }
 
 func (d *decoder) compressedGroups(f field, all *[]resource.Resource) error {
-	if f.text == nil {
+	if f.data == nil {
 		return malformed("compressed resources that are a number")
 	}
-	groups, err := decompress(f.text, MaxFrameBytes-d.decompressed)
+	groups, err := decompress(f.data, MaxFrameBytes-d.decompressed)
 	if err != nil {
 		return err
 	}
@@ -328,19 +328,19 @@
 	err := d.fields(f, func(f field) error {
 		switch f.number {
 		case fieldRegion:
-			return f.readShared(&m.Region)
+			return f.readInterned(&m.Region)
 		case fieldDeltaFromEpoch:
-			return f.readNumber(&m.From.Epoch)
+			return f.readUint64(&m.From.Epoch)
 		case fieldDeltaFromVersion:
-			return f.readNumber(&m.From.Version)
+			return f.readUint64(&m.From.Version)
 		case fieldDeltaToEpoch:
-			return f.readNumber(&m.To.Epoch)
+			return f.readUint64(&m.To.Epoch)
 		case fieldDeltaToVersion:
-			return f.readNumber(&m.To.Version)
+			return f.readUint64(&m.To.Version)
 		case fieldDeltaDigest:
-			return f.readNumber((*uint64)(&m.Digest))
+			return f.readUint64((*uint64)(&m.Digest))
 		case fieldDeltaGroup:
-			return d.group(f, &m.Changes)
+			return d.changeGroup(f, &m.Changes)
 		}
 		return errUnknownField
 	})
@@ -349,29 +349,29 @@
 
 func (d *decoder) heartbeat(f field) (Message, error) {
 	m := &Heartbeat{}
-	ownSent := false
+	hasSent := false
 	err := d.fields(f, func(f field) error {
 		switch f.number {
 		case fieldRegion:
-			return f.readShared(&m.Region)
+			return f.readInterned(&m.Region)
 		case fieldHeartbeatEpoch:
-			return f.readNumber(&m.Position.Epoch)
+			return f.readUint64(&m.Position.Epoch)
 		case fieldHeartbeatVersion:
-			return f.readNumber(&m.Position.Version)
+			return f.readUint64(&m.Position.Version)
 		case fieldHeartbeatSentEpoch:
-			ownSent = true
-			return f.readNumber(&m.Sent.Epoch)
+			hasSent = true
+			return f.readUint64(&m.Sent.Epoch)
 		case fieldHeartbeatSentVersion:
-			ownSent = true
-			return f.readNumber(&m.Sent.Version)
+			hasSent = true
+			return f.readUint64(&m.Sent.Version)
 		case fieldHeartbeatDigest:
-			return f.readNumber((*uint64)(&m.Digest))
+			return f.readUint64((*uint64)(&m.Digest))
 		case fieldHeartbeatAge:
 			return f.readDuration(&m.Age)
 		}
 		return errUnknownField
 	})
-	if !ownSent {
+	if !hasSent {
 		m.Sent = m.Position
 	}
 	return m, err
@@ -382,14 +382,14 @@
 	err := d.fields(f, func(f field) error {
 		switch f.number {
 		case fieldRegion:
-			return f.readShared(&m.Region)
+			return f.readInterned(&m.Region)
 		case fieldAcknowledgeEpoch:
-			return f.readNumber(&m.Position.Epoch)
+			return f.readUint64(&m.Position.Epoch)
 		case fieldAcknowledgeVersion:
-			return f.readNumber(&m.Position.Version)
+			return f.readUint64(&m.Position.Version)
 		case fieldAcknowledgeRefused:
-			if len(f.text) > MaxRefusedBytes {
-				return fmt.Errorf("%w: a refusal of %d bytes, at most %d", ErrTooLarge, len(f.text), MaxRefusedBytes)
+			if len(f.data) > MaxRefusedBytes {
+				return fmt.Errorf("%w: a refusal of %d bytes, at most %d", ErrTooLarge, len(f.data), MaxRefusedBytes)
 			}
 			return f.readString(&m.Refused)
 		}
@@ -403,7 +403,7 @@
 	err := d.fields(f, func(f field) error {
 		switch f.number {
 		case fieldRegion:
-			return f.readShared(&m.Region)
+			return f.readInterned(&m.Region)
 		case fieldBusyRetryAfter:
 			return f.readDuration(&m.RetryAfter)
 		}
@@ -412,15 +412,15 @@
 	return m, err
 }
 
-// errUnknownField is how a reader of fields says that a field is to be passed over and counted.
+// errUnknownField is returned by the callbacks of decoder.fields for a field to skip and count.
 var errUnknownField = errors.New("unknown field")
 
-// fields reads a field that holds fields.
+// fields calls read with each field nested in parent.
 func (d *decoder) fields(parent field, read func(field) error) error {
-	if parent.text == nil {
+	if parent.data == nil {
 		return malformed("field %d is a number", parent.number)
 	}
-	return eachField(parent.text, func(f field) error {
+	return eachField(parent.data, func(f field) error {
 		err := read(f)
 		if err == errUnknownField {
 			d.skipped.Fields++
@@ -430,14 +430,15 @@
 	})
 }
 
-// field is one field as it was read: value of one that is a number, text of one that is bytes, which is nil for the former.
+// field is a decoded field: value holds a number; data holds bytes and is nil for a number.
 type field struct {
 	number protowire.Number
 	value  uint64
-	text   []byte
+	data   []byte
 }
 
-// eachField calls read with each field. A group, which no version writes, is passed over as an unknown field of no bytes.
+// eachField calls read with each field of b. A protobuf group, which no version writes, is passed to read as a field of its
+// number with value 0 and no data.
 func eachField(b []byte, read func(field) error) error {
 	for len(b) > 0 {
 		f, size := consumeField(b)
@@ -469,9 +470,9 @@
 	case protowire.Fixed64Type:
 		f.value, size = protowire.ConsumeFixed64(b)
 	case protowire.BytesType:
-		f.text, size = protowire.ConsumeBytes(b)
-		if f.text == nil {
-			f.text = []byte{}
+		f.data, size = protowire.ConsumeBytes(b)
+		if f.data == nil {
+			f.data = []byte{}
 		}
 	default:
 		size = protowire.ConsumeFieldValue(number, kind, b)
@@ -486,18 +487,18 @@
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
-func (f field) readNumber(to *uint64) error {
-	if f.text != nil {
+func (f field) readUint64(to *uint64) error {
+	if f.data != nil {
 		return malformed("field %d is bytes and not a number", f.number)
 	}
 	*to = f.value
 	return nil
 }
 
-// readIndex reads a number of 32 bits.
-func (f field) readIndex(to *uint32) error {
+// readUint32 reads a number of up to 32 bits.
+func (f field) readUint32(to *uint32) error {
 	var value uint64
-	if err := f.readNumber(&value); err != nil {
+	if err := f.readUint64(&value); err != nil {
 		return err
 	}
 	if value > math.MaxUint32 {
@@ -509,29 +510,29 @@
 
 func (f field) readBool(to *bool) error {
 	var value uint64
-	err := f.readNumber(&value)
+	err := f.readUint64(&value)
 	*to = value != 0
 	return err
 }
 
-// readDuration reads whole milliseconds. A number that is too large becomes the longest duration.
+// readDuration reads milliseconds. A number that is too large gives the longest duration of whole milliseconds.
 func (f field) readDuration(to *time.Duration) error {
 	var value uint64
-	err := f.readNumber(&value)
+	err := f.readUint64(&value)
 	*to = time.Duration(min(value, math.MaxInt64/uint64(time.Millisecond))) * time.Millisecond
 	return err
 }
 
 func (f field) readString(to *string) error {
-	if f.text == nil {
+	if f.data == nil {
 		return malformed("field %d is a number and not bytes", f.number)
 	}
-	*to = string(f.text)
+	*to = string(f.data)
 	return nil
 }
 
-// readShared reads a text that many resources have alike, so that they share its memory.
-func (f field) readShared(to *string) error {
+// readInterned reads a string that many resources have in common and interns it, so that they share its memory.
+func (f field) readInterned(to *string) error {
 	if err := f.readString(to); err != nil {
 		return err
 	}
@@ -541,7 +542,7 @@
 
 func (f field) appendService(services *[]string) error {
 	var service string
-	if err := f.readShared(&service); err != nil {
+	if err := f.readInterned(&service); err != nil {
 		return err
 	}
 	if len(*services) >= MaxServices {
@@ -558,14 +559,15 @@
 	return protowire.AppendVarint(protowire.AppendTag(b, number, protowire.VarintType), value)
 }
 
-// appendNumber leaves 0 out.
-func appendNumber(b []byte, number protowire.Number, value uint64) []byte {
+// appendNonZeroVarint omits a zero value.
+func appendNonZeroVarint(b []byte, number protowire.Number, value uint64) []byte {
 	if value == 0 {
 		return b
 	}
 	return appendVarint(b, number, value)
 }
 
+// appendBool omits false.
 func appendBool(b []byte, number protowire.Number, value bool) []byte {
 	if !value {
 		return b
@@ -573,6 +575,7 @@
 	return appendVarint(b, number, 1)
 }
 
+// appendFixed64 omits a zero value.
 func appendFixed64(b []byte, number protowire.Number, value uint64) []byte {
 	if value == 0 {
 		return b
@@ -588,8 +591,8 @@
 	return protowire.AppendString(protowire.AppendTag(b, number, protowire.BytesType), text)
 }
 
-// appendText leaves "" out.
-func appendText(b []byte, number protowire.Number, text string) []byte {
+// appendNonEmptyString omits an empty string.
+func appendNonEmptyString(b []byte, number protowire.Number, text string) []byte {
 	if text == "" {
 		return b
 	}
@@ -600,7 +603,7 @@
 	return protowire.AppendBytes(protowire.AppendTag(b, number, protowire.BytesType), value)
 }
 
-// milliseconds rounds up, so that an age is never told younger than it is.
+// milliseconds rounds up, so that an age on the wire is never less than the actual age. Negative durations give 0.
 func milliseconds(d time.Duration) uint64 {
 	if d <= 0 {
 		return 0
--- a/internal/controlplane/message/wire_resource.go
+++ b/internal/controlplane/message/wire_resource.go
@@ -10,7 +10,7 @@
 	"craneglade/internal/controlplane/resource"
 )
 
-// The fields of a group: consecutive changes of one service, whose name is written once.
+// The fields of a group, which holds consecutive changes of one service and its name once.
 const (
 	fieldGroupName protowire.Number = iota + 1
 	fieldGroupService
@@ -23,7 +23,7 @@
 // The fields of a deletion.
 const (
 	fieldDeletionKind protowire.Number = iota + 1
-	fieldDeletionName                  // left out for a service, which has that of the group
+	fieldDeletionName                  // omitted for a service, which has the name of the group
 )
 
 // The fields of a service.
@@ -33,18 +33,18 @@
 	fieldServiceMaxAttempts
 )
 
-// fieldName is the same field in all resources but services, which have the name of the group.
+// fieldName has the same number in all resources but services, which have the name of the group.
 const fieldName protowire.Number = 1
 
 // The fields of an endpoint, after the name.
 const (
-	fieldEndpointAddress protowire.Number = iota + 2 // 4 or 16 bytes of the IP address and 2 of the port
+	fieldEndpointAddress protowire.Number = iota + 2 // 4 or 16 bytes of the IP address, then 2 bytes of the port, big-endian
 	fieldEndpointZone
 	fieldEndpointClass
 	fieldEndpointCell
 	fieldEndpointState
 	fieldEndpointStarted
-	fieldEndpointAddressText // in place of fieldEndpointAddress, for one that is no valid address
+	fieldEndpointAddressText // instead of fieldEndpointAddress for a string that is no canonical address and port
 )
 
 // The fields of a route, after the name.
@@ -56,12 +56,12 @@
 // The fields of a tenant, after the name.
 const fieldTenantQuota protowire.Number = 2 // IEEE 754, 64 bits
 
-// EncodeChanges writes changes by themselves, for entries of a replicated log.
+// EncodeChanges encodes changes without a message, for entries of a replicated log.
 func EncodeChanges(changes []resource.Change) []byte {
 	return appendChanges(appendVarint(nil, fieldFrameVersion, FrameVersion), fieldDeltaGroup, changes)
 }
 
-// DecodeChanges reads what EncodeChanges wrote. Errors are those of Decode.
+// DecodeChanges decodes the result of EncodeChanges. Errors are those of Decode.
 func DecodeChanges(b []byte) ([]resource.Change, Skipped, error) {
 	var d decoder
 	var changes []resource.Change
@@ -69,9 +69,9 @@
 	err := eachField(b, func(f field) error {
 		switch f.number {
 		case fieldFrameVersion:
-			return f.readNumber(&version)
+			return f.readUint64(&version)
 		case fieldDeltaGroup:
-			return d.group(f, &changes)
+			return d.changeGroup(f, &changes)
 		}
 		d.skipped.Fields++
 		return nil
@@ -85,12 +85,12 @@
 	return changes, d.skipped, nil
 }
 
-// appendChanges writes changes in their order, as one group for each run of the same service.
+// appendChanges appends changes in order, as one group for each run of changes of the same service.
 func appendChanges(b []byte, number protowire.Number, changes []resource.Change) []byte {
 	var group []byte
 	for i := 0; i < len(changes); {
 		service := changes[i].Resource.Key.Service
-		group = appendText(group[:0], fieldGroupName, service)
+		group = appendNonEmptyString(group[:0], fieldGroupName, service)
 		for ; i < len(changes) && changes[i].Resource.Key.Service == service; i++ {
 			if changes[i].Deleted {
 				group = appendDeletion(group, changes[i].Resource.Key)
@@ -103,12 +103,12 @@
 	return b
 }
 
-// appendResources writes resources in their order, as one group for each run of the same service.
+// appendResources appends resources in order, as one group for each run of resources of the same service.
 func appendResources(b []byte, number protowire.Number, all []resource.Resource) []byte {
 	var group []byte
 	for i := 0; i < len(all); {
 		service := all[i].Key.Service
-		group = appendText(group[:0], fieldGroupName, service)
+		group = appendNonEmptyString(group[:0], fieldGroupName, service)
 		for ; i < len(all) && all[i].Key.Service == service; i++ {
 			group = appendResource(group, &all[i])
 		}
@@ -118,9 +118,9 @@
 }
 
 func appendDeletion(b []byte, key resource.Key) []byte {
-	deletion := appendNumber(nil, fieldDeletionKind, uint64(key.Kind))
+	deletion := appendNonZeroVarint(nil, fieldDeletionKind, uint64(key.Kind))
 	if key.Kind != resource.KindService {
-		deletion = appendText(deletion, fieldDeletionName, key.Name)
+		deletion = appendNonEmptyString(deletion, fieldDeletionName, key.Name)
 	}
 	return appendBytes(b, fieldGroupDeletion, deletion)
 }
@@ -141,49 +141,49 @@
 }
 
 func appendService(b []byte, s *resource.Service) []byte {
-	b = appendText(b, fieldServiceRegion, s.Region)
-	b = appendNumber(b, fieldServiceDrainGrace, milliseconds(s.DrainGrace))
-	return appendNumber(b, fieldServiceMaxAttempts, uint64(s.MaxAttempts))
+	b = appendNonEmptyString(b, fieldServiceRegion, s.Region)
+	b = appendNonZeroVarint(b, fieldServiceDrainGrace, milliseconds(s.DrainGrace))
+	return appendNonZeroVarint(b, fieldServiceMaxAttempts, uint64(s.MaxAttempts))
 }
 
 func appendEndpoint(b []byte, name string, e *resource.Endpoint) []byte {
-	b = appendText(b, fieldName, name)
+	b = appendNonEmptyString(b, fieldName, name)
 	b = appendAddress(b, e.Address)
-	b = appendText(b, fieldEndpointZone, e.Zone)
-	b = appendText(b, fieldEndpointClass, e.Class)
-	b = appendNumber(b, fieldEndpointCell, e.Cell)
-	b = appendNumber(b, fieldEndpointState, uint64(e.State))
-	return appendNumber(b, fieldEndpointStarted, e.StartedMS)
+	b = appendNonEmptyString(b, fieldEndpointZone, e.Zone)
+	b = appendNonEmptyString(b, fieldEndpointClass, e.Class)
+	b = appendNonZeroVarint(b, fieldEndpointCell, e.Cell)
+	b = appendNonZeroVarint(b, fieldEndpointState, uint64(e.State))
+	return appendNonZeroVarint(b, fieldEndpointStarted, e.StartedMS)
 }
 
 func appendAddress(b []byte, address string) []byte {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil || parsed.Addr().Zone() != "" || parsed.String() != address {
-		return appendText(b, fieldEndpointAddressText, address)
+		return appendNonEmptyString(b, fieldEndpointAddressText, address)
 	}
 	packed := append(parsed.Addr().AsSlice(), byte(parsed.Port()>>8), byte(parsed.Port()))
 	return appendBytes(b, fieldEndpointAddress, packed)
 }
 
 func appendRoute(b []byte, name string, r *resource.Route) []byte {
-	b = appendText(b, fieldName, name)
-	b = appendText(b, fieldRouteHost, r.Host)
-	return appendText(b, fieldRoutePathPrefix, r.PathPrefix)
+	b = appendNonEmptyString(b, fieldName, name)
+	b = appendNonEmptyString(b, fieldRouteHost, r.Host)
+	return appendNonEmptyString(b, fieldRoutePathPrefix, r.PathPrefix)
 }
 
 func appendTenant(b []byte, name string, t *resource.Tenant) []byte {
-	return appendFixed64(appendText(b, fieldName, name), fieldTenantQuota, math.Float64bits(t.Quota))
+	return appendFixed64(appendNonEmptyString(b, fieldName, name), fieldTenantQuota, math.Float64bits(t.Quota))
 }
 
-// group reads a group of changes.
-func (d *decoder) group(parent field, changes *[]resource.Change) error {
+// changeGroup decodes a group of changes.
+func (d *decoder) changeGroup(parent field, changes *[]resource.Change) error {
 	return d.eachInGroup(parent, func(r resource.Resource, deleted bool) error {
 		*changes = append(*changes, resource.Change{Resource: r, Deleted: deleted})
 		return nil
 	})
 }
 
-// resourceGroup reads a group of resources, in which nothing is deleted.
+// resourceGroup decodes a group of resources, which must not have deletions.
 func (d *decoder) resourceGroup(parent field, all *[]resource.Resource) error {
 	return d.eachInGroup(parent, func(r resource.Resource, deleted bool) error {
 		if deleted {
@@ -194,11 +194,12 @@
 	})
 }
 
-func (d *decoder) eachInGroup(parent field, take func(r resource.Resource, deleted bool) error) error {
+// eachInGroup calls visit with each set or deleted resource of a known kind in a group.
+func (d *decoder) eachInGroup(parent field, visit func(r resource.Resource, deleted bool) error) error {
 	service := ""
 	return d.fields(parent, func(f field) error {
 		if f.number == fieldGroupName {
-			return f.readShared(&service)
+			return f.readInterned(&service)
 		}
 		if d.resources++; d.resources > MaxResources {
 			return fmt.Errorf("%w: more than %d resources", ErrTooLarge, MaxResources)
@@ -223,11 +224,11 @@
 		if err != nil {
 			return err
 		}
-		if !r.Key.Kind.Known() { // a deletion of a resource of a later version's kind
+		if !r.Key.Kind.Known() { // a deletion of a resource whose kind only a later version knows
 			d.skipped.Resources++
 			return nil
 		}
-		return take(r, f.number == fieldGroupDeletion)
+		return visit(r, f.number == fieldGroupDeletion)
 	})
 }
 
@@ -236,7 +237,7 @@
 	err := d.fields(parent, func(f field) error {
 		switch f.number {
 		case fieldDeletionKind:
-			return f.readNumber(&kind)
+			return f.readUint64(&kind)
 		case fieldDeletionName:
 			return f.readString(&r.Key.Name)
 		}
@@ -257,11 +258,11 @@
 	return d.fields(parent, func(f field) error {
 		switch f.number {
 		case fieldServiceRegion:
-			return f.readShared(&s.Region)
+			return f.readInterned(&s.Region)
 		case fieldServiceDrainGrace:
 			return f.readDuration(&s.DrainGrace)
 		case fieldServiceMaxAttempts:
-			return f.readIndex(&s.MaxAttempts)
+			return f.readUint32(&s.MaxAttempts)
 		}
 		return errUnknownField
 	})
@@ -279,18 +280,18 @@
 		case fieldEndpointAddressText:
 			return f.readString(&e.Address)
 		case fieldEndpointZone:
-			return f.readShared(&e.Zone)
+			return f.readInterned(&e.Zone)
 		case fieldEndpointClass:
-			return f.readShared(&e.Class)
+			return f.readInterned(&e.Class)
 		case fieldEndpointCell:
-			return f.readNumber(&e.Cell)
+			return f.readUint64(&e.Cell)
 		case fieldEndpointState:
 			var state uint64
-			err := f.readNumber(&state)
-			e.State = resource.EndpointState(min(state, math.MaxUint8)) // validation refuses one that is not known
+			err := f.readUint64(&state)
+			e.State = resource.EndpointState(min(state, math.MaxUint8)) // validation rejects unknown states
 			return err
 		case fieldEndpointStarted:
-			return f.readNumber(&e.StartedMS)
+			return f.readUint64(&e.StartedMS)
 		}
 		return errUnknownField
 	})
@@ -298,15 +299,15 @@
 
 func (f field) readAddress(to *string) error {
 	const portBytes = 2
-	if len(f.text) < portBytes {
-		return malformed("an address of %d bytes", len(f.text))
+	if len(f.data) < portBytes {
+		return malformed("an address of %d bytes", len(f.data))
 	}
-	split := len(f.text) - portBytes
-	ip, ok := netip.AddrFromSlice(f.text[:split])
+	split := len(f.data) - portBytes
+	ip, ok := netip.AddrFromSlice(f.data[:split])
 	if !ok {
-		return malformed("an address of %d bytes", len(f.text))
+		return malformed("an address of %d bytes", len(f.data))
 	}
-	port := uint16(f.text[split])<<8 | uint16(f.text[split+1])
+	port := uint16(f.data[split])<<8 | uint16(f.data[split+1])
 	*to = netip.AddrPortFrom(ip, port).String()
 	return nil
 }
@@ -336,7 +337,7 @@
 			return f.readString(&r.Key.Name)
 		case fieldTenantQuota:
 			var bits uint64
-			err := f.readNumber(&bits)
+			err := f.readUint64(&bits)
 			t.Quota = math.Float64frombits(bits)
 			return err
 		}
--- a/internal/controlplane/message/wire_test.go
+++ b/internal/controlplane/message/wire_test.go
@@ -25,12 +25,12 @@
 	return rapid.StringMatching(`[a-z0-9é/-]{1,20}`).Draw(t, label)
 }
 
-// drawMilliseconds draws a duration as the wire carries it.
+// drawMilliseconds draws a duration of whole milliseconds, as it is encoded.
 func drawMilliseconds(t *rapid.T) time.Duration {
 	return time.Duration(rapid.Int64Range(0, math.MaxInt64/int64(time.Millisecond)).Draw(t, "duration")) * time.Millisecond
 }
 
-// drawResource draws any resource, also one that validation refuses.
+// drawResource draws any resource, including invalid ones.
 func drawResource(t *rapid.T) resource.Resource {
 	service := rapid.SampledFrom([]string{"cart", "pay", "search"}).Draw(t, "service")
 	r := resource.Resource{Key: resource.Key{Service: service, Kind: resource.Kind(rapid.IntRange(1, 4).Draw(t, "kind"))}}
@@ -68,14 +68,14 @@
 	case 1:
 		services := rapid.SliceOfDistinct(rapid.String(), rapid.ID).Draw(t, "services")
 		slices.Sort(services)
-		return &Subscribe{Region: region, All: rapid.Bool().Draw(t, "all"), Services: orNil(services), Have: drawPosition(t),
+		return &Subscribe{Region: region, All: rapid.Bool().Draw(t, "all"), Services: nilIfEmpty(services), Have: drawPosition(t),
 			Digest: drawDigest(t), Standby: rapid.Bool().Draw(t, "standby")}
 	case 2:
 		return &SnapshotPart{Region: region, Position: drawPosition(t), Index: rapid.Uint32().Draw(t, "index"), Last: rapid.Bool().Draw(t, "last"),
-			Resources: orNil(rapid.SliceOfN(rapid.Custom(drawResource), 0, 30).Draw(t, "resources")), Digest: drawDigest(t)}
+			Resources: nilIfEmpty(rapid.SliceOfN(rapid.Custom(drawResource), 0, 30).Draw(t, "resources")), Digest: drawDigest(t)}
 	case 3:
 		return &Delta{Region: region, From: drawPosition(t), To: drawPosition(t), Digest: drawDigest(t),
-			Changes: orNil(rapid.SliceOfN(rapid.Custom(drawChange), 0, 10).Draw(t, "changes"))}
+			Changes: nilIfEmpty(rapid.SliceOfN(rapid.Custom(drawChange), 0, 10).Draw(t, "changes"))}
 	case 4:
 		m := &Heartbeat{Region: region, Position: drawPosition(t), Digest: drawDigest(t), Age: drawMilliseconds(t)}
 		m.Sent = rapid.SampledFrom([]resource.Position{m.Position, {}, drawPosition(t)}).Draw(t, "sent")
@@ -86,17 +86,17 @@
 	return &Busy{Region: region, RetryAfter: drawMilliseconds(t)}
 }
 
-// orNil is what a reader makes of an empty list.
-func orNil[T any](all []T) []T {
+// nilIfEmpty returns nil for an empty list, as Decode does.
+func nilIfEmpty[T any](all []T) []T {
 	if len(all) == 0 {
 		return nil
 	}
 	return all
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestFrameRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := orNil(rapid.SliceOfN(rapid.Custom(drawMessage), 0, 5).Draw(t, "messages"))
+		all := nilIfEmpty(rapid.SliceOfN(rapid.Custom(drawMessage), 0, 5).Draw(t, "messages"))
 		got, skipped, err := Decode(Encode(all...))
 		if err != nil || skipped != (Skipped{}) || !reflect.DeepEqual(got, all) {
 			t.Fatalf("wrote %+v\nread  %+v, skipped %+v, error %v", all, got, skipped, err)
@@ -104,9 +104,9 @@
 	})
 }
 
-func TestChangesByThemselves(t *testing.T) {
+func TestChangesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := orNil(rapid.SliceOfN(rapid.Custom(drawChange), 0, 20).Draw(t, "changes"))
+		all := nilIfEmpty(rapid.SliceOfN(rapid.Custom(drawChange), 0, 20).Draw(t, "changes"))
 		got, skipped, err := DecodeChanges(EncodeChanges(all))
 		if err != nil || skipped != (Skipped{}) || !reflect.DeepEqual(got, all) {
 			t.Fatalf("wrote %+v\nread  %+v, skipped %+v, error %v", all, got, skipped, err)
@@ -119,25 +119,26 @@
 	}
 }
 
-func TestAgesAreRoundedUp(t *testing.T) {
+func TestDurationsAreRoundedUp(t *testing.T) {
 	got, _, err := Decode(Encode(&Heartbeat{Region: "north", Age: 1500 * time.Microsecond}, &Busy{Region: "north", RetryAfter: -time.Second}))
 	if err != nil || got[0].(*Heartbeat).Age != 2*time.Millisecond || got[1].(*Busy).RetryAfter != 0 {
 		t.Errorf("%+v %v", got, err)
 	}
 }
 
-// nested is a field that holds fields.
+// nested returns a field that holds fields.
 func nested(number protowire.Number, parts ...[]byte) []byte {
 	return appendBytes(nil, number, slices.Concat(parts...))
 }
 
-// frame is one as a version may write it.
+// frame returns a frame of any version with the given fields.
 func frame(version uint64, parts ...[]byte) []byte {
 	return append(appendVarint(nil, fieldFrameVersion, version), slices.Concat(parts...)...)
 }
 
-// What a version after this one writes: fields, messages and resources that are not known here, between those that are.
-func TestTheNextVersion(t *testing.T) {
+// A frame of a later version has unknown fields, messages and kinds of resources between known ones. They must be skipped
+// and counted, and the rest decoded.
+func TestUnknownFieldsAndKindsAreSkipped(t *testing.T) {
 	extra := slices.Concat(appendString(nil, 40, "a field of the future"), protowire.AppendFixed64(protowire.AppendTag(nil, 41, protowire.Fixed64Type), 1))
 	tenant := resource.Resource{Key: resource.Key{Service: "cart", Kind: resource.KindTenant, Name: "t"}, Tenant: &resource.Tenant{Quota: 2}}
 	endpoint := resource.Resource{Key: resource.Key{Service: "cart", Kind: resource.KindEndpoint, Name: "e"},
@@ -145,7 +146,7 @@
 	group := nested(fieldDeltaGroup,
 		appendString(nil, fieldGroupName, "cart"),
 		nested(fieldGroupTenant, appendTenant(nil, "t", tenant.Tenant), extra),
-		nested(30, extra), // a resource of a kind of the future
+		nested(30, extra), // a resource of an unknown kind
 		nested(fieldGroupDeletion, appendVarint(nil, fieldDeletionKind, 77), appendString(nil, fieldDeletionName, "x")),
 		nested(fieldGroupDeletion, appendVarint(nil, fieldDeletionKind, 4<<8|1), appendString(nil, fieldDeletionName, "x")),
 		nested(fieldGroupEndpoint, appendEndpoint(nil, "e", endpoint.Endpoint), extra),
@@ -161,22 +162,22 @@
 	}
 }
 
-func TestWhatNoVersionWrites(t *testing.T) {
+func TestDecodeRejectsInvalidFrames(t *testing.T) {
 	good := Encode(&Delta{Region: "north", Changes: []resource.Change{{Resource: resource.Resource{
 		Key: resource.Key{Service: "cart", Kind: resource.KindTenant, Name: "t"}, Tenant: &resource.Tenant{}}}}})
 	region := appendString(nil, fieldRegion, "north")
 	group := func(parts ...[]byte) []byte {
 		return frame(1, nested(fieldDelta, region, nested(fieldDeltaGroup, parts...)))
 	}
-	flateOf := func(b []byte) []byte {
-		small, ok := compress(b)
+	mustCompress := func(b []byte) []byte {
+		compressed, ok := compress(b)
 		if !ok {
 			t.Fatal("not compressed")
 		}
-		return small
+		return compressed
 	}
 	zeros := make([]byte, MaxFrameBytes)
-	bomb := nested(fieldSnapshotPart, region, appendBytes(nil, fieldPartCompressed, flateOf(appendBytes(nil, 60, zeros[:MaxFrameBytes-16]))))
+	bomb := nested(fieldSnapshotPart, region, appendBytes(nil, fieldPartCompressed, mustCompress(appendBytes(nil, 60, zeros[:MaxFrameBytes-16]))))
 	for name, c := range map[string]struct {
 		frame []byte
 		want  error
@@ -217,7 +218,7 @@
 		}
 	}
 	if _, _, err := Decode(frame(1, bomb)); err != nil {
-		t.Errorf("as large as may be: %v", err)
+		t.Errorf("at the size limit: %v", err)
 	}
 }
 
@@ -229,7 +230,7 @@
 	return b
 }
 
-// fleet is resources as a node's subscription holds them: services with endpoints, routes and tenants each.
+// fleet returns the resources of a node's subscription: services with the given numbers of endpoints, routes and tenants.
 func fleet(services, endpoints, routes, tenants int) []resource.Resource {
 	var all []resource.Resource
 	for i := range services {
@@ -253,14 +254,14 @@
 }
 
 func fleetEndpoint(service string, i, j int) resource.Resource {
-	scattered := uint64(i*1000003+j) * 0x9e3779b97f4a7c15 // ports, hosts and times without a pattern
+	scattered := uint64(i*1000003+j) * 0x9e3779b97f4a7c15 // gives ports, hosts and times without a pattern, which would compress too well
 	return resource.Resource{Key: resource.Key{Service: service, Kind: resource.KindEndpoint, Name: fmt.Sprintf("be-%d-%d", i, j)},
 		Endpoint: &resource.Endpoint{Address: fmt.Sprintf("10.%d.%d.%d:%d", scattered>>56, scattered>>48&0xff, scattered>>40&0xff, 1024+scattered>>24&0x7fff),
 			Zone: fmt.Sprint("north-", j%3), Class: "standard", Cell: scattered >> 20 & 7, State: resource.EndpointReady,
 			StartedMS: 1700000000000 + scattered>>34}}
 }
 
-func TestSnapshotsAreReadWhole(t *testing.T) {
+func TestSnapshotRoundTripAndTruncation(t *testing.T) {
 	position := resource.Position{Epoch: 3, Version: 99}
 	for _, all := range [][]resource.Resource{nil, fleet(1, 1, 0, 0), fleet(300, 18, 4, 30)} {
 		b := EncodeSnapshot("north", position, all)
@@ -276,7 +277,7 @@
 	}
 }
 
-func TestSnapshotsOfWrongParts(t *testing.T) {
+func TestDecodeSnapshotRejectsInvalidParts(t *testing.T) {
 	part := func(index uint32, version uint64, last bool, digest Digest) []byte {
 		return protowire.AppendBytes(nil, Encode(&SnapshotPart{Region: "north", Position: resource.Position{Epoch: 1, Version: version},
 			Index: index, Last: last, Digest: digest}))
