--- a/internal/controlplane/changefile/changefile.go
+++ b/internal/controlplane/changefile/changefile.go
@@ -1,8 +1,9 @@
-// Package changefile reads and writes the files of changes that operators apply to the log of a region, in TOML or JSON.
+// Package changefile parses and formats the files of changes that operators apply to the log of a region, in TOML or JSON.
 //
-// A file lists what is set, in arrays of tables by kind, and what is deleted. All of it is one transaction.
+// A file lists the resources to set, in one array of tables per kind, and the resources to delete. All changes of a file
+// are one transaction.
 //
-// There is no I/O, clock or goroutine here.
+// The package does no I/O, reads no clock and starts no goroutines.
 package changefile
 
 import (
@@ -18,7 +19,7 @@
 	"craneglade/internal/tomlfile"
 )
 
-// File is what a file of changes holds. The names of its keys are the same in TOML and in JSON.
+// File is the content of a file of changes. TOML and JSON have the same keys.
 type File struct {
 	Services  []Service  `toml:"service" json:"service,omitempty"`
 	Endpoints []Endpoint `toml:"endpoint" json:"endpoint,omitempty"`
@@ -59,7 +60,7 @@
 type Tenant struct {
 	Service string  `toml:"service" json:"service"`
 	Name    string  `toml:"name" json:"name"`
-	Quota   float64 `toml:"quota" json:"quota"` // requests a second
+	Quota   float64 `toml:"quota" json:"quota"` // requests per second
 }
 
 // Deletion is the key of a resource to delete.
@@ -75,8 +76,8 @@
 	draining = "draining"
 )
 
-// Parse reads a file, whose name tells its form: .json for JSON, anything else for TOML. An error is one line that names
-// the file and what is wrong in it. The changes may still be refused by resource.ValidateChanges.
+// Parse parses the text of a file of changes. A name that ends in .json means JSON, any other TOML. An error is one line
+// with the name and the cause. resource.ValidateChanges may still reject the changes.
 func Parse(name string, text []byte) ([]resource.Change, error) {
 	f := &File{}
 	if strings.HasSuffix(name, ".json") {
@@ -101,12 +102,12 @@
 		return fmt.Errorf("line %d or later: %w", line, err)
 	}
 	if _, err := in.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("more follows the object with the changes")
+		return errors.New("unexpected data after the JSON object of changes")
 	}
 	return nil
 }
 
-// Changes are the changes of one transaction that the file describes. An error names the resource and the field.
+// Changes returns the changes of the file, as those of one transaction. An error names the resource and the field.
 func (f *File) Changes() ([]resource.Change, error) {
 	var changes []resource.Change
 	set := func(r resource.Resource) { changes = append(changes, resource.Change{Resource: r}) }
@@ -167,7 +168,7 @@
 	return resource.Resource{Key: key, Endpoint: endpoint}, nil
 }
 
-// ParseKind reads the name of a kind.
+// ParseKind returns the kind with the name.
 func ParseKind(name string) (resource.Kind, error) {
 	for kind := resource.Kind(1); kind.Known(); kind++ {
 		if kind.String() == name {
@@ -177,7 +178,7 @@
 	return 0, fmt.Errorf("%q; service, endpoint, route or tenant", name)
 }
 
-// Format writes resources as a file of changes in JSON, which sets them when it is applied.
+// Format returns a file of changes in JSON that sets the resources.
 func Format(resources []resource.Resource) ([]byte, error) {
 	f := &File{}
 	for i := range resources {
--- a/internal/controlplane/changefile/changefile_test.go
+++ b/internal/controlplane/changefile/changefile_test.go
@@ -69,11 +69,11 @@
 		t.Fatal(err)
 	}
 	if again, err := Parse("got.json", text); err != nil || !reflect.DeepEqual(again, want[:4]) {
-		t.Errorf("what Format wrote is read as %+v, %v", again, err)
+		t.Errorf("Parse of the result of Format: %+v, %v", again, err)
 	}
 }
 
-func TestBadFiles(t *testing.T) {
+func TestParseRejectsInvalidFiles(t *testing.T) {
 	for _, x := range []struct{ name, old, new, want string }{
 		{"c.toml", `quota = 12.5`, `quotas = 12.5`, "c.toml:23: tenant.quotas: no such key; did you mean quota?"},
 		{"c.toml", `"draining"`, `"gone"`, `c.toml: endpoint "be-7" of service "configurator": state: "gone"; ready or draining`},
@@ -81,7 +81,7 @@
 		{"c.toml", `kind = "endpoint"`, `kind = "box"`, `c.toml: delete "be-6" of service "configurator": kind: "box"; service, endpoint, route or tenant`},
 		{"c.toml", `cell = 4`, `cell = -4`, "c.toml:12:"},
 		{"c.json", example, "{\n\"tenants\": []}", `c.json: line 2 or later: json: unknown field "tenants"`},
-		{"c.json", example, `{} {}`, "c.json: more follows the object with the changes"},
+		{"c.json", example, `{} {}`, "c.json: unexpected data after the JSON object of changes"},
 		{"c.json", example, `{`, "c.json: line 1 or later: unexpected EOF"},
 	} {
 		text := strings.Replace(example, x.old, x.new, 1)
@@ -94,7 +94,7 @@
 	}
 }
 
-// BenchmarkParse reads a file of about as many changes as one transaction takes.
+// BenchmarkParse parses a file with about the max size of one transaction.
 func BenchmarkParse(b *testing.B) {
 	var text strings.Builder
 	for i := range 6000 {
