--- a/internal/controlplane/parents/parents.go
+++ b/internal/controlplane/parents/parents.go
@@ -1,8 +1,8 @@
-// Package parents orders the processes that a child of the control plane's hierarchy may connect to. The order is that of
-// rendezvous hashing (highest random weight): everybody computes the same one for a child without talking to anybody, the
-// children of one parent spread evenly over the others when it is lost, and no other child moves.
+// Package parents orders the processes that a child in the control plane's hierarchy may connect to. It uses rendezvous
+// hashing (highest random weight): every process computes the same order for a child without coordination, the children of
+// a failed parent spread evenly over the others, and no other child moves.
 //
-// There is no I/O, clock or goroutine here.
+// The package does no I/O, reads no clock and starts no goroutines.
 package parents
 
 import (
@@ -17,19 +17,19 @@
 	Zone    string
 }
 
-// Rank orders candidates for a child in a zone, the most preferred first: those of the child's own zone before all
-// others, and by rendezvous weight within both groups. An empty zone prefers none. The candidates handed in stay as they
-// are; a candidate that comes or goes leaves the order of the others as it was.
+// Rank returns the candidates for a child in a zone, the most preferred first: those of the child's own zone before all
+// others, and by rendezvous weight within both groups. With an empty zone, no zone is preferred. Rank does not modify
+// candidates. Adding or removing a candidate doesn't change the order of the others.
 func Rank(child, zone string, candidates []Candidate) []Candidate {
-	ranked := make([]weighted, len(candidates))
+	ranked := make([]rankedCandidate, len(candidates))
 	for i, candidate := range candidates {
-		ranked[i] = weighted{
+		ranked[i] = rankedCandidate{
 			Candidate: candidate,
 			remote:    zone != "" && candidate.Zone != zone,
 			weight:    weight(child, candidate.Name),
 		}
 	}
-	slices.SortFunc(ranked, weighted.compare)
+	slices.SortFunc(ranked, rankedCandidate.compare)
 	result := make([]Candidate, len(ranked))
 	for i, r := range ranked {
 		result[i] = r.Candidate
@@ -37,22 +37,22 @@
 	return result
 }
 
-// weighted is a candidate with what it is ranked by.
-type weighted struct {
+// rankedCandidate is a candidate with its sort keys.
+type rankedCandidate struct {
 	Candidate
-	remote bool // in another zone than the child
+	remote bool // not in the child's zone
 	weight uint64
 }
 
-// compare orders own-zone candidates first, then higher weights, then names, which decide between equal weights.
-func (w weighted) compare(other weighted) int {
-	if w.remote != other.remote {
-		if w.remote {
+// compare orders candidates of the child's zone first, then by descending weight, then by name.
+func (r rankedCandidate) compare(other rankedCandidate) int {
+	if r.remote != other.remote {
+		if r.remote {
 			return 1
 		}
 		return -1
 	}
-	return cmp.Or(cmp.Compare(other.weight, w.weight), cmp.Compare(w.Name, other.Name))
+	return cmp.Or(cmp.Compare(other.weight, r.weight), cmp.Compare(r.Name, other.Name))
 }
 
 // The parameters of the 64-bit FNV-1a hash.
@@ -61,17 +61,17 @@
 	fnvPrime  = 1099511628211
 )
 
-// weight is the rendezvous weight of a pair. FNV-1a alone leaves names that differ in their last byte close to each other,
-// so the finalizer of SplitMix64 mixes the sum.
+// weight returns the rendezvous weight of a pair. FNV-1a alone gives close values for names that differ only in the last
+// byte, so the finalizer of SplitMix64 mixes the hash.
 func weight(child, candidate string) uint64 {
-	hash := fnv(fnv(fnvOffset, child), candidate)
+	hash := addFNV(addFNV(fnvOffset, child), candidate)
 	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
 	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
 	return hash ^ hash>>31
 }
 
-// fnv adds a string and its end to a sum, so that ("ab", "c") and ("a", "bc") differ.
-func fnv(hash uint64, s string) uint64 {
+// addFNV adds a string and a terminator to a hash, so that ("ab", "c") and ("a", "bc") differ.
+func addFNV(hash uint64, s string) uint64 {
 	for i := range len(s) {
 		hash = (hash ^ uint64(s[i])) * fnvPrime
 	}
