--- a/internal/controlplane/quorum/logger.go
+++ b/internal/controlplane/quorum/logger.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// logger drops what the algorithm tells of its work. What it takes for impossible is a panic, which Replica.guard catches.
+// logger discards the log lines of the raft library. Its fatal errors become panics, which Replica.catchPanic recovers.
 type logger struct{}
 
 func (logger) Debug(...any)            {}
--- a/internal/controlplane/quorum/replica_test.go
+++ b/internal/controlplane/quorum/replica_test.go
@@ -18,16 +18,16 @@
 
 var scripts = flag.Uint64("scripts", 20, "scripts to play for each size of a cluster")
 
-// TestMain collects garbage seldom: the scripts make much of it, and little is alive at a time.
+// TestMain makes garbage collection rare: the scripts allocate much and have a small live heap.
 func TestMain(m *testing.M) {
 	debug.SetGCPercent(1000)
 	os.Exit(m.Run())
 }
 
-// No two histories diverge, epochs never go back, each has one writer who knows all before, a writer that is cut off
-// stops, what is committed is never lost, and the cluster goes on once it is healed: with loss, delay, doubles, cuts,
-// crashes, drifting clocks, compaction, and writers that come late.
-func TestHistoriesNeverDiverge(t *testing.T) {
+// Under loss, delay, duplication, partitions, crashes, clock drift, compaction and late proposals of deposed writers, the
+// histories of replicas must not diverge, epochs must not decrease, each epoch must have one writer that has applied all
+// earlier entries, a partitioned writer must stop, no committed entry may be lost, and a healed cluster must make progress.
+func TestReplicasNeverDiverge(t *testing.T) {
 	seeds := *scripts
 	for _, size := range []int{3, 5} {
 		var committed, epochs, snapshots, restarts int
@@ -43,46 +43,46 @@
 			restarts += c.restarts
 			fenced += c.fenced
 		}
-		t.Logf("%d replicas, %d seeds: %d entries committed in %d epochs, %d restarts, %d snapshots taken, %d times an entry was fenced",
+		t.Logf("%d replicas, %d seeds: %d entries committed in %d epochs, %d restarts, %d snapshots restored, %d entries fenced",
 			size, seeds, committed, epochs, restarts, snapshots, fenced)
 		if committed == 0 || epochs == 0 || snapshots == 0 || restarts == 0 || fenced == 0 {
-			t.Errorf("%d replicas: the scripts try too little", size)
+			t.Errorf("%d replicas: the scripts did not exercise all cases", size)
 		}
 	}
 }
 
-// Each planted fault is seen by the checks; the least is by how many of 20 seeds.
+// The invariant checks must detect each planted fault with at least minSeeds of 20 seeds.
 func TestPlantedFaults(t *testing.T) {
 	for name, c := range map[string]struct {
-		planted faults
-		least   int
+		planted  faults
+		minSeeds int
 	}{
-		"no fence":                  {faults{noFence: true}, 10},
+		"no fence":                  {faults{noFencing: true}, 10},
 		"no barrier":                {faults{noBarrier: true}, 10},
 		"no check of the quorum":    {faults{noCheckQuorum: true}, 10},
-		"votes are forgotten":       {faults{forgetVotes: true}, 1},
-		"entries are forgotten":     {faults{forgetEntries: true}, 10},
+		"votes are forgotten":       {faults{loseVotes: true}, 1},
+		"entries are forgotten":     {faults{loseEntries: true}, 10},
 		"replaced entries are kept": {faults{keepConflicts: true}, 1},
 		"snapshots are not taken":   {faults{ignoreSnapshots: true}, 10},
 	} {
-		seen, first := 0, ""
+		detected, first := 0, ""
 		for seed := range uint64(20) {
 			if err := newCluster(3, seed, c.planted).run(scriptTicks); err != nil {
-				seen++
+				detected++
 				if first == "" {
 					first = fmt.Sprintf("seed %d: %v", seed, err)
 				}
 			}
 		}
-		t.Logf("%s: seen by %d seeds of 20; %s", name, seen, first)
-		if seen < c.least {
-			t.Errorf("%s: seen by %d seeds of 20, at least %d", name, seen, c.least)
+		t.Logf("%s: detected with %d seeds of 20; %s", name, detected, first)
+		if detected < c.minSeeds {
+			t.Errorf("%s: detected with %d seeds of 20, want at least %d", name, detected, c.minSeeds)
 		}
 	}
 }
 
-// elected is a cluster of three without faults, and its writer.
-func elected(t *testing.T) (*cluster, *process, uint64) {
+// newElectedCluster returns a cluster of three without faults, its writer and the writer's epoch.
+func newElectedCluster(t *testing.T) (*cluster, *process, uint64) {
 	t.Helper()
 	c := newCluster(3, 0, faults{})
 	for _, p := range c.processes {
@@ -91,7 +91,7 @@
 		}
 	}
 	for range 200 {
-		steps(t, c, 1)
+		runSteps(t, c, 1)
 		for _, p := range c.processes {
 			if id, epoch := p.replica.Writer(); id == p.id {
 				return c, p, epoch
@@ -102,7 +102,7 @@
 	return nil, nil, 0
 }
 
-func steps(t *testing.T, c *cluster, count int) {
+func runSteps(t *testing.T, c *cluster, count int) {
 	t.Helper()
 	for range count {
 		if err := c.step(false); err != nil {
@@ -111,9 +111,9 @@
 	}
 }
 
-func TestOnlyTheWriterProposes(t *testing.T) {
-	c, writer, epoch := elected(t)
-	steps(t, c, 10)
+func TestOnlyTheWriterAcceptsProposals(t *testing.T) {
+	c, writer, epoch := newElectedCluster(t)
+	runSteps(t, c, 10)
 	for _, p := range c.processes {
 		err := p.replica.Propose([]byte("x"))
 		if p == writer {
@@ -135,22 +135,22 @@
 	}
 }
 
-// A writer that was cut off wakes in the epoch of another: what it proposes is refused, and what it had proposed before and
-// is sent once more is dropped by every replica, with one line.
-func TestADeposedWriterThatComesLate(t *testing.T) {
-	c, old, epoch := elected(t)
-	late := fmt.Appendf(nil, "by %d in %d: late", old.id, epoch)
-	c.group[old.id] = 1
-	if err := old.replica.ProposeInEpoch(epoch, late); err != nil {
+// A partitioned writer returns in the epoch of another one. Its new proposals must be rejected, and every replica must drop
+// and count a resent older proposal.
+func TestDeposedWriterIsFenced(t *testing.T) {
+	c, deposed, epoch := newElectedCluster(t)
+	late := fmt.Appendf(nil, "by %d in %d: late", deposed.id, epoch)
+	c.partition[deposed.id] = 1
+	if err := deposed.replica.ProposeInEpoch(epoch, late); err != nil {
 		t.Fatal(err)
 	}
-	steps(t, c, 100)
-	if id, _ := old.replica.Writer(); id == old.id {
-		t.Error("a writer without a majority goes on")
+	runSteps(t, c, 100)
+	if id, _ := deposed.replica.Writer(); id == deposed.id {
+		t.Error("a writer without a majority remains the writer")
 	}
-	clear(c.group)
-	steps(t, c, 30)
-	if err := old.replica.ProposeInEpoch(epoch, late); !errors.Is(err, ErrNotWriter) {
+	clear(c.partition)
+	runSteps(t, c, 30)
+	if err := deposed.replica.ProposeInEpoch(epoch, late); !errors.Is(err, ErrNotWriter) {
 		t.Errorf("late: %v", err)
 	}
 	var next *process
@@ -159,10 +159,10 @@
 			next = p
 		}
 	}
-	if next == nil || next == old {
+	if next == nil || next == deposed {
 		t.Fatal("no other writer")
 	}
-	m := &pb.Message{Type: pb.MsgProp.Enum(), From: &old.id, To: &next.id, Entries: []*pb.Entry{{Data: stamp(epoch, late)}}}
+	m := &pb.Message{Type: pb.MsgProp.Enum(), From: &deposed.id, To: &next.id, Entries: []*pb.Entry{{Data: encodeProposal(epoch, late)}}}
 	encoded, err := proto.Marshal(m)
 	if err != nil {
 		t.Fatal(err)
@@ -170,10 +170,10 @@
 	if err := next.replica.Receive(encoded); err != nil {
 		t.Fatal(err)
 	}
-	steps(t, c, 30)
+	runSteps(t, c, 30)
 	for _, p := range c.processes {
 		if len(p.applied) != 0 || p.replica.FencedEntries() != 1 {
-			t.Errorf("replica %d took %d entries and fenced %d", p.id, len(p.applied), p.replica.FencedEntries())
+			t.Errorf("replica %d applied %d entries and fenced %d", p.id, len(p.applied), p.replica.FencedEntries())
 		}
 	}
 	line := Fenced{Index: 7, Epoch: 2, Current: 5}.String()
@@ -182,8 +182,8 @@
 	}
 }
 
-func TestMessagesThatNoReplicaSends(t *testing.T) {
-	c, writer, epoch := elected(t)
+func TestInvalidMessagesAreDropped(t *testing.T) {
+	c, writer, epoch := newElectedCluster(t)
 	follower := c.processes[writer.id%3]
 	number := func(n uint64) *uint64 { return &n }
 	message := func(kind pb.MessageType, from, to uint64, change func(*pb.Message)) []byte {
@@ -213,22 +213,22 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	steps(t, c, 30)
+	runSteps(t, c, 30)
 	if id, now := writer.replica.Writer(); id != writer.id || now != epoch {
 		t.Errorf("the writer is %d in epoch %d", id, now)
 	}
 
-	// What can't be told from a message by itself ends the replica, and not the process.
-	if err := follower.replica.guard(func() error { panic("committed entries contradict") }); !errors.Is(err, ErrFailed) {
-		t.Errorf("a contradiction: %v", err)
+	// An inconsistency that can't be detected in a single message must stop the replica, but not the process.
+	if err := follower.replica.catchPanic(func() error { panic("committed entries contradict") }); !errors.Is(err, ErrFailed) {
+		t.Errorf("an inconsistency: %v", err)
 	}
 	follower.replica.Tick()
 	if _, ok := follower.replica.Ready(); ok || !errors.Is(follower.replica.Propose(nil), ErrFailed) {
-		t.Error("a replica that failed goes on")
+		t.Error("a failed replica continues")
 	}
 }
 
-func TestConfigIsChecked(t *testing.T) {
+func TestNewRejectsInvalidConfig(t *testing.T) {
 	for name, cfg := range map[string]Config{
 		"no id":            {Peers: []uint64{1, 2, 3}},
 		"no peer":          {ID: 4, Peers: []uint64{1, 2, 3}},
@@ -253,28 +253,28 @@
 	return all
 }
 
-func TestStateTakesWhatIsPersisted(t *testing.T) {
+func TestStateAppliesPersistedChanges(t *testing.T) {
 	var s State
-	take := func(p Persist) {
+	mustApply := func(p Persist) {
 		t.Helper()
 		if err := s.Apply(p); err != nil {
 			t.Fatal(err)
 		}
 	}
-	take(Persist{Hard: &HardState{Term: 1, Vote: 2}, Entries: entries(1, 1, 2, 3, 4)})
-	take(Persist{Entries: entries(2, 3)}) // in place of 3 and 4
+	mustApply(Persist{Hard: &HardState{Term: 1, Vote: 2}, Entries: entries(1, 1, 2, 3, 4)})
+	mustApply(Persist{Entries: entries(2, 3)}) // replaces 3 and 4
 	if want := append(entries(1, 1, 2), entries(2, 3)...); !reflect.DeepEqual(s.Entries, want) || s.Hard.Vote != 2 {
 		t.Fatalf("%+v", s)
 	}
-	take(Persist{Snapshot: &Snapshot{Index: 2, Term: 1}}) // of its own log
+	mustApply(Persist{Snapshot: &Snapshot{Index: 2, Term: 1}}) // of the same log
 	if !reflect.DeepEqual(s.Entries, entries(2, 3)) {
 		t.Fatalf("%+v", s)
 	}
-	take(Persist{Entries: append(entries(1, 1, 2), entries(3, 3, 4, 5)...)}) // partly before the snapshot
+	mustApply(Persist{Entries: append(entries(1, 1, 2), entries(3, 3, 4, 5)...)}) // partly covered by the snapshot
 	if !reflect.DeepEqual(s.Entries, entries(3, 3, 4, 5)) {
 		t.Fatalf("%+v", s)
 	}
-	take(Persist{Snapshot: &Snapshot{Index: 4, Term: 9}}) // of another log
+	mustApply(Persist{Snapshot: &Snapshot{Index: 4, Term: 9}}) // of another log
 	if len(s.Entries) != 0 || s.Snapshot.Index != 4 {
 		t.Fatalf("%+v", s)
 	}
@@ -289,34 +289,35 @@
 	}
 }
 
-// A lone process of a small region is its own quorum.
-func TestOneReplica(t *testing.T) {
+// A single control process, as in a small region, must be able to commit on its own.
+func TestSingleReplicaIsItsOwnQuorum(t *testing.T) {
 	c := newCluster(1, 1, faults{})
 	if err := c.run(200); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestAStateLargerThanItsLogComesAsASnapshot(t *testing.T) {
-	c, writer, epoch := elected(t)
+// A replica that is so far behind that the writer has compacted the entries it lacks must catch up by a snapshot.
+func TestLaggingReplicaRestoresSnapshot(t *testing.T) {
+	c, writer, epoch := newElectedCluster(t)
 	lagging := c.processes[writer.id%3]
-	c.group[lagging.id] = 1
-	for i := range keptEntries + 100 {
+	c.partition[lagging.id] = 1
+	for i := range retainedEntries + 100 {
 		if err := writer.replica.Propose(fmt.Appendf(nil, "by %d in %d: %d", writer.id, epoch, i)); err != nil {
 			t.Fatal(err)
 		}
-		steps(t, c, 1)
+		runSteps(t, c, 1)
 	}
 	if err := writer.replica.Compact(encodeHistory(writer.applied)); err != nil {
 		t.Fatal(err)
 	}
-	steps(t, c, 10)
+	runSteps(t, c, 10)
 	if writer.stored.Snapshot.Index == 0 {
 		t.Error("the snapshot was not persisted")
 	}
-	clear(c.group)
-	steps(t, c, 100)
-	if len(lagging.applied) != keptEntries+100 || c.snapshots == 0 {
+	clear(c.partition)
+	runSteps(t, c, 100)
+	if len(lagging.applied) != retainedEntries+100 || c.snapshots == 0 {
 		t.Errorf("%d entries, %d snapshots", len(lagging.applied), c.snapshots)
 	}
 }
--- a/internal/controlplane/quorum/state.go
+++ b/internal/controlplane/quorum/state.go
@@ -8,28 +8,28 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// ErrState is wrapped by errors about a stored state that no replica has written.
-var ErrState = errors.New("quorum: stored state is not whole")
+// ErrState is wrapped by errors about an inconsistent stored state.
+var ErrState = errors.New("quorum: inconsistent stored state")
 
-// State is what the storage of a replica has kept. Its zero value is that of a replica that never ran.
+// State is the persisted state of a replica. The zero value is that of a new replica.
 type State struct {
 	Hard     HardState
 	Snapshot Snapshot
-	Entries  []LogEntry // from Snapshot.Index+1 on, without gaps
+	Entries  []LogEntry // from Snapshot.Index+1, without gaps
 }
 
-// HardState is what a replica must not forget, lest it votes twice or takes back what it told.
+// HardState must survive a restart, so that a replica doesn't vote twice in a term or revoke what it has confirmed.
 type HardState struct {
 	Term   uint64
-	Vote   uint64 // for which replica, in this term; 0 for none
-	Commit uint64 // index up to which entries are known to be committed
+	Vote   uint64 // replica that was voted for in this term; 0 for none
+	Commit uint64 // index of the last entry known to be committed
 }
 
-// Snapshot stands for all entries up to an index.
+// Snapshot replaces all entries up to an index.
 type Snapshot struct {
 	Index uint64
 	Term  uint64 // of the entry at Index
-	Data  []byte // that the caller made of the entries
+	Data  []byte // the caller's state after these entries
 }
 
 // LogEntry is an entry of the replicated log, committed or not.
@@ -39,24 +39,24 @@
 	Data  []byte
 }
 
-// Persist is what a storage has to have kept for good before anything else of a Ready is done. Nil fields are unchanged.
+// Persist is what has to be stored durably before the rest of a Ready is processed. Nil fields are unchanged.
 type Persist struct {
 	Hard     *HardState
 	Snapshot *Snapshot
-	Entries  []LogEntry // in place of all that the storage has from the first one's index on
+	Entries  []LogEntry // replace all stored entries from the index of the first one
 }
 
-// Empty reports whether there is nothing to keep.
+// Empty reports whether there is nothing to persist.
 func (p *Persist) Empty() bool { return p.Hard == nil && p.Snapshot == nil && len(p.Entries) == 0 }
 
-// Apply brings the state to what it is after a Persist. The error wraps ErrState; the state is not to be used then.
+// Apply updates the state by a Persist. The error wraps ErrState; the state must not be used after it.
 func (s *State) Apply(p Persist) error {
 	if p.Snapshot != nil {
-		if err := s.takeSnapshot(*p.Snapshot); err != nil {
+		if err := s.applySnapshot(*p.Snapshot); err != nil {
 			return err
 		}
 	}
-	if err := s.takeEntries(p.Entries); err != nil {
+	if err := s.applyEntries(p.Entries); err != nil {
 		return err
 	}
 	if p.Hard != nil {
@@ -65,11 +65,11 @@
 	return nil
 }
 
-// takeSnapshot keeps the entries after the snapshot where they are of the same log: where the entry at its index is of its
-// term, all after it follow it.
-func (s *State) takeSnapshot(snapshot Snapshot) error {
+// applySnapshot keeps the entries after the snapshot if they belong to the same log, which holds if the entry at the
+// snapshot's index has the snapshot's term.
+func (s *State) applySnapshot(snapshot Snapshot) error {
 	if snapshot.Index < s.Snapshot.Index {
-		return fmt.Errorf("%w: a snapshot of index %d after that of %d", ErrState, snapshot.Index, s.Snapshot.Index)
+		return fmt.Errorf("%w: snapshot of index %d after snapshot of index %d", ErrState, snapshot.Index, s.Snapshot.Index)
 	}
 	if term, ok := s.term(snapshot.Index); ok && term == snapshot.Term {
 		s.Entries = slices.Clone(s.Entries[snapshot.Index-s.Snapshot.Index:])
@@ -80,7 +80,7 @@
 	return nil
 }
 
-func (s *State) takeEntries(entries []LogEntry) error {
+func (s *State) applyEntries(entries []LogEntry) error {
 	for i := range entries {
 		if entries[i].Index != entries[0].Index+uint64(i) {
 			return fmt.Errorf("%w: entry %d is followed by entry %d", ErrState, entries[max(0, i-1)].Index, entries[i].Index)
@@ -98,7 +98,7 @@
 	}
 	kept := s.Entries[:first-s.Snapshot.Index-1]
 	if len(kept) < len(s.Entries) {
-		kept = slices.Clone(kept) // others may hold what is replaced
+		kept = slices.Clone(kept) // others may still use the replaced entries
 	}
 	s.Entries = append(kept, entries...)
 	return nil
@@ -106,7 +106,7 @@
 
 func (s *State) lastIndex() uint64 { return s.Snapshot.Index + uint64(len(s.Entries)) }
 
-// term is that of the entry at an index, where the state has it.
+// term returns the term of the entry at an index, and whether the state has it.
 func (s *State) term(index uint64) (uint64, bool) {
 	switch {
 	case index == s.Snapshot.Index:
@@ -117,20 +117,20 @@
 	return s.Entries[index-s.Snapshot.Index-1].Term, true
 }
 
-// check reports what a replica could not start from.
+// check returns an error if a replica could not start from the state.
 func (s *State) check() error {
 	term := s.Snapshot.Term
 	for i, entry := range s.Entries {
 		if entry.Index != s.Snapshot.Index+uint64(i)+1 || entry.Term < term {
-			return fmt.Errorf("%w: entry %d of term %d does not follow term %d", ErrState, entry.Index, entry.Term, term)
+			return fmt.Errorf("%w: entry %d of term %d does not follow the one before, of term %d", ErrState, entry.Index, entry.Term, term)
 		}
 		term = entry.Term
 	}
 	if s.Hard.Commit > s.lastIndex() {
-		return fmt.Errorf("%w: %d entries are committed and the last one is %d", ErrState, s.Hard.Commit, s.lastIndex())
+		return fmt.Errorf("%w: entry %d is committed, but the last one is %d", ErrState, s.Hard.Commit, s.lastIndex())
 	}
 	if s.Hard.Term < term {
-		return fmt.Errorf("%w: the term is %d and an entry is of term %d", ErrState, s.Hard.Term, term)
+		return fmt.Errorf("%w: the term is %d, but an entry has term %d", ErrState, s.Hard.Term, term)
 	}
 	return nil
 }
@@ -139,7 +139,7 @@
 	return &pb.HardState{Term: &h.Term, Vote: &h.Vote, Commit: &h.Commit}
 }
 
-func hardStateOf(h *pb.HardState) *HardState {
+func decodeHardState(h *pb.HardState) *HardState {
 	return &HardState{Term: h.GetTerm(), Vote: h.GetVote(), Commit: h.GetCommit()}
 }
 
@@ -151,7 +151,7 @@
 	return encoded
 }
 
-func entriesOf(encoded []*pb.Entry) []LogEntry {
+func decodeEntries(encoded []*pb.Entry) []LogEntry {
 	entries := make([]LogEntry, len(encoded))
 	for i, e := range encoded {
 		entries[i] = LogEntry{Index: e.GetIndex(), Term: e.GetTerm(), Data: e.GetData()}
--- a/internal/controlplane/quorum/store_test.go
+++ b/internal/controlplane/quorum/store_test.go
@@ -12,14 +12,14 @@
 
 const region = "north"
 
-// controlProcess is a replica with the store that its committed entries make.
+// controlProcess is a replica with the store to which its committed entries are applied.
 type controlProcess struct {
 	id       uint64
 	replica  *quorum.Replica
 	stored   quorum.State
 	store    *changelog.Store
-	refused  int
-	restored int // from snapshots of the writer
+	rejected int
+	restored int // snapshots received from the writer
 }
 
 func (p *controlProcess) start(t *testing.T, peers []uint64) {
@@ -46,7 +46,7 @@
 	}
 }
 
-func (p *controlProcess) work(t *testing.T, send func(quorum.Outgoing)) {
+func (p *controlProcess) processReady(t *testing.T, send func(quorum.Outgoing)) {
 	t.Helper()
 	for ready, ok := p.replica.Ready(); ok; ready, ok = p.replica.Ready() {
 		if err := p.stored.Apply(ready.Persist); err != nil {
@@ -65,7 +65,7 @@
 				t.Fatal(err)
 			}
 			if _, err := p.store.Append(e.Epoch, changes); err != nil {
-				p.refused++
+				p.rejected++
 			}
 		}
 		p.replica.Advance()
@@ -74,8 +74,8 @@
 
 func (p *controlProcess) compact(t *testing.T) {
 	t.Helper()
-	everything := changelog.Filter{All: true}
-	if err := p.replica.Compact(message.EncodeSnapshot(region, p.store.Position(), p.store.Snapshot(everything))); err != nil {
+	allServices := changelog.Filter{All: true}
+	if err := p.replica.Compact(message.EncodeSnapshot(region, p.store.Position(), p.store.Snapshot(allServices))); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -88,15 +88,15 @@
 		{Resource: resource.Resource{Key: resource.Key{Service: name, Kind: resource.KindTenant, Name: fmt.Sprint(number)},
 			Tenant: &resource.Tenant{Quota: float64(number)}}},
 	}
-	if number%10 == 9 { // one that the store refuses, alike at every process
+	if number%10 == 9 { // one that the store of every process rejects
 		changes[0].Resource.Service = &resource.Service{Region: "south", MaxAttempts: 2}
 	}
 	return changes
 }
 
-// Each process makes the same store of what is committed, whether it heard every entry, was down and got a snapshot, or
-// was started anew from its own.
-func TestStoresOfAllProcessesAgree(t *testing.T) {
+// All processes must have the same store, whether a process received every entry, was down and caught up by a snapshot, or
+// restarted from its own snapshot.
+func TestStoresOfAllReplicasAgree(t *testing.T) {
 	peers := []uint64{1, 2, 3}
 	processes := make([]*controlProcess, len(peers))
 	for i, id := range peers {
@@ -124,10 +124,10 @@
 					proposed++
 				}
 			}
-			p.work(t, send)
+			p.processReady(t, send)
 			if round%400 == 399 {
 				p.compact(t)
-				p.work(t, send)
+				p.processReady(t, send)
 			}
 			if round%333 == int(p.id) {
 				p.start(t, peers)
@@ -140,21 +140,21 @@
 				if err := p.replica.Receive(m.Data); err != nil {
 					t.Fatal(err)
 				}
-				p.work(t, send)
+				p.processReady(t, send)
 			}
 		}
 	}
-	everything := changelog.Filter{All: true}
+	allServices := changelog.Filter{All: true}
 	first := processes[0].store
 	for _, p := range processes {
-		if p.store.Position() != first.Position() || p.store.Digest(everything) != first.Digest(everything) || p.store.Len() != first.Len() {
+		if p.store.Position() != first.Position() || p.store.Digest(allServices) != first.Digest(allServices) || p.store.Len() != first.Len() {
 			t.Errorf("replica %d is at %s with %d resources, replica 1 at %s with %d", p.id, p.store.Position(), p.store.Len(), first.Position(), first.Len())
 		}
 	}
 	if processes[2].restored == 0 {
 		t.Error("the process that was down got no snapshot")
 	}
-	if first.Len() < 500 || processes[0].refused == 0 {
-		t.Errorf("%d resources of %d proposals, %d refused", first.Len(), proposed, processes[0].refused)
+	if first.Len() < 500 || processes[0].rejected == 0 {
+		t.Errorf("%d resources of %d proposals, %d refused", first.Len(), proposed, processes[0].rejected)
 	}
 }
