--- a/internal/controlnet/daemon.go
+++ b/internal/controlnet/daemon.go
@@ -128,7 +128,7 @@
 	}
 	p := publisher.New(publisher.Config{
 		BytesPerSecond:    float64(limits.Bytes),
-		Burst:             burstSeconds * float64(limits.Bytes),
+		BurstBytes:        burstSeconds * float64(limits.Bytes),
 		MaxSnapshots:      limits.Snapshots,
 		HeartbeatInterval: limits.Heartbeat.D(),
 		Seed:              seed(d.cfg.Name),
@@ -217,7 +217,7 @@
 	}
 	for _, s := range status.Subscribers {
 		out.Subscribers = append(out.Subscribers, SessionStatus{Name: status.Names[s.Session], Region: s.Region, State: s.State,
-			Standby: s.Standby, Position: show(s.Position), Refused: s.Refused, Unacknowledged: s.Unacknowledged})
+			Standby: s.Standby, Position: show(s.Position), Refused: s.Refused, Unacknowledged: s.UnacknowledgedBytes})
 	}
 	slices.SortFunc(out.Subscribers, func(a, b SessionStatus) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Region, b.Region))
--- a/internal/controlnet/process.go
+++ b/internal/controlnet/process.go
@@ -60,11 +60,11 @@
 // proportion, but for how long a connection may take to come up.
 func LimitsFor(silence time.Duration) subscriber.Limits {
 	l := subscriber.DefaultLimits()
-	factor := silence.Seconds() / l.Silence.Seconds()
-	for _, d := range []*time.Duration{&l.Silence, &l.Lag, &l.CatchUp, &l.Stale, &l.ReturnAfter, &l.BackoffBase, &l.BackoffLimit, &l.Acknowledge, &l.WentBack} {
+	factor := silence.Seconds() / l.SilenceTimeout.Seconds()
+	for _, d := range []*time.Duration{&l.SilenceTimeout, &l.MaxLag, &l.CatchUpTimeout, &l.StaleAfter, &l.ReturnAfter, &l.BackoffBase, &l.BackoffLimit, &l.AcknowledgeInterval, &l.WentBackAfter} {
 		*d = time.Duration(d.Seconds() * factor * float64(time.Second))
 	}
-	l.RetryPerSec /= factor
+	l.RetriesPerSecond /= factor
 	return l
 }
 
@@ -331,7 +331,7 @@
 			now := p.cfg.Clock()
 			u.heard(now)
 			if r.partial {
-				u.subscriber.Skipped(now, d.link.parent)
+				u.subscriber.MarkSkipped(now, d.link.parent)
 			}
 			// What is wrong with a message was noted by the subscriber.
 			_ = u.subscriber.Receive(now, d.link.parent, r.message)
--- a/internal/controlnet/process_test.go
+++ b/internal/controlnet/process_test.go
@@ -356,11 +356,11 @@
 
 // The times of a subscriber are in proportion to the silence after which it gives a parent up.
 func TestLimitsFor(t *testing.T) {
-	usual, half := subscriber.DefaultLimits(), LimitsFor(subscriber.DefaultLimits().Silence/2)
-	if got := LimitsFor(usual.Silence); got != usual {
+	usual, half := subscriber.DefaultLimits(), LimitsFor(subscriber.DefaultLimits().SilenceTimeout/2)
+	if got := LimitsFor(usual.SilenceTimeout); got != usual {
 		t.Errorf("%+v", got)
 	}
-	if half.Lag != usual.Lag/2 || half.BackoffLimit != usual.BackoffLimit/2 || half.Connect != usual.Connect || half.RetryPerSec != usual.RetryPerSec*2 {
+	if half.MaxLag != usual.MaxLag/2 || half.BackoffLimit != usual.BackoffLimit/2 || half.ConnectTimeout != usual.ConnectTimeout || half.RetriesPerSecond != usual.RetriesPerSecond*2 {
 		t.Errorf("%+v", half)
 	}
 }
--- a/internal/controlplane/publisher/publisher.go
+++ b/internal/controlplane/publisher/publisher.go
@@ -21,18 +21,18 @@
 
 // Config is what a publisher is made from. Zero fields have the defaults of DefaultConfig, but for Age and Size.
 type Config struct {
-	BytesPerSecond        float64       // of the process
-	Burst                 float64       // bytes of the process at once
-	SessionBytesPerSecond float64       // of one session
-	SessionBurst          float64       // bytes of one session at once
-	MaxUnacknowledged     int           // bytes that a session was sent and hasn't acknowledged
-	MaxSnapshots          int           // at a time
-	SnapshotTimeout       time.Duration // after which a snapshot is broken off whose parts aren't acknowledged
-	PartBytes             int           // of a snapshot's part, about
-	MaxDeltaBytes         int           // of a delta; what is larger is sent as a snapshot
-	HeartbeatInterval     time.Duration
-	BusyWait              time.Duration // the least spread of retries after Busy
-	Seed                  uint64
+	BytesPerSecond         float64       // of the process
+	BurstBytes             float64       // bytes of the process at once
+	SessionBytesPerSecond  float64       // of one session
+	SessionBurstBytes      float64       // bytes of one session at once
+	MaxUnacknowledgedBytes int           // bytes that a session was sent and hasn't acknowledged
+	MaxSnapshots           int           // at a time
+	SnapshotTimeout        time.Duration // after which a snapshot is broken off whose parts aren't acknowledged
+	PartBytes              int           // of a snapshot's part, about
+	MaxDeltaBytes          int           // of a delta; what is larger is sent as a snapshot
+	HeartbeatInterval      time.Duration
+	BusyRetryBase          time.Duration // the least spread of retries after Busy
+	Seed                   uint64
 
 	// Age is how long ago the writer of a region was known to stand where the store stands. Nil stands for zero: the
 	// process is the writer of all logs that it serves.
@@ -44,33 +44,33 @@
 // DefaultConfig has the values of a relay of the target fleet.
 func DefaultConfig() Config {
 	return Config{
-		BytesPerSecond:        32 << 20,
-		Burst:                 4 << 20,
-		SessionBytesPerSecond: 4 << 20,
-		SessionBurst:          1 << 20,
-		MaxUnacknowledged:     512 << 10,
-		MaxSnapshots:          64, // bytes are bounded by the budgets, and whole snapshots are shared
-		SnapshotTimeout:       10 * time.Second,
-		PartBytes:             32 << 10,
-		MaxDeltaBytes:         3 << 20, // the largest transaction fits, and a frame holds it
-		HeartbeatInterval:     time.Second,
-		BusyWait:              time.Second,
+		BytesPerSecond:         32 << 20,
+		BurstBytes:             4 << 20,
+		SessionBytesPerSecond:  4 << 20,
+		SessionBurstBytes:      1 << 20,
+		MaxUnacknowledgedBytes: 512 << 10,
+		MaxSnapshots:           64, // bytes are bounded by the budgets, and whole snapshots are shared
+		SnapshotTimeout:        10 * time.Second,
+		PartBytes:              32 << 10,
+		MaxDeltaBytes:          3 << 20, // the largest transaction fits, and a frame holds it
+		HeartbeatInterval:      time.Second,
+		BusyRetryBase:          time.Second,
 	}
 }
 
 func (c Config) withDefaults() Config {
 	d := DefaultConfig()
 	c.BytesPerSecond = cmp.Or(c.BytesPerSecond, d.BytesPerSecond)
-	c.Burst = cmp.Or(c.Burst, d.Burst)
+	c.BurstBytes = cmp.Or(c.BurstBytes, d.BurstBytes)
 	c.SessionBytesPerSecond = cmp.Or(c.SessionBytesPerSecond, d.SessionBytesPerSecond)
-	c.SessionBurst = cmp.Or(c.SessionBurst, d.SessionBurst)
-	c.MaxUnacknowledged = cmp.Or(c.MaxUnacknowledged, d.MaxUnacknowledged)
+	c.SessionBurstBytes = cmp.Or(c.SessionBurstBytes, d.SessionBurstBytes)
+	c.MaxUnacknowledgedBytes = cmp.Or(c.MaxUnacknowledgedBytes, d.MaxUnacknowledgedBytes)
 	c.MaxSnapshots = cmp.Or(c.MaxSnapshots, d.MaxSnapshots)
 	c.SnapshotTimeout = cmp.Or(c.SnapshotTimeout, d.SnapshotTimeout)
 	c.PartBytes = cmp.Or(c.PartBytes, d.PartBytes)
 	c.MaxDeltaBytes = cmp.Or(c.MaxDeltaBytes, d.MaxDeltaBytes)
 	c.HeartbeatInterval = cmp.Or(c.HeartbeatInterval, d.HeartbeatInterval)
-	c.BusyWait = cmp.Or(c.BusyWait, d.BusyWait)
+	c.BusyRetryBase = cmp.Or(c.BusyRetryBase, d.BusyRetryBase)
 	if c.Age == nil {
 		c.Age = func(string, time.Duration) time.Duration { return 0 }
 	}
@@ -97,13 +97,13 @@
 
 // SubscriberStatus is what a session has of a region's log.
 type SubscriberStatus struct {
-	Session        SessionID
-	Region         string
-	Standby        bool
-	State          string            // such as "current" or "snapshot"
-	Position       resource.Position // in force there, as last acknowledged
-	Refused        string            // why the latest state is not
-	Unacknowledged int               // bytes, of the whole session
+	Session             SessionID
+	Region              string
+	Standby             bool
+	State               string            // such as "current" or "snapshot"
+	Position            resource.Position // in force there, as last acknowledged
+	Refused             string            // why the latest state is not
+	UnacknowledgedBytes int               // bytes, of the whole session
 }
 
 // Publisher serves the subscribers of one process.
@@ -163,9 +163,9 @@
 	return &Publisher{
 		cfg:       cfg,
 		random:    rand.New(rand.NewPCG(cfg.Seed, ^cfg.Seed)),
-		bucket:    newBucket(cfg.BytesPerSecond, cfg.Burst),
+		bucket:    newBucket(cfg.BytesPerSecond, cfg.BurstBytes),
 		sessions:  map[SessionID]*session{},
-		typical:   cfg.BusyWait,
+		typical:   cfg.BusyRetryBase,
 		beatBytes: cfg.Size(&message.Heartbeat{Region: "a typical name", Position: somePosition, Sent: somePosition, Digest: 1 << 62, Age: time.Second}),
 	}
 }
@@ -193,7 +193,7 @@
 // Connected tells of a new session.
 func (p *Publisher) Connected(now time.Duration, id SessionID) {
 	p.advance(now)
-	s := &session{id: id, bucket: newBucket(p.cfg.SessionBytesPerSecond, p.cfg.SessionBurst), beatAt: p.now + p.cfg.HeartbeatInterval}
+	s := &session{id: id, bucket: newBucket(p.cfg.SessionBytesPerSecond, p.cfg.SessionBurstBytes), beatAt: p.now + p.cfg.HeartbeatInterval}
 	s.bucket.fill(p.now)
 	p.sessions[id] = s
 	p.beats.push(s)
@@ -378,8 +378,8 @@
 	p.bucket.fill(p.now)
 }
 
-// SnapshotsRunning is how many snapshots are being sent.
-func (p *Publisher) SnapshotsRunning() int { return len(p.snapshots) }
+// ActiveSnapshots is how many snapshots are being sent.
+func (p *Publisher) ActiveSnapshots() int { return len(p.snapshots) }
 
 // Subscribers is what each session has in force, by session and region.
 func (p *Publisher) Subscribers() []SubscriberStatus {
@@ -387,13 +387,13 @@
 	for _, r := range p.regions {
 		for _, sub := range r.subscriptions {
 			all = append(all, SubscriberStatus{
-				Session:        sub.session.id,
-				Region:         r.name,
-				Standby:        sub.standby,
-				State:          sub.state.String(),
-				Position:       sub.inForce,
-				Refused:        sub.refusal,
-				Unacknowledged: sub.session.unacknowledged,
+				Session:             sub.session.id,
+				Region:              r.name,
+				Standby:             sub.standby,
+				State:               sub.state.String(),
+				Position:            sub.inForce,
+				Refused:             sub.refusal,
+				UnacknowledgedBytes: sub.session.unacknowledged,
 			})
 		}
 	}
--- a/internal/controlplane/publisher/publisher_test.go
+++ b/internal/controlplane/publisher/publisher_test.go
@@ -274,7 +274,7 @@
 
 // TestWindow: a session that acknowledges nothing isn't sent more than the window, and goes on when it does.
 func TestWindow(t *testing.T) {
-	h := newHarness(t, Config{MaxUnacknowledged: 200})
+	h := newHarness(t, Config{MaxUnacknowledgedBytes: 200})
 	h.connect(1, current(h, cart))
 	sent := 0
 	for i := range 20 {
@@ -294,7 +294,7 @@
 
 // TestSnapshotInParts: the parts hold everything in order, wait for acknowledgements, and a change of meanwhile follows.
 func TestSnapshotInParts(t *testing.T) {
-	h := newHarness(t, Config{PartBytes: 100, MaxUnacknowledged: 250})
+	h := newHarness(t, Config{PartBytes: 100, MaxUnacknowledgedBytes: 250})
 	for i := range 50 {
 		h.append(1, set(tenant("cart", fmt.Sprintf("t%02d", i), 1))...)
 	}
@@ -324,21 +324,21 @@
 	if len(deltas) != 1 || deltas[0].From != position || deltas[0].To != h.log.Position() {
 		t.Errorf("deltas %+v", deltas)
 	}
-	if h.p.SnapshotsRunning() != 0 {
-		t.Errorf("%d snapshots running", h.p.SnapshotsRunning())
+	if h.p.ActiveSnapshots() != 0 {
+		t.Errorf("%d snapshots running", h.p.ActiveSnapshots())
 	}
 }
 
 // TestStuckSnapshot frees its place.
 func TestStuckSnapshot(t *testing.T) {
-	h := newHarness(t, Config{PartBytes: 30, MaxUnacknowledged: 50, MaxSnapshots: 1})
+	h := newHarness(t, Config{PartBytes: 30, MaxUnacknowledgedBytes: 50, MaxSnapshots: 1})
 	h.connect(1, &message.Subscribe{All: true})
 	if busy := only[*message.Busy](h.connect(2, &message.Subscribe{All: true})); len(busy) != 1 {
 		t.Fatal("two snapshots at a time")
 	}
 	sent := h.pass(DefaultConfig().SnapshotTimeout+2*time.Second, 1)
-	if len(only[*message.Busy](sent)) != 1 || h.p.SnapshotsRunning() != 0 {
-		t.Fatalf("%d snapshots running", h.p.SnapshotsRunning())
+	if len(only[*message.Busy](sent)) != 1 || h.p.ActiveSnapshots() != 0 {
+		t.Fatalf("%d snapshots running", h.p.ActiveSnapshots())
 	}
 	if parts := only[*message.SnapshotPart](h.subscribe(2, &message.Subscribe{All: true})); len(parts) == 0 {
 		t.Error("the place is still taken")
@@ -349,7 +349,7 @@
 // others come again at times that are spread, and all have their snapshot within a minute.
 func TestManyStartAtOnce(t *testing.T) {
 	const subscribers, most = 390, 8
-	h := newHarness(t, Config{MaxSnapshots: most, PartBytes: 2000, SessionBurst: 4000, SessionBytesPerSecond: 20_000, Seed: 3})
+	h := newHarness(t, Config{MaxSnapshots: most, PartBytes: 2000, SessionBurstBytes: 4000, SessionBytesPerSecond: 20_000, Seed: 3})
 	for i := range 200 {
 		h.append(1, set(tenant("cart", fmt.Sprintf("t%03d", i), 1))...)
 	}
@@ -383,7 +383,7 @@
 				_ = h.p.Receive(h.now, o.Session, &message.Acknowledge{Region: north, Position: m.Position})
 			}
 		}
-		if running := h.p.SnapshotsRunning(); running > most {
+		if running := h.p.ActiveSnapshots(); running > most {
 			t.Fatalf("%d snapshots at a time", running)
 		}
 		h.now += 10 * time.Millisecond
@@ -401,7 +401,7 @@
 // TestBudget: the process keeps to its bytes a second, whatever it has to send, and a change goes before snapshots.
 func TestBudget(t *testing.T) {
 	const rate, burst = 10_000, 2_000
-	h := newHarness(t, Config{BytesPerSecond: rate, Burst: burst, PartBytes: 500, Size: EstimateSize})
+	h := newHarness(t, Config{BytesPerSecond: rate, BurstBytes: burst, PartBytes: 500, Size: EstimateSize})
 	for i := range 300 {
 		h.append(1, set(tenant("cart", fmt.Sprintf("t%03d", i), 1))...)
 	}
@@ -512,7 +512,7 @@
 
 // TestNothingIsKeptOfSessionsThatEnded, whatever they were doing.
 func TestNothingIsKeptOfSessionsThatEnded(t *testing.T) {
-	h := newHarness(t, Config{MaxSnapshots: 2, PartBytes: 30, MaxUnacknowledged: 50})
+	h := newHarness(t, Config{MaxSnapshots: 2, PartBytes: 30, MaxUnacknowledgedBytes: 50})
 	for id := range SessionID(50) {
 		h.connect(id+1, &message.Subscribe{All: id%2 == 0, Services: cart.Services, Standby: id%5 == 0})
 		h.subscribe(id+1, &message.Subscribe{All: id%3 == 0, Services: cart.Services})
@@ -613,7 +613,7 @@
 				}
 				for _, o := range out {
 					_ = p.Receive(0, o.Session, &message.Acknowledge{Region: north, Position: log.Position()})
-					p.sessions[o.Session].bucket.tokens = p.cfg.SessionBurst
+					p.sessions[o.Session].bucket.tokens = p.cfg.SessionBurstBytes
 				}
 				p.bucket.tokens = p.bucket.burst
 			}
--- a/internal/controlplane/publisher/subscription.go
+++ b/internal/controlplane/publisher/subscription.go
@@ -183,7 +183,7 @@
 	if s.gone || sub.state != stateChanged && sub.state != stateSnapshot {
 		return
 	}
-	if s.unacknowledged >= p.cfg.MaxUnacknowledged {
+	if s.unacknowledged >= p.cfg.MaxUnacknowledgedBytes {
 		sub.blocked = true
 		return
 	}
@@ -343,8 +343,8 @@
 func (p *Publisher) busy(sub *subscription) {
 	p.setState(sub, stateWaiting)
 	rounds := 1 + float64(p.waiting)/float64(p.cfg.MaxSnapshots)
-	spread := rounds * float64(max(p.typical, p.cfg.BusyWait))
-	wait := min(time.Duration(float64(p.cfg.BusyWait)/2+p.random.Float64()*spread), maxBusyWait)
+	spread := rounds * float64(max(p.typical, p.cfg.BusyRetryBase))
+	wait := min(time.Duration(float64(p.cfg.BusyRetryBase)/2+p.random.Float64()*spread), maxBusyWait)
 	p.answer(sub, &message.Busy{Region: sub.region.name, RetryAfter: wait})
 }
 
--- a/internal/controlplane/simulate/checks.go
+++ b/internal/controlplane/simulate/checks.go
@@ -200,8 +200,8 @@
 
 // checkPublisher checks a publisher's bounds after a step.
 func (n *Network) checkPublisher(p *Process) {
-	if limit := p.options.Publisher.MaxSnapshots; limit > 0 && p.publisher.SnapshotsRunning() > limit {
-		n.violated(CheckSnapshots, p, "%d, at most %d", p.publisher.SnapshotsRunning(), limit)
+	if limit := p.options.Publisher.MaxSnapshots; limit > 0 && p.publisher.ActiveSnapshots() > limit {
+		n.violated(CheckSnapshots, p, "%d, at most %d", p.publisher.ActiveSnapshots(), limit)
 	}
 }
 
--- a/internal/controlplane/simulate/network.go
+++ b/internal/controlplane/simulate/network.go
@@ -19,14 +19,14 @@
 
 // Link is how messages travel. The chances are of one message, from 0 to 1.
 type Link struct {
-	Latency time.Duration // at least
-	Jitter  time.Duration // and up to so much more
-	Loss    float64
-	Double  float64
-	Late    float64 // a message is overtaken by later ones, by up to a second
-	Torn    float64 // a delta or a snapshot's part loses half of what it holds
-	Invalid float64 // a delta gets a change that no validation lets through, as from a faulty parent
-	Replay  float64 // a heartbeat is followed by a snapshot of an earlier state, as from a parent whose log went back
+	Latency   time.Duration // at least
+	Jitter    time.Duration // and up to so much more
+	Loss      float64
+	Duplicate float64
+	Reorder   float64 // a message is overtaken by later ones, by up to a second
+	Truncate  float64 // a delta or a snapshot's part loses half of what it holds
+	Invalid   float64 // a delta gets a change that no validation lets through, as from a faulty parent
+	Replay    float64 // a heartbeat is followed by a snapshot of an earlier state, as from a parent whose log went back
 }
 
 // Traffic is what a process has sent and received.
@@ -283,20 +283,20 @@
 	if n.chance(n.link.Loss) {
 		return
 	}
-	if n.chance(n.link.Torn) {
+	if n.chance(n.link.Truncate) {
 		m = tear(m)
 	}
 	if delta, ok := m.(*message.Delta); ok && len(delta.Changes) > 0 && n.chance(n.link.Invalid) {
 		m = spoil(delta)
 	}
 	at := max(*last, n.now+n.latency())
-	if n.chance(n.link.Late) {
+	if n.chance(n.link.Reorder) {
 		at += time.Duration(n.random.Float64() * float64(lateBy))
 	} else {
 		*last = at
 	}
 	n.schedule(at, to, receive)
-	if n.chance(n.link.Double) {
+	if n.chance(n.link.Duplicate) {
 		n.schedule(at+n.latency(), to, receive)
 	}
 }
--- a/internal/controlplane/simulate/scenario_test.go
+++ b/internal/controlplane/simulate/scenario_test.go
@@ -16,7 +16,7 @@
 	o := SmallOptions(11)
 	o.Regions, o.Zones, o.Relays, o.Nodes = 1, 1, 3, 390
 	o.Services, o.ServicesPerNode, o.Endpoints = 60, 20, 20
-	o.Publisher = publisher.Config{MaxSnapshots: 8, PartBytes: 4 << 10, BytesPerSecond: 1 << 20, Burst: 256 << 10, SessionBytesPerSecond: 64 << 10, SessionBurst: 16 << 10}
+	o.Publisher = publisher.Config{MaxSnapshots: 8, PartBytes: 4 << 10, BytesPerSecond: 1 << 20, BurstBytes: 256 << 10, SessionBytesPerSecond: 64 << 10, SessionBurstBytes: 16 << 10}
 	return o
 }
 
@@ -105,7 +105,7 @@
 	n.Run(n.now + time.Second)
 	endpoint(t, n, region0, 1, 99)
 	n.Run(n.now + time.Second)
-	took := until(t, n, HealWithin)
+	took := until(t, n, MaxHealTime)
 	expectNone(t, n)
 	after := n.Counts().Snapshots
 	t.Logf("%s after the relays had started; %d snapshots", took, after-snapshots)
@@ -165,7 +165,7 @@
 			own, other = region1, region0
 		}
 		s := p.Subscriber(own)
-		if age := s.Age(own, p.clock()); age > InForceWithin {
+		if age := s.Age(own, p.clock()); age > MaxApplyTime {
 			t.Errorf("%s: the age of its own region's log is %s", p.Name, age)
 		}
 		if age := s.Age(other, p.clock()); age < cut-10*time.Second || age > cut+10*time.Second {
@@ -173,7 +173,7 @@
 		}
 	}
 	heal()
-	took := until(t, n, HealWithin)
+	took := until(t, n, MaxHealTime)
 	t.Logf("healed in %s", took)
 	expectNone(t, n)
 }
@@ -192,7 +192,7 @@
 	}
 	heal := n.Cut(func(a, b *Process) bool { return half[a] != half[b] })
 	endpoint(t, n, region0, 1, 50)
-	n.Run(n.now + InForceWithin)
+	n.Run(n.now + MaxApplyTime)
 	var cutOff []*Process
 	for p := range half {
 		cutOff = append(cutOff, p)
@@ -203,7 +203,7 @@
 	n.CheckAll(CheckStall, cutOff...)
 	n.Run(n.now + time.Minute)
 	heal()
-	t.Logf("healed in %s", until(t, n, HealWithin))
+	t.Logf("healed in %s", until(t, n, MaxHealTime))
 	expectNone(t, n)
 }
 
@@ -221,7 +221,7 @@
 	}
 	n.Cut(func(a, b *Process) bool { return cut[a] && b.Role == RoleControl })
 	endpoint(t, n, region0, 1, 50)
-	n.Run(n.now + HealWithin)
+	n.Run(n.now + MaxHealTime)
 	n.CheckAll(CheckLag, cutOff...)
 	expectNone(t, n)
 }
@@ -238,13 +238,13 @@
 		}
 	}
 	endpoint(t, n, region0, 1, 50)
-	n.Run(n.now + InForceWithin)
+	n.Run(n.now + MaxApplyTime)
 	n.CheckAll(CheckStall, stalled...)
-	n.Run(n.now + 20*time.Second - InForceWithin)
+	n.Run(n.now + 20*time.Second - MaxApplyTime)
 	for _, wake := range wakes {
 		wake()
 	}
-	t.Logf("healed in %s", until(t, n, HealWithin))
+	t.Logf("healed in %s", until(t, n, MaxHealTime))
 	expectNone(t, n)
 }
 
--- a/internal/controlplane/simulate/script.go
+++ b/internal/controlplane/simulate/script.go
@@ -13,12 +13,12 @@
 // The times of a script, by the virtual clock.
 const (
 	chaosTime = 40 * time.Second // in which faults begin
-	// HealWithin is the time after the last fault's end in which all replicas have to be at the writer's state.
-	HealWithin = 45 * time.Second
-	settleTime = 40 * time.Second // until connections are as preferred again
-	// InForceWithin is the time in which a change has to be in force at every process that isn't itself at fault.
-	InForceWithin = 7 * time.Second
-	quietTime     = 10 * time.Second
+	// MaxHealTime is the time after the last fault's end in which all replicas have to be at the writer's state.
+	MaxHealTime = 45 * time.Second
+	settleTime  = 40 * time.Second // until connections are as preferred again
+	// MaxApplyTime is the time in which a change has to be in force at every process that isn't itself at fault.
+	MaxApplyTime = 7 * time.Second
+	quietTime    = 10 * time.Second
 )
 
 // SmallOptions are those of a script: two regions with two control processes, two zones of two relays and two nodes.
@@ -38,7 +38,7 @@
 		Endpoints:       4,
 		ClockDrift:      1e-3,
 		Link:            Link{Latency: time.Millisecond, Jitter: 20 * time.Millisecond},
-		Publisher:       publisher.Config{MaxSnapshots: 2, PartBytes: 300, SessionBurst: 4 << 10, SessionBytesPerSecond: 64 << 10},
+		Publisher:       publisher.Config{MaxSnapshots: 2, PartBytes: 300, SessionBurstBytes: 4 << 10, SessionBytesPerSecond: 64 << 10},
 		Subscriber:      limits,
 		Verify:          true,
 	}
@@ -83,7 +83,7 @@
 	s := &script{network: n, options: n.options, random: rand.New(rand.NewPCG(options.Seed, scriptStream))}
 	n.Run(2 * time.Second)
 	s.chaos()
-	n.Run(s.healed + HealWithin)
+	n.Run(s.healed + MaxHealTime)
 	n.CheckAll(CheckConverged)
 	n.Run(n.now + settleTime)
 	s.quiet()
@@ -145,7 +145,7 @@
 		s.note("cut zone %q off for %s", p.Zone, s.later(15*time.Second, heal))
 	case 7:
 		former := s.options.Link
-		n.SetLink(Link{Latency: former.Latency, Jitter: 200 * time.Millisecond, Loss: 0.05, Double: 0.05, Late: 0.05, Torn: 0.05, Invalid: 0.1, Replay: 0.02})
+		n.SetLink(Link{Latency: former.Latency, Jitter: 200 * time.Millisecond, Loss: 0.05, Duplicate: 0.05, Reorder: 0.05, Truncate: 0.05, Invalid: 0.1, Replay: 0.02})
 		s.note("a bad network for %s", s.later(10*time.Second, func() { n.SetLink(former) }))
 	case 8:
 		s.promote()
@@ -276,7 +276,7 @@
 	for r := range s.options.Regions {
 		s.change(regionName(r))
 	}
-	n.Run(n.now + InForceWithin)
+	n.Run(n.now + MaxApplyTime)
 	n.CheckAll(check, atFault...)
 }
 
--- a/internal/controlplane/simulate/topology.go
+++ b/internal/controlplane/simulate/topology.go
@@ -46,7 +46,7 @@
 	o.network, n.options = n, o
 	o.filters = map[string]changelog.Filter{}
 	n.checks.verify = o.Verify
-	n.checks.ageTolerance = 2*o.Subscriber.Silence + 2*time.Second
+	n.checks.ageTolerance = 2*o.Subscriber.SilenceTimeout + 2*time.Second
 	for r := range o.Regions {
 		n.logs[regionName(r)] = &logModel{positions: map[resource.Position]*state{}, epoch: 1}
 	}
--- a/internal/controlplane/subscriber/connections.go
+++ b/internal/controlplane/subscriber/connections.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// Candidates replaces those that may serve as parents. Connections to candidates that stay are kept.
-func (s *Subscriber) Candidates(now time.Duration, all []parents.Candidate) {
+// SetCandidates replaces those that may serve as parents. Connections to candidates that stay are kept.
+func (s *Subscriber) SetCandidates(now time.Duration, all []parents.Candidate) {
 	s.advance(now)
 	former := s.byName
 	s.parents, s.byName = s.parents[:0:0], make(map[string]*parent, len(all))
@@ -167,10 +167,10 @@
 	limits := &s.cfg.Limits
 	for _, p := range s.parents {
 		switch {
-		case p.state == parentConnecting && s.now-p.since > limits.Connect:
+		case p.state == parentConnecting && s.now-p.since > limits.ConnectTimeout:
 			s.failed(p)
 			s.actions.Close = append(s.actions.Close, p.candidate.Name)
-		case p.state == parentConnected && s.now-p.heardAt > limits.Silence && !s.faults.keepSilentParent:
+		case p.state == parentConnected && s.now-p.heardAt > limits.SilenceTimeout && !s.faults.keepSilentParent:
 			s.note(ParentLost{p.candidate.Name, LossSilent})
 			s.failed(p)
 			s.close(p)
@@ -194,7 +194,7 @@
 		if p.live() {
 			live++
 			worst = p.rank
-			if !p.stale(s.now, s.cfg.Limits.Stale) {
+			if !p.stale(s.now, s.cfg.Limits.StaleAfter) {
 				useful++
 			}
 		} else if idle == nil && s.now >= p.retryAt {
@@ -221,12 +221,12 @@
 		if !p.live() {
 			continue
 		}
-		if last != nil && last.settled(s.now) && !last.stale(s.now, s.cfg.Limits.Stale) {
+		if last != nil && last.settled(s.now) && !last.stale(s.now, s.cfg.Limits.StaleAfter) {
 			settled++
 		}
 		live++
 		last = p
-		if p.stale(s.now, s.cfg.Limits.Stale) && !s.isSource(p) {
+		if p.stale(s.now, s.cfg.Limits.StaleAfter) && !s.isSource(p) {
 			stale = p
 		}
 	}
--- a/internal/controlplane/subscriber/receive.go
+++ b/internal/controlplane/subscriber/receive.go
@@ -26,7 +26,7 @@
 	if verified && !r.resync && (m.Position == r.store.Position() || r.faults.ageUnchecked) {
 		r.freshAt = max(r.freshAt, s.freshAt)
 	}
-	if p == r.source && r.now-r.acknowledged >= r.cfg.Limits.Acknowledge {
+	if p == r.source && r.now-r.acknowledged >= r.cfg.Limits.AcknowledgeInterval {
 		r.acknowledge(p, "")
 	}
 	return nil
@@ -90,7 +90,7 @@
 	r.counts.Busy++
 	r.breakOff()
 	r.askAgain, r.askTo = true, resource.Position{}
-	r.askAt = r.now + min(m.RetryAfter, r.cfg.Limits.MaxBusy)
+	r.askAt = r.now + min(m.RetryAfter, r.cfg.Limits.MaxBusyWait)
 	r.progressAt = r.now
 	return nil
 }
--- a/internal/controlplane/subscriber/replica.go
+++ b/internal/controlplane/subscriber/replica.go
@@ -155,7 +155,7 @@
 // preferredParent is the most preferred parent that was stable, or nil.
 func (r *replica) preferredParent() *parent {
 	for _, p := range r.parents {
-		if p.settled(r.now) && !p.stale(r.now, r.cfg.Limits.Stale) && !r.silent(p) {
+		if p.settled(r.now) && !p.stale(r.now, r.cfg.Limits.StaleAfter) && !r.silent(p) {
 			return p
 		}
 	}
@@ -166,7 +166,7 @@
 
 // silent reports whether a connected parent says nothing about this region.
 func (r *replica) silent(p *parent) bool {
-	return r.now-r.session(p).heardAt > r.cfg.Limits.Silence
+	return r.now-r.session(p).heardAt > r.cfg.Limits.SilenceTimeout
 }
 
 // reasonToSwitch is why the best parent is to be the source, or "".
@@ -178,7 +178,7 @@
 		return SwitchLost
 	case best != r.source && r.silent(r.source) && !r.silent(best):
 		return SwitchSilent
-	case best != r.source && r.lag.active && r.now-r.lag.since > r.cfg.Limits.Lag && !r.faults.ignoreLag:
+	case best != r.source && r.lag.active && r.now-r.lag.since > r.cfg.Limits.MaxLag && !r.faults.ignoreLag:
 		return SwitchBehind
 	}
 	return ""
@@ -248,7 +248,7 @@
 	if !r.behind.active {
 		r.behind = behind{since: r.now, active: true}
 	}
-	if !r.behind.noted && r.now-r.behind.since > r.cfg.Limits.WentBack {
+	if !r.behind.noted && r.now-r.behind.since > r.cfg.Limits.WentBackAfter {
 		r.behind.noted = true
 		r.note(LogWentBack{r.region, first.candidate.Name, r.session(first).position, r.store.Position()})
 	}
@@ -284,7 +284,7 @@
 		r.progressAt = r.now
 		return
 	}
-	if r.session(r.source).asked == askedStream && r.now-r.progressAt > r.cfg.Limits.CatchUp {
+	if r.session(r.source).asked == askedStream && r.now-r.progressAt > r.cfg.Limits.CatchUpTimeout {
 		r.breakOff()
 		r.ask(resource.Position{})
 	}
--- a/internal/controlplane/subscriber/subscriber.go
+++ b/internal/controlplane/subscriber/subscriber.go
@@ -21,44 +21,44 @@
 
 // Limits are the times and bounds of a subscriber. DefaultLimits has those of the target fleet.
 type Limits struct {
-	Connect      time.Duration // a connection that takes longer has failed
-	Silence      time.Duration // a parent that is silent for longer is given up
-	Lag          time.Duration // a source that is behind the standby for longer is changed
-	CatchUp      time.Duration // a source that has more and sends nothing of it for longer is asked again
-	Stale        time.Duration // a parent whose state is older doesn't count as one of the two
-	ReturnAfter  time.Duration // a parent is preferred again after it was stable for between once and twice this
-	BackoffBase  time.Duration // of reconnects and repeated requests
-	BackoffLimit time.Duration
-	RetryBurst   int     // connects and repeated requests at once
-	RetryPerSec  float64 // and on average
-	MaxBusy      time.Duration
-	Acknowledge  time.Duration // how often a position is acknowledged again that hasn't moved
-	WentBack     time.Duration // for how long all parents must be behind until that is noted
-	NoteInterval time.Duration // between notes of the same kind about messages
-	MaxChanges   int           // of one delta
-	MaxResources int           // of one snapshot
-	Store        changelog.Limits
+	ConnectTimeout      time.Duration // a connection that takes longer has failed
+	SilenceTimeout      time.Duration // a parent that is silent for longer is given up
+	MaxLag              time.Duration // a source that is behind the standby for longer is changed
+	CatchUpTimeout      time.Duration // a source that has more and sends nothing of it for longer is asked again
+	StaleAfter          time.Duration // a parent whose state is older doesn't count as one of the two
+	ReturnAfter         time.Duration // a parent is preferred again after it was stable for between once and twice this
+	BackoffBase         time.Duration // of reconnects and repeated requests
+	BackoffLimit        time.Duration
+	RetryBurst          int     // connects and repeated requests at once
+	RetriesPerSecond    float64 // and on average
+	MaxBusyWait         time.Duration
+	AcknowledgeInterval time.Duration // how often a position is acknowledged again that hasn't moved
+	WentBackAfter       time.Duration // for how long all parents must be behind until that is noted
+	NoteInterval        time.Duration // between notes of the same kind about messages
+	MaxChanges          int           // of one delta
+	MaxResources        int           // of one snapshot
+	Store               changelog.Limits
 }
 
 // DefaultLimits are right for a heartbeat a second.
 func DefaultLimits() Limits {
 	return Limits{
-		Connect:      3 * time.Second,
-		Silence:      3 * time.Second,
-		Lag:          2 * time.Second,
-		CatchUp:      5 * time.Second,
-		Stale:        15 * time.Second,
-		ReturnAfter:  30 * time.Second,
-		BackoffBase:  time.Second,
-		BackoffLimit: 5 * time.Second,
-		RetryBurst:   6,
-		RetryPerSec:  0.5,
-		MaxBusy:      time.Minute,
-		Acknowledge:  5 * time.Second,
-		WentBack:     10 * time.Second,
-		NoteInterval: time.Minute,
-		MaxChanges:   100_000,
-		MaxResources: 4_000_000,
+		ConnectTimeout:      3 * time.Second,
+		SilenceTimeout:      3 * time.Second,
+		MaxLag:              2 * time.Second,
+		CatchUpTimeout:      5 * time.Second,
+		StaleAfter:          15 * time.Second,
+		ReturnAfter:         30 * time.Second,
+		BackoffBase:         time.Second,
+		BackoffLimit:        5 * time.Second,
+		RetryBurst:          6,
+		RetriesPerSecond:    0.5,
+		MaxBusyWait:         time.Minute,
+		AcknowledgeInterval: 5 * time.Second,
+		WentBackAfter:       10 * time.Second,
+		NoteInterval:        time.Minute,
+		MaxChanges:          100_000,
+		MaxResources:        4_000_000,
 	}
 }
 
@@ -181,13 +181,13 @@
 		byName:   map[string]*parent{},
 		noted:    map[noteKey]time.Duration{},
 	}
-	s.budget = retryBudget{tokens: float64(cfg.Limits.RetryBurst), burst: float64(cfg.Limits.RetryBurst), perSec: cfg.Limits.RetryPerSec, filledAt: now}
+	s.budget = retryBudget{tokens: float64(cfg.Limits.RetryBurst), burst: float64(cfg.Limits.RetryBurst), perSec: cfg.Limits.RetriesPerSecond, filledAt: now}
 	for i, region := range cfg.Regions {
 		r := &replica{Subscriber: s, region: region, index: i, store: changelog.NewStore(region, cfg.storeLimits()), freshAt: now - ageUnknown}
 		s.replicas = append(s.replicas, r)
 		s.byRegion[region] = r
 	}
-	s.Candidates(now, cfg.Candidates)
+	s.SetCandidates(now, cfg.Candidates)
 	return s
 }
 
@@ -280,9 +280,9 @@
 	return s.drop(parent, m.RegionName(), DropUnexpected, fmt.Sprintf("%T", m))
 }
 
-// Skipped tells that the next message of a parent held fields or resources of a later version that could not be read. Its
+// MarkSkipped tells that the next message of a parent held fields or resources of a later version that could not be read. Its
 // digest counts them, so the replica takes it as it is, and goes on from there.
-func (s *Subscriber) Skipped(now time.Duration, parent string) {
+func (s *Subscriber) MarkSkipped(now time.Duration, parent string) {
 	s.advance(now)
 	if p := s.byName[parent]; p != nil {
 		p.skipped = true
@@ -328,7 +328,7 @@
 
 // Next is when Step is to be called again at the latest.
 func (s *Subscriber) Next(now time.Duration) time.Duration {
-	next := now + s.cfg.Limits.Silence/checksPerSilence
+	next := now + s.cfg.Limits.SilenceTimeout/checksPerSilence
 	for _, p := range s.parents {
 		if p.state == parentIdle && p.retryAt > now {
 			next = min(next, p.retryAt)
@@ -354,14 +354,14 @@
 		return
 	}
 	s.now = now
-	if gap <= s.cfg.Limits.Silence/2 {
+	if gap <= s.cfg.Limits.SilenceTimeout/2 {
 		return
 	}
 	if now-gap > s.stallUntil {
 		s.stall = 0 // what was on its way in the last stall has come, or its connection was given up
 	}
 	s.stall += gap
-	s.stallUntil = now + s.cfg.Limits.Silence + s.cfg.Limits.Silence/checksPerSilence
+	s.stallUntil = now + s.cfg.Limits.SilenceTimeout + s.cfg.Limits.SilenceTimeout/checksPerSilence
 	for _, p := range s.parents {
 		p.excuse(gap)
 	}
--- a/internal/controlplane/subscriber/subscriber_test.go
+++ b/internal/controlplane/subscriber/subscriber_test.go
@@ -428,7 +428,7 @@
 		t.Errorf("the age is %s", age)
 	}
 	limits := DefaultLimits()
-	if most := limits.RetryBurst + int(limits.RetryPerSec*outage.Seconds()); attempts > most || attempts < 40 {
+	if most := limits.RetryBurst + int(limits.RetriesPerSecond*outage.Seconds()); attempts > most || attempts < 40 {
 		t.Errorf("%d attempts, at most %d", attempts, most)
 	}
 	if n := noted[NoParent](h.notes()); len(n) != 1 {
@@ -451,7 +451,7 @@
 		}
 	}
 	limits := DefaultLimits()
-	if most := limits.RetryBurst + int(limits.RetryPerSec*outage.Seconds()); attempts > most || attempts < most-2 {
+	if most := limits.RetryBurst + int(limits.RetriesPerSecond*outage.Seconds()); attempts > most || attempts < most-2 {
 		t.Errorf("%d attempts in %s, at most %d", attempts, outage, most)
 	}
 }
@@ -749,7 +749,7 @@
 	}
 	h.mustReceive(first, &message.Busy{Region: region, RetryAfter: 1000 * time.Hour})
 	h.sent = nil
-	h.pass(DefaultLimits().MaxBusy+time.Second, h.beatAt(first, at(1, 1)), h.beatAt(second, at(1, 1)))
+	h.pass(DefaultLimits().MaxBusyWait+time.Second, h.beatAt(first, at(1, 1)), h.beatAt(second, at(1, 1)))
 	if asked := h.subscribes(first); len(asked) != 1 {
 		t.Errorf("asked %d times after the longest wait", len(asked))
 	}
@@ -763,7 +763,7 @@
 	h.append(1, set(tenant("u", 1))...)
 	delta := h.delta(at(1, 1))
 	delta.Digest += unread
-	h.s.Skipped(h.now, first)
+	h.s.MarkSkipped(h.now, first)
 	h.mustReceive(first, delta)
 	h.expectState()
 	sent := func(digest message.Digest) func() {
@@ -790,7 +790,7 @@
 // TestFieldsOfALaterVersionInAHeartbeat: they say nothing of the message behind it, whose digest is compared as ever.
 func TestFieldsOfALaterVersionInAHeartbeat(t *testing.T) {
 	h, first, _ := ready(t, 2)
-	h.s.Skipped(h.now, first)
+	h.s.MarkSkipped(h.now, first)
 	h.beat(first)()
 	before := h.region().Position
 	h.append(1, set(tenant("u", 1))...)
@@ -857,14 +857,14 @@
 			rest = append(rest, p.candidate)
 		}
 	}
-	h.s.Candidates(h.now, rest)
+	h.s.SetCandidates(h.now, rest)
 	h.step()
 	if !slices.Equal(h.closes, []string{first}) || len(h.connects) != 1 || h.source() != second {
 		t.Errorf("closes %v, connects to %v, streams from %q", h.closes, h.connects, h.source())
 	}
 	rest[0].Address = "elsewhere"
 	h.closes, h.connects = nil, nil
-	h.s.Candidates(h.now, rest)
+	h.s.SetCandidates(h.now, rest)
 	h.step()
 	if !slices.Equal(h.closes, []string{rest[0].Name}) || !slices.Contains(h.connects, rest[0].Name) {
 		t.Errorf("closes %v, connects to %v", h.closes, h.connects)
--- a/internal/kit/scale/hierarchy/network.go
+++ b/internal/kit/scale/hierarchy/network.go
@@ -187,7 +187,7 @@
 	if p.Role != RoleNode {
 		p.publisher = publisher.New(publisher.Config{
 			BytesPerSecond:    float64(n.plan.Rates.RelayBytes),
-			Burst:             burstSeconds * float64(n.plan.Rates.RelayBytes),
+			BurstBytes:        burstSeconds * float64(n.plan.Rates.RelayBytes),
 			HeartbeatInterval: n.plan.Rates.Heartbeat.D(),
 			Seed:              n.random.Uint64(),
 			Age:               p.age,
