--- a/internal/controlplane/publisher/budget.go
+++ b/internal/controlplane/publisher/budget.go
@@ -7,11 +7,11 @@
 	"craneglade/internal/controlplane/message"
 )
 
-// bucket is a token bucket of bytes. A message is sent while there is any token, and may take more than there are: the
-// bucket is in debt then, so that the mean rate holds whatever the sizes.
+// bucket is a token bucket of bytes. A message may be sent while any token is left and may cost more than that: the balance
+// then goes negative, so that the mean rate holds whatever the message sizes.
 type bucket struct {
 	tokens   float64
-	rate     float64 // a second
+	rate     float64 // bytes per second
 	burst    float64
 	filledAt time.Duration
 }
@@ -29,7 +29,7 @@
 
 func (b *bucket) spend(bytes int) { b.tokens -= float64(bytes) }
 
-// readyAt is when there will be a token.
+// readyAt returns the time at which a token is available.
 func (b *bucket) readyAt() time.Duration {
 	if b.tokens > 0 {
 		return b.filledAt
@@ -37,7 +37,7 @@
 	return b.filledAt + time.Duration(math.Ceil((1-b.tokens)/b.rate*float64(time.Second)))
 }
 
-// queue is first in, first out. Its zero value is empty.
+// queue is a FIFO queue. Its zero value is empty and ready to use.
 type queue[T any] struct {
 	items []T
 	head  int
@@ -62,18 +62,18 @@
 }
 
 func (q *queue[T]) pop() T {
-	var none T
+	var zero T
 	item := q.items[q.head]
-	q.items[q.head] = none
+	q.items[q.head] = zero
 	q.head++
 	return item
 }
 
-const fixedBytes = 48 // of a message without its resources, about
+const messageOverheadBytes = 48 // approximate size of a message without its resources
 
-// EstimateSize is about the bytes of a message on the wire.
+// EstimateSize returns the approximate size of a message on the wire in bytes.
 func EstimateSize(m message.Message) int {
-	size := fixedBytes + len(m.RegionName())
+	size := messageOverheadBytes + len(m.RegionName())
 	switch m := m.(type) {
 	case *message.Delta:
 		for i := range m.Changes {
--- a/internal/controlplane/publisher/publisher.go
+++ b/internal/controlplane/publisher/publisher.go
@@ -1,10 +1,10 @@
-// Package publisher serves the subscribers of one process of the control plane with the logs of all regions: deltas of what
-// they subscribe to, snapshots to those that can't be brought up by deltas, and heartbeats. A change costs the sessions
-// whose subscription it touches, not all of them. What is sent keeps to a budget of bytes for the process and for each
-// session, and to a bound of bytes that a session hasn't acknowledged.
+// Package publisher serves the logs of all regions to the subscribers of one control plane process: deltas of what they
+// subscribe to, snapshots for subscribers that deltas can't bring up to date, and heartbeats. A change is processed only for
+// the sessions whose subscription it affects. Sending is limited by a byte budget for the process, a byte budget for each
+// session, and a bound on the unacknowledged bytes of a session.
 //
-// Publisher is a state machine that its caller drives. There is no I/O, clock or goroutine here; nothing is safe for
-// concurrent use.
+// Publisher is a state machine that its caller drives. It does no I/O, reads no clock and starts no goroutines, and it is
+// not safe for concurrent use.
 package publisher
 
 import (
@@ -19,29 +19,29 @@
 	"craneglade/internal/controlplane/resource"
 )
 
-// Config is what a publisher is made from. Zero fields have the defaults of DefaultConfig, but for Age and Size.
+// Config configures a publisher. Zero fields take their value from DefaultConfig, except for Age and Size.
 type Config struct {
-	BytesPerSecond         float64       // of the process
-	BurstBytes             float64       // bytes of the process at once
-	SessionBytesPerSecond  float64       // of one session
-	SessionBurstBytes      float64       // bytes of one session at once
-	MaxUnacknowledgedBytes int           // bytes that a session was sent and hasn't acknowledged
-	MaxSnapshots           int           // at a time
-	SnapshotTimeout        time.Duration // after which a snapshot is broken off whose parts aren't acknowledged
-	PartBytes              int           // of a snapshot's part, about
-	MaxDeltaBytes          int           // of a delta; what is larger is sent as a snapshot
+	BytesPerSecond         float64       // budget of the process
+	BurstBytes             float64       // burst of the process budget
+	SessionBytesPerSecond  float64       // budget of each session
+	SessionBurstBytes      float64       // burst of each session budget
+	MaxUnacknowledgedBytes int           // bytes sent to a session that it has not acknowledged
+	MaxSnapshots           int           // snapshots in progress at the same time
+	SnapshotTimeout        time.Duration // a snapshot that waits for acknowledgements for longer is aborted
+	PartBytes              int           // approximate size of a snapshot part
+	MaxDeltaBytes          int           // a larger delta is replaced by a snapshot
 	HeartbeatInterval      time.Duration
-	BusyRetryBase          time.Duration // the least spread of retries after Busy
+	BusyRetryBase          time.Duration // base of the random waits that Busy announces
 	Seed                   uint64
 
-	// Age is how long ago the writer of a region was known to stand where the store stands. Nil stands for zero: the
-	// process is the writer of all logs that it serves.
+	// Age returns how long ago the writer of a region was known to be at the store's position. If it is nil the age is
+	// always zero: the process is the writer of all logs that it serves.
 	Age func(region string, now time.Duration) time.Duration
-	// Size is the bytes of a message on the wire. Nil stands for an estimate.
+	// Size returns the size of a message on the wire in bytes. If it is nil, EstimateSize is used.
 	Size func(message.Message) int
 }
 
-// DefaultConfig has the values of a relay of the target fleet.
+// DefaultConfig returns the configuration of a relay of the target fleet.
 func DefaultConfig() Config {
 	return Config{
 		BytesPerSecond:         32 << 20,
@@ -49,10 +49,10 @@
 		SessionBytesPerSecond:  4 << 20,
 		SessionBurstBytes:      1 << 20,
 		MaxUnacknowledgedBytes: 512 << 10,
-		MaxSnapshots:           64, // bytes are bounded by the budgets, and whole snapshots are shared
+		MaxSnapshots:           64, // the budgets bound the bytes, and full snapshots are shared
 		SnapshotTimeout:        10 * time.Second,
 		PartBytes:              32 << 10,
-		MaxDeltaBytes:          3 << 20, // the largest transaction fits, and a frame holds it
+		MaxDeltaBytes:          3 << 20, // holds the largest transaction and fits into a frame
 		HeartbeatInterval:      time.Second,
 		BusyRetryBase:          time.Second,
 	}
@@ -80,99 +80,99 @@
 	return c
 }
 
-// Bounds on what a session may ask for.
+// Bounds on the subscriptions of a session.
 const (
 	MaxRegions  = 64
-	MaxServices = message.MaxServices // of one subscription
+	MaxServices = message.MaxServices // per subscription
 )
 
-// SessionID names a session; the caller never uses one again.
+// SessionID identifies a session. The caller never reuses an ID.
 type SessionID uint64
 
-// Outgoing is a message for a session. Messages are shared between sessions: nobody may change one.
+// Outgoing is a message to be sent to a session. Messages are shared between sessions and must not be modified.
 type Outgoing struct {
 	Session SessionID
 	Message message.Message
 }
 
-// SubscriberStatus is what a session has of a region's log.
+// SubscriberStatus is the state of a session's subscription to a region's log.
 type SubscriberStatus struct {
 	Session             SessionID
 	Region              string
 	Standby             bool
 	State               string            // such as "current" or "snapshot"
-	Position            resource.Position // in force there, as last acknowledged
-	Refused             string            // why the latest state is not
-	UnacknowledgedBytes int               // bytes, of the whole session
+	Position            resource.Position // in force at the subscriber, as last acknowledged
+	Refused             string            // why the subscriber refused the latest state
+	UnacknowledgedBytes int               // of the whole session
 }
 
 // Publisher serves the subscribers of one process.
 type Publisher struct {
-	cfg       Config
-	random    *rand.Rand
-	now       time.Duration
-	bucket    bucket
-	sessions  map[SessionID]*session
-	beats     queue[*session] // by the time of their next heartbeat
-	greetings []*subscription // new ones, that get a heartbeat at once
-	regions   []*region       // by name
-	deltas    queue[*subscription]
-	parts     queue[*subscription]
-	throttled []*subscription // until their session's budget allows more
-	snapshots []*subscription // being sent
-	waiting   int             // subscriptions that were told to come again for a snapshot
-	typical   time.Duration   // what a snapshot has taken lately
-	sinceLast int             // deltas sent since the last part of a snapshot
-	beatBytes int
-	block     []message.Heartbeat // not used yet
-	out       []Outgoing
-	pending   []Outgoing // answers, sent with the next Step
-	faults    faults
+	cfg              Config
+	random           *rand.Rand
+	now              time.Duration
+	bucket           bucket
+	sessions         map[SessionID]*session
+	heartbeatQueue   queue[*session] // ordered by the time of their next heartbeat
+	newSubscriptions []*subscription // to be sent a heartbeat with the next Step
+	regions          []*region       // sorted by name
+	deltaQueue       queue[*subscription]
+	partQueue        queue[*subscription]
+	throttled        []*subscription // waiting for budget of their session
+	activeSnapshots  []*subscription // with a snapshot in progress
+	waitingCount     int             // subscriptions in stateWaiting
+	meanSnapshotTime time.Duration   // moving average of the duration of a snapshot
+	deltasSincePart  int             // deltas sent since the last snapshot part
+	heartbeatBytes   int
+	unusedHeartbeats []message.Heartbeat // allocated and not used yet
+	outgoing         []Outgoing
+	pendingReplies   []Outgoing // replies to be sent with the next Step
+	faults           faults
 }
 
-// faults are planted by tests, to show that a check names them; nothing else sets them.
+// faults are set by tests only, to show that a check detects them.
 type faults struct {
-	missIndex          bool // a change reaches only every other session that subscribes to it
-	unboundedSnapshots bool // snapshots are started for everybody at once
-	resumeAnywhere     bool // a subscriber is taken to be current wherever it stands
-	omitDeleted        bool // deltas hold no deletions
+	skipEveryOtherSession bool // a change is sent to only every other session that subscribes to it
+	unboundedSnapshots    bool // MaxSnapshots is not enforced
+	assumeCurrent         bool // a subscriber at any position is treated as current
+	omitDeletions         bool // deltas contain no deletions
 }
 
-// session is one connection of a subscriber.
+// session is a connection of a subscriber.
 type session struct {
-	id             SessionID
-	bucket         bucket
-	subscriptions  []*subscription
-	beatAt         time.Duration
-	gone           bool
-	unacknowledged int
-	inFlight       []inFlight
+	id                  SessionID
+	bucket              bucket
+	subscriptions       []*subscription
+	heartbeatAt         time.Duration
+	closed              bool
+	unacknowledgedBytes int
+	inFlight            []inFlight
 }
 
-// inFlight is a message that is not acknowledged yet.
+// inFlight is a message that has not been acknowledged.
 type inFlight struct {
-	region *region
-	to     resource.Position
-	bytes  int
-	part   bool // of a snapshot
+	region         *region
+	to             resource.Position
+	bytes          int
+	isSnapshotPart bool
 }
 
-// New returns a publisher that serves nothing yet.
+// New returns a publisher without logs or sessions.
 func New(cfg Config) *Publisher {
 	cfg = cfg.withDefaults()
 	return &Publisher{
-		cfg:       cfg,
-		random:    rand.New(rand.NewPCG(cfg.Seed, ^cfg.Seed)),
-		bucket:    newBucket(cfg.BytesPerSecond, cfg.BurstBytes),
-		sessions:  map[SessionID]*session{},
-		typical:   cfg.BusyRetryBase,
-		beatBytes: cfg.Size(&message.Heartbeat{Region: "a typical name", Position: somePosition, Sent: somePosition, Digest: 1 << 62, Age: time.Second}),
+		cfg:              cfg,
+		random:           rand.New(rand.NewPCG(cfg.Seed, ^cfg.Seed)),
+		bucket:           newBucket(cfg.BytesPerSecond, cfg.BurstBytes),
+		sessions:         map[SessionID]*session{},
+		meanSnapshotTime: cfg.BusyRetryBase,
+		heartbeatBytes:   cfg.Size(&message.Heartbeat{Region: "a typical name", Position: typicalPosition, Sent: typicalPosition, Digest: 1 << 62, Age: time.Second}),
 	}
 }
 
-var somePosition = resource.Position{Epoch: 100, Version: 1_000_000}
+var typicalPosition = resource.Position{Epoch: 100, Version: 1_000_000}
 
-// Publish serves a region's log from a store, which its owner goes on changing between calls of Step.
+// Publish serves a region's log from a store, which its owner may change between calls of Step.
 func (p *Publisher) Publish(store *changelog.Store) {
 	r := p.region(store.Region())
 	r.store, r.position = store, store.Position()
@@ -181,7 +181,7 @@
 	}
 }
 
-// region finds or adds a region.
+// region returns the region of a name, adding it if it is missing.
 func (p *Publisher) region(name string) *region {
 	i, found := slices.BinarySearchFunc(p.regions, name, func(r *region, name string) int { return cmp.Compare(r.name, name) })
 	if !found {
@@ -190,23 +190,23 @@
 	return p.regions[i]
 }
 
-// Connected tells of a new session.
+// Connected adds a session.
 func (p *Publisher) Connected(now time.Duration, id SessionID) {
 	p.advance(now)
-	s := &session{id: id, bucket: newBucket(p.cfg.SessionBytesPerSecond, p.cfg.SessionBurstBytes), beatAt: p.now + p.cfg.HeartbeatInterval}
+	s := &session{id: id, bucket: newBucket(p.cfg.SessionBytesPerSecond, p.cfg.SessionBurstBytes), heartbeatAt: p.now + p.cfg.HeartbeatInterval}
 	s.bucket.fill(p.now)
 	p.sessions[id] = s
-	p.beats.push(s)
+	p.heartbeatQueue.push(s)
 }
 
-// Disconnected tells that a session has ended.
+// Disconnected removes a session.
 func (p *Publisher) Disconnected(now time.Duration, id SessionID) {
 	p.advance(now)
 	s := p.sessions[id]
 	if s == nil {
 		return
 	}
-	s.gone = true
+	s.closed = true
 	delete(p.sessions, id)
 	for _, sub := range s.subscriptions {
 		p.remove(sub)
@@ -214,7 +214,7 @@
 	s.subscriptions = nil
 }
 
-// InvalidMessageError tells of a message of a subscriber that was dropped, in one line.
+// InvalidMessageError reports a subscriber's message that was dropped. Its text is one line.
 type InvalidMessageError struct {
 	Session SessionID
 	Region  string
@@ -225,12 +225,12 @@
 	return fmt.Sprintf("session %d, region %.80q: %s", e.Session, e.Region, e.Problem)
 }
 
-// Receive takes a message of a subscriber. An error says what was wrong with it; the session goes on.
+// Receive handles a message of a subscriber. An error reports what was wrong with the message; the session stays open.
 func (p *Publisher) Receive(now time.Duration, id SessionID, m message.Message) error {
 	p.advance(now)
 	s := p.sessions[id]
 	if s == nil {
-		return &InvalidMessageError{id, "", "the session isn't connected"}
+		return &InvalidMessageError{id, "", "session not connected"}
 	}
 	switch m := m.(type) {
 	case *message.Subscribe:
@@ -240,7 +240,7 @@
 	case nil:
 		return &InvalidMessageError{id, "", "no message"}
 	}
-	return &InvalidMessageError{id, m.RegionName(), fmt.Sprintf("a subscriber doesn't send %T", m)}
+	return &InvalidMessageError{id, m.RegionName(), fmt.Sprintf("unexpected message type %T", m)}
 }
 
 // subscribe replaces the session's subscription to a region.
@@ -250,39 +250,39 @@
 	}
 	former := s.subscription(m.Region)
 	if former == nil && len(s.subscriptions) >= MaxRegions {
-		return &InvalidMessageError{s.id, m.Region, fmt.Sprintf("over %d regions", MaxRegions)}
+		return &InvalidMessageError{s.id, m.Region, fmt.Sprintf("subscribed to more than %d regions", MaxRegions)}
 	}
 	if former != nil {
 		p.remove(former)
 		s.subscriptions = slices.DeleteFunc(s.subscriptions, func(sub *subscription) bool { return sub == former })
 	}
 	sub := &subscription{
-		session: s,
-		standby: m.Standby,
-		filter:  changelog.Filter{All: m.All, Services: m.Services},
-		told:    m.Have,
-		digest:  m.Digest,
-		known:   true,
-		inForce: m.Have,
-		greet:   true,
+		session:       s,
+		standby:       m.Standby,
+		filter:        changelog.Filter{All: m.All, Services: m.Services},
+		sentPosition:  m.Have,
+		sentDigest:    m.Digest,
+		digestKnown:   true,
+		ackedPosition: m.Have,
+		heartbeatDue:  true,
 	}
 	sub.region = p.region(m.Region)
 	s.subscriptions = append(s.subscriptions, sub)
-	p.scan(sub.region)
+	p.scanChanges(sub.region)
 	sub.region.add(sub)
-	p.greetings = append(p.greetings, sub)
+	p.newSubscriptions = append(p.newSubscriptions, sub)
 	p.reconcile(sub)
 	return nil
 }
 
-// checkServices says what is wrong with a subscription's services, or "".
+// checkServices returns what is wrong with a subscription's services, or "".
 func checkServices(m *message.Subscribe) string {
 	if len(m.Services) > MaxServices {
 		return fmt.Sprintf("%d services, at most %d", len(m.Services), MaxServices)
 	}
 	for i := 1; i < len(m.Services); i++ {
 		if m.Services[i-1] >= m.Services[i] {
-			return fmt.Sprintf("services are not sorted: %.80q before %.80q", m.Services[i-1], m.Services[i])
+			return fmt.Sprintf("services not sorted or repeated: %.80q before %.80q", m.Services[i-1], m.Services[i])
 		}
 	}
 	return ""
@@ -297,21 +297,21 @@
 	return nil
 }
 
-// acknowledge notes what a subscriber has in force.
+// acknowledge records which position a subscriber has in force.
 func (p *Publisher) acknowledge(s *session, m *message.Acknowledge) error {
 	sub := s.subscription(m.Region)
 	if sub == nil {
-		return &InvalidMessageError{s.id, m.Region, "an acknowledgement without a subscription"}
+		return &InvalidMessageError{s.id, m.Region, "acknowledgement without a subscription"}
 	}
-	sub.inForce, sub.refusal = m.Position, m.Refused
+	sub.ackedPosition, sub.refusalReason = m.Position, m.Refused
 	s.release(sub.region, m.Position, m.Refused != "")
 	if sub.snapshot != nil {
 		sub.snapshot.progressAt = p.now
 	}
 	if m.Refused != "" {
-		p.refused(sub, m.Position)
+		p.handleRefusal(sub, m.Position)
 	}
-	for _, each := range s.subscriptions { // the window is the whole session's
+	for _, each := range s.subscriptions { // the limit on unacknowledged bytes is for the whole session
 		if each.blocked {
 			each.blocked = false
 			p.enqueue(each)
@@ -320,8 +320,9 @@
 	return nil
 }
 
-// release takes acknowledged messages from the window: those up to the position, and the oldest part of a snapshot that is
-// still being sent, as each part is acknowledged.
+// release removes acknowledged messages of a region from the messages in flight: those up to the position and, as each part
+// of a snapshot is acknowledged, the oldest part of a snapshot that is still being sent. If all is set it removes all of
+// them.
 func (s *session) release(r *region, position resource.Position, all bool) {
 	onePart := true
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(f inFlight) bool {
@@ -329,42 +330,42 @@
 			return false
 		}
 		done := all || f.to.Compare(position) <= 0
-		if !done && f.part && onePart {
+		if !done && f.isSnapshotPart && onePart {
 			onePart, done = false, true
 		}
 		if done {
-			s.unacknowledged -= f.bytes
+			s.unacknowledgedBytes -= f.bytes
 		}
 		return done
 	})
 }
 
-// Step returns what is to be sent now. It is called after each change of a store or session, and at Next at the latest. The
-// slice is valid until the next call.
+// Step returns the messages to be sent now. It must be called after each change of a store or session, and no later than
+// Next. The slice is valid until the next call.
 func (p *Publisher) Step(now time.Duration) []Outgoing {
 	p.advance(now)
-	clear(p.out)
-	p.out = append(p.out[:0], p.pending...)
-	p.pending = p.pending[:0]
+	clear(p.outgoing)
+	p.outgoing = append(p.outgoing[:0], p.pendingReplies...)
+	p.pendingReplies = p.pendingReplies[:0]
 	for _, r := range p.regions {
-		p.scan(r)
-		r.shared = nil
-		clear(r.deltas)
+		p.scanChanges(r)
+		r.standbyHeartbeat = nil
+		clear(r.fullDeltas)
 	}
-	p.heartbeats()
-	p.breakOffStuck()
-	p.wakeThrottled()
+	p.sendHeartbeats()
+	p.abortStalledSnapshots()
+	p.requeueThrottled()
 	p.sendQueued()
-	return p.out
+	return p.outgoing
 }
 
-// Next is when Step is to be called again at the latest.
+// Next returns the time by which Step must be called again.
 func (p *Publisher) Next(now time.Duration) time.Duration {
 	next := now + p.cfg.HeartbeatInterval
-	if s, ok := p.beats.first(); ok {
-		next = min(next, s.beatAt)
+	if s, ok := p.heartbeatQueue.first(); ok {
+		next = min(next, s.heartbeatAt)
 	}
-	if p.deltas.len()+p.parts.len() > 0 {
+	if p.deltaQueue.len()+p.partQueue.len() > 0 {
 		next = min(next, p.bucket.readyAt())
 	}
 	for _, sub := range p.throttled {
@@ -378,10 +379,10 @@
 	p.bucket.fill(p.now)
 }
 
-// ActiveSnapshots is how many snapshots are being sent.
-func (p *Publisher) ActiveSnapshots() int { return len(p.snapshots) }
+// ActiveSnapshots returns the number of snapshots in progress.
+func (p *Publisher) ActiveSnapshots() int { return len(p.activeSnapshots) }
 
-// Subscribers is what each session has in force, by session and region.
+// Subscribers returns the state of all subscriptions, sorted by session and region.
 func (p *Publisher) Subscribers() []SubscriberStatus {
 	var all []SubscriberStatus
 	for _, r := range p.regions {
@@ -391,9 +392,9 @@
 				Region:              r.name,
 				Standby:             sub.standby,
 				State:               sub.state.String(),
-				Position:            sub.inForce,
-				Refused:             sub.refusal,
-				UnacknowledgedBytes: sub.session.unacknowledged,
+				Position:            sub.ackedPosition,
+				Refused:             sub.refusalReason,
+				UnacknowledgedBytes: sub.session.unacknowledgedBytes,
 			})
 		}
 	}
--- a/internal/controlplane/publisher/publisher_test.go
+++ b/internal/controlplane/publisher/publisher_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// step returns what is sent to one session, or to all for 0.
+// step returns the messages sent to one session, or to all sessions if id is 0.
 func (h *harness) step(id SessionID) []message.Message {
 	var sent []message.Message
 	for _, o := range h.p.Step(h.now) {
@@ -74,8 +74,8 @@
 	return sent
 }
 
-// pass lets time go by, and returns what was sent to one session.
-func (h *harness) pass(d time.Duration, id SessionID) []message.Message {
+// advance moves the clock forward and returns the messages sent to one session.
+func (h *harness) advance(d time.Duration, id SessionID) []message.Message {
 	var sent []message.Message
 	for end := h.now + d; h.now < end; {
 		h.now = min(end, max(h.p.Next(h.now), h.now+time.Millisecond))
@@ -106,7 +106,7 @@
 	}
 }
 
-func only[M message.Message](sent []message.Message) (found []M) {
+func ofType[M message.Message](sent []message.Message) (found []M) {
 	for _, m := range sent {
 		if m, ok := m.(M); ok {
 			found = append(found, m)
@@ -121,22 +121,23 @@
 
 var cart = changelog.Filter{Services: []string{"cart"}}
 
-// TestHowASubscriberIsBroughtUp by where it stands.
-func TestHowASubscriberIsBroughtUp(t *testing.T) {
+// TestCatchUpByPosition checks whether a new subscriber gets a delta, a snapshot or neither, by the position and digest that
+// it reports.
+func TestCatchUpByPosition(t *testing.T) {
 	for name, c := range map[string]struct {
 		have      func(h *harness) (resource.Position, message.Digest)
 		delta     bool
 		snapshot  bool
-		sentIsAll bool // the first heartbeat says that all was sent
+		sentIsAll bool // the first heartbeat reports the log's position as sent
 	}{
-		"nothing":                   {func(*harness) (resource.Position, message.Digest) { return at(0, 0), 0 }, false, true, false},
-		"all":                       {func(h *harness) (resource.Position, message.Digest) { return h.log.Position(), h.log.Digest(cart) }, false, false, true},
-		"all, with another digest":  {func(h *harness) (resource.Position, message.Digest) { return h.log.Position(), 7 }, false, true, false},
-		"a position in history":     {func(*harness) (resource.Position, message.Digest) { return at(1, 5), 7 }, true, false, false},
-		"a position before it":      {func(*harness) (resource.Position, message.Digest) { return at(1, 1), 7 }, false, true, false},
-		"the same state before it":  {func(h *harness) (resource.Position, message.Digest) { return at(1, 1), h.log.Digest(cart) }, true, false, false},
-		"a position that never was": {func(*harness) (resource.Position, message.Digest) { return at(0, 5), 7 }, false, true, false},
-		"a later position":          {func(*harness) (resource.Position, message.Digest) { return at(1, 99), 7 }, false, false, false},
+		"nothing":             {func(*harness) (resource.Position, message.Digest) { return at(0, 0), 0 }, false, true, false},
+		"the latest position": {func(h *harness) (resource.Position, message.Digest) { return h.log.Position(), h.log.Digest(cart) }, false, false, true},
+		"the latest position, with another digest":   {func(h *harness) (resource.Position, message.Digest) { return h.log.Position(), 7 }, false, true, false},
+		"a position in history":                      {func(*harness) (resource.Position, message.Digest) { return at(1, 5), 7 }, true, false, false},
+		"a position before it":                       {func(*harness) (resource.Position, message.Digest) { return at(1, 1), 7 }, false, true, false},
+		"a position before it, with the same digest": {func(h *harness) (resource.Position, message.Digest) { return at(1, 1), h.log.Digest(cart) }, true, false, false},
+		"a position not in the log":                  {func(*harness) (resource.Position, message.Digest) { return at(0, 5), 7 }, false, true, false},
+		"a later position":                           {func(*harness) (resource.Position, message.Digest) { return at(1, 99), 7 }, false, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, Config{})
@@ -146,12 +147,12 @@
 			have, digest := c.have(h)
 			sent := h.connect(1, &message.Subscribe{Services: cart.Services, Have: have, Digest: digest})
 			sent = append(sent, h.step(1)...)
-			deltas, parts, beats := only[*message.Delta](sent), only[*message.SnapshotPart](sent), only[*message.Heartbeat](sent)
+			deltas, parts, heartbeats := ofType[*message.Delta](sent), ofType[*message.SnapshotPart](sent), ofType[*message.Heartbeat](sent)
 			if len(deltas) > 0 != c.delta || len(parts) > 0 != c.snapshot {
 				t.Fatalf("%d deltas, %d parts", len(deltas), len(parts))
 			}
-			if len(beats) != 1 || beats[0].Position != h.log.Position() || (beats[0].Sent == h.log.Position()) != c.sentIsAll {
-				t.Errorf("heartbeats %+v", beats)
+			if len(heartbeats) != 1 || heartbeats[0].Position != h.log.Position() || (heartbeats[0].Sent == h.log.Position()) != c.sentIsAll {
+				t.Errorf("heartbeats %+v", heartbeats)
 			}
 			if c.delta && (deltas[0].From != have || deltas[0].To != h.log.Position() || deltas[0].Digest != h.log.Digest(cart)) {
 				t.Errorf("delta %+v", deltas[0])
@@ -163,24 +164,26 @@
 	}
 }
 
-// TestSubscriberAheadGetsHeartbeatsAlone until the store has reached it.
-func TestSubscriberAheadGetsHeartbeatsAlone(t *testing.T) {
+// TestSubscriberAheadOfLogGetsOnlyHeartbeats: a subscriber ahead of the store is sent no delta and no snapshot until the
+// store has reached its position.
+func TestSubscriberAheadOfLogGetsOnlyHeartbeats(t *testing.T) {
 	h := newHarness(t, Config{})
 	h.connect(1, &message.Subscribe{All: true, Have: at(1, 3), Digest: 7})
 	h.append(1, set(tenant("cart", "t", 2))...)
-	sent := h.pass(10*time.Second, 1)
-	if beats := only[*message.Heartbeat](sent); len(beats) != len(sent) || len(beats) != 10 || !beats[9].Sent.IsZero() {
-		t.Fatalf("%d messages, %d heartbeats", len(sent), len(beats))
+	sent := h.advance(10*time.Second, 1)
+	if heartbeats := ofType[*message.Heartbeat](sent); len(heartbeats) != len(sent) || len(heartbeats) != 10 || !heartbeats[9].Sent.IsZero() {
+		t.Fatalf("%d messages, %d heartbeats", len(sent), len(heartbeats))
 	}
 	h.append(1, set(tenant("cart", "t", 3))...)
 	h.append(1, set(tenant("cart", "t", 4))...)
-	if deltas := only[*message.Delta](h.pass(2*time.Second, 1)); len(deltas) != 1 || deltas[0].From != at(1, 3) || deltas[0].To != at(1, 4) {
+	if deltas := ofType[*message.Delta](h.advance(2*time.Second, 1)); len(deltas) != 1 || deltas[0].From != at(1, 3) || deltas[0].To != at(1, 4) {
 		t.Errorf("deltas %+v", deltas)
 	}
 }
 
-// TestAChangeGoesToItsSubscribersAlone, and the others' heartbeats say that they have all.
-func TestAChangeGoesToItsSubscribersAlone(t *testing.T) {
+// TestChangeReachesOnlyItsSubscribers: the other subscribers get no delta, and their heartbeats report the new position as
+// sent.
+func TestChangeReachesOnlyItsSubscribers(t *testing.T) {
 	h := newHarness(t, Config{})
 	pay := changelog.Filter{Services: []string{"pay"}}
 	h.connect(1, current(h, cart))
@@ -200,54 +203,56 @@
 	if want := map[SessionID]int{1: 1, 3: 1}; !reflect.DeepEqual(to, want) {
 		t.Errorf("deltas to %v, want %v", to, want)
 	}
-	beat := only[*message.Heartbeat](h.pass(time.Second, 2))[0]
-	if beat.Sent != at(1, 2) || beat.Digest != h.log.Digest(pay) {
-		t.Errorf("heartbeat %+v", beat)
+	heartbeat := ofType[*message.Heartbeat](h.advance(time.Second, 2))[0]
+	if heartbeat.Sent != at(1, 2) || heartbeat.Digest != h.log.Digest(pay) {
+		t.Errorf("heartbeat %+v", heartbeat)
 	}
-	if beat := only[*message.Heartbeat](h.pass(time.Second, 5))[0]; !beat.Sent.IsZero() || beat.Position != at(1, 2) {
-		t.Errorf("heartbeat of a standby %+v", beat)
+	if heartbeat := ofType[*message.Heartbeat](h.advance(time.Second, 5))[0]; !heartbeat.Sent.IsZero() || heartbeat.Position != at(1, 2) {
+		t.Errorf("heartbeat of a standby %+v", heartbeat)
 	}
 	h.append(1, set(tenant("pay", "t", 9))...)
-	if delta := only[*message.Delta](h.step(2)); len(delta) != 1 || delta[0].From != at(1, 2) {
+	if delta := ofType[*message.Delta](h.step(2)); len(delta) != 1 || delta[0].From != at(1, 2) {
 		t.Errorf("delta %+v, want one from the position of the heartbeat", delta)
 	}
 }
 
-// TestAgeOfHeartbeats is that of the store's owner.
-func TestAgeOfHeartbeats(t *testing.T) {
+// TestHeartbeatAge: heartbeats carry the age reported by the owner of the store.
+func TestHeartbeatAge(t *testing.T) {
 	start := time.Hour
 	h := newHarness(t, Config{Age: func(name string, now time.Duration) time.Duration { return now - start + time.Duration(len(name)) }})
 	h.connect(1, current(h, cart))
-	beats := only[*message.Heartbeat](h.pass(3*time.Second, 1))
-	if got := beats[len(beats)-1].Age; got != 3*time.Second+time.Duration(len(north)) {
+	heartbeats := ofType[*message.Heartbeat](h.advance(3*time.Second, 1))
+	if got := heartbeats[len(heartbeats)-1].Age; got != 3*time.Second+time.Duration(len(north)) {
 		t.Errorf("age %s", got)
 	}
 }
 
-// TestRefusedState: the subscriber gets the next state from its last good position, and heartbeats claim nothing.
-func TestRefusedState(t *testing.T) {
+// TestRefusedStateIsNotResent: after a refusal the subscriber gets the next state that differs, as a delta from its last
+// good position. Until then heartbeats report no position as sent.
+func TestRefusedStateIsNotResent(t *testing.T) {
 	h := newHarness(t, Config{})
 	h.connect(1, current(h, cart))
 	h.append(1, set(tenant("cart", "t", 2))...)
 	h.step(1)
 	h.acknowledge(1, at(1, 1), "line")
-	h.append(1, set(tenant("pay", "t", 2))...) // doesn't touch it
-	sent := h.pass(3*time.Second, 1)
-	if beats := only[*message.Heartbeat](sent); len(beats) != len(sent) || !beats[0].Sent.IsZero() {
+	h.append(1, set(tenant("pay", "t", 2))...) // not subscribed to
+	sent := h.advance(3*time.Second, 1)
+	if heartbeats := ofType[*message.Heartbeat](sent); len(heartbeats) != len(sent) || !heartbeats[0].Sent.IsZero() {
 		t.Fatalf("sent %+v", sent)
 	}
 	if status := h.p.Subscribers()[0]; status.Refused != "line" || status.State != "refused" || status.Position != at(1, 1) {
 		t.Errorf("status %+v", status)
 	}
 	h.append(1, set(tenant("cart", "t", 3))...)
-	deltas := only[*message.Delta](h.step(1))
+	deltas := ofType[*message.Delta](h.step(1))
 	if len(deltas) != 1 || deltas[0].From != at(1, 1) || deltas[0].To != at(1, 4) || len(deltas[0].Changes) != 1 {
 		t.Errorf("deltas %+v", deltas)
 	}
 }
 
-// TestLargeDelta: the largest transaction goes as a delta; what no frame holds goes as a snapshot.
-func TestLargeDelta(t *testing.T) {
+// TestOversizedDeltaBecomesSnapshot: the largest transaction is sent as a delta; changes that don't fit into a frame are
+// sent as a snapshot.
+func TestOversizedDeltaBecomesSnapshot(t *testing.T) {
 	h := newHarness(t, Config{})
 	h.connect(1, current(h, cart))
 	many := func(round int) (changes []resource.Change) {
@@ -257,7 +262,7 @@
 		return changes
 	}
 	h.append(1, many(0)...)
-	if deltas := only[*message.Delta](h.step(1)); len(deltas) != 1 || len(deltas[0].Changes) != resource.MaxChanges {
+	if deltas := ofType[*message.Delta](h.step(1)); len(deltas) != 1 || len(deltas[0].Changes) != resource.MaxChanges {
 		t.Fatalf("%d deltas", len(deltas))
 	}
 	h.acknowledge(1, h.log.Position(), "")
@@ -267,39 +272,41 @@
 	h.append(1, many(3)...)
 	h.append(1, many(4)...)
 	sent := h.step(1)
-	if deltas, parts := only[*message.Delta](sent), only[*message.SnapshotPart](sent); len(deltas) != 0 || len(parts) == 0 {
+	if deltas, parts := ofType[*message.Delta](sent), ofType[*message.SnapshotPart](sent); len(deltas) != 0 || len(parts) == 0 {
 		t.Errorf("%d deltas, %d parts", len(deltas), len(parts))
 	}
 }
 
-// TestWindow: a session that acknowledges nothing isn't sent more than the window, and goes on when it does.
-func TestWindow(t *testing.T) {
+// TestUnacknowledgedWindow: a session that acknowledges nothing is sent no more than MaxUnacknowledgedBytes, and sending
+// resumes with its acknowledgement.
+func TestUnacknowledgedWindow(t *testing.T) {
 	h := newHarness(t, Config{MaxUnacknowledgedBytes: 200})
 	h.connect(1, current(h, cart))
 	sent := 0
 	for i := range 20 {
 		h.append(1, set(tenant("cart", "t", float64(i+2)))...)
-		sent += len(only[*message.Delta](h.step(1)))
+		sent += len(ofType[*message.Delta](h.step(1)))
 	}
 	if sent < 2 || sent > 4 {
 		t.Fatalf("%d deltas into a window of 200 bytes", sent)
 	}
 	last := at(1, uint64(1+sent))
 	h.acknowledge(1, last, "")
-	got := h.pass(time.Second, 1)
-	if parts, deltas := only[*message.SnapshotPart](got), only[*message.Delta](got); len(parts)+len(deltas) != 1 {
+	got := h.advance(time.Second, 1)
+	if parts, deltas := ofType[*message.SnapshotPart](got), ofType[*message.Delta](got); len(parts)+len(deltas) != 1 {
 		t.Errorf("after an acknowledgement %d parts, %d deltas", len(parts), len(deltas))
 	}
 }
 
-// TestSnapshotInParts: the parts hold everything in order, wait for acknowledgements, and a change of meanwhile follows.
+// TestSnapshotInParts: the parts contain all resources in order, wait for acknowledgements, and are followed by a delta with
+// the changes made during the snapshot.
 func TestSnapshotInParts(t *testing.T) {
 	h := newHarness(t, Config{PartBytes: 100, MaxUnacknowledgedBytes: 250})
 	for i := range 50 {
 		h.append(1, set(tenant("cart", fmt.Sprintf("t%02d", i), 1))...)
 	}
 	want, digest, position := h.log.Snapshot(cart), h.log.Digest(cart), h.log.Position()
-	parts := only[*message.SnapshotPart](h.connect(1, &message.Subscribe{Services: cart.Services}))
+	parts := ofType[*message.SnapshotPart](h.connect(1, &message.Subscribe{Services: cart.Services}))
 	if len(parts) > 3 {
 		t.Fatalf("%d parts without an acknowledgement", len(parts))
 	}
@@ -308,8 +315,8 @@
 	for range 100 {
 		h.acknowledge(1, at(0, 0), "")
 		sent := h.step(1)
-		parts = append(parts, only[*message.SnapshotPart](sent)...)
-		deltas = append(deltas, only[*message.Delta](sent)...)
+		parts = append(parts, ofType[*message.SnapshotPart](sent)...)
+		deltas = append(deltas, ofType[*message.Delta](sent)...)
 	}
 	var got []resource.Resource
 	for i, part := range parts {
@@ -325,46 +332,46 @@
 		t.Errorf("deltas %+v", deltas)
 	}
 	if h.p.ActiveSnapshots() != 0 {
-		t.Errorf("%d snapshots running", h.p.ActiveSnapshots())
+		t.Errorf("%d snapshots in progress", h.p.ActiveSnapshots())
 	}
 }
 
-// TestStuckSnapshot frees its place.
-func TestStuckSnapshot(t *testing.T) {
+// TestStalledSnapshotFreesItsSlot: a subscriber that stops acknowledging must not block the snapshots of others.
+func TestStalledSnapshotFreesItsSlot(t *testing.T) {
 	h := newHarness(t, Config{PartBytes: 30, MaxUnacknowledgedBytes: 50, MaxSnapshots: 1})
 	h.connect(1, &message.Subscribe{All: true})
-	if busy := only[*message.Busy](h.connect(2, &message.Subscribe{All: true})); len(busy) != 1 {
-		t.Fatal("two snapshots at a time")
+	if busy := ofType[*message.Busy](h.connect(2, &message.Subscribe{All: true})); len(busy) != 1 {
+		t.Fatal("two snapshots in progress at the same time")
 	}
-	sent := h.pass(DefaultConfig().SnapshotTimeout+2*time.Second, 1)
-	if len(only[*message.Busy](sent)) != 1 || h.p.ActiveSnapshots() != 0 {
-		t.Fatalf("%d snapshots running", h.p.ActiveSnapshots())
+	sent := h.advance(DefaultConfig().SnapshotTimeout+2*time.Second, 1)
+	if len(ofType[*message.Busy](sent)) != 1 || h.p.ActiveSnapshots() != 0 {
+		t.Fatalf("%d snapshots in progress", h.p.ActiveSnapshots())
 	}
-	if parts := only[*message.SnapshotPart](h.subscribe(2, &message.Subscribe{All: true})); len(parts) == 0 {
-		t.Error("the place is still taken")
+	if parts := ofType[*message.SnapshotPart](h.subscribe(2, &message.Subscribe{All: true})); len(parts) == 0 {
+		t.Error("the slot was not freed")
 	}
 }
 
-// TestManyStartAtOnce: 390 subscribers start in one second with nothing. At most MaxSnapshots are served at a time, the
-// others come again at times that are spread, and all have their snapshot within a minute.
-func TestManyStartAtOnce(t *testing.T) {
-	const subscribers, most = 390, 8
-	h := newHarness(t, Config{MaxSnapshots: most, PartBytes: 2000, SessionBurstBytes: 4000, SessionBytesPerSecond: 20_000, Seed: 3})
+// TestSimultaneousStartBoundsSnapshots: 390 subscribers start within one second without state. At most MaxSnapshots are
+// served at the same time, the others retry at spread-out times, and all have their snapshot within a minute.
+func TestSimultaneousStartBoundsSnapshots(t *testing.T) {
+	const subscribers, maxSnapshots = 390, 8
+	h := newHarness(t, Config{MaxSnapshots: maxSnapshots, PartBytes: 2000, SessionBurstBytes: 4000, SessionBytesPerSecond: 20_000, Seed: 3})
 	for i := range 200 {
 		h.append(1, set(tenant("cart", fmt.Sprintf("t%03d", i), 1))...)
 	}
 	start := h.now
-	askAt := map[SessionID]time.Duration{}
+	subscribeAt := map[SessionID]time.Duration{}
 	for i := range subscribers {
 		id := SessionID(i + 1)
 		h.p.Connected(h.now, id)
-		askAt[id] = start + time.Duration(i)*time.Second/subscribers
+		subscribeAt[id] = start + time.Duration(i)*time.Second/subscribers
 	}
-	served, turnedAway, waits := 0, 0, map[time.Duration]bool{}
+	served, busyReplies, waits := 0, 0, map[time.Duration]bool{}
 	for served < subscribers && h.now < start+5*time.Minute {
 		for id := SessionID(1); id <= subscribers; id++ {
-			if ask, waits := askAt[id]; waits && ask <= h.now {
-				delete(askAt, id)
+			if due, waits := subscribeAt[id]; waits && due <= h.now {
+				delete(subscribeAt, id)
 				if err := h.p.Receive(h.now, id, &message.Subscribe{Region: north, All: true}); err != nil {
 					t.Fatal(err)
 				}
@@ -373,9 +380,9 @@
 		for _, o := range slices.Clone(h.p.Step(h.now)) {
 			switch m := o.Message.(type) {
 			case *message.Busy:
-				turnedAway++
+				busyReplies++
 				waits[m.RetryAfter] = true
-				askAt[o.Session] = h.now + m.RetryAfter
+				subscribeAt[o.Session] = h.now + m.RetryAfter
 			case *message.SnapshotPart:
 				if m.Last {
 					served++
@@ -383,23 +390,23 @@
 				_ = h.p.Receive(h.now, o.Session, &message.Acknowledge{Region: north, Position: m.Position})
 			}
 		}
-		if running := h.p.ActiveSnapshots(); running > most {
-			t.Fatalf("%d snapshots at a time", running)
+		if running := h.p.ActiveSnapshots(); running > maxSnapshots {
+			t.Fatalf("%d snapshots in progress at the same time", running)
 		}
 		h.now += 10 * time.Millisecond
 	}
 	took := h.now - start
-	t.Logf("%d served in %s, %d times Busy with %d different waits", served, took, turnedAway, len(waits))
+	t.Logf("%d served in %s, %d Busy replies with %d different waits", served, took, busyReplies, len(waits))
 	if served != subscribers || took > time.Minute {
 		t.Errorf("%d served in %s", served, took)
 	}
-	if turnedAway > 4*subscribers || len(waits) < turnedAway*9/10 {
-		t.Errorf("%d times Busy with %d different waits", turnedAway, len(waits))
+	if busyReplies > 4*subscribers || len(waits) < busyReplies*9/10 {
+		t.Errorf("%d Busy replies with %d different waits", busyReplies, len(waits))
 	}
 }
 
-// TestBudget: the process keeps to its bytes a second, whatever it has to send, and a change goes before snapshots.
-func TestBudget(t *testing.T) {
+// TestByteBudget: the process stays within its bytes per second whatever is queued, and a change is sent ahead of snapshots.
+func TestByteBudget(t *testing.T) {
 	const rate, burst = 10_000, 2_000
 	h := newHarness(t, Config{BytesPerSecond: rate, BurstBytes: burst, PartBytes: 500, Size: EstimateSize})
 	for i := range 300 {
@@ -426,17 +433,17 @@
 		}
 		h.now += 50 * time.Millisecond
 	}
-	if most := burst + 10*rate + 1000; bytes > most || bytes < most/2 {
-		t.Errorf("%d bytes in 10 s, at most %d", bytes, most)
+	if maxBytes := burst + 10*rate + 1000; bytes > maxBytes || bytes < maxBytes/2 {
+		t.Errorf("%d bytes in 10 s, at most %d", bytes, maxBytes)
 	}
 	if delayed < 0 || delayed > time.Second {
-		t.Errorf("the change went out after %s", delayed)
+		t.Errorf("the change was sent after %s", delayed)
 	}
 }
 
-// TestStoreOfAnotherLife: the history of a store that took a snapshot doesn't reach back. Those whose services are as
-// before are told the position alone.
-func TestStoreOfAnotherLife(t *testing.T) {
+// TestReplacedStore: the history of a store that was replaced by a snapshot doesn't reach back to the subscribers'
+// positions. Those whose services are unchanged are sent an empty delta with the new position, the others a snapshot.
+func TestReplacedStore(t *testing.T) {
 	h := newHarness(t, Config{})
 	pay := changelog.Filter{Services: []string{"pay"}}
 	h.connect(1, current(h, cart))
@@ -460,28 +467,28 @@
 	}
 }
 
-// TestPublishLater: who subscribed before the log was there gets it then.
-func TestPublishLater(t *testing.T) {
+// TestSubscribeBeforePublish: a session that subscribed before the log was published gets it once it is.
+func TestSubscribeBeforePublish(t *testing.T) {
 	h := newHarness(t, Config{})
 	h.p = New(Config{})
 	if sent := h.connect(1, &message.Subscribe{All: true}); len(sent) != 0 {
 		t.Errorf("sent %+v without a log", sent)
 	}
 	h.p.Publish(h.log)
-	if parts := only[*message.SnapshotPart](h.step(1)); len(parts) != 1 {
+	if parts := ofType[*message.SnapshotPart](h.step(1)); len(parts) != 1 {
 		t.Errorf("%d parts", len(parts))
 	}
 }
 
-func TestWrongMessages(t *testing.T) {
+func TestInvalidMessages(t *testing.T) {
 	for name, m := range map[string]message.Message{
-		"none":                            nil,
-		"a delta":                         &message.Delta{Region: north},
-		"a heartbeat":                     &message.Heartbeat{Region: north},
-		"services that aren't sorted":     &message.Subscribe{Region: north, Services: []string{"b", "a\n"}},
-		"a service twice":                 &message.Subscribe{Region: north, Services: []string{"a", "a"}},
-		"too many services":               &message.Subscribe{Region: north, Services: make([]string, MaxServices+1)},
-		"an acknowledgement of no region": &message.Acknowledge{Region: strings.Repeat("x\n", 1000)},
+		"none":               nil,
+		"a delta":            &message.Delta{Region: north},
+		"a heartbeat":        &message.Heartbeat{Region: north},
+		"unsorted services":  &message.Subscribe{Region: north, Services: []string{"b", "a\n"}},
+		"a repeated service": &message.Subscribe{Region: north, Services: []string{"a", "a"}},
+		"too many services":  &message.Subscribe{Region: north, Services: make([]string, MaxServices+1)},
+		"an acknowledgement of an unknown region": &message.Acknowledge{Region: strings.Repeat("x\n", 1000)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, Config{})
@@ -492,14 +499,14 @@
 				t.Errorf("error %v", err)
 			}
 			h.append(1, set(tenant("cart", "t", 7))...)
-			if deltas := only[*message.Delta](h.step(1)); len(deltas) != 1 {
-				t.Error("the session doesn't go on")
+			if deltas := ofType[*message.Delta](h.step(1)); len(deltas) != 1 {
+				t.Error("no delta after the invalid message")
 			}
 		})
 	}
 	h := newHarness(t, Config{})
 	if err := h.p.Receive(h.now, 77, &message.Subscribe{Region: north}); err == nil {
-		t.Error("a session that isn't connected")
+		t.Error("message accepted on a session that is not connected")
 	}
 	h.p.Connected(h.now, 1)
 	for i := range MaxRegions + 1 {
@@ -510,8 +517,8 @@
 	}
 }
 
-// TestNothingIsKeptOfSessionsThatEnded, whatever they were doing.
-func TestNothingIsKeptOfSessionsThatEnded(t *testing.T) {
+// TestEndedSessionsLeaveNoState: sessions that end in any state leave nothing in the queues and indexes.
+func TestEndedSessionsLeaveNoState(t *testing.T) {
 	h := newHarness(t, Config{MaxSnapshots: 2, PartBytes: 30, MaxUnacknowledgedBytes: 50})
 	for id := range SessionID(50) {
 		h.connect(id+1, &message.Subscribe{All: id%2 == 0, Services: cart.Services, Standby: id%5 == 0})
@@ -520,19 +527,19 @@
 	for id := range SessionID(50) {
 		h.p.Disconnected(h.now, id+1)
 	}
-	if sent := h.pass(5*time.Second, 0); len(sent) != 0 {
+	if sent := h.advance(5*time.Second, 0); len(sent) != 0 {
 		t.Errorf("%d messages", len(sent))
 	}
 	r := h.p.regions[0]
-	if len(h.p.sessions)+h.p.beats.len()+len(h.p.snapshots)+h.p.waiting+len(h.p.throttled) != 0 {
-		t.Errorf("kept: %d sessions, %d heartbeats, %d snapshots, %d waiting, %d throttled", len(h.p.sessions), h.p.beats.len(), len(h.p.snapshots), h.p.waiting, len(h.p.throttled))
+	if len(h.p.sessions)+h.p.heartbeatQueue.len()+len(h.p.activeSnapshots)+h.p.waitingCount+len(h.p.throttled) != 0 {
+		t.Errorf("kept: %d sessions, %d heartbeats, %d snapshots, %d waiting, %d throttled", len(h.p.sessions), h.p.heartbeatQueue.len(), len(h.p.activeSnapshots), h.p.waitingCount, len(h.p.throttled))
 	}
-	if len(r.subscriptions)+len(r.byService)+len(r.all) != 0 || r.whole != nil {
-		t.Errorf("kept: %d subscriptions, %d services, %d of everything", len(r.subscriptions), len(r.byService), len(r.all))
+	if len(r.subscriptions)+len(r.byService)+len(r.fullSubscriptions) != 0 || r.fullSnapshot != nil {
+		t.Errorf("kept: %d subscriptions, %d services, %d to all services", len(r.subscriptions), len(r.byService), len(r.fullSubscriptions))
 	}
 }
 
-// benchmarkFleet is a publisher whose sessions subscribe to 100 of 9,300 services each.
+// benchmarkFleet returns a publisher whose sessions subscribe to 100 of 9,300 services each.
 func benchmarkFleet(b *testing.B, sessions int) (*Publisher, *changelog.Store) {
 	const services, perSession = 9300, 100
 	log := changelog.NewStore(north, changelog.Limits{})
@@ -562,8 +569,8 @@
 
 var fleetSizes = []int{400, 6000}
 
-// BenchmarkStepOfATransaction is one change of an endpoint's tenant, to the sessions that subscribe to its service.
-func BenchmarkStepOfATransaction(b *testing.B) {
+// BenchmarkStepTransaction measures one change of a tenant, sent to the sessions that subscribe to its service.
+func BenchmarkStepTransaction(b *testing.B) {
 	for _, sessions := range fleetSizes {
 		b.Run(fmt.Sprint(sessions), func(b *testing.B) {
 			p, log := benchmarkFleet(b, sessions)
@@ -586,8 +593,8 @@
 	}
 }
 
-// BenchmarkStepForAll is one change of a service that every session subscribes to.
-func BenchmarkStepForAll(b *testing.B) {
+// BenchmarkStepBroadcast measures one change of a service that every session subscribes to.
+func BenchmarkStepBroadcast(b *testing.B) {
 	for _, sessions := range fleetSizes {
 		b.Run(fmt.Sprint(sessions), func(b *testing.B) {
 			p, log := benchmarkFleet(b, 0)
@@ -621,8 +628,8 @@
 	}
 }
 
-// BenchmarkStepOfHeartbeats is one heartbeat to each session.
-func BenchmarkStepOfHeartbeats(b *testing.B) {
+// BenchmarkStepHeartbeats measures one heartbeat to each session.
+func BenchmarkStepHeartbeats(b *testing.B) {
 	for _, sessions := range fleetSizes {
 		b.Run(fmt.Sprint(sessions), func(b *testing.B) {
 			p, _ := benchmarkFleet(b, sessions)
@@ -638,8 +645,8 @@
 	}
 }
 
-// BenchmarkStepOfNothing is a call without any news.
-func BenchmarkStepOfNothing(b *testing.B) {
+// BenchmarkStepIdle measures a step with nothing to send.
+func BenchmarkStepIdle(b *testing.B) {
 	p, _ := benchmarkFleet(b, 6000)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/controlplane/publisher/region.go
+++ b/internal/controlplane/publisher/region.go
@@ -8,21 +8,21 @@
 	"craneglade/internal/controlplane/resource"
 )
 
-// region is one log with those who subscribe to it.
+// region is a region's log with its subscriptions.
 type region struct {
-	name          string
-	store         *changelog.Store  // nil until it is published
-	position      resource.Position // of the store, when it was last looked at
-	subscriptions []*subscription
-	byService     map[string][]*subscription // that stream, by what they subscribe to
-	all           []*subscription            // that stream everything
+	name              string
+	store             *changelog.Store  // nil until the log is published
+	position          resource.Position // of the store at the last scan
+	subscriptions     []*subscription
+	byService         map[string][]*subscription // streaming subscriptions by service
+	fullSubscriptions []*subscription            // streaming subscriptions to all services
 
-	shared *message.Heartbeat                   // for all standbys of this step
-	deltas map[resource.Position]*message.Delta // for all that stream everything, of this step, by where they stand
-	whole  *wholeSnapshot                       // of everything, while somebody is sent it
+	standbyHeartbeat *message.Heartbeat                   // shared by all standbys in this step
+	fullDeltas       map[resource.Position]*message.Delta // shared by fullSubscriptions in this step, by start position
+	fullSnapshot     *fullSnapshot                        // shared by fullSubscriptions while it is being sent
 }
 
-// add puts a subscription into the indexes.
+// add adds a subscription to the indexes.
 func (r *region) add(sub *subscription) {
 	sub.index = len(r.subscriptions)
 	r.subscriptions = append(r.subscriptions, sub)
@@ -30,7 +30,7 @@
 		return
 	}
 	if sub.filter.All {
-		r.all = append(r.all, sub)
+		r.fullSubscriptions = append(r.fullSubscriptions, sub)
 		return
 	}
 	for _, service := range sub.filter.Services {
@@ -38,7 +38,7 @@
 	}
 }
 
-// remove takes a subscription out of the indexes.
+// remove removes a subscription from the indexes.
 func (r *region) remove(sub *subscription) {
 	last := len(r.subscriptions) - 1
 	r.subscriptions[sub.index] = r.subscriptions[last]
@@ -49,19 +49,19 @@
 		return
 	}
 	if sub.filter.All {
-		r.all = without(r.all, sub)
+		r.fullSubscriptions = removeSubscription(r.fullSubscriptions, sub)
 		return
 	}
 	for _, service := range sub.filter.Services {
-		if rest := without(r.byService[service], sub); len(rest) > 0 {
-			r.byService[service] = rest
+		if remaining := removeSubscription(r.byService[service], sub); len(remaining) > 0 {
+			r.byService[service] = remaining
 		} else {
 			delete(r.byService, service)
 		}
 	}
 }
 
-func without(subs []*subscription, sub *subscription) []*subscription {
+func removeSubscription(subs []*subscription, sub *subscription) []*subscription {
 	i := slices.Index(subs, sub)
 	if i < 0 {
 		return subs
@@ -71,8 +71,8 @@
 	return subs[:last]
 }
 
-// scan finds out what has changed in the store, and marks the subscriptions that it touches.
-func (p *Publisher) scan(r *region) {
+// scanChanges looks for changes in the store and marks the subscriptions that they affect.
+func (p *Publisher) scanChanges(r *region) {
 	if r.store == nil || r.store.Position() == r.position {
 		return
 	}
@@ -86,8 +86,8 @@
 		}
 		return
 	}
-	for _, sub := range r.all {
-		p.touch(sub, "")
+	for _, sub := range r.fullSubscriptions {
+		p.markChanged(sub, "")
 	}
 	for i := range changes {
 		service := changes[i].Resource.Key.Service
@@ -95,10 +95,10 @@
 			continue
 		}
 		for n, sub := range r.byService[service] {
-			if p.faults.missIndex && n%2 == 1 {
+			if p.faults.skipEveryOtherSession && n%2 == 1 {
 				continue
 			}
-			p.touch(sub, service)
+			p.markChanged(sub, service)
 		}
 	}
 }
--- a/internal/controlplane/publisher/subscription.go
+++ b/internal/controlplane/publisher/subscription.go
@@ -9,76 +9,76 @@
 	"craneglade/internal/controlplane/resource"
 )
 
-// subscription is what one session is sent of one region's log.
+// subscription is one session's subscription to one region's log.
 type subscription struct {
-	session *session
-	region  *region
-	index   int // in region.subscriptions
-	standby bool
-	filter  changelog.Filter
-	state   state
-	greet   bool // it gets a heartbeat with the next step
+	session      *session
+	region       *region
+	index        int // in region.subscriptions
+	standby      bool
+	filter       changelog.Filter
+	state        state
+	heartbeatDue bool // a heartbeat is sent with the next Step
 
-	told    resource.Position // up to which the subscriber was sent everything
-	digest  message.Digest    // of the subscription at told,
-	known   bool              // where it is known
-	touched []string          // services that changed since told; nil for any of the subscription
-	inForce resource.Position // as acknowledged
-	refusal string
+	sentPosition    resource.Position // everything up to it was sent to the subscriber
+	sentDigest      message.Digest    // of the subscribed resources at sentPosition
+	digestKnown     bool              // sentDigest is valid
+	changedServices []string          // services changed since sentPosition; nil if any may have
+	ackedPosition   resource.Position // in force at the subscriber, as last acknowledged
+	refusalReason   string
 
 	queued   bool
-	blocked  bool // until the session acknowledges something
+	blocked  bool // until the session acknowledges a message
 	snapshot *snapshot
 }
 
-// state is how a subscription is served.
+// state is how a subscription is being served.
 type state uint8
 
 const (
 	stateUnpublished state = iota // the region has no store yet
-	stateCurrent                  // nothing of the subscription has changed since told
-	stateChanged                  // a delta is to be sent
-	stateSnapshot                 // a snapshot is being sent
-	stateWaiting                  // the subscriber was told Busy, and is to ask again
+	stateCurrent                  // nothing subscribed to has changed since sentPosition
+	stateChanged                  // a delta is due
+	stateSnapshot                 // a snapshot is in progress
+	stateWaiting                  // the subscriber was sent Busy and is to subscribe again
 	stateAhead                    // the subscriber is ahead of the store
-	stateRefused                  // the subscriber refused the latest state, and gets the next
+	stateRefused                  // the subscriber refused the latest state and gets the next one
 )
 
 func (s state) String() string {
 	return [...]string{"unpublished", "current", "changed", "snapshot", "waiting", "ahead", "refused"}[s]
 }
 
-// reconcile decides how to bring up a subscriber that stands at told with a digest.
+// reconcile decides how to bring a subscriber up to date from sentPosition and sentDigest.
 func (p *Publisher) reconcile(sub *subscription) {
 	store := sub.region.store
 	if sub.standby || store == nil {
 		return
 	}
-	if p.faults.resumeAnywhere && !sub.told.IsZero() {
+	if p.faults.assumeCurrent && !sub.sentPosition.IsZero() {
 		p.setState(sub, stateCurrent)
 		return
 	}
-	switch order := sub.told.Compare(store.Position()); {
+	switch order := sub.sentPosition.Compare(store.Position()); {
 	case order > 0:
 		p.setState(sub, stateAhead)
-	case order == 0 && (sub.told.IsZero() || sub.digest == store.Digest(sub.filter)):
+	case order == 0 && (sub.sentPosition.IsZero() || sub.sentDigest == store.Digest(sub.filter)):
 		p.setState(sub, stateCurrent)
-	case order == 0 || sub.told.IsZero():
+	case order == 0 || sub.sentPosition.IsZero():
 		p.startSnapshot(sub)
 	default:
-		sub.touched = nil
+		sub.changedServices = nil
 		p.setState(sub, stateChanged)
 		p.enqueue(sub)
 	}
 }
 
-// setState changes how a subscription is served, and keeps the number of those that wait.
+// setState changes the state of a subscription and updates waitingCount.
 func (p *Publisher) setState(sub *subscription, s state) {
 	if sub.state == stateWaiting {
-		p.waiting--
+		p.waitingCount--
 	}
 	if s == stateWaiting {
-		p.waiting++
+		p.waitingCount++
 	}
 	sub.state = s
 }
@@ -89,27 +89,28 @@
 	p.setState(sub, stateUnpublished)
 	sub.region.remove(sub)
 	sub.session.release(sub.region, resource.Position{}, true)
-	sub.blocked, sub.greet = false, false
-	sub.session.dropGone(p, sub)
+	sub.blocked, sub.heartbeatDue = false, false
+	sub.session.removeThrottled(p, sub)
 }
 
-// dropGone takes a subscription from the throttled; the other queues skip it when its turn comes.
-func (s *session) dropGone(p *Publisher, sub *subscription) {
+// removeThrottled removes a subscription from the throttled ones. The queues skip removed subscriptions when they reach
+// them.
+func (s *session) removeThrottled(p *Publisher, sub *subscription) {
 	p.throttled = slices.DeleteFunc(p.throttled, func(other *subscription) bool { return other == sub })
 }
 
-// touch notes that a service of a subscription has changed, or any where service is "".
-func (p *Publisher) touch(sub *subscription, service string) {
+// markChanged records that a service of a subscription has changed; "" stands for any service.
+func (p *Publisher) markChanged(sub *subscription, service string) {
 	switch sub.state {
 	case stateCurrent:
-		sub.touched = sub.touched[:0]
+		sub.changedServices = sub.changedServices[:0]
 		p.setState(sub, stateChanged)
 	case stateChanged:
-		if sub.touched == nil {
+		if sub.changedServices == nil {
 			return
 		}
 	case stateRefused:
-		sub.touched = nil
+		sub.changedServices = nil
 		p.setState(sub, stateChanged)
 		p.enqueue(sub)
 		return
@@ -120,38 +121,38 @@
 		return
 	}
 	if service == "" {
-		sub.touched = nil
+		sub.changedServices = nil
 	} else {
-		sub.touched = append(sub.touched, service)
+		sub.changedServices = append(sub.changedServices, service)
 	}
 	p.enqueue(sub)
 }
 
-// refused goes back to what the subscriber has in force. It is sent the next state that differs.
-func (p *Publisher) refused(sub *subscription, inForce resource.Position) {
+// handleRefusal resets sentPosition to what the subscriber has in force. The next state that differs is sent from there.
+func (p *Publisher) handleRefusal(sub *subscription, inForce resource.Position) {
 	if sub.standby || sub.region.store == nil {
 		return
 	}
 	p.endSnapshot(sub)
-	sub.told, sub.known = inForce, false
+	sub.sentPosition, sub.digestKnown = inForce, false
 	p.setState(sub, stateRefused)
 }
 
-// enqueue gives a subscription that has something to be sent its turn.
+// enqueue queues a subscription that has something to send.
 func (p *Publisher) enqueue(sub *subscription) {
-	if sub.queued || sub.blocked || sub.session.gone {
+	if sub.queued || sub.blocked || sub.session.closed {
 		return
 	}
 	sub.queued = true
 	if sub.state == stateSnapshot {
-		p.parts.push(sub)
+		p.partQueue.push(sub)
 	} else {
-		p.deltas.push(sub)
+		p.deltaQueue.push(sub)
 	}
 }
 
-// wakeThrottled gives those their turn again whose session's budget allows more.
-func (p *Publisher) wakeThrottled() {
+// requeueThrottled queues the throttled subscriptions whose session has budget again.
+func (p *Publisher) requeueThrottled() {
 	p.throttled = slices.DeleteFunc(p.throttled, func(sub *subscription) bool {
 		sub.session.bucket.fill(p.now)
 		if !sub.session.bucket.ready() {
@@ -162,28 +163,29 @@
 	})
 }
 
-// deltasForPart is how many deltas are sent before a part of a snapshot has its turn: changes go first, and snapshots go on.
-const deltasForPart = 4
+// deltasPerPart is how many deltas may be sent ahead of a snapshot part that is queued: changes have priority, but snapshots
+// make progress.
+const deltasPerPart = 4
 
-// sendQueued sends deltas and parts of snapshots as far as the budget goes.
+// sendQueued sends deltas and snapshot parts while the process has budget.
 func (p *Publisher) sendQueued() {
-	for p.bucket.ready() && p.deltas.len()+p.parts.len() > 0 {
-		q := &p.deltas
-		if p.deltas.len() == 0 || p.parts.len() > 0 && p.sinceLast >= deltasForPart {
-			q = &p.parts
+	for p.bucket.ready() && p.deltaQueue.len()+p.partQueue.len() > 0 {
+		q := &p.deltaQueue
+		if p.deltaQueue.len() == 0 || p.partQueue.len() > 0 && p.deltasSincePart >= deltasPerPart {
+			q = &p.partQueue
 		}
-		p.serve(q.pop())
+		p.sendNext(q.pop())
 	}
 }
 
-// serve sends one message of a subscription.
-func (p *Publisher) serve(sub *subscription) {
+// sendNext sends the next message of a subscription, if its session may be sent one.
+func (p *Publisher) sendNext(sub *subscription) {
 	sub.queued = false
 	s := sub.session
-	if s.gone || sub.state != stateChanged && sub.state != stateSnapshot {
+	if s.closed || sub.state != stateChanged && sub.state != stateSnapshot {
 		return
 	}
-	if s.unacknowledged >= p.cfg.MaxUnacknowledgedBytes {
+	if s.unacknowledgedBytes >= p.cfg.MaxUnacknowledgedBytes {
 		sub.blocked = true
 		return
 	}
@@ -193,16 +195,16 @@
 		return
 	}
 	if sub.state == stateSnapshot {
-		p.sinceLast = 0
+		p.deltasSincePart = 0
 		p.sendPart(sub)
 		return
 	}
-	p.sinceLast++
+	p.deltasSincePart++
 	p.sendDelta(sub)
 }
 
-// sendDelta sends what has changed since told. Where history does not reach back that far, a subscriber whose digest is
-// that of now is only told the position; others get a snapshot.
+// sendDelta sends the changes since sentPosition. If the store's history doesn't reach back that far, a subscriber whose
+// digest matches the current one is sent an empty delta to the current position, and others a snapshot.
 func (p *Publisher) sendDelta(sub *subscription) {
 	delta, ok := p.delta(sub)
 	switch {
@@ -216,86 +218,86 @@
 			return
 		}
 		p.sendCounted(sub, delta, size, inFlight{sub.region, delta.To, size, false})
-		sub.told, sub.digest, sub.known = delta.To, delta.Digest, true
+		sub.sentPosition, sub.sentDigest, sub.digestKnown = delta.To, delta.Digest, true
 	}
-	sub.touched = sub.touched[:0]
+	sub.changedServices = sub.changedServices[:0]
 	p.setState(sub, stateCurrent)
 }
 
-// delta is what brings a subscription from told to the store's position. It is nil where nothing has changed within the
-// subscription, and not ok where it can't be given.
+// delta returns a delta from sentPosition to the store's position. It is nil if nothing has changed within the subscription,
+// and ok is false if the history doesn't reach back far enough.
 func (p *Publisher) delta(sub *subscription) (delta *message.Delta, ok bool) {
 	r := sub.region
 	if sub.filter.All {
-		if shared := r.deltas[sub.told]; shared != nil {
+		if shared := r.fullDeltas[sub.sentPosition]; shared != nil {
 			return shared, true
 		}
 	}
 	filter := sub.filter
-	if len(sub.touched) > 0 && !filter.All {
-		slices.Sort(sub.touched)
-		filter.Services = slices.Compact(sub.touched)
+	if len(sub.changedServices) > 0 && !filter.All {
+		slices.Sort(sub.changedServices)
+		filter.Services = slices.Compact(sub.changedServices)
 	}
-	changes, ok := r.store.Changes(filter, sub.told)
+	changes, ok := r.store.Changes(filter, sub.sentPosition)
 	digest := r.store.Digest(sub.filter)
-	same := sub.known && digest == sub.digest
+	same := sub.digestKnown && digest == sub.sentDigest
 	if !ok && !same {
 		return nil, false
 	}
 	if ok && len(changes) == 0 && same {
-		return nil, true // the next heartbeat tells the position
+		return nil, true // the next heartbeat carries the position
 	}
-	if p.faults.omitDeleted {
+	if p.faults.omitDeletions {
 		changes = slices.DeleteFunc(changes, func(c resource.Change) bool { return c.Deleted })
 	}
-	delta = &message.Delta{Region: r.name, From: sub.told, To: r.position, Changes: changes, Digest: digest}
+	delta = &message.Delta{Region: r.name, From: sub.sentPosition, To: r.position, Changes: changes, Digest: digest}
 	if sub.filter.All {
-		if r.deltas == nil {
-			r.deltas = map[resource.Position]*message.Delta{}
+		if r.fullDeltas == nil {
+			r.fullDeltas = map[resource.Position]*message.Delta{}
 		}
-		r.deltas[sub.told] = delta
+		r.fullDeltas[sub.sentPosition] = delta
 	}
 	return delta, true
 }
 
-// sendCounted sends a message that counts against the window and the budgets.
+// sendCounted sends a message that counts against the budgets and the unacknowledged bytes.
 func (p *Publisher) sendCounted(sub *subscription, m message.Message, size int, f inFlight) {
-	p.out = append(p.out, Outgoing{sub.session.id, m})
+	p.outgoing = append(p.outgoing, Outgoing{sub.session.id, m})
 	p.bucket.spend(size)
 	sub.session.bucket.spend(size)
-	sub.session.unacknowledged += size
+	sub.session.unacknowledgedBytes += size
 	sub.session.inFlight = append(sub.session.inFlight, f)
 }
 
-// heartbeats sends those that are due, and one to each new subscription.
-func (p *Publisher) heartbeats() {
-	for _, sub := range p.greetings {
-		if sub.greet && !sub.session.gone {
-			sub.greet = false
-			p.beat(sub)
+// sendHeartbeats sends the heartbeats that are due, and one to each new subscription.
+func (p *Publisher) sendHeartbeats() {
+	for _, sub := range p.newSubscriptions {
+		if sub.heartbeatDue && !sub.session.closed {
+			sub.heartbeatDue = false
+			p.sendHeartbeat(sub)
 		}
 	}
-	clear(p.greetings)
-	p.greetings = p.greetings[:0]
+	clear(p.newSubscriptions)
+	p.newSubscriptions = p.newSubscriptions[:0]
 	for {
-		s, ok := p.beats.first()
-		if !ok || s.beatAt > p.now && !s.gone {
+		s, ok := p.heartbeatQueue.first()
+		if !ok || s.heartbeatAt > p.now && !s.closed {
 			return
 		}
-		p.beats.pop()
-		if s.gone {
+		p.heartbeatQueue.pop()
+		if s.closed {
 			continue
 		}
 		for _, sub := range s.subscriptions {
-			p.beat(sub)
+			p.sendHeartbeat(sub)
 		}
-		s.beatAt = p.now + p.cfg.HeartbeatInterval
-		p.beats.push(s)
+		s.heartbeatAt = p.now + p.cfg.HeartbeatInterval
+		p.heartbeatQueue.push(s)
 	}
 }
 
-// beat sends a heartbeat. It is sent whatever the budget, and counts.
-func (p *Publisher) beat(sub *subscription) {
+// sendHeartbeat sends a heartbeat. It is not held back by the budgets but is charged to them.
+func (p *Publisher) sendHeartbeat(sub *subscription) {
 	r := sub.region
 	if r.store == nil {
 		return
@@ -303,49 +305,49 @@
 	if sub.state == stateAhead {
 		p.reconcile(sub)
 	}
-	if r.shared == nil {
-		r.shared = &message.Heartbeat{Region: r.name, Position: r.position, Age: max(0, p.cfg.Age(r.name, p.now))}
+	if r.standbyHeartbeat == nil {
+		r.standbyHeartbeat = &message.Heartbeat{Region: r.name, Position: r.position, Age: max(0, p.cfg.Age(r.name, p.now))}
 	}
-	m := r.shared
-	if sub.known && (sub.state == stateCurrent || sub.state == stateChanged) {
+	m := r.standbyHeartbeat
+	if sub.digestKnown && (sub.state == stateCurrent || sub.state == stateChanged) {
 		if sub.state == stateCurrent {
-			sub.told = r.position
+			sub.sentPosition = r.position
 		}
 		own := p.newHeartbeat()
-		*own = message.Heartbeat{Region: r.name, Position: r.position, Sent: sub.told, Digest: sub.digest, Age: m.Age}
+		*own = message.Heartbeat{Region: r.name, Position: r.position, Sent: sub.sentPosition, Digest: sub.sentDigest, Age: m.Age}
 		m = own
 	}
-	p.out = append(p.out, Outgoing{sub.session.id, m})
-	p.bucket.spend(p.beatBytes)
-	sub.session.bucket.spend(p.beatBytes)
+	p.outgoing = append(p.outgoing, Outgoing{sub.session.id, m})
+	p.bucket.spend(p.heartbeatBytes)
+	sub.session.bucket.spend(p.heartbeatBytes)
 }
 
-// heartbeatBlock is how many heartbeats are allocated at once.
-const heartbeatBlock = 64
+// heartbeatsPerAllocation is how many heartbeats are allocated at once.
+const heartbeatsPerAllocation = 64
 
-// newHeartbeat is one of a block: there are thousands a second.
+// newHeartbeat returns a heartbeat from a block allocated at once, as thousands are sent per second.
 func (p *Publisher) newHeartbeat() *message.Heartbeat {
-	if len(p.block) == 0 {
-		p.block = make([]message.Heartbeat, heartbeatBlock)
+	if len(p.unusedHeartbeats) == 0 {
+		p.unusedHeartbeats = make([]message.Heartbeat, heartbeatsPerAllocation)
 	}
-	m := &p.block[0]
-	p.block = p.block[1:]
+	m := &p.unusedHeartbeats[0]
+	p.unusedHeartbeats = p.unusedHeartbeats[1:]
 	return m
 }
 
-// answer sends a message with the next step, whatever the budget.
-func (p *Publisher) answer(sub *subscription, m message.Message) {
-	p.pending = append(p.pending, Outgoing{sub.session.id, m})
+// queueReply sends a message with the next Step, regardless of the budgets.
+func (p *Publisher) queueReply(sub *subscription, m message.Message) {
+	p.pendingReplies = append(p.pendingReplies, Outgoing{sub.session.id, m})
 }
 
-// busy tells a subscriber to come again for its snapshot. The waits are spread over the time that those before it will take,
-// so that they don't all come at once.
-func (p *Publisher) busy(sub *subscription) {
+// sendBusy asks a subscriber to subscribe again later for its snapshot. The waits are random over the time that the
+// snapshots ahead of it are expected to take, so that retries don't arrive all at once.
+func (p *Publisher) sendBusy(sub *subscription) {
 	p.setState(sub, stateWaiting)
-	rounds := 1 + float64(p.waiting)/float64(p.cfg.MaxSnapshots)
-	spread := rounds * float64(max(p.typical, p.cfg.BusyRetryBase))
+	rounds := 1 + float64(p.waitingCount)/float64(p.cfg.MaxSnapshots)
+	spread := rounds * float64(max(p.meanSnapshotTime, p.cfg.BusyRetryBase))
 	wait := min(time.Duration(float64(p.cfg.BusyRetryBase)/2+p.random.Float64()*spread), maxBusyWait)
-	p.answer(sub, &message.Busy{Region: sub.region.name, RetryAfter: wait})
+	p.queueReply(sub, &message.Busy{Region: sub.region.name, RetryAfter: wait})
 }
 
 const maxBusyWait = time.Minute
