--- a/internal/controlplane/subscriber/connections.go
+++ b/internal/controlplane/subscriber/connections.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	wantedParents = 2 // one streams, one is on standby
-	maxParents    = 3 // while a better one is tried before the worse is left
+	targetParents = 2 // one streams, the other is on standby
+	maxParents    = 3 // while a better candidate is connected before a worse one is closed
 )
 
 type parentState uint8
@@ -21,47 +21,47 @@
 	parentConnected
 )
 
-// parent is a candidate with what is known of it.
+// parent is a candidate with the state of its connection.
 type parent struct {
-	candidate parents.Candidate
-	rank      int
-	state     parentState
-	since     time.Duration // in its state
-	heardAt   time.Duration
-	failures  int // in a row
-	retryAt   time.Duration
-	settledAt time.Duration // when it is preferred again, if nothing happens until then
-	skipped   bool          // the next message held what this version doesn't know
-	sessions  []session     // by the index of the region
+	candidate  parents.Candidate
+	rank       int
+	state      parentState
+	stateSince time.Duration // when state was entered
+	heardAt    time.Duration
+	failures   int // consecutive
+	retryAt    time.Duration
+	stableAt   time.Duration // when it counts as stable; set when it connects and when it is replaced as a source
+	skipped    bool          // the next message contained fields or resources unknown to this version
+	sessions   []session     // by replica.index
 }
 
-// session is what a parent has told of one region on this connection.
+// session is the state of one region on the connection to a parent.
 type session struct {
-	asked    subscription
-	position resource.Position
-	heardAt  time.Duration
-	freshAt  time.Duration // when the writer was known to stand at position
+	requested subscriptionMode
+	position  resource.Position
+	heardAt   time.Duration
+	freshAt   time.Duration // when the writer was known to be at position
 }
 
-// subscription is what a parent was asked for.
-type subscription uint8
+// subscriptionMode is what was requested from a parent.
+type subscriptionMode uint8
 
 const (
-	askedNothing subscription = iota
-	askedStandby
-	askedStream
+	modeNone subscriptionMode = iota
+	modeStandby
+	modeStream
 )
 
 func (p *parent) live() bool { return p.state != parentIdle }
 
-// settled reports whether the parent was stable for long enough to be preferred again.
-func (p *parent) settled(now time.Duration) bool {
-	return p.state == parentConnected && now >= p.settledAt
+// stable reports whether the parent has been connected for long enough to be preferred again.
+func (p *parent) stable(now time.Duration) bool {
+	return p.state == parentConnected && now >= p.stableAt
 }
 
-// stale reports whether what the parent has of some region is too old for it to be of use.
+// stale reports whether the parent's state of some region is too old to be useful.
 func (p *parent) stale(now, limit time.Duration) bool {
-	if p.state != parentConnected || now-p.since <= limit {
+	if p.state != parentConnected || now-p.stateSince <= limit {
 		return false
 	}
 	for i := range p.sessions {
@@ -72,16 +72,17 @@
 	return false
 }
 
-// excuse moves the parent's times by a stall of this process.
-func (p *parent) excuse(gap time.Duration) {
+// shiftTimes adds the duration of a stall of this process to the parent's times, so that the stall doesn't count as silence
+// of the parent.
+func (p *parent) shiftTimes(gap time.Duration) {
 	p.heardAt += gap
-	p.since += gap
+	p.stateSince += gap
 	for i := range p.sessions {
 		p.sessions[i].heardAt += gap
 	}
 }
 
-// SetCandidates replaces those that may serve as parents. Connections to candidates that stay are kept.
+// SetCandidates replaces the candidates for parents. Connections to candidates that remain, with the same address, are kept.
 func (s *Subscriber) SetCandidates(now time.Duration, all []parents.Candidate) {
 	s.advance(now)
 	former := s.byName
@@ -97,28 +98,28 @@
 	}
 	for name, p := range former {
 		if s.byName[name] != p && p.live() {
-			s.close(p)
+			s.closeConnection(p)
 		}
 	}
 }
 
-// Connected tells that the connection to a parent stands.
+// Connected reports that the connection to a parent is established.
 func (s *Subscriber) Connected(now time.Duration, name string) {
 	s.advance(now)
 	p := s.byName[name]
 	if p == nil || p.state == parentConnected {
 		return
 	}
-	s.started = true
-	p.state, p.since, p.heardAt = parentConnected, s.now, s.now
-	p.settledAt = s.now + s.jittered(s.cfg.Limits.ReturnAfter)
+	s.everConnected = true
+	p.state, p.stateSince, p.heardAt = parentConnected, s.now, s.now
+	p.stableAt = s.now + s.jittered(s.cfg.Limits.ReturnAfter)
 	p.skipped = false
 	for i := range p.sessions {
 		p.sessions[i] = session{heardAt: s.now, freshAt: s.now}
 	}
 }
 
-// Disconnected tells that the connection to a parent has ended, or could not be made.
+// Disconnected reports that the connection to a parent has ended or could not be made.
 func (s *Subscriber) Disconnected(now time.Duration, name string) {
 	s.advance(now)
 	p := s.byName[name]
@@ -128,17 +129,17 @@
 	if p.state == parentConnected {
 		s.note(ParentLost{name, LossDisconnected})
 	}
-	s.failed(p)
+	s.scheduleReconnect(p)
 }
 
-// jittered is between once and twice a time.
+// jittered returns a random duration between d and twice d.
 func (s *Subscriber) jittered(d time.Duration) time.Duration {
 	return d + time.Duration(s.random.Float64()*float64(d))
 }
 
-// failed makes a parent wait before it is connected to again.
-func (s *Subscriber) failed(p *parent) {
-	if p.settled(s.now) {
+// scheduleReconnect detaches a parent and sets when it may be connected to again.
+func (s *Subscriber) scheduleReconnect(p *parent) {
+	if p.stable(s.now) {
 		p.failures = 0
 	}
 	p.retryAt = s.now + backoff(s.random, s.cfg.Limits.BackoffBase, s.cfg.Limits.BackoffLimit, p.failures)
@@ -146,83 +147,84 @@
 	s.detach(p)
 }
 
-// close gives up a connection.
-func (s *Subscriber) close(p *parent) {
+// closeConnection closes the connection to a parent and drops what was to be sent on it.
+func (s *Subscriber) closeConnection(p *parent) {
 	name := p.candidate.Name
 	s.actions.Send = slices.DeleteFunc(s.actions.Send, func(o Outgoing) bool { return o.Parent == name })
 	s.actions.Close = append(s.actions.Close, name)
 	s.detach(p)
 }
 
-// detach forgets what was known of a connection that has ended.
+// detach clears the state of a connection that has ended.
 func (s *Subscriber) detach(p *parent) {
-	p.state, p.since = parentIdle, s.now
+	p.state, p.stateSince = parentIdle, s.now
 	for _, r := range s.replicas {
-		r.detached(p)
+		r.handleDetach(p)
 	}
 }
 
-// giveUpSilent closes connections that are of no use any more.
-func (s *Subscriber) giveUpSilent() {
+// closeUnresponsive closes connections that were not established within ConnectTimeout, and those of parents that were
+// silent for longer than SilenceTimeout.
+func (s *Subscriber) closeUnresponsive() {
 	limits := &s.cfg.Limits
 	for _, p := range s.parents {
 		switch {
-		case p.state == parentConnecting && s.now-p.since > limits.ConnectTimeout:
-			s.failed(p)
+		case p.state == parentConnecting && s.now-p.stateSince > limits.ConnectTimeout:
+			s.scheduleReconnect(p)
 			s.actions.Close = append(s.actions.Close, p.candidate.Name)
 		case p.state == parentConnected && s.now-p.heardAt > limits.SilenceTimeout && !s.faults.keepSilentParent:
 			s.note(ParentLost{p.candidate.Name, LossSilent})
-			s.failed(p)
-			s.close(p)
+			s.scheduleReconnect(p)
+			s.closeConnection(p)
 		}
 	}
 }
 
-// keepConnections connects to the two best candidates that can be reached. Before a worse one is left for a better one,
-// the better has to have been stable.
-func (s *Subscriber) keepConnections() {
+// maintainConnections connects to the two highest ranked candidates that can be reached. A lower ranked parent is closed
+// only once the higher ranked ones are stable.
+func (s *Subscriber) maintainConnections() {
 	for s.connectOne() {
 	}
 	s.closeSurplus()
 }
 
-// connectOne begins a connection where one more is wanted.
+// connectOne starts a connection if one more is wanted.
 func (s *Subscriber) connectOne() bool {
-	live, useful, worst := 0, 0, -1
+	live, fresh, worstRank := 0, 0, -1
 	var idle *parent
 	for _, p := range s.parents {
 		if p.live() {
 			live++
-			worst = p.rank
+			worstRank = p.rank
 			if !p.stale(s.now, s.cfg.Limits.StaleAfter) {
-				useful++
+				fresh++
 			}
 		} else if idle == nil && s.now >= p.retryAt {
 			idle = p
 		}
 	}
-	if idle == nil || live >= maxParents || useful >= wantedParents && idle.rank > worst {
+	if idle == nil || live >= maxParents || fresh >= targetParents && idle.rank > worstRank {
 		return false
 	}
-	if !s.budget.take(s.now) {
+	if !s.retries.take(s.now) {
 		return false
 	}
-	idle.state, idle.since = parentConnecting, s.now
+	idle.state, idle.stateSince = parentConnecting, s.now
 	s.actions.Connect = append(s.actions.Connect, idle.candidate)
 	return true
 }
 
-// closeSurplus leaves one of three parents: one whose state is too old, or the worst once the two better ones are stable.
-// A parent from which a region is streamed is never left.
+// closeSurplus closes one of three parents: one whose state is stale, or the lowest ranked once the two above it are stable.
+// A parent that streams a region is never closed.
 func (s *Subscriber) closeSurplus() {
-	live, settled := 0, 0 // settled of those before the last
+	live, stableCount := 0, 0 // stableCount excludes the last
 	var stale, last *parent
 	for _, p := range s.parents {
 		if !p.live() {
 			continue
 		}
-		if last != nil && last.settled(s.now) && !last.stale(s.now, s.cfg.Limits.StaleAfter) {
-			settled++
+		if last != nil && last.stable(s.now) && !last.stale(s.now, s.cfg.Limits.StaleAfter) {
+			stableCount++
 		}
 		live++
 		last = p
@@ -234,23 +236,23 @@
 	case live < maxParents:
 	case stale != nil:
 		s.note(ParentLost{stale.candidate.Name, LossStale})
-		s.failed(stale)
-		s.close(stale)
-	case settled >= wantedParents && last.state == parentConnected && !s.isSource(last):
-		s.close(last)
+		s.scheduleReconnect(stale)
+		s.closeConnection(stale)
+	case stableCount >= targetParents && last.state == parentConnected && !s.isSource(last):
+		s.closeConnection(last)
 	}
 }
 
-// isSource reports whether a region's log is streamed from the parent.
+// isSource reports whether a parent streams a region's log.
 func (s *Subscriber) isSource(p *parent) bool {
 	return slices.ContainsFunc(s.replicas, func(r *replica) bool { return r.source == p })
 }
 
-// noteAlone notes once that no parent is connected.
-func (s *Subscriber) noteAlone() {
-	alone := !slices.ContainsFunc(s.parents, func(p *parent) bool { return p.state == parentConnected })
-	if alone && !s.alone && s.started {
+// noteNoParent adds a note when no parent is connected any more.
+func (s *Subscriber) noteNoParent() {
+	noParent := !slices.ContainsFunc(s.parents, func(p *parent) bool { return p.state == parentConnected })
+	if noParent && !s.noParent && s.everConnected {
 		s.note(NoParent{})
 	}
-	s.alone = alone
+	s.noParent = noParent
 }
--- a/internal/controlplane/subscriber/faults_test.go
+++ b/internal/controlplane/subscriber/faults_test.go
@@ -8,8 +8,8 @@
 	"craneglade/internal/controlplane/subscriber"
 )
 
-// TestPlantedFaults: each fault is named by the check that is made for it, in some of 20 seeds. Run with -v -allseeds for the
-// table.
+// TestPlantedFaults plants each fault and expects the check made for it to fail in at least one of 20 seeds. Run with -v
+// -allseeds for the counts by check.
 func TestPlantedFaults(t *testing.T) {
 	for name, check := range map[string]simulate.Check{
 		"takes a snapshot behind what is in force":       simulate.CheckPosition,
--- a/internal/controlplane/subscriber/notes.go
+++ b/internal/controlplane/subscriber/notes.go
@@ -7,21 +7,21 @@
 	"craneglade/internal/controlplane/resource"
 )
 
-// Note is something for the operator's log: one line, with its values as fields for programs.
+// Note is an event for the operator's log. Its text is one line; its fields hold the values for programs.
 type Note interface {
 	fmt.Stringer
 	note()
 }
 
-// SourceChanged tells that a region's log is streamed from another parent from now on.
+// SourceChanged reports that a region's log is now streamed from another parent.
 type SourceChanged struct {
 	Region string
-	From   string // "" for the first
+	From   string // "" if there was no source before
 	To     string
 	Reason SwitchReason
 }
 
-// SwitchReason is why a replica has changed its source.
+// SwitchReason is why a replica changed its source.
 type SwitchReason string
 
 // The reasons of a SourceChanged.
@@ -33,7 +33,7 @@
 	SwitchPreferred SwitchReason = "it is preferred and has been stable"
 )
 
-// ParentLost tells that the connection to a parent ended or was given up.
+// ParentLost reports that the connection to a parent ended or was closed.
 type ParentLost struct {
 	Parent string
 	Reason LossReason
@@ -49,10 +49,10 @@
 	LossStale        LossReason = "what it has is too old"
 )
 
-// NoParent tells that no parent is connected. The process serves on with what it has.
+// NoParent reports that no parent is connected. The process continues with the state that it has.
 type NoParent struct{}
 
-// TransactionRefused tells that changes were refused as a whole. What was in force stays.
+// TransactionRefused reports that a transaction or snapshot was refused as a whole. The state in force is unchanged.
 type TransactionRefused struct {
 	Region   string
 	Parent   string
@@ -61,7 +61,7 @@
 	Err      error // one line that names the resource and the field
 }
 
-// LogWentBack tells that a parent's log ends before what is in force here, as after a restore from a backup.
+// LogWentBack reports that a parent's log ends before the state in force here, as after a restore from a backup.
 type LogWentBack struct {
 	Region  string
 	Parent  string
@@ -69,15 +69,15 @@
 	InForce resource.Position
 }
 
-// DigestMismatch tells that what is in force differs from the parent's state at the same position. All of it is asked for
-// anew.
+// DigestMismatch reports that the state in force differs from the parent's state at the same position. A snapshot is
+// requested.
 type DigestMismatch struct {
 	Region   string
 	Parent   string
 	Position resource.Position
 }
 
-// OldEpoch tells of a change by a writer that has been replaced. It was dropped.
+// OldEpoch reports a change by a writer that has been replaced. The change was dropped.
 type OldEpoch struct {
 	Region  string
 	Parent  string
@@ -85,8 +85,8 @@
 	InForce resource.Position
 }
 
-// MessageDropped tells that a parent sent what it must not. Further ones of the same kind are counted without a note until
-// NoteInterval has passed.
+// MessageDropped reports that an invalid message was dropped. Further messages of the same kind are counted without a note
+// until NoteInterval has passed.
 type MessageDropped struct {
 	Parent string
 	Region string
@@ -148,7 +148,7 @@
 func (OldEpoch) note()           {}
 func (MessageDropped) note()     {}
 
-// noteKey is what repeated notes about messages have in common.
+// noteKey identifies notes about dropped messages that are of the same kind.
 type noteKey struct {
 	parent string
 	reason DropReason
@@ -156,25 +156,25 @@
 
 func (s *Subscriber) note(n Note) { s.notes = append(s.notes, n) }
 
-// noteOnce notes a dropped message where none like it was noted within NoteInterval.
+// noteOnce adds a note about a dropped message, unless one of the same kind was added within NoteInterval.
 func (s *Subscriber) noteOnce(n MessageDropped) {
 	key := noteKey{n.Parent, n.Reason}
 	if n.Reason == DropUnknownParent {
-		key.parent = "" // names that a stranger makes up must not fill the table
+		key.parent = "" // made-up names of unknown senders must not fill the map
 	}
-	if at, noted := s.noted[key]; noted && s.now-at < s.cfg.Limits.NoteInterval {
+	if at, noted := s.lastNoted[key]; noted && s.now-at < s.cfg.Limits.NoteInterval {
 		return
 	}
-	s.noted[key] = s.now
+	s.lastNoted[key] = s.now
 	s.note(n)
 }
 
-// Notes returns what an operator should know, since the last call.
+// Notes returns the notes added since the last call.
 func (s *Subscriber) Notes() []Note {
 	notes := s.notes
 	s.notes = nil
 	return notes
 }
 
-// ageUnknown is the age of a replica that never heard how old its state is.
+// ageUnknown is the age of a replica that has never received the age of its state.
 const ageUnknown = 365 * 24 * time.Hour
--- a/internal/controlplane/subscriber/replica.go
+++ b/internal/controlplane/subscriber/replica.go
@@ -8,108 +8,109 @@
 	"craneglade/internal/controlplane/resource"
 )
 
-// replica is one region's log with the parent that streams it.
+// replica is a copy of one region's log, with the parent that streams it.
 type replica struct {
 	*Subscriber
 	region string
 	index  int
 	store  *changelog.Store
 	source *parent
-	// freshAt is when the writer was known to stand at the store's position.
+	// freshAt is when the writer was last known to be at the store's position.
 	freshAt time.Duration
 
-	// unread is the part of the parents' digest that stems from fields and resources which this version doesn't know.
-	unread message.Digest
-
-	lag        lag
-	progressAt time.Duration // when the source last brought something, or had nothing more
-	unserved   bool          // the source stands where this replica does, and doesn't take it for a subscriber
-	askAgain   bool          // at askAt
-	askAt      time.Duration
-	askTo      resource.Position // not needed any more once this is in force; zero for at any rate
-	attempts   int               // requests repeated since the last progress
-	resync     bool              // what is in force is wrong, or not all of the subscription: a snapshot is to replace it
-	settlesAt  time.Duration     // until then messages may be about the subscription before
-
-	assembly     assembly
-	acknowledged time.Duration
-	refused      string // why the latest state was not taken
-	refusedAt    resource.Position
-	fencedEpoch  uint64 // the latest old epoch that was noted
-	behind       behind
-	counts       Counts
+	// unknownDigest is the part of the parents' digest that stems from fields and resources unknown to this version.
+	unknownDigest message.Digest
+
+	lag                 lag
+	progressAt          time.Duration // when the source last sent something new, or had nothing more
+	subscriptionMissing bool          // the source is at the same position, but reports nothing as sent to this subscriber
+	retryPending        bool          // a request is to be repeated at retryAt
+	retryAt             time.Duration
+	retryTarget         resource.Position // the request is not needed once this is in force; zero if it is needed in any case
+	retryCount          int               // requests scheduled since the last progress
+	resync              bool              // the state in force is wrong or lacks part of the subscription; a snapshot is to replace it
+	settleUntil         time.Duration     // until then messages may refer to the former subscription
+
+	assembly        assembly
+	acknowledgedAt  time.Duration
+	refusal         string // why the latest state was refused
+	refusedPosition resource.Position
+	notedOldEpoch   uint64 // the last old epoch for which a note was added
+	rollback        rollback
+	counts          Counts
 }
 
-// lag is a standby that is ahead of the source.
+// lag tracks for how long the source has been behind a standby.
 type lag struct {
-	target resource.Position // that the source has to reach
+	target resource.Position // position that the source has to reach
 	since  time.Duration
 	active bool
 }
 
-// behind is that all parents are behind what is in force.
-type behind struct {
+// rollback tracks for how long all parents have been behind the state in force.
+type rollback struct {
 	since  time.Duration
 	active bool
 	noted  bool
 }
 
-// settleTime is for how long after a changed subscription messages may still be about the one before.
-const settleTime = 2 * time.Second
+// subscriptionSettleTime is for how long after a change of the subscription messages may still refer to the former one.
+const subscriptionSettleTime = 2 * time.Second
 
-// step chooses the source and asks parents for what they don't know yet.
+// step chooses the source and sends the requests that are due.
 func (r *replica) step() {
 	r.chooseSource()
 	r.checkLogWentBack()
 	r.checkProgress()
-	r.askParents()
+	r.updateSubscriptions()
 }
 
-// excuse moves the replica's times by a stall of this process.
-func (r *replica) excuse(gap time.Duration) {
+// shiftTimes adds the duration of a stall of this process to the replica's times.
+func (r *replica) shiftTimes(gap time.Duration) {
 	r.progressAt += gap
 	r.lag.since += gap
-	r.behind.since += gap
+	r.rollback.since += gap
 }
 
-// detached forgets a parent whose connection has ended.
-func (r *replica) detached(p *parent) {
+// handleDetach clears what was known of a parent whose connection has ended.
+func (r *replica) handleDetach(p *parent) {
 	p.sessions[r.index] = session{}
 	if r.source == p {
-		r.breakOff()
+		r.abortAssembly()
 	}
 }
 
-// breakOff drops the parts of a snapshot that was not finished.
-func (r *replica) breakOff() {
+// abortAssembly drops the parts of an unfinished snapshot.
+func (r *replica) abortAssembly() {
 	if r.assembly.active {
 		r.counts.Torn++
 	}
 	r.assembly = assembly{}
 }
 
-// refilter adapts to a changed subscription. What is subscribed to no longer goes at once, without a parent.
-func (r *replica) refilter(narrower bool) {
+// handleFilterChange adapts to a changed subscription. Resources that are no longer subscribed to are removed at once,
+// without a parent.
+func (r *replica) handleFilterChange(narrower bool) {
 	for _, p := range r.parents {
-		p.sessions[r.index].asked = askedNothing
+		p.sessions[r.index].requested = modeNone
 	}
-	r.breakOff()
-	r.settlesAt = r.now + settleTime
+	r.abortAssembly()
+	r.settleUntil = r.now + subscriptionSettleTime
 	r.prune()
 	if !narrower {
 		r.resync = true
 	}
 }
 
-// digest is that of the subscription as parents have it.
-func (r *replica) digest() message.Digest { return r.store.Digest(r.filter) + r.unread }
+// digest returns the digest of the subscription as parents compute it.
+func (r *replica) digest() message.Digest { return r.store.Digest(r.filter) + r.unknownDigest }
 
-// prune drops resources of services that are not subscribed to.
+// prune removes the resources of services that are not subscribed to.
 func (r *replica) prune() {
 	var changes []resource.Change
-	for _, held := range r.store.Snapshot(changelog.Filter{All: true}) {
-		if !r.filter.Contains(held.Key.Service) {
-			changes = append(changes, resource.Change{Resource: resource.Resource{Key: held.Key}, Deleted: true})
+	for _, existing := range r.store.Snapshot(changelog.Filter{All: true}) {
+		if !r.filter.Contains(existing.Key.Service) {
+			changes = append(changes, resource.Change{Resource: resource.Resource{Key: existing.Key}, Deleted: true})
 		}
 	}
 	if len(changes) == 0 {
@@ -119,26 +120,26 @@
 		r.note(TransactionRefused{r.region, "", r.store.Position(), r.store.Position(), err})
 		return
 	}
-	r.unread = 0
-	r.applied(Applied{Region: r.region, Position: r.store.Position(), Snapshot: true, Changes: changes})
+	r.unknownDigest = 0
+	r.queueApplied(Applied{Region: r.region, Position: r.store.Position(), Snapshot: true, Changes: changes})
 }
 
-func (r *replica) applied(a Applied) { r.actions.Applied = append(r.actions.Applied, a) }
+func (r *replica) queueApplied(a Applied) { r.actions.Applied = append(r.actions.Applied, a) }
 
-// chooseSource keeps the source unless another parent is better by one of the reasons of a SwitchReason.
+// chooseSource keeps the source unless reasonToSwitch gives a reason for another parent.
 func (r *replica) chooseSource() {
 	r.measureLag()
 	best := r.bestParent()
 	if best == nil {
-		return // the source of before is remembered until another is there
+		return // the former source is kept until another parent is connected
 	}
 	if reason := r.reasonToSwitch(best); reason != "" {
 		r.switchTo(best, reason)
 	}
 }
 
-// bestParent is the parent to stream from if there were no source: the most preferred of those that know the latest
-// position. A parent that was not heard of this region is better than none.
+// bestParent returns the parent to stream from if there were no source: the most preferred of those that report the latest
+// position. A parent that has reported nothing about this region is better than none.
 func (r *replica) bestParent() *parent {
 	var best *parent
 	for _, p := range r.parents {
@@ -152,10 +153,10 @@
 	return best
 }
 
-// preferredParent is the most preferred parent that was stable, or nil.
+// preferredParent returns the most preferred parent that is stable, neither stale nor silent, or nil.
 func (r *replica) preferredParent() *parent {
 	for _, p := range r.parents {
-		if p.settled(r.now) && !p.stale(r.now, r.cfg.Limits.StaleAfter) && !r.silent(p) {
+		if p.stable(r.now) && !p.stale(r.now, r.cfg.Limits.StaleAfter) && !r.silent(p) {
 			return p
 		}
 	}
@@ -164,12 +165,12 @@
 
 func (r *replica) session(p *parent) *session { return &p.sessions[r.index] }
 
-// silent reports whether a connected parent says nothing about this region.
+// silent reports whether a connected parent has sent nothing about this region within SilenceTimeout.
 func (r *replica) silent(p *parent) bool {
 	return r.now-r.session(p).heardAt > r.cfg.Limits.SilenceTimeout
 }
 
-// reasonToSwitch is why the best parent is to be the source, or "".
+// reasonToSwitch returns why the source is to be replaced by the best parent, or "".
 func (r *replica) reasonToSwitch(best *parent) SwitchReason {
 	switch {
 	case r.source == nil:
@@ -184,7 +185,7 @@
 	return ""
 }
 
-// measureLag follows for how long the source has been behind what another parent has told.
+// measureLag tracks for how long the source has been behind a position reported by another parent.
 func (r *replica) measureLag() {
 	if r.source == nil || r.source.state != parentConnected {
 		r.lag = lag{}
@@ -198,35 +199,36 @@
 		return
 	}
 	for _, p := range r.parents {
-		if told := r.session(p).position; p.state == parentConnected && told.Compare(have) > 0 {
-			r.lag = lag{target: told, since: r.now, active: true}
+		if reported := r.session(p).position; p.state == parentConnected && reported.Compare(have) > 0 {
+			r.lag = lag{target: reported, since: r.now, active: true}
 			return
 		}
 	}
 }
 
-// switchTo makes a parent the source. The former goes on as standby, and isn't preferred before it was stable again.
+// switchTo makes a parent the source. The former source becomes a standby, and is not preferred until it has been stable
+// again.
 func (r *replica) switchTo(p *parent, reason SwitchReason) {
 	note := SourceChanged{Region: r.region, To: p.candidate.Name, Reason: reason}
 	if former := r.source; former != nil {
 		note.From = former.candidate.Name
 		if former.state == parentConnected {
-			former.settledAt = r.now + r.jittered(r.cfg.Limits.ReturnAfter)
+			former.stableAt = r.now + r.jittered(r.cfg.Limits.ReturnAfter)
 		}
 		r.counts.SourceChanges++
 	}
 	if note.From != note.To {
 		r.note(note)
 	}
-	r.breakOff()
+	r.abortAssembly()
 	r.source = p
 	r.lag = lag{}
-	r.askAgain, r.unserved = false, false
-	r.attempts = 0
+	r.retryPending, r.subscriptionMissing = false, false
+	r.retryCount = 0
 	r.progressAt = r.now
 }
 
-// returnToPreferred goes back to a better parent that was stable and has what is in force here.
+// returnToPreferred switches back to a higher ranked parent that is stable and not behind the state in force or the source.
 func (r *replica) returnToPreferred() {
 	p := r.preferredParent()
 	if p == nil || r.source == nil || p == r.source || p.rank > r.source.rank || r.assembly.active {
@@ -238,27 +240,29 @@
 	r.switchTo(p, SwitchPreferred)
 }
 
-// checkLogWentBack notes where all parents are behind what is in force for longer than a restart of theirs takes.
+// checkLogWentBack adds a note if all parents have been behind the state in force for longer than WentBackAfter, which is
+// longer than their restart takes.
 func (r *replica) checkLogWentBack() {
-	ahead, first := r.aheadOfAll()
+	ahead, first := r.aheadOfAllParents()
 	if !ahead {
-		r.behind = behind{}
+		r.rollback = rollback{}
 		return
 	}
-	if !r.behind.active {
-		r.behind = behind{since: r.now, active: true}
+	if !r.rollback.active {
+		r.rollback = rollback{since: r.now, active: true}
 	}
-	if !r.behind.noted && r.now-r.behind.since > r.cfg.Limits.WentBackAfter {
-		r.behind.noted = true
+	if !r.rollback.noted && r.now-r.rollback.since > r.cfg.Limits.WentBackAfter {
+		r.rollback.noted = true
 		r.note(LogWentBack{r.region, first.candidate.Name, r.session(first).position, r.store.Position()})
 	}
 }
 
-// aheadOfAll reports whether all parents that were heard of this region are behind what is in force, and names the first.
-func (r *replica) aheadOfAll() (ahead bool, first *parent) {
+// aheadOfAllParents reports whether all parents that have reported a position are behind the state in force, and returns the
+// first of them.
+func (r *replica) aheadOfAllParents() (ahead bool, first *parent) {
 	for _, p := range r.parents {
 		s := r.session(p)
-		if p.state != parentConnected || s.asked == askedNothing || s.position.IsZero() {
+		if p.state != parentConnected || s.requested == modeNone || s.position.IsZero() {
 			continue
 		}
 		if s.position.Compare(r.store.Position()) >= 0 {
@@ -271,95 +275,97 @@
 	return first != nil, first
 }
 
-// checkProgress asks again where the source has more than is in force and sends nothing of it, where a snapshot stopped in
-// the middle, or where it is silent and nobody is better. A request that was lost shows by the same, and a state that was
-// refused is asked for again, as what was wrong may have been on the way.
+// checkProgress schedules a new request if there was no progress for longer than CatchUpTimeout although the source is
+// ahead, a snapshot is needed or incomplete, the source doesn't know the subscription, or it is silent and no other parent
+// is better. This covers lost requests, and refused states, which may have been damaged in transit.
 func (r *replica) checkProgress() {
 	r.returnToPreferred()
-	if r.source == nil || r.source.state != parentConnected || r.askAgain {
+	if r.source == nil || r.source.state != parentConnected || r.retryPending {
 		return
 	}
 	more := r.session(r.source).position.Compare(r.store.Position()) > 0
-	if !more && !r.resync && !r.assembly.active && !r.unserved && !r.silent(r.source) {
+	if !more && !r.resync && !r.assembly.active && !r.subscriptionMissing && !r.silent(r.source) {
 		r.progressAt = r.now
 		return
 	}
-	if r.session(r.source).asked == askedStream && r.now-r.progressAt > r.cfg.Limits.CatchUpTimeout {
-		r.breakOff()
-		r.ask(resource.Position{})
+	if r.session(r.source).requested == modeStream && r.now-r.progressAt > r.cfg.Limits.CatchUpTimeout {
+		r.abortAssembly()
+		r.scheduleRetry(resource.Position{})
 	}
 }
 
-// ask schedules a request to be repeated, after a jittered wait. It isn't sent if the position comes into force before.
-func (r *replica) ask(unless resource.Position) {
-	if r.askAgain || r.faults.neverAskAgain {
+// scheduleRetry schedules a repeated request after a wait with jitter. The request is not sent if the target comes into
+// force before.
+func (r *replica) scheduleRetry(target resource.Position) {
+	if r.retryPending || r.faults.neverRetry {
 		return
 	}
-	r.askAgain, r.askTo = true, unless
-	r.askAt = r.now + backoff(r.random, r.cfg.Limits.BackoffBase, r.cfg.Limits.BackoffLimit, r.attempts)
-	r.attempts++
+	r.retryPending, r.retryTarget = true, target
+	r.retryAt = r.now + backoff(r.random, r.cfg.Limits.BackoffBase, r.cfg.Limits.BackoffLimit, r.retryCount)
+	r.retryCount++
 }
 
-// askParents sends each parent what it is to know: the source the subscription, the others that they are on standby.
-func (r *replica) askParents() {
+// updateSubscriptions requests the stream from the source and standby from the other parents, where that has not been done
+// yet.
+func (r *replica) updateSubscriptions() {
 	for _, p := range r.parents {
 		if p.state != parentConnected {
 			continue
 		}
-		wanted := askedStandby
+		wanted := modeStandby
 		if p == r.source {
-			wanted = askedStream
+			wanted = modeStream
 		}
-		if r.session(p).asked != wanted {
-			r.subscribeAt(p, wanted)
+		if r.session(p).requested != wanted {
+			r.sendSubscribe(p, wanted)
 		}
 	}
-	r.repeat()
+	r.sendRetry()
 }
 
-// repeat sends a request that was scheduled.
-func (r *replica) repeat() {
-	if !r.askAgain || r.now < r.askAt || r.source == nil || r.source.state != parentConnected {
+// sendRetry sends the scheduled request if it is due.
+func (r *replica) sendRetry() {
+	if !r.retryPending || r.now < r.retryAt || r.source == nil || r.source.state != parentConnected {
 		return
 	}
-	if !r.resync && !r.askTo.IsZero() && r.store.Position().Compare(r.askTo) >= 0 {
-		r.askAgain = false
+	if !r.resync && !r.retryTarget.IsZero() && r.store.Position().Compare(r.retryTarget) >= 0 {
+		r.retryPending = false
 		return
 	}
-	if !r.budget.take(r.now) {
-		r.askAt = r.now + backoff(r.random, r.cfg.Limits.BackoffBase, r.cfg.Limits.BackoffLimit, 1)
+	if !r.retries.take(r.now) {
+		r.retryAt = r.now + backoff(r.random, r.cfg.Limits.BackoffBase, r.cfg.Limits.BackoffLimit, 1)
 		return
 	}
 	r.counts.Resubscribes++
-	r.subscribeAt(r.source, askedStream)
+	r.sendSubscribe(r.source, modeStream)
 }
 
-// subscribeAt sends a request for this region.
-func (r *replica) subscribeAt(p *parent, as subscription) {
-	m := &message.Subscribe{Region: r.region, Have: r.store.Position(), Standby: as == askedStandby}
-	if as == askedStream {
+// sendSubscribe sends a request for this region.
+func (r *replica) sendSubscribe(p *parent, mode subscriptionMode) {
+	m := &message.Subscribe{Region: r.region, Have: r.store.Position(), Standby: mode == modeStandby}
+	if mode == modeStream {
 		m.All, m.Services = r.filter.All, r.filter.Services
 		m.Digest = r.digest()
 		if r.resync {
 			m.Have, m.Digest = resource.Position{}, 0
 		}
-		r.askAgain, r.unserved = false, false
+		r.retryPending, r.subscriptionMissing = false, false
 		r.progressAt = r.now
-		r.breakOff()
+		r.abortAssembly()
 	}
-	r.session(p).asked = as
+	r.session(p).requested = mode
 	r.send(p, m)
 }
 
-// acknowledge tells the source what is in force.
+// acknowledge reports the position in force to a parent.
 func (r *replica) acknowledge(p *parent, refused string) {
-	r.acknowledged = r.now
+	r.acknowledgedAt = r.now
 	r.send(p, &message.Acknowledge{Region: r.region, Position: r.store.Position(), Refused: refused})
 }
 
-// progress notes that the source brought something into force.
-func (r *replica) progress() {
-	r.progressAt, r.attempts = r.now, 0
+// recordProgress records that something from the source came into force.
+func (r *replica) recordProgress() {
+	r.progressAt, r.retryCount = r.now, 0
 }
 
 func (r *replica) status(now time.Duration) RegionStatus {
@@ -367,7 +373,7 @@
 		Region:   r.region,
 		Position: r.store.Position(),
 		Age:      r.Age(r.region, now),
-		Refused:  r.refused,
+		Refused:  r.refusal,
 		Counts:   r.counts,
 	}
 	if r.source != nil && r.source.state == parentConnected {
--- a/internal/controlplane/subscriber/subscriber_test.go
+++ b/internal/controlplane/subscriber/subscriber_test.go
@@ -40,13 +40,13 @@
 	return changes
 }
 
-// harness is a subscriber with parents a, b, c, ... that a test plays. The log's states are made by log.
+// harness is a subscriber whose parents a, b, c, ... are played by the test, with the states of log.
 type harness struct {
 	t   *testing.T
 	s   *Subscriber
 	now time.Duration
 	log *changelog.Store
-	// what Step returned, not looked at yet
+	// actions returned by Step and not yet checked
 	connects []string
 	closes   []string
 	sent     []Outgoing
@@ -65,7 +65,7 @@
 	return h
 }
 
-// ranked are the candidates' names in the subscriber's order.
+// ranked returns the candidates' names in order of rank.
 func (h *harness) ranked() []string {
 	var names []string
 	for _, p := range h.s.parents {
@@ -93,14 +93,14 @@
 	h.applied = append(h.applied, actions.Applied...)
 }
 
-// pass lets time go by in small steps, with heartbeats of some parents twice a second.
-func (h *harness) pass(d time.Duration, beats ...func()) {
+// advance moves the clock forward in small steps, with the given heartbeats twice a second.
+func (h *harness) advance(d time.Duration, heartbeats ...func()) {
 	const step = 250 * time.Millisecond
 	for end := h.now + d; h.now < end; {
 		h.now += step
 		if h.now%(2*step) == 0 {
-			for _, beat := range beats {
-				beat()
+			for _, heartbeat := range heartbeats {
+				heartbeat()
 			}
 		}
 		h.step()
@@ -127,7 +127,7 @@
 	}
 }
 
-// snapshot is the log's state in parts.
+// snapshot returns the log's state in parts.
 func (h *harness) snapshot(parts int) []*message.SnapshotPart {
 	all := h.log.Snapshot(everything)
 	var made []*message.SnapshotPart
@@ -149,7 +149,7 @@
 	}
 }
 
-// delta is what the log changed after a position.
+// delta returns the changes of the log after a position.
 func (h *harness) delta(from resource.Position) *message.Delta {
 	changes, ok := h.log.Changes(everything, from)
 	if !ok {
@@ -158,13 +158,13 @@
 	return &message.Delta{Region: region, From: from, To: h.log.Position(), Changes: changes, Digest: h.log.Digest(everything)}
 }
 
-// beat is a function that sends a heartbeat of a parent that stands where the log does.
-func (h *harness) beat(parent string) func() {
+// heartbeatsFrom returns a function that sends a heartbeat of a parent at the log's position.
+func (h *harness) heartbeatsFrom(parent string) func() {
 	return func() { _ = h.s.Receive(h.now, parent, h.heartbeat(parent, h.log.Position())) }
 }
 
-// beatAt is one of a parent that stands elsewhere.
-func (h *harness) beatAt(parent string, position resource.Position) func() {
+// heartbeatsAt returns a function that sends a heartbeat of a parent at another position.
+func (h *harness) heartbeatsAt(parent string, position resource.Position) func() {
 	return func() { _ = h.s.Receive(h.now, parent, h.heartbeat(parent, position)) }
 }
 
@@ -180,7 +180,7 @@
 
 func (h *harness) region() RegionStatus { return h.s.Status(h.now).Regions[0] }
 
-// subscribes are the requests to stream that were sent to a parent.
+// subscribes returns the requests to stream that were sent to a parent.
 func (h *harness) subscribes(parent string) []*message.Subscribe {
 	var all []*message.Subscribe
 	for _, o := range h.sent {
@@ -206,7 +206,7 @@
 	}
 }
 
-// notes are the types of the notes since the last call.
+// notes returns the notes added since the last call.
 func (h *harness) notes() []Note { return h.s.Notes() }
 
 func noted[N Note](notes []Note) (found []N) {
@@ -218,20 +218,20 @@
 	return found
 }
 
-// ready is a subscriber with both parents connected that has the log's state of the first.
+// ready returns a subscriber with both parents connected and the log's state, streamed from the first.
 func ready(t *testing.T, candidates int) (h *harness, first, second string) {
 	h = newHarness(t, candidates)
 	ranked := h.ranked()
 	h.connect(ranked[0], ranked[1])
 	h.takeSnapshot(ranked[0])
-	h.pass(time.Second, h.beat(ranked[0]), h.beat(ranked[1]))
+	h.advance(time.Second, h.heartbeatsFrom(ranked[0]), h.heartbeatsFrom(ranked[1]))
 	h.expectState()
 	h.sent, h.applied, h.connects, h.closes = nil, nil, nil, nil
 	h.notes()
 	return h, ranked[0], ranked[1]
 }
 
-func TestStartsWithTheTwoBestParents(t *testing.T) {
+func TestConnectsToTwoHighestRankedParents(t *testing.T) {
 	h := newHarness(t, 5)
 	ranked := h.ranked()
 	if !slices.Equal(h.connects, ranked[:2]) {
@@ -249,20 +249,20 @@
 	h.expectState()
 }
 
-func TestDeltaHasToFollowExactly(t *testing.T) {
+func TestDeltaOutOfSequence(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(first, second *message.Delta) []*message.Delta
 		want   resource.Position
 		check  func(Counts) uint64
 	}{
-		"in order": {func(a, b *message.Delta) []*message.Delta { return []*message.Delta{a, b} }, at(1, 3), func(c Counts) uint64 { return c.Deltas / 2 }},
-		"lost":     {func(_, b *message.Delta) []*message.Delta { return []*message.Delta{b} }, at(1, 1), func(c Counts) uint64 { return c.Gaps }},
-		"doubled":  {func(a, _ *message.Delta) []*message.Delta { return []*message.Delta{a, a} }, at(1, 2), func(c Counts) uint64 { return c.Duplicates }},
-		"turned":   {func(a, b *message.Delta) []*message.Delta { return []*message.Delta{b, a} }, at(1, 2), func(c Counts) uint64 { return c.Gaps }},
-		"torn": {func(a, _ *message.Delta) []*message.Delta {
-			torn := *a
-			torn.Changes = a.Changes[:1]
-			return []*message.Delta{&torn}
+		"in order":   {func(a, b *message.Delta) []*message.Delta { return []*message.Delta{a, b} }, at(1, 3), func(c Counts) uint64 { return c.Deltas / 2 }},
+		"lost":       {func(_, b *message.Delta) []*message.Delta { return []*message.Delta{b} }, at(1, 1), func(c Counts) uint64 { return c.Gaps }},
+		"duplicated": {func(a, _ *message.Delta) []*message.Delta { return []*message.Delta{a, a} }, at(1, 2), func(c Counts) uint64 { return c.Duplicates }},
+		"reordered":  {func(a, b *message.Delta) []*message.Delta { return []*message.Delta{b, a} }, at(1, 2), func(c Counts) uint64 { return c.Gaps }},
+		"truncated": {func(a, _ *message.Delta) []*message.Delta {
+			truncated := *a
+			truncated.Changes = a.Changes[:1]
+			return []*message.Delta{&truncated}
 		}, at(1, 1), func(c Counts) uint64 { return c.Mismatches }},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -282,32 +282,33 @@
 	}
 }
 
-// TestLostDeltaIsAskedFor: the request says where the subscriber stands, and isn't sent where what was lost came late.
-func TestLostDeltaIsAskedFor(t *testing.T) {
+// TestLostDeltaIsRequested: the request carries the subscriber's position, and is not sent if the missing delta arrives
+// late.
+func TestLostDeltaIsRequested(t *testing.T) {
 	h, first, second := ready(t, 3)
 	h.append(1, set(tenant("u", 1))...)
 	lost := h.delta(at(1, 1))
-	h.pass(3*time.Second, h.beat(first), h.beat(second)) // the heartbeats say that it was sent
-	asked := h.subscribes(first)
-	if len(asked) != 1 || asked[0].Have != at(1, 1) || asked[0].Digest == 0 {
-		t.Fatalf("asked for %v", asked)
+	h.advance(3*time.Second, h.heartbeatsFrom(first), h.heartbeatsFrom(second)) // the heartbeats report it as sent
+	requests := h.subscribes(first)
+	if len(requests) != 1 || requests[0].Have != at(1, 1) || requests[0].Digest == 0 {
+		t.Fatalf("requests %v", requests)
 	}
 	h.mustReceive(first, lost)
 	h.expectState()
-	h.pass(time.Minute, h.beat(first), h.beat(second))
-	if again := len(h.subscribes(first)); again > 2 {
-		t.Errorf("%d requests", again)
+	h.advance(time.Minute, h.heartbeatsFrom(first), h.heartbeatsFrom(second))
+	if repeated := len(h.subscribes(first)); repeated > 2 {
+		t.Errorf("%d requests", repeated)
 	}
 }
 
-// TestMissedChangeIsFoundByItsDigest: the state differs though the position is the same. All is asked for anew, and the
-// process is told what differs.
-func TestMissedChangeIsFoundByItsDigest(t *testing.T) {
+// TestDigestMismatchForcesResync: the state differs from the parent's at the same position. A snapshot is requested, and the
+// process is notified of the differences.
+func TestDigestMismatchForcesResync(t *testing.T) {
 	h, first, second := ready(t, 3)
 	h.append(1, set(tenant("u", 1))...)
 	h.append(1, set(tenant("v", 1))...)
 	digest := h.log.Digest(everything)
-	wrong := h.delta(at(1, 2)) // holds v only, and claims to follow from 1.1
+	wrong := h.delta(at(1, 2)) // contains v only and claims to start at 1.1
 	wrong.From = at(1, 1)
 	wrong.Digest = message.DigestOf(append(h.s.Store(region).Snapshot(everything), tenant("v", 1)))
 	h.mustReceive(first, wrong)
@@ -316,10 +317,10 @@
 	if n := noted[DigestMismatch](h.notes()); len(n) != 1 || h.region().Counts.Mismatches != 1 {
 		t.Fatalf("notes %v", n)
 	}
-	h.pass(2*time.Second, h.beat(first), h.beat(second))
-	asked := h.subscribes(first)
-	if len(asked) != 1 || !asked[0].Have.IsZero() {
-		t.Fatalf("asked for %+v", asked)
+	h.advance(2*time.Second, h.heartbeatsFrom(first), h.heartbeatsFrom(second))
+	requests := h.subscribes(first)
+	if len(requests) != 1 || !requests[0].Have.IsZero() {
+		t.Fatalf("requests %+v", requests)
 	}
 	h.applied = nil
 	h.takeSnapshot(first)
@@ -329,13 +330,14 @@
 	}
 }
 
-// TestParentThatWakesWithOldState: it was stalled for 20 s, is left, and what it says when it wakes changes nothing.
-func TestParentThatWakesWithOldState(t *testing.T) {
+// TestStalledParentResumesWithStaleState: a parent is closed after it was silent. When it resumes 20 s later, its old
+// messages change nothing.
+func TestStalledParentResumesWithStaleState(t *testing.T) {
 	h, first, second := ready(t, 3)
 	old := h.snapshot(1)[0]
 	h.append(1, set(tenant("u", 1))...)
 	oldDelta := h.delta(at(1, 1))
-	h.pass(4*time.Second, h.beat(second))
+	h.advance(4*time.Second, h.heartbeatsFrom(second))
 	if h.source() != second || !slices.Contains(h.closes, first) {
 		t.Fatalf("streams from %q, closed %v", h.source(), h.closes)
 	}
@@ -345,44 +347,44 @@
 	h.mustReceive(second, h.delta(at(1, 1)))
 	h.append(1, set(tenant("v", 1))...)
 	h.mustReceive(second, h.delta(at(1, 2)))
-	h.pass(16*time.Second, h.beat(second))
+	h.advance(16*time.Second, h.heartbeatsFrom(second))
 
-	h.connect(first) // as it was dialled again
+	h.connect(first) // it was dialled again
 	for _, m := range []message.Message{oldDelta, old, h.heartbeat(first, at(1, 1))} {
 		h.mustReceive(first, m)
 	}
-	h.pass(2*time.Minute, h.beatAt(first, at(1, 1)), h.beat(second))
+	h.advance(2*time.Minute, h.heartbeatsAt(first, at(1, 1)), h.heartbeatsFrom(second))
 	if changes := h.region().Counts.SourceChanges; h.source() != second || changes != 1 {
-		t.Errorf("streams from %q after %d changes; the other is behind", h.source(), changes)
+		t.Errorf("streams from %q after %d source changes; the other parent is behind", h.source(), changes)
 	}
 	h.expectState()
 }
 
-// TestSourceBehindItsStandby: the source goes on with heartbeats, and is behind for longer than Lag.
-func TestSourceBehindItsStandby(t *testing.T) {
+// TestLaggingSourceIsReplaced: the source sends heartbeats but is behind the standby for longer than MaxLag.
+func TestLaggingSourceIsReplaced(t *testing.T) {
 	h, first, second := ready(t, 2)
 	h.append(1, set(tenant("u", 1))...)
-	h.pass(time.Second, h.beatAt(first, at(1, 1)), h.beat(second))
+	h.advance(time.Second, h.heartbeatsAt(first, at(1, 1)), h.heartbeatsFrom(second))
 	if h.source() != first {
-		t.Fatal("changed at once")
+		t.Fatal("the source was replaced at once")
 	}
-	h.pass(2*time.Second, h.beatAt(first, at(1, 1)), h.beat(second))
+	h.advance(2*time.Second, h.heartbeatsAt(first, at(1, 1)), h.heartbeatsFrom(second))
 	if h.source() != second {
-		t.Fatal("the source that is behind was kept")
+		t.Fatal("the lagging source was kept")
 	}
-	if asked := h.subscribes(second); len(asked) != 1 || asked[0].Have != at(1, 1) {
-		t.Errorf("asked for %v", asked)
+	if requests := h.subscribes(second); len(requests) != 1 || requests[0].Have != at(1, 1) {
+		t.Errorf("requests %v", requests)
 	}
 }
 
-// TestStandbyThatIsAMomentAhead: two parents that hear of changes in turn are no reason to change over.
-func TestStandbyThatIsAMomentAhead(t *testing.T) {
+// TestBriefLagKeepsSource: parents that receive changes shortly after one another cause no failover.
+func TestBriefLagKeepsSource(t *testing.T) {
 	h, first, second := ready(t, 2)
 	for i := range 100 {
 		from := h.log.Position()
 		h.append(1, set(tenant("u", float64(i)))...)
 		h.mustReceive(second, h.heartbeat(second, h.log.Position()))
-		h.pass(750 * time.Millisecond)
+		h.advance(750 * time.Millisecond)
 		h.mustReceive(first, h.delta(from))
 	}
 	if h.source() != first || h.region().Counts.SourceChanges != 0 {
@@ -390,7 +392,7 @@
 	}
 }
 
-func TestBothParentsGone(t *testing.T) {
+func TestBothParentsDisconnected(t *testing.T) {
 	h, first, second := ready(t, 4)
 	ranked := h.ranked()
 	h.s.Disconnected(h.now, first)
@@ -400,13 +402,13 @@
 		t.Fatalf("connects to %v, want the next of the ranking, %v", h.connects, ranked[2:])
 	}
 	h.connect(ranked[2])
-	if asked := h.subscribes(ranked[2]); len(asked) != 1 || asked[0].Have != at(1, 1) {
-		t.Errorf("asked for %v", asked)
+	if requests := h.subscribes(ranked[2]); len(requests) != 1 || requests[0].Have != at(1, 1) {
+		t.Errorf("requests %v", requests)
 	}
 }
 
-// TestAllParentsGone: it serves on with what it has, its age grows, and it tries again within its budget.
-func TestAllParentsGone(t *testing.T) {
+// TestAllParentsDisconnected: the state stays in force, its age grows, and reconnects stay within the retry budget.
+func TestAllParentsDisconnected(t *testing.T) {
 	h, _, _ := ready(t, 4)
 	for _, name := range h.ranked() {
 		h.s.Disconnected(h.now, name)
@@ -428,15 +430,15 @@
 		t.Errorf("the age is %s", age)
 	}
 	limits := DefaultLimits()
-	if most := limits.RetryBurst + int(limits.RetriesPerSecond*outage.Seconds()); attempts > most || attempts < 40 {
-		t.Errorf("%d attempts, at most %d", attempts, most)
+	if maxAttempts := limits.RetryBurst + int(limits.RetriesPerSecond*outage.Seconds()); attempts > maxAttempts || attempts < 40 {
+		t.Errorf("%d attempts, at most %d", attempts, maxAttempts)
 	}
 	if n := noted[NoParent](h.notes()); len(n) != 1 {
-		t.Errorf("noted %d times that there is no parent", len(n))
+		t.Errorf("%d notes that no parent is connected", len(n))
 	}
 }
 
-// TestRetryBudget: however many candidates there are, and however fast they refuse, connects keep to the budget.
+// TestRetryBudget: connects stay within the budget, however many candidates there are and however fast they refuse.
 func TestRetryBudget(t *testing.T) {
 	h := newHarness(t, 26)
 	attempts := 0
@@ -451,35 +453,37 @@
 		}
 	}
 	limits := DefaultLimits()
-	if most := limits.RetryBurst + int(limits.RetriesPerSecond*outage.Seconds()); attempts > most || attempts < most-2 {
-		t.Errorf("%d attempts in %s, at most %d", attempts, outage, most)
+	if maxAttempts := limits.RetryBurst + int(limits.RetriesPerSecond*outage.Seconds()); attempts > maxAttempts || attempts < maxAttempts-2 {
+		t.Errorf("%d attempts in %s, at most %d", attempts, outage, maxAttempts)
 	}
 }
 
-// TestOwnStallIsNoFaultOfParents: a process that was stopped itself finds its parents' messages waiting.
-func TestOwnStallIsNoFaultOfParents(t *testing.T) {
+// TestLocalStallKeepsParents: after a stall of its own the process has unread messages of its parents, and must not
+// disconnect them for silence.
+func TestLocalStallKeepsParents(t *testing.T) {
 	h, first, second := ready(t, 3)
 	h.now += 20 * time.Second
 	h.step()
 	if len(h.closes) != 0 {
 		t.Errorf("closed %v", h.closes)
 	}
-	h.beat(first)() // was read from a buffer in which it may have been for all of the stall
+	h.heartbeatsFrom(first)() // read from a buffer in which it may have been for the whole stall
 	if age := h.s.Age(region, h.now); age < 20*time.Second {
 		t.Errorf("the age is %s after a stall of 20 s", age)
 	}
-	h.pass(5*time.Second, h.beat(first), h.beat(second))
+	h.advance(5*time.Second, h.heartbeatsFrom(first), h.heartbeatsFrom(second))
 	if age := h.s.Age(region, h.now); age > time.Second || h.source() != first {
 		t.Errorf("the age is %s, streams from %q", age, h.source())
 	}
 }
 
-// TestReturnToThePreferredParent: not before it was stable, and at a time that differs between subscribers.
-func TestReturnToThePreferredParent(t *testing.T) {
-	returned := map[time.Duration]bool{}
+// TestReturnToPreferredParent: a reconnected parent is preferred only after it was stable, at a time that differs between
+// subscribers.
+func TestReturnToPreferredParent(t *testing.T) {
+	returnTimes := map[time.Duration]bool{}
 	for seed := range uint64(20) {
 		h, first, second := ready(t, 2)
-		h.s.random.Uint64N(seed + 1) // the draws differ from here on
+		h.s.random.Uint64N(seed + 1) // makes the random draws differ
 		for range seed {
 			h.s.random.Uint64()
 		}
@@ -487,31 +491,31 @@
 		h.step()
 		h.connects = nil
 		for !slices.Contains(h.connects, first) {
-			h.pass(250*time.Millisecond, h.beat(second))
+			h.advance(250*time.Millisecond, h.heartbeatsFrom(second))
 		}
 		h.connect(first)
 		start := h.now
 		for h.source() != first && h.now < start+2*time.Minute {
-			h.pass(500*time.Millisecond, h.beat(first), h.beat(second))
+			h.advance(500*time.Millisecond, h.heartbeatsFrom(first), h.heartbeatsFrom(second))
 		}
 		waited := h.now - start
 		if limit := DefaultLimits().ReturnAfter; waited < limit || waited > 2*limit+time.Second {
 			t.Errorf("returned after %s", waited)
 		}
-		returned[waited] = true
+		returnTimes[waited] = true
 	}
-	if len(returned) < 10 {
-		t.Errorf("20 subscribers return at %d different times", len(returned))
+	if len(returnTimes) < 10 {
+		t.Errorf("20 subscribers return at %d different times", len(returnTimes))
 	}
 }
 
-func TestOldEpochIsRefused(t *testing.T) {
+func TestOldEpochRejected(t *testing.T) {
 	h, first, _ := ready(t, 2)
 	h.append(2, set(tenant("u", 1))...)
 	h.mustReceive(first, h.delta(at(1, 1)))
 	late := &message.Delta{Region: region, From: at(2, 2), To: at(1, 3), Changes: set(tenant("late", 1))}
 	if err := h.receive(first, late); err == nil {
-		t.Error("a delta from 2.2 to 1.3 is malformed, and no error tells it")
+		t.Error("no error for a malformed delta from 2.2 to 1.3")
 	}
 	late.From = at(1, 2)
 	h.mustReceive(first, late)
@@ -523,7 +527,8 @@
 	}
 }
 
-// TestRestoredLog: under the same epoch it is refused, with one line that says what to do; under a newer epoch it is taken.
+// TestRestoredLog: a log restored under the same epoch is refused, with one line that says what to do; under a newer epoch
+// it is applied.
 func TestRestoredLog(t *testing.T) {
 	h, first, second := ready(t, 2)
 	backup := h.log.Snapshot(everything)
@@ -532,7 +537,7 @@
 	}
 	h.mustReceive(first, h.delta(at(1, 1)))
 	back := at(1, 2)
-	h.pass(30*time.Second, h.beatAt(first, back), h.beatAt(second, back))
+	h.advance(30*time.Second, h.heartbeatsAt(first, back), h.heartbeatsAt(second, back))
 	h.mustReceive(first, &message.SnapshotPart{Region: region, Position: back, Resources: backup, Last: true, Digest: message.DigestOf(backup)})
 	h.expectState()
 	n := noted[LogWentBack](h.notes())
@@ -551,13 +556,13 @@
 	h.expectState()
 }
 
-// TestSnapshotBreaksOffInTheMiddle: what was in force stays, and a fresh request brings all of it.
-func TestSnapshotBreaksOffInTheMiddle(t *testing.T) {
-	for name, breaks := range map[string]func(h *harness, first, second string){
+// TestInterruptedSnapshot: the state in force stays until a new request brings a complete snapshot.
+func TestInterruptedSnapshot(t *testing.T) {
+	for name, interrupt := range map[string]func(h *harness, first, second string){
 		"the parent restarts": func(h *harness, first, _ string) { h.s.Disconnected(h.now, first); h.step() },
 		"a part is lost":      func(h *harness, first, _ string) { h.mustReceive(first, h.snapshot(4)[2]) },
 		"no more parts come": func(h *harness, first, second string) {
-			h.pass(8*time.Second, h.beatAt(first, at(2, 9)), h.beatAt(second, at(2, 9)))
+			h.advance(8*time.Second, h.heartbeatsAt(first, at(2, 9)), h.heartbeatsAt(second, at(2, 9)))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -567,19 +572,19 @@
 				h.mustReceive(first, part)
 			}
 			h.sent = nil
-			breaks(h, first, second)
+			interrupt(h, first, second)
 			h.expectPosition(at(1, 1))
-			for _, part := range h.snapshot(4)[1:] { // of the broken one, late
+			for _, part := range h.snapshot(4)[1:] { // late parts of the interrupted snapshot
 				_ = h.receive(first, part)
 			}
 			h.expectPosition(at(1, 1))
 			if h.region().Counts.Torn == 0 {
 				t.Errorf("counts %+v", h.region().Counts)
 			}
-			h.pass(3*time.Second, h.beatAt(first, at(2, 9)), h.beatAt(second, at(2, 9)))
+			h.advance(3*time.Second, h.heartbeatsAt(first, at(2, 9)), h.heartbeatsAt(second, at(2, 9)))
 			source := h.source()
 			if len(h.subscribes(source)) == 0 {
-				t.Errorf("nothing was asked for again")
+				t.Errorf("no request was repeated")
 			}
 			for _, part := range h.snapshot(4) {
 				h.mustReceive(source, part)
@@ -589,8 +594,8 @@
 	}
 }
 
-// TestLatePartsOfATakenSnapshot open no other one, which would keep deltas out.
-func TestLatePartsOfATakenSnapshot(t *testing.T) {
+// TestLateSnapshotParts: a repeated part of a snapshot in force must not start another assembly, which would block deltas.
+func TestLateSnapshotParts(t *testing.T) {
 	h, first, _ := ready(t, 2)
 	h.mustReceive(first, h.snapshot(2)[0])
 	h.append(1, set(tenant("u", 1))...)
@@ -599,7 +604,7 @@
 }
 
 // TestRefusedTransaction: the last good state stays, one line names the resource and the field, and a later delta from the
-// last good position mends it.
+// last good position repairs it.
 func TestRefusedTransaction(t *testing.T) {
 	h, first, _ := ready(t, 2)
 	bad := &message.Delta{Region: region, From: at(1, 1), To: at(1, 2), Changes: set(tenant("good", 1), tenant("bad", -1))}
@@ -627,37 +632,38 @@
 	}
 }
 
-// TestRefusedStateIsAskedForAgain, less and less often: what was wrong may have been on the way, or stays.
-func TestRefusedStateIsAskedForAgain(t *testing.T) {
+// TestRefusedStateIsRequestedAgain: a refused state is requested again with growing waits, as it may have been damaged in
+// transit or may stay invalid.
+func TestRefusedStateIsRequestedAgain(t *testing.T) {
 	h, first, second := ready(t, 2)
 	h.append(1, set(tenant("u", 1))...)
 	bad := h.delta(at(1, 1))
 	bad.Changes = append(bad.Changes, set(tenant("bad", -1))...)
 	bad.Digest = bad.Digest.Add(&bad.Changes[1].Resource)
-	waiting := func() { h.beatAt(second, at(1, 2))() }
-	behind := func() { _ = h.s.Receive(h.now, first, &message.Heartbeat{Region: region, Position: at(1, 2)}) }
-	answered := 0
+	standbyHeartbeat := func() { h.heartbeatsAt(second, at(1, 2))() }
+	sourceHeartbeat := func() { _ = h.s.Receive(h.now, first, &message.Heartbeat{Region: region, Position: at(1, 2)}) }
+	requests := 0
 	for end := h.now + 5*time.Minute; h.now < end; {
-		h.pass(500*time.Millisecond, waiting, behind)
-		if asked := len(h.subscribes(h.source())); asked > answered {
-			answered = asked
+		h.advance(500*time.Millisecond, standbyHeartbeat, sourceHeartbeat)
+		if sent := len(h.subscribes(h.source())); sent > requests {
+			requests = sent
 			h.mustReceive(h.source(), bad)
 		}
 	}
-	if answered < 5 || answered > 40 {
-		t.Errorf("asked %d times in 5 minutes", answered)
+	if requests < 5 || requests > 40 {
+		t.Errorf("%d requests in 5 minutes", requests)
 	}
 	h.mustReceive(h.source(), h.delta(at(1, 1)))
 	h.expectState()
 }
 
-// TestOnlyTheHomeRegionChangesAService: after a cut in which both sides changed it, what the other region's log says of it
-// is refused.
-func TestOnlyTheHomeRegionChangesAService(t *testing.T) {
+// TestForeignRegionChangeRefused: after a partition in which both sides changed a service, changes of it in the other
+// region's log are refused.
+func TestForeignRegionChangeRefused(t *testing.T) {
 	h, first, _ := ready(t, 2)
-	stolen := service("stolen")
-	stolen.Service = &resource.Service{Region: "south", MaxAttempts: 1}
-	delta := &message.Delta{Region: region, From: at(1, 1), To: at(1, 2), Changes: set(stolen), Digest: h.log.Digest(everything).Add(&stolen)}
+	foreign := service("stolen")
+	foreign.Service = &resource.Service{Region: "south", MaxAttempts: 1}
+	delta := &message.Delta{Region: region, From: at(1, 1), To: at(1, 2), Changes: set(foreign), Digest: h.log.Digest(everything).Add(&foreign)}
 	h.mustReceive(first, delta)
 	h.expectPosition(at(1, 1))
 	if n := noted[TransactionRefused](h.notes()); len(n) != 1 || !strings.Contains(n[0].String(), "only the log of its home region changes a service") {
@@ -665,37 +671,37 @@
 	}
 }
 
-func TestWrongMessages(t *testing.T) {
+func TestInvalidMessages(t *testing.T) {
 	for name, c := range map[string]struct {
 		parent string // "" for the source
 		make   func(h *harness) message.Message
 		reason DropReason
 	}{
-		"none":               {"", func(*harness) message.Message { return nil }, DropMalformed},
-		"from a stranger":    {"mallory", func(h *harness) message.Message { return h.heartbeat("mallory", at(9, 9)) }, DropUnknownParent},
-		"of another region":  {"", func(*harness) message.Message { return &message.Heartbeat{Region: "south", Position: at(9, 9)} }, DropUnknownRegion},
-		"a subscription":     {"", func(*harness) message.Message { return &message.Subscribe{Region: region} }, DropUnexpected},
-		"an acknowledgement": {"", func(*harness) message.Message { return &message.Acknowledge{Region: region} }, DropUnexpected},
-		"backwards":          {"", func(*harness) message.Message { return &message.Delta{Region: region, From: at(1, 3), To: at(1, 2)} }, DropMalformed},
-		"an age below zero":  {"", func(*harness) message.Message { return &message.Heartbeat{Region: region, Age: -1} }, DropMalformed},
-		"a wait below zero":  {"", func(*harness) message.Message { return &message.Busy{Region: region, RetryAfter: -1} }, DropMalformed},
+		"none":                   {"", func(*harness) message.Message { return nil }, DropMalformed},
+		"from an unknown parent": {"mallory", func(h *harness) message.Message { return h.heartbeat("mallory", at(9, 9)) }, DropUnknownParent},
+		"of another region":      {"", func(*harness) message.Message { return &message.Heartbeat{Region: "south", Position: at(9, 9)} }, DropUnknownRegion},
+		"a subscription":         {"", func(*harness) message.Message { return &message.Subscribe{Region: region} }, DropUnexpected},
+		"an acknowledgement":     {"", func(*harness) message.Message { return &message.Acknowledge{Region: region} }, DropUnexpected},
+		"a delta that goes back": {"", func(*harness) message.Message { return &message.Delta{Region: region, From: at(1, 3), To: at(1, 2)} }, DropMalformed},
+		"a negative age":         {"", func(*harness) message.Message { return &message.Heartbeat{Region: region, Age: -1} }, DropMalformed},
+		"a negative wait":        {"", func(*harness) message.Message { return &message.Busy{Region: region, RetryAfter: -1} }, DropMalformed},
 		"too many changes": {"", func(h *harness) message.Message {
 			return &message.Delta{Region: region, From: at(1, 1), To: at(1, 2), Changes: make([]resource.Change, 6)}
 		}, DropTooLarge},
 		"too many resources": {"", func(h *harness) message.Message {
 			return &message.SnapshotPart{Region: region, Position: at(1, 2), Resources: make([]resource.Resource, 6)}
 		}, DropTooLarge},
-		"a foreign service": {"", func(h *harness) message.Message {
+		"a service not subscribed to": {"", func(h *harness) message.Message {
 			return &message.Delta{Region: region, From: at(1, 1), To: at(1, 2), Changes: set(service("other"))}
 		}, DropNotSubscribed},
-		"a foreign snapshot": {"", func(h *harness) message.Message {
+		"a snapshot with a service not subscribed to": {"", func(h *harness) message.Message {
 			return &message.SnapshotPart{Region: region, Position: at(1, 2), Resources: []resource.Resource{service("other")}}
 		}, DropNotSubscribed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h, first, _ := ready(t, 2)
 			h.s.Subscribe(h.now, changelog.Filter{Services: []string{"cart"}})
-			h.pass(settleTime, h.beat(first))
+			h.advance(subscriptionSettleTime, h.heartbeatsFrom(first))
 			h.s.cfg.Limits.MaxChanges, h.s.cfg.Limits.MaxResources = 5, 5
 			h.notes()
 			before := h.s.Status(h.now).Dropped
@@ -715,54 +721,54 @@
 				t.Errorf("%d notes: %v", len(n), n)
 			}
 			if got := h.s.Status(h.now).Dropped - before; got != 100 {
-				t.Errorf("%d counted", got)
+				t.Errorf("%d messages counted as dropped", got)
 			}
 		})
 	}
 }
 
-// TestStrangersDontFillTheTableOfNotes though each takes another name.
-func TestStrangersDontFillTheTableOfNotes(t *testing.T) {
+// TestUnknownSendersNoteTableBounded: unknown senders that each use another name add one note and one entry.
+func TestUnknownSendersNoteTableBounded(t *testing.T) {
 	h, _, _ := ready(t, 2)
 	for i := range 1000 {
 		_ = h.receive(fmt.Sprint("stranger ", i), &message.Heartbeat{Region: strings.Repeat("x", i)})
 	}
-	if notes := h.notes(); len(notes) != 1 || len(h.s.noted) != 1 || len(notes[0].String()) > 400 {
-		t.Errorf("%d notes, %d remembered", len(notes), len(h.s.noted))
+	if notes := h.notes(); len(notes) != 1 || len(h.s.lastNoted) != 1 || len(notes[0].String()) > 400 {
+		t.Errorf("%d notes, %d entries", len(notes), len(h.s.lastNoted))
 	}
 }
 
-// TestBusyParent: its wait is kept, and bounded.
+// TestBusyParent: the wait that Busy announces is kept, up to MaxBusyWait.
 func TestBusyParent(t *testing.T) {
 	h := newHarness(t, 2)
 	first, second := h.ranked()[0], h.ranked()[1]
 	h.connect(first, second)
 	h.sent = nil
 	h.mustReceive(first, &message.Busy{Region: region, RetryAfter: 20 * time.Second})
-	h.pass(19*time.Second, h.beatAt(first, at(1, 1)), h.beatAt(second, at(1, 1)))
-	if asked := h.subscribes(first); len(asked) != 0 {
-		t.Fatalf("asked %d times before the wait was over", len(asked))
+	h.advance(19*time.Second, h.heartbeatsAt(first, at(1, 1)), h.heartbeatsAt(second, at(1, 1)))
+	if requests := h.subscribes(first); len(requests) != 0 {
+		t.Fatalf("%d requests before the wait was over", len(requests))
 	}
-	h.pass(2*time.Second, h.beatAt(first, at(1, 1)), h.beatAt(second, at(1, 1)))
-	if asked := h.subscribes(first); len(asked) != 1 {
-		t.Fatalf("asked %d times after it", len(asked))
+	h.advance(2*time.Second, h.heartbeatsAt(first, at(1, 1)), h.heartbeatsAt(second, at(1, 1)))
+	if requests := h.subscribes(first); len(requests) != 1 {
+		t.Fatalf("%d requests after the wait", len(requests))
 	}
 	h.mustReceive(first, &message.Busy{Region: region, RetryAfter: 1000 * time.Hour})
 	h.sent = nil
-	h.pass(DefaultLimits().MaxBusyWait+time.Second, h.beatAt(first, at(1, 1)), h.beatAt(second, at(1, 1)))
-	if asked := h.subscribes(first); len(asked) != 1 {
-		t.Errorf("asked %d times after the longest wait", len(asked))
+	h.advance(DefaultLimits().MaxBusyWait+time.Second, h.heartbeatsAt(first, at(1, 1)), h.heartbeatsAt(second, at(1, 1)))
+	if requests := h.subscribes(first); len(requests) != 1 {
+		t.Errorf("%d requests after the longest wait", len(requests))
 	}
 }
 
-// TestFieldsOfALaterVersion: their parents' digest counts them. They aren't asked for for ever, and a missed change still
-// shows.
-func TestFieldsOfALaterVersion(t *testing.T) {
-	const unread = message.Digest(12345)
+// TestUnknownFieldsInDelta: the parents' digest includes fields that this version can't read. They must not be requested
+// again and again, and a missed change must still be detected.
+func TestUnknownFieldsInDelta(t *testing.T) {
+	const unknownDigest = message.Digest(12345)
 	h, first, second := ready(t, 2)
 	h.append(1, set(tenant("u", 1))...)
 	delta := h.delta(at(1, 1))
-	delta.Digest += unread
+	delta.Digest += unknownDigest
 	h.s.MarkSkipped(h.now, first)
 	h.mustReceive(first, delta)
 	h.expectState()
@@ -772,26 +778,26 @@
 		}
 	}
 	h.sent = nil
-	h.pass(time.Minute, sent(h.log.Digest(everything)+unread), h.beat(second))
+	h.advance(time.Minute, sent(h.log.Digest(everything)+unknownDigest), h.heartbeatsFrom(second))
 	h.append(1, set(tenant("v", 1))...)
-	delta = h.delta(at(1, 2)) // with nothing that can't be read
-	delta.Digest += unread
+	delta = h.delta(at(1, 2)) // contains nothing unknown
+	delta.Digest += unknownDigest
 	h.mustReceive(first, delta)
 	h.expectState()
-	if asked := h.subscribes(first); len(asked) != 0 {
-		t.Errorf("asked for %v", asked)
+	if requests := h.subscribes(first); len(requests) != 0 {
+		t.Errorf("requests %v", requests)
 	}
-	h.pass(2*time.Second, sent(h.log.Digest(everything)+unread+1), h.beat(second))
+	h.advance(2*time.Second, sent(h.log.Digest(everything)+unknownDigest+1), h.heartbeatsFrom(second))
 	if h.region().Counts.Mismatches == 0 || len(h.subscribes(first)) == 0 {
-		t.Error("another digest was not seen")
+		t.Error("the digest mismatch was not detected")
 	}
 }
 
-// TestFieldsOfALaterVersionInAHeartbeat: they say nothing of the message behind it, whose digest is compared as ever.
-func TestFieldsOfALaterVersionInAHeartbeat(t *testing.T) {
+// TestUnknownFieldsInHeartbeat: unknown fields in a heartbeat must not disable the digest check of the message after it.
+func TestUnknownFieldsInHeartbeat(t *testing.T) {
 	h, first, _ := ready(t, 2)
 	h.s.MarkSkipped(h.now, first)
-	h.beat(first)()
+	h.heartbeatsFrom(first)()
 	before := h.region().Position
 	h.append(1, set(tenant("u", 1))...)
 	delta := h.delta(before)
@@ -802,7 +808,7 @@
 	}
 }
 
-// TestSubscriptionChanges: what it no longer holds goes at once, what is new comes with a snapshot.
+// TestSubscriptionChanges: resources no longer subscribed to are removed at once, new ones arrive with a snapshot.
 func TestSubscriptionChanges(t *testing.T) {
 	h, first, _ := ready(t, 2)
 	h.append(1, set(service("pay"))...)
@@ -814,15 +820,15 @@
 	if len(h.applied) != 1 || !reflect.DeepEqual(h.applied[0].Changes, want) {
 		t.Errorf("applied %+v", h.applied)
 	}
-	asked := h.subscribes(first)
-	if len(asked) != 1 || asked[0].Have != at(1, 2) || asked[0].Digest != h.log.Digest(changelog.Filter{Services: []string{"cart"}}) {
-		t.Fatalf("asked for %+v", asked)
+	requests := h.subscribes(first)
+	if len(requests) != 1 || requests[0].Have != at(1, 2) || requests[0].Digest != h.log.Digest(changelog.Filter{Services: []string{"cart"}}) {
+		t.Fatalf("requests %+v", requests)
 	}
 	h.s.Subscribe(h.now, everything)
 	h.step()
-	asked = h.subscribes(first)
-	if len(asked) != 2 || !asked[1].Have.IsZero() {
-		t.Fatalf("asked for %+v", asked)
+	requests = h.subscribes(first)
+	if len(requests) != 2 || !requests[1].Have.IsZero() {
+		t.Fatalf("requests %+v", requests)
 	}
 	h.applied = nil
 	h.takeSnapshot(first)
@@ -832,9 +838,9 @@
 	}
 }
 
-// TestSnapshotAsDifference: a replica that serves others takes a later snapshot as the transaction that it amounts to, so
-// that its own subscribers need none.
-func TestSnapshotAsDifference(t *testing.T) {
+// TestSnapshotKeepsHistory: a replica that serves others applies a later snapshot as a transaction with the differences, so
+// that its own subscribers need no snapshot.
+func TestSnapshotKeepsHistory(t *testing.T) {
 	h, first, _ := ready(t, 2)
 	h.append(1, set(tenant("u", 1))...)
 	h.append(1, resource.Change{Resource: resource.Resource{Key: tenant("t", 0).Key}, Deleted: true})
@@ -851,46 +857,46 @@
 
 func TestCandidatesChange(t *testing.T) {
 	h, first, second := ready(t, 4)
-	var rest []parents.Candidate
+	var remaining []parents.Candidate
 	for _, p := range h.s.parents {
 		if p.candidate.Name != first {
-			rest = append(rest, p.candidate)
+			remaining = append(remaining, p.candidate)
 		}
 	}
-	h.s.SetCandidates(h.now, rest)
+	h.s.SetCandidates(h.now, remaining)
 	h.step()
 	if !slices.Equal(h.closes, []string{first}) || len(h.connects) != 1 || h.source() != second {
 		t.Errorf("closes %v, connects to %v, streams from %q", h.closes, h.connects, h.source())
 	}
-	rest[0].Address = "elsewhere"
+	remaining[0].Address = "elsewhere"
 	h.closes, h.connects = nil, nil
-	h.s.SetCandidates(h.now, rest)
+	h.s.SetCandidates(h.now, remaining)
 	h.step()
-	if !slices.Equal(h.closes, []string{rest[0].Name}) || !slices.Contains(h.connects, rest[0].Name) {
+	if !slices.Equal(h.closes, []string{remaining[0].Name}) || !slices.Contains(h.connects, remaining[0].Name) {
 		t.Errorf("closes %v, connects to %v", h.closes, h.connects)
 	}
 }
 
-// TestZoneInTwoHalves: both parents are cut off from the control processes, and say so by the ages that they tell. The
-// third of the ranking isn't.
-func TestZoneInTwoHalves(t *testing.T) {
+// TestParentsIsolatedFromControl: both parents are cut off from the control processes and report growing ages. The third
+// parent in the ranking is connected and becomes the source.
+func TestParentsIsolatedFromControl(t *testing.T) {
 	h, first, second := ready(t, 3)
 	third := h.ranked()[2]
-	cut := h.now
-	old := func(parent string) func() {
+	isolatedAt := h.now
+	staleHeartbeats := func(parent string) func() {
 		return func() {
 			m := h.heartbeat(parent, at(1, 1))
-			m.Age = h.now - cut
+			m.Age = h.now - isolatedAt
 			_ = h.s.Receive(h.now, parent, m)
 		}
 	}
 	h.append(1, set(tenant("u", 1))...)
-	h.pass(20*time.Second, old(first), old(second))
+	h.advance(20*time.Second, staleHeartbeats(first), staleHeartbeats(second))
 	if !slices.Contains(h.connects, third) {
 		t.Fatalf("connects to %v, want %s", h.connects, third)
 	}
 	h.connect(third)
-	h.pass(5*time.Second, old(first), old(second), h.beat(third))
+	h.advance(5*time.Second, staleHeartbeats(first), staleHeartbeats(second), h.heartbeatsFrom(third))
 	if h.source() != third {
 		t.Fatalf("streams from %q", h.source())
 	}
