--- a/internal/controlplane/simulate/checks.go
+++ b/internal/controlplane/simulate/checks.go
@@ -14,7 +14,7 @@
 	"craneglade/internal/controlplane/subscriber"
 )
 
-// Check names what is checked of every process at every step, or at a stated time.
+// Check names a property that is checked of every process at every step, or at a given time.
 type Check string
 
 // The checks.
@@ -30,7 +30,7 @@
 	CheckQuiet     Check = "connections or snapshots without need in a quiet network"
 )
 
-// Violation is a check that failed.
+// Violation is a failed check.
 type Violation struct {
 	Check   Check
 	Process string
@@ -42,30 +42,30 @@
 	return fmt.Sprintf("%s: %s at %s: %s", v.Check, v.Process, v.At, v.Detail)
 }
 
-// checks is what was found.
+// checks holds the settings and findings of the checks.
 type checks struct {
 	verify       bool
 	violations   []Violation
-	rejected     int // messages that a subscriber dropped as wrong
+	rejected     int // messages dropped by subscribers as invalid
 	ageTolerance time.Duration
 }
 
 const maxViolations = 50
 
-func (n *Network) violated(check Check, p *Process, format string, args ...any) {
+func (n *Network) addViolation(check Check, p *Process, format string, args ...any) {
 	if len(n.checks.violations) < maxViolations {
 		n.checks.violations = append(n.checks.violations, Violation{check, p.Name, n.now, fmt.Sprintf(format, args...)})
 	}
 }
 
-// Violations are those found so far.
+// Violations returns the violations found so far, at most maxViolations.
 func (n *Network) Violations() []Violation { return n.checks.violations }
 
-// state is a log at one position.
+// state is the state of a log at one position.
 type state struct {
-	digests   map[string]message.Digest // by service
-	resources []resource.Resource
-	leftAt    time.Duration // when the writer went on, or zero
+	digests      map[string]message.Digest // by service
+	resources    []resource.Resource
+	supersededAt time.Duration // when the writer moved to the next position; zero if it has not
 }
 
 func (s *state) digest(f changelog.Filter) message.Digest {
@@ -78,14 +78,14 @@
 	return d
 }
 
-// record keeps a log's state for the checks.
+// record stores a log's current state for the checks.
 func (n *Network) record(store *changelog.Store) {
-	model := n.logs[store.Region()]
-	if former := model.positions[model.latest]; former != nil {
-		former.leftAt = n.now
+	history := n.logs[store.Region()]
+	if former := history.positions[history.latest]; former != nil {
+		former.supersededAt = n.now
 	}
-	model.latest = store.Position()
-	model.order = append(model.order, model.latest)
+	history.latest = store.Position()
+	history.order = append(history.order, history.latest)
 	s := &state{digests: map[string]message.Digest{}}
 	if n.checks.verify {
 		s.resources = store.Snapshot(changelog.Filter{All: true})
@@ -94,17 +94,17 @@
 			s.digests[service] = s.digests[service].Add(&s.resources[i])
 		}
 	}
-	model.positions[model.latest] = s
+	history.positions[history.latest] = s
 }
 
-// checked is what was last seen of one replica.
-type checked struct {
-	region   string
-	position resource.Position
-	inForce  map[resource.Key]resource.Resource // by what the process was told
-	digest   message.Digest                     // of inForce
-	known    bool                               // the state at position with digest was checked
-	widened  bool                               // the subscription changed, and its state isn't there yet
+// replicaCheck is the last checked state of one replica.
+type replicaCheck struct {
+	region        string
+	position      resource.Position
+	inForce       map[resource.Key]resource.Resource // as reported to the process by Applied
+	digest        message.Digest                     // of inForce
+	stateChecked  bool                               // the state at position has been checked with this digest
+	awaitingState bool                               // the subscription changed and its state has not arrived yet
 }
 
 // checkUplink checks all replicas of a subscriber after a step.
@@ -113,21 +113,21 @@
 		return
 	}
 	for _, a := range applied {
-		u.replica(a.Region).take(n, u, a)
+		u.replica(a.Region).apply(n, u, a)
 	}
-	for _, c := range u.checked {
+	for _, c := range u.replicas {
 		n.checkReplica(u, c)
 	}
 }
 
-// take brings changes into what the process has in force.
-func (c *checked) take(n *Network, u *uplink, a subscriber.Applied) {
+// apply applies reported changes to inForce.
+func (c *replicaCheck) apply(n *Network, u *uplink, a subscriber.Applied) {
 	for i := range a.Changes {
 		change := &a.Changes[i]
 		key := change.Resource.Key
 		before, existed := c.inForce[key]
 		if existed != change.Deleted && (!existed || before.Hash() == change.Resource.Hash()) {
-			n.violated(CheckApplied, u.process, "%s changes nothing", key)
+			n.addViolation(CheckApplied, u.process, "%s changes nothing", key)
 		}
 		if existed {
 			c.digest = c.digest.Remove(&before)
@@ -141,32 +141,32 @@
 	}
 }
 
-func (n *Network) checkReplica(u *uplink, c *checked) {
+func (n *Network) checkReplica(u *uplink, c *replicaCheck) {
 	region := c.region
 	store := u.subscriber.Store(region)
 	position, digest := store.Position(), store.Digest(changelog.Filter{All: true})
 	if position.Compare(c.position) < 0 {
-		n.violated(CheckPosition, u.process, "region %s from %s to %s", region, c.position, position)
+		n.addViolation(CheckPosition, u.process, "region %s from %s to %s", region, c.position, position)
 	}
 	moved := position != c.position
-	c.known = c.known && !moved && c.digest == digest
+	c.stateChecked = c.stateChecked && !moved && c.digest == digest
 	c.position = position
 	if c.digest != digest {
-		n.violated(CheckApplied, u.process, "region %s at %s", region, position)
+		n.addViolation(CheckApplied, u.process, "region %s at %s", region, position)
 		c.resetTo(store)
 	}
-	if c.widened && moved {
-		c.widened = false
+	if c.awaitingState && moved {
+		c.awaitingState = false
 	}
-	if !c.widened && !c.known {
-		c.known = true
+	if !c.awaitingState && !c.stateChecked {
+		c.stateChecked = true
 		n.checkState(u, region, position, digest)
 	}
 	n.checkAge(u, region, position)
 }
 
-// resetTo makes one difference one violation.
-func (c *checked) resetTo(store *changelog.Store) {
+// resetTo sets inForce to the store's state, so that one difference is reported once.
+func (c *replicaCheck) resetTo(store *changelog.Store) {
 	clear(c.inForce)
 	for _, r := range store.Snapshot(changelog.Filter{All: true}) {
 		c.inForce[r.Key] = r
@@ -180,39 +180,40 @@
 	}
 	logged := n.logs[region].positions[position]
 	if logged == nil {
-		n.violated(CheckState, u.process, "region %s at %s, where the log never was", region, position)
+		n.addViolation(CheckState, u.process, "region %s at %s, where the log never was", region, position)
 	} else if want := logged.digest(u.filter); want != digest {
-		n.violated(CheckState, u.process, "region %s at %s: digest %x, want %x", region, position, digest, want)
+		n.addViolation(CheckState, u.process, "region %s at %s: digest %x, want %x", region, position, digest, want)
 	}
 }
 
-// checkAge checks that the writer didn't leave the position earlier than the age says, but for what messages may take.
+// checkAge checks that the writer did not leave the position earlier than the reported age says, beyond what message delays
+// explain.
 func (n *Network) checkAge(u *uplink, region string, position resource.Position) {
 	logged := n.logs[region].positions[position]
-	if logged == nil || logged.leftAt == 0 {
+	if logged == nil || logged.supersededAt == 0 {
 		return
 	}
 	age := u.subscriber.Age(region, u.process.clock())
-	if known := n.now - age; known > logged.leftAt+n.checks.ageTolerance {
-		n.violated(CheckAge, u.process, "region %s at %s: age %s, and the writer left %s ago", region, position, age, n.now-logged.leftAt)
+	if provenAt := n.now - age; provenAt > logged.supersededAt+n.checks.ageTolerance {
+		n.addViolation(CheckAge, u.process, "region %s at %s: age %s, and the writer left %s ago", region, position, age, n.now-logged.supersededAt)
 	}
 }
 
-// checkPublisher checks a publisher's bounds after a step.
+// checkPublisher checks the bounds of a publisher after a step.
 func (n *Network) checkPublisher(p *Process) {
 	if limit := p.options.Publisher.MaxSnapshots; limit > 0 && p.publisher.ActiveSnapshots() > limit {
-		n.violated(CheckSnapshots, p, "%d, at most %d", p.publisher.ActiveSnapshots(), limit)
+		n.addViolation(CheckSnapshots, p, "%d, at most %d", p.publisher.ActiveSnapshots(), limit)
 	}
 }
 
-// CheckAll checks that all processes but some have the latest state of all logs.
+// CheckAll checks that all running processes, except the given ones, have the latest state of all logs.
 func (n *Network) CheckAll(check Check, except ...*Process) {
 	for _, p := range n.processes {
 		if p.down || slices.Contains(except, p) {
 			continue
 		}
 		for _, u := range p.uplinks {
-			for _, c := range u.checked {
+			for _, c := range u.replicas {
 				n.checkLatest(check, u, c.region)
 			}
 		}
@@ -220,17 +221,17 @@
 }
 
 func (n *Network) checkLatest(check Check, u *uplink, region string) {
-	model, store := n.logs[region], u.subscriber.Store(region)
-	latest := model.positions[model.latest]
+	history, store := n.logs[region], u.subscriber.Store(region)
+	latest := history.positions[history.latest]
 	switch {
-	case store.Position() != model.latest:
-		n.violated(check, u.process, "region %s at %s, the writer at %s", region, store.Position(), model.latest)
+	case store.Position() != history.latest:
+		n.addViolation(check, u.process, "region %s at %s, the writer at %s", region, store.Position(), history.latest)
 	case n.checks.verify && store.Digest(changelog.Filter{All: true}) != latest.digest(u.filter):
-		n.violated(check, u.process, "region %s at %s: digest differs", region, store.Position())
+		n.addViolation(check, u.process, "region %s at %s: digest differs", region, store.Position())
 	}
 }
 
-// Counts sums the counts of all subscribers.
+// Counts returns the sum of the counts of all subscribers.
 func (n *Network) Counts() subscriber.Counts {
 	var sum subscriber.Counts
 	for _, p := range n.processes {
--- a/internal/controlplane/simulate/network.go
+++ b/internal/controlplane/simulate/network.go
@@ -1,9 +1,9 @@
-// Package simulate runs the control plane's processes in virtual time: control processes, relays and nodes as trees of
-// publishers and subscribers, on a network with latency, loss, doubled, late and torn messages, cuts, stalls, restarts and
-// clocks that drift. A run follows from its seed alone. Each process counts what it sends and receives, and what every
-// subscriber has in force is checked against the logs at each step.
+// Package simulate runs the control plane's processes in virtual time: control processes, relays and nodes form trees of
+// publishers and subscribers, on a network with latency, loss, duplicated, reordered and truncated messages, partitions,
+// stalls, restarts and clock drift. A run is determined by its seed. Each process counts what it sends and receives, and the
+// state in force at every subscriber is checked against the logs at each step.
 //
-// There is no I/O, clock or goroutine here.
+// The package does no I/O, reads no clock and starts no goroutines.
 package simulate
 
 import (
@@ -17,19 +17,20 @@
 	"craneglade/internal/controlplane/resource"
 )
 
-// Link is how messages travel. The chances are of one message, from 0 to 1.
+// Link describes how the network treats messages. Loss and the fields after it are probabilities for each message, from 0 to
+// 1.
 type Link struct {
-	Latency   time.Duration // at least
-	Jitter    time.Duration // and up to so much more
+	Latency   time.Duration // minimum
+	Jitter    time.Duration // uniform random addition to Latency
 	Loss      float64
 	Duplicate float64
-	Reorder   float64 // a message is overtaken by later ones, by up to a second
-	Truncate  float64 // a delta or a snapshot's part loses half of what it holds
-	Invalid   float64 // a delta gets a change that no validation lets through, as from a faulty parent
+	Reorder   float64 // a message is delayed by up to a second, so that later ones overtake it
+	Truncate  float64 // a delta or snapshot part loses half of its content
+	Invalid   float64 // a delta gets a change that fails validation, as from a faulty parent
 	Replay    float64 // a heartbeat is followed by a snapshot of an earlier state, as from a parent whose log went back
 }
 
-// Traffic is what a process has sent and received.
+// Traffic counts what a process has sent and received.
 type Traffic struct {
 	MessagesIn, MessagesOut int
 	BytesIn, BytesOut       int
@@ -48,21 +49,21 @@
 	byName    map[string]*Process
 	cuts      []Cut
 	sessions  publisher.SessionID
-	logs      map[string]*logModel
+	logs      map[string]*logHistory
 	checks    checks
 	options   *Options
 }
 
-// Cut separates two groups of processes: no message passes between them.
+// Cut reports whether it separates two processes. No message passes between separated processes.
 type Cut func(a, b *Process) bool
 
-// event is something that happens to a process, or to the network where process is nil.
+// event is a call due at a process, or in the network if process is nil.
 type event struct {
-	at       time.Duration
-	sequence uint64 // decides between events of one time
-	process  *Process
-	life     int // of the process; what is for an earlier life is dropped
-	run      func()
+	at          time.Duration
+	sequence    uint64 // order of events that are due at the same time
+	process     *Process
+	incarnation int // of the process; events for an earlier incarnation are dropped
+	run         func()
 }
 
 type eventHeap []*event
@@ -73,10 +74,10 @@
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is called by package heap.
+// Push implements heap.Interface.
 func (h *eventHeap) Push(x any) { *h = append(*h, x.(*event)) }
 
-// Pop is called by package heap.
+// Pop implements heap.Interface.
 func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
 	e := (*h)[last]
@@ -95,29 +96,29 @@
 		link:   link,
 		size:   size,
 		byName: map[string]*Process{},
-		logs:   map[string]*logModel{},
+		logs:   map[string]*logHistory{},
 	}
 }
 
-// Now is the virtual time.
+// Now returns the virtual time.
 func (n *Network) Now() time.Duration { return n.now }
 
-// Processes are all, in the order in which they were made.
+// Processes returns all processes in the order in which they were created.
 func (n *Network) Processes() []*Process { return n.processes }
 
-// Process finds a process by name, or returns nil.
+// Process returns the process of a name, or nil.
 func (n *Network) Process(name string) *Process { return n.byName[name] }
 
 // At calls a function at a time.
 func (n *Network) At(at time.Duration, run func()) { n.schedule(at, nil, run) }
 
-// SetLink changes how messages travel from now on.
+// SetLink sets how the network treats messages from now on.
 func (n *Network) SetLink(link Link) { n.link = link }
 
-// Link is how messages travel.
+// Link returns how the network treats messages.
 func (n *Network) Link() Link { return n.link }
 
-// Run goes on until a time.
+// Run advances the virtual time, with all events that are due.
 func (n *Network) Run(until time.Duration) {
 	for len(n.events) > 0 && n.events[0].at <= until {
 		e := heap.Pop(&n.events).(*event)
@@ -125,90 +126,91 @@
 		switch {
 		case e.process == nil:
 			e.run()
-		case e.life != e.process.life:
+		case e.incarnation != e.process.incarnation:
 		case e.process.stalled:
-			e.process.waiting = append(e.process.waiting, e)
+			e.process.deferred = append(e.process.deferred, e)
 		default:
 			e.run()
-			e.process.drive()
+			e.process.step()
 		}
 	}
 	n.now = max(n.now, until)
 }
 
-// schedule calls a function at a time, at the process as it is now: not in a later life of it, and after its stall.
+// schedule calls a function at a time for the current incarnation of a process. The call is dropped if the process restarts,
+// and delayed while the process is stalled.
 func (n *Network) schedule(at time.Duration, p *Process, run func()) {
 	e := &event{at: max(at, n.now), sequence: n.sequence, process: p, run: run}
 	if p != nil {
-		e.life = p.life
+		e.incarnation = p.incarnation
 	}
 	n.sequence++
 	heap.Push(&n.events, e)
 }
 
-// Cut separates processes until the returned function is called.
+// Cut separates processes until heal is called.
 func (n *Network) Cut(cut Cut) (heal func()) {
 	n.cuts = append(n.cuts, cut)
 	index := len(n.cuts) - 1
 	return func() { n.cuts[index] = nil }
 }
 
-// cutBetween reports whether messages between two processes are held up.
-func (n *Network) cutBetween(a, b *Process) bool {
+// partitioned reports whether a cut separates two processes.
+func (n *Network) partitioned(a, b *Process) bool {
 	return slices.ContainsFunc(n.cuts, func(cut Cut) bool { return cut != nil && (cut(a, b) || cut(b, a)) })
 }
 
-// latency is that of one message.
+// latency returns a random latency for one message.
 func (n *Network) latency() time.Duration {
 	return n.link.Latency + time.Duration(n.random.Float64()*float64(n.link.Jitter))
 }
 
 func (n *Network) chance(of float64) bool { return of > 0 && n.random.Float64() < of }
 
-// connection is one of a subscriber with a parent.
+// connection is a connection of a subscriber to a parent.
 type connection struct {
-	network   *Network
-	child     *Process
-	uplink    *uplink
-	parent    *Process
-	session   publisher.SessionID
-	open      bool          // at the child
-	hungUp    bool          // by the child
-	toChild   time.Duration // when the last message arrives, as order is kept
-	toParent  time.Duration
-	keepsHeld bool // what is sent during a cut arrives after it, as it does where the cut is short
+	network          *Network
+	child            *Process
+	uplink           *uplink
+	parent           *Process
+	session          publisher.SessionID
+	open             bool // established, as seen by the child
+	closedByChild    bool
+	toChild          time.Duration // arrival of the last message, to keep the order
+	toParent         time.Duration
+	deliversAfterCut bool // messages sent during a cut arrive after it, as after a short cut, instead of being lost
 }
 
 const (
-	dialTimeout = time.Second            // of a connection to who can't be reached
-	holdCheck   = 100 * time.Millisecond // how often held messages look whether the cut is over
-	lateBy      = time.Second
+	dialTimeout     = time.Second            // of a connection to an unreachable process
+	cutPollInterval = 100 * time.Millisecond // how often a delayed message checks whether the cut has ended
+	maxReorderDelay = time.Second
 )
 
-// dial begins a connection.
+// dial starts a connection to a parent.
 func (n *Network) dial(u *uplink, name string) {
 	parent := n.byName[name]
 	n.sessions++
-	c := &connection{network: n, child: u.process, uplink: u, parent: parent, session: n.sessions, keepsHeld: n.random.IntN(2) == 0}
+	c := &connection{network: n, child: u.process, uplink: u, parent: parent, session: n.sessions, deliversAfterCut: n.random.IntN(2) == 0}
 	u.connections[name] = c
-	refused := parent == nil || parent.down || parent.publisher == nil || n.cutBetween(u.process, parent)
+	refused := parent == nil || parent.down || parent.publisher == nil || n.partitioned(u.process, parent)
 	if refused {
-		n.schedule(n.now+dialTimeout, u.process, func() { c.ended() })
+		n.schedule(n.now+dialTimeout, u.process, func() { c.disconnectChild() })
 		return
 	}
-	there := n.latency()
-	c.toParent = n.now + there
+	latency := n.latency()
+	c.toParent = n.now + latency
 	n.schedule(c.toParent, parent, func() {
-		if c.hungUp {
+		if c.closedByChild {
 			return
 		}
 		parent.connections[c.session] = c
 		parent.publisher.Connected(parent.clock(), c.session)
 	})
-	life := parent.life
-	n.schedule(n.now+2*there, u.process, func() {
-		if parent.life != life {
-			c.ended()
+	incarnation := parent.incarnation
+	n.schedule(n.now+2*latency, u.process, func() {
+		if parent.incarnation != incarnation {
+			c.disconnectChild()
 		} else if c.current() {
 			c.open = true
 			u.subscriber.Connected(u.process.clock(), name)
@@ -216,11 +218,11 @@
 	})
 }
 
-// current reports whether the subscriber still means this connection.
+// current reports whether this is still the subscriber's connection to the parent.
 func (c *connection) current() bool { return c.uplink.connections[c.parent.Name] == c }
 
-// ended tells the child that the connection is no more.
-func (c *connection) ended() {
+// disconnectChild reports to the subscriber that the connection has ended.
+func (c *connection) disconnectChild() {
 	name := ""
 	for key, other := range c.uplink.connections {
 		if other == c {
@@ -235,9 +237,9 @@
 	c.uplink.subscriber.Disconnected(c.child.clock(), name)
 }
 
-// hangUp ends the connection for the parent, once it can hear of it.
-func (c *connection) hangUp() {
-	c.open, c.hungUp = false, true
+// closeFromChild closes the connection at the child, and at the parent after the latency and any cut.
+func (c *connection) closeFromChild() {
+	c.open, c.closedByChild = false, true
 	c.afterCut(c.network.latency(), c.parent, func() {
 		if c.parent.connections[c.session] == c {
 			delete(c.parent.connections, c.session)
@@ -246,16 +248,16 @@
 	})
 }
 
-// afterCut calls a function at a process after a latency and when no cut is between the two any more.
+// afterCut calls a function at a process after a latency and once no cut separates the two processes.
 func (c *connection) afterCut(latency time.Duration, at *Process, run func()) {
 	n := c.network
-	life := at.life
+	incarnation := at.incarnation
 	var try func()
 	try = func() {
 		switch {
-		case at.life != life:
-		case n.cutBetween(c.child, c.parent):
-			n.schedule(n.now+holdCheck, nil, try)
+		case at.incarnation != incarnation:
+		case n.partitioned(c.child, c.parent):
+			n.schedule(n.now+cutPollInterval, nil, try)
 		default:
 			n.schedule(n.now, at, run)
 		}
@@ -263,7 +265,7 @@
 	n.schedule(n.now+latency, nil, try)
 }
 
-// send carries a message in one direction, with what the link does to it.
+// send sends a message in one direction, with the faults of the link.
 func (c *connection) send(from, to *Process, last *time.Duration, m message.Message, deliver func(message.Message)) {
 	n := c.network
 	size := n.size(m)
@@ -274,8 +276,8 @@
 		to.Traffic.BytesIn += size
 		deliver(m)
 	}
-	if n.cutBetween(c.child, c.parent) {
-		if c.keepsHeld {
+	if n.partitioned(c.child, c.parent) {
+		if c.deliversAfterCut {
 			c.afterCut(n.latency(), to, receive)
 		}
 		return
@@ -284,14 +286,14 @@
 		return
 	}
 	if n.chance(n.link.Truncate) {
-		m = tear(m)
+		m = truncate(m)
 	}
 	if delta, ok := m.(*message.Delta); ok && len(delta.Changes) > 0 && n.chance(n.link.Invalid) {
-		m = spoil(delta)
+		m = addInvalidChange(delta)
 	}
 	at := max(*last, n.now+n.latency())
 	if n.chance(n.link.Reorder) {
-		at += time.Duration(n.random.Float64() * float64(lateBy))
+		at += time.Duration(n.random.Float64() * float64(maxReorderDelay))
 	} else {
 		*last = at
 	}
@@ -301,16 +303,16 @@
 	}
 }
 
-// replayOld sends a child a snapshot of an earlier state in one part.
-func (c *connection) replayOld(deliver func(message.Message), region string) {
+// replayOldState sends a child a snapshot of an earlier state in one part.
+func (c *connection) replayOldState(deliver func(message.Message), region string) {
 	n := c.network
-	model := n.logs[region]
-	if !n.checks.verify || !n.chance(n.link.Replay) || n.cutBetween(c.child, c.parent) {
+	history := n.logs[region]
+	if !n.checks.verify || !n.chance(n.link.Replay) || n.partitioned(c.child, c.parent) {
 		return
 	}
-	position := model.order[n.random.IntN(len(model.order))]
+	position := history.order[n.random.IntN(len(history.order))]
 	old := &message.SnapshotPart{Region: region, Position: position, Last: true}
-	for _, r := range model.positions[position].resources {
+	for _, r := range history.positions[position].resources {
 		if c.uplink.filter.Contains(r.Key.Service) {
 			old.Resources = append(old.Resources, r)
 		}
@@ -319,35 +321,35 @@
 	n.schedule(n.now+n.latency(), c.child, func() { deliver(old) })
 }
 
-// spoil adds a tenant with a quota below zero, and its part of the digest.
-func spoil(m *message.Delta) *message.Delta {
-	spoiled := *m
+// addInvalidChange returns a copy of a delta with a negative tenant quota, included in the digest.
+func addInvalidChange(m *message.Delta) *message.Delta {
+	modified := *m
 	key := resource.Key{Service: m.Changes[0].Resource.Key.Service, Kind: resource.KindTenant, Name: "invalid"}
 	invalid := resource.Resource{Key: key, Tenant: &resource.Tenant{Quota: -1}}
-	spoiled.Changes = append(slices.Clone(m.Changes), resource.Change{Resource: invalid})
-	spoiled.Digest = m.Digest.Add(&invalid)
-	return &spoiled
+	modified.Changes = append(slices.Clone(m.Changes), resource.Change{Resource: invalid})
+	modified.Digest = m.Digest.Add(&invalid)
+	return &modified
 }
 
-// tear takes half of what a message holds.
-func tear(m message.Message) message.Message {
+// truncate returns a copy of a delta or snapshot part with half of its content.
+func truncate(m message.Message) message.Message {
 	switch m := m.(type) {
 	case *message.Delta:
-		torn := *m
-		torn.Changes = slices.Clone(m.Changes[:len(m.Changes)/2])
-		return &torn
+		truncated := *m
+		truncated.Changes = slices.Clone(m.Changes[:len(m.Changes)/2])
+		return &truncated
 	case *message.SnapshotPart:
-		torn := *m
-		torn.Resources = slices.Clone(m.Resources[:len(m.Resources)/2])
-		return &torn
+		truncated := *m
+		truncated.Resources = slices.Clone(m.Resources[:len(m.Resources)/2])
+		return &truncated
 	}
 	return m
 }
 
-// logModel is what a region's log was at each position.
-type logModel struct {
+// logHistory holds the state of a region's log at each position.
+type logHistory struct {
 	positions map[resource.Position]*state
-	order     []resource.Position // as the log had them
+	order     []resource.Position // in the order of the log
 	latest    resource.Position
 	writer    *Process
 	epoch     uint64
--- a/internal/controlplane/simulate/plantedfault/plantedfault.go
+++ b/internal/controlplane/simulate/plantedfault/plantedfault.go
@@ -1,5 +1,5 @@
-// Package plantedfault is for tests of the control plane's packages: it shows that a fault which a test plants is named by
-// the check that is made for it.
+// Package plantedfault is for tests of the control plane's packages. It shows that a planted fault is detected by the check
+// made for it.
 package plantedfault
 
 import (
@@ -9,20 +9,20 @@
 	"craneglade/internal/controlplane/simulate"
 )
 
-// Seeds is how many scripts are played with each fault at the most.
+// Seeds is the maximum number of scripts run with each fault.
 const Seeds = 20
 
-var allSeeds = flag.Bool("allseeds", false, "play all seeds of each planted fault, for the table; otherwise until one names it")
+var allSeeds = flag.Bool("allseeds", false, "run all seeds of each planted fault and log the counts; otherwise stop at the first seed that detects it")
 
-// Check plays scripts with a fault that options plants, and fails the test where no seed has the check name it. With
-// -allseeds it logs how many do.
+// Check runs scripts with a fault planted by options, and fails the test if the check fails for no seed. With -allseeds it
+// runs all seeds and logs for how many the check fails.
 func Check(t *testing.T, check simulate.Check, options func(seed uint64) simulate.Options) {
 	t.Helper()
-	until := check
+	stopAt := check
 	if *allSeeds {
-		until = ""
+		stopAt = ""
 	}
-	failed := simulate.FailedChecks(Seeds, until, options)
+	failed := simulate.FailedChecks(Seeds, stopAt, options)
 	if *allSeeds {
 		t.Logf("of %d seeds %d name it by %q; all: %v", Seeds, failed[check], check, failed)
 	}
--- a/internal/controlplane/simulate/process.go
+++ b/internal/controlplane/simulate/process.go
@@ -11,7 +11,7 @@
 	"craneglade/internal/controlplane/subscriber"
 )
 
-// Role is what a process does.
+// Role is the role of a process.
 type Role uint8
 
 // The roles.
@@ -31,13 +31,13 @@
 
 	network     *Network
 	options     *Options
-	life        int
+	incarnation int
 	down        bool
 	stalled     bool
-	waiting     []*event // while it is stalled
+	deferred    []*event // events due while the process is stalled
 	clockOffset time.Duration
 	clockRate   float64
-	wakeAt      time.Duration
+	stepAt      time.Duration
 
 	uplinks     []*uplink
 	own         map[string]*changelog.Store // logs that this process writes
@@ -45,30 +45,31 @@
 	connections map[publisher.SessionID]*connection
 }
 
-// uplink is a subscriber of a process with its connections. A control process has one for each region.
+// uplink is a subscriber of a process with its connections. A control process has one for each region that it does not
+// write.
 type uplink struct {
 	process     *Process
 	subscriber  *subscriber.Subscriber
 	filter      changelog.Filter
 	connections map[string]*connection
-	checked     []*checked // by region, as the subscriber has them
+	replicas    []*replicaCheck // in the order of the subscriber's regions
 }
 
-// clock is the process's own monotonic clock.
+// clock returns the process's own monotonic clock.
 func (p *Process) clock() time.Duration {
 	return p.clockOffset + time.Duration(float64(p.network.now)*p.clockRate)
 }
 
-// global is when the process's clock will show a time.
-func (p *Process) global(local time.Duration) time.Duration {
+// networkTime returns the virtual time at which the process's clock shows a time.
+func (p *Process) networkTime(local time.Duration) time.Duration {
 	return time.Duration(float64(local-p.clockOffset) / p.clockRate)
 }
 
-// start begins a life of the process with nothing but the logs that it writes.
+// start starts an incarnation of the process, with no state but the logs that it writes.
 func (p *Process) start() {
 	p.connections = map[publisher.SessionID]*connection{}
 	p.publisher, p.uplinks = nil, nil
-	p.wakeAt = 0
+	p.stepAt = 0
 	if p.Role != RoleNode {
 		cfg := p.options.Publisher
 		cfg.Seed = p.network.random.Uint64()
@@ -79,15 +80,15 @@
 			p.options.PlantPublisher(p.publisher)
 		}
 	}
-	p.options.connect(p)
+	p.options.addSubscribers(p)
 	for _, store := range p.own {
 		p.publisher.Publish(store)
 	}
 	p.network.schedule(p.network.now, p, func() {})
 }
 
-// subscribe adds a subscriber for regions.
-func (p *Process) subscribe(regions []string, filter changelog.Filter, candidates []parents.Candidate) {
+// addSubscriber adds a subscriber for regions.
+func (p *Process) addSubscriber(regions []string, filter changelog.Filter, candidates []parents.Candidate) {
 	if len(regions) == 0 {
 		return
 	}
@@ -106,7 +107,7 @@
 		p.options.PlantSubscriber(u.subscriber)
 	}
 	for _, region := range regions {
-		u.checked = append(u.checked, &checked{region: region, inForce: map[resource.Key]resource.Resource{}})
+		u.replicas = append(u.replicas, &replicaCheck{region: region, inForce: map[resource.Key]resource.Resource{}})
 		if p.publisher != nil {
 			p.publisher.Publish(u.subscriber.Store(region))
 		}
@@ -114,7 +115,7 @@
 	p.uplinks = append(p.uplinks, u)
 }
 
-// uplinkFor finds the subscriber of a region.
+// uplinkFor returns the uplink of a region, or nil.
 func (p *Process) uplinkFor(region string) *uplink {
 	for _, u := range p.uplinks {
 		if u.replica(region) != nil {
@@ -124,9 +125,9 @@
 	return nil
 }
 
-// replica is what was last seen of a region, or nil.
-func (u *uplink) replica(region string) *checked {
-	for _, c := range u.checked {
+// replica returns the last checked state of a region's replica, or nil.
+func (u *uplink) replica(region string) *replicaCheck {
+	for _, c := range u.replicas {
 		if c.region == region {
 			return c
 		}
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// age is how old the process's replica of a region is.
+// age returns the age of the process's replica of a region.
 func (p *Process) age(region string, now time.Duration) time.Duration {
 	if p.own[region] != nil {
 		return 0
@@ -145,7 +146,7 @@
 	return 0
 }
 
-// Subscriber is that of a region, or nil where the process writes the log.
+// Subscriber returns the subscriber of a region, or nil if the process writes the log.
 func (p *Process) Subscriber(region string) *subscriber.Subscriber {
 	if u := p.uplinkFor(region); u != nil {
 		return u.subscriber
@@ -153,21 +154,21 @@
 	return nil
 }
 
-// Publisher is nil for nodes.
+// Publisher returns the process's publisher, or nil for a node.
 func (p *Process) Publisher() *publisher.Publisher { return p.publisher }
 
-// Up reports whether the process runs, also where it is stalled.
+// Up reports whether the process is running or stalled.
 func (p *Process) Up() bool { return !p.down }
 
-// drive carries out what the process's state machines want, and calls them again in time.
-func (p *Process) drive() {
+// step performs the actions of the process's state machines and schedules their next step.
+func (p *Process) step() {
 	if p.down {
 		return
 	}
 	now := p.clock()
 	next := now + time.Hour
 	for _, u := range p.uplinks {
-		u.act(u.subscriber.Step(now))
+		u.perform(u.subscriber.Step(now))
 		next = min(next, u.subscriber.Next(now))
 	}
 	if p.publisher != nil {
@@ -177,26 +178,26 @@
 		next = min(next, p.publisher.Next(now))
 		p.network.checkPublisher(p)
 	}
-	p.wake(next)
+	p.scheduleStep(next)
 }
 
-// wake drives the process again at a time of its clock.
-func (p *Process) wake(local time.Duration) {
-	at := max(p.global(local), p.network.now+time.Millisecond)
-	if p.wakeAt > p.network.now && p.wakeAt <= at {
+// scheduleStep schedules a step at a time of the process's clock.
+func (p *Process) scheduleStep(local time.Duration) {
+	at := max(p.networkTime(local), p.network.now+time.Millisecond)
+	if p.stepAt > p.network.now && p.stepAt <= at {
 		return
 	}
-	p.wakeAt = at
+	p.stepAt = at
 	p.network.schedule(at, p, func() {})
 }
 
-// act carries out what a subscriber wants.
-func (u *uplink) act(actions subscriber.Actions) {
+// perform performs the actions of a subscriber.
+func (u *uplink) perform(actions subscriber.Actions) {
 	n := u.process.network
 	for _, name := range actions.Close {
 		if c := u.connections[name]; c != nil {
 			delete(u.connections, name)
-			c.hangUp()
+			c.closeFromChild()
 		}
 	}
 	for _, candidate := range actions.Connect {
@@ -224,42 +225,42 @@
 	if c == nil {
 		return
 	}
-	child, life := c.child, c.child.life
+	child, incarnation := c.child, c.child.incarnation
 	deliver := func(m message.Message) {
-		if child.life == life && c.open && c.current() {
+		if child.incarnation == incarnation && c.open && c.current() {
 			if err := c.uplink.subscriber.Receive(child.clock(), p.Name, m); err != nil {
 				p.network.checks.rejected++
 			}
 		}
 	}
 	c.send(p, child, &c.toChild, o.Message, deliver)
-	if _, beat := o.Message.(*message.Heartbeat); beat {
-		c.replayOld(deliver, o.Message.RegionName())
+	if _, isHeartbeat := o.Message.(*message.Heartbeat); isHeartbeat {
+		c.replayOldState(deliver, o.Message.RegionName())
 	}
 }
 
-// Stall stops the process until the returned function is called. What is sent to it waits.
-func (p *Process) Stall() (wake func()) {
+// Stall stops the process until resume is called. Messages to it wait.
+func (p *Process) Stall() (resume func()) {
 	if p.stalled || p.down {
 		return func() {}
 	}
 	p.stalled = true
-	life := p.life
+	incarnation := p.incarnation
 	return func() {
-		if p.life != life || !p.stalled {
+		if p.incarnation != incarnation || !p.stalled {
 			return
 		}
 		p.stalled = false
-		waiting := p.waiting
-		p.waiting = nil
-		for _, e := range waiting {
+		deferred := p.deferred
+		p.deferred = nil
+		for _, e := range deferred {
 			p.network.schedule(p.network.now, p, e.run)
 		}
 		p.network.schedule(p.network.now, p, func() {})
 	}
 }
 
-// Kill ends the process; its peers' connections end.
+// Kill ends the process and its connections.
 func (p *Process) Kill() {
 	if p.down {
 		return
@@ -267,18 +268,18 @@
 	for _, u := range p.uplinks {
 		for _, c := range sortedConnections(u.connections) {
 			if c.parent != nil {
-				c.hangUp()
+				c.closeFromChild()
 			}
 		}
 	}
 	for _, c := range sortedSessions(p.connections) {
-		c.afterCut(p.network.latency(), c.child, c.ended)
+		c.afterCut(p.network.latency(), c.child, c.disconnectChild)
 	}
-	p.life++
-	p.down, p.stalled, p.waiting = true, false, nil
+	p.incarnation++
+	p.down, p.stalled, p.deferred = true, false, nil
 }
 
-// Start begins a new life of a process that was killed. It has nothing but the logs that it writes.
+// Start starts a new incarnation of a killed process, with no state but the logs that it writes.
 func (p *Process) Start() {
 	if !p.down {
 		return
@@ -287,13 +288,13 @@
 	p.start()
 }
 
-// Filter changes what a node subscribes to.
+// Filter changes the subscription of a node.
 func (p *Process) Filter(f changelog.Filter) {
 	for _, u := range p.uplinks {
 		u.filter = f
 		u.subscriber.Subscribe(p.clock(), f)
-		for _, c := range u.checked {
-			c.widened, c.known = true, false
+		for _, c := range u.replicas {
+			c.awaitingState, c.stateChecked = true, false
 		}
 	}
 	p.network.schedule(p.network.now, p, func() {})
--- a/internal/controlplane/simulate/scenario_test.go
+++ b/internal/controlplane/simulate/scenario_test.go
@@ -11,7 +11,7 @@
 
 const region0, region1 = "region-0", "region-1"
 
-// zoneOptions are one zone of 390 nodes below three relays, as when a zone comes back.
+// zoneOptions returns one zone of 390 nodes below three relays.
 func zoneOptions() Options {
 	o := SmallOptions(11)
 	o.Regions, o.Zones, o.Relays, o.Nodes = 1, 1, 3, 390
@@ -33,8 +33,8 @@
 	}
 }
 
-// until goes on until all processes have the latest states, and returns how long that took.
-func until(t *testing.T, n *Network, limit time.Duration) time.Duration {
+// runUntilConverged runs until all processes have the latest states, and returns how long that took.
+func runUntilConverged(t *testing.T, n *Network, limit time.Duration) time.Duration {
 	t.Helper()
 	start := n.now
 	for n.now < start+limit {
@@ -50,7 +50,7 @@
 	return n.now - start
 }
 
-func endpoint(t *testing.T, n *Network, region string, i int, generation uint64) {
+func appendEndpoint(t *testing.T, n *Network, region string, i int, generation uint64) {
 	t.Helper()
 	if err := n.Append(region, []resource.Change{{Resource: NewEndpoint(ServiceName(region, 0), i, generation)}}); err != nil {
 		t.Fatal(err)
@@ -66,9 +66,9 @@
 	return found
 }
 
-// TestZoneThatStarts: 390 nodes start in one second with nothing. All are served within a minute, and no relay sends more
-// than its budget.
-func TestZoneThatStarts(t *testing.T) {
+// TestZoneColdStart: 390 nodes start within one second without state. All have the latest state within a minute, and no
+// relay sends more than its budget.
+func TestZoneColdStart(t *testing.T) {
 	n := started(zoneOptions())
 	relays, nodes := ofRole(n, RoleRelay), ofRole(n, RoleNode)
 	for i, p := range nodes {
@@ -81,7 +81,7 @@
 		before[p] = p.Traffic.BytesOut
 	}
 	n.Run(n.now + time.Second)
-	took := until(t, n, time.Minute)
+	took := runUntilConverged(t, n, time.Minute)
 	expectNone(t, n)
 	for _, p := range relays {
 		sent := p.Traffic.BytesOut - before[p]
@@ -90,12 +90,12 @@
 			t.Errorf("%s sent %d bytes, at most %d", p.Name, sent, limit)
 		}
 	}
-	t.Logf("all served %s after the last had started", took)
+	t.Logf("all nodes converged %s after the last had started", took)
 }
 
-// TestColdRelays: all relays restart at once with nothing. Nodes serve on, need no snapshots, and have a change of meanwhile
-// within HealWithin.
-func TestColdRelays(t *testing.T) {
+// TestRelaysRestartTogether: all relays restart at the same time without state. The nodes keep their state, most need no
+// snapshot, and a change made meanwhile reaches them within MaxHealTime.
+func TestRelaysRestartTogether(t *testing.T) {
 	n := started(zoneOptions())
 	snapshots := n.Counts().Snapshots
 	for _, p := range ofRole(n, RoleRelay) {
@@ -103,9 +103,9 @@
 		n.At(n.now+2*time.Second, p.Start)
 	}
 	n.Run(n.now + time.Second)
-	endpoint(t, n, region0, 1, 99)
+	appendEndpoint(t, n, region0, 1, 99)
 	n.Run(n.now + time.Second)
-	took := until(t, n, MaxHealTime)
+	took := runUntilConverged(t, n, MaxHealTime)
 	expectNone(t, n)
 	after := n.Counts().Snapshots
 	t.Logf("%s after the relays had started; %d snapshots", took, after-snapshots)
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestRestartedRelayIsNotStormed: a relay that comes back has its children again after a while, not all at once.
-func TestRestartedRelayIsNotStormed(t *testing.T) {
+// TestRestartedRelayRegainsStreamsGradually: the children of a restarted relay must come back, but not all at once.
+func TestRestartedRelayRegainsStreamsGradually(t *testing.T) {
 	n := started(zoneOptions())
 	n.Run(n.now + time.Minute)
 	relay := ofRole(n, RoleRelay)[0]
@@ -127,37 +127,37 @@
 		}
 		return count
 	}
-	usual := streams()
+	normal := streams()
 	relay.Kill()
 	n.Run(n.now + 5*time.Second)
 	relay.Start()
-	last, most := 0, 0
+	last, maxNew := 0, 0
 	for range 240 {
 		n.Run(n.now + 500*time.Millisecond)
-		most = max(most, streams()-last)
+		maxNew = max(maxNew, streams()-last)
 		last = streams()
 	}
-	t.Logf("%d streams before, %d two minutes after the restart, at most %d new ones in half a second", usual, last, most)
-	if last < usual*9/10 || most > usual/4 {
-		t.Errorf("%d streams of %d came back, at most %d in half a second", last, usual, most)
+	t.Logf("%d streams before, %d two minutes after the restart, at most %d new ones in half a second", normal, last, maxNew)
+	if last < normal*9/10 || maxNew > normal/4 {
+		t.Errorf("%d streams of %d came back, at most %d in half a second", last, normal, maxNew)
 	}
 	expectNone(t, n)
 }
 
-// TestRegionCutForFiveMinutes: both sides go on with their own logs, only the home region can change a service, ages grow,
-// and after the heal all have the home region's state.
-func TestRegionCutForFiveMinutes(t *testing.T) {
+// TestRegionPartition: two regions are cut off from each other for five minutes. Both continue with their own logs, only the
+// home region can change a service, ages grow, and after the heal all have the home region's state.
+func TestRegionPartition(t *testing.T) {
 	n := started(SmallOptions(5))
 	heal := n.Cut(func(a, b *Process) bool { return a.Region == region0 && b.Region == region1 })
 	const cut = 5 * time.Minute
 	for i := range 100 {
 		n.Run(n.now + cut/100)
-		endpoint(t, n, region0, i%6, uint64(i)) // both sides change endpoints of region 0's service:
-		stolen := NewService(region0, ServiceName(region0, 0))
-		if err := n.Append(region1, []resource.Change{{Resource: stolen}}); err == nil {
+		appendEndpoint(t, n, region0, i%6, uint64(i)) // both sides change endpoints of region 0's service:
+		foreign := NewService(region0, ServiceName(region0, 0))
+		if err := n.Append(region1, []resource.Change{{Resource: foreign}}); err == nil {
 			t.Fatal("the log of another region changed a service")
 		}
-		endpoint(t, n, region1, i%6, uint64(i))
+		appendEndpoint(t, n, region1, i%6, uint64(i))
 	}
 	for _, p := range ofRole(n, RoleNode) {
 		own, other := region0, region1
@@ -173,14 +173,14 @@
 		}
 	}
 	heal()
-	took := until(t, n, MaxHealTime)
+	took := runUntilConverged(t, n, MaxHealTime)
 	t.Logf("healed in %s", took)
 	expectNone(t, n)
 }
 
-// TestZoneInTwoHalves: half of a zone's relays and nodes are cut off from the other half and from the control processes.
-// The nodes of the other half follow, those cut off serve on, and after the heal all have one state.
-func TestZoneInTwoHalves(t *testing.T) {
+// TestZonePartition: half of a zone's relays and nodes are cut off from the other half and from the control processes. The
+// other half receives changes, the nodes cut off keep their state, and all converge after the heal.
+func TestZonePartition(t *testing.T) {
 	o := SmallOptions(6)
 	o.Nodes = 6
 	n := started(o)
@@ -191,7 +191,7 @@
 		}
 	}
 	heal := n.Cut(func(a, b *Process) bool { return half[a] != half[b] })
-	endpoint(t, n, region0, 1, 50)
+	appendEndpoint(t, n, region0, 1, 50)
 	n.Run(n.now + MaxApplyTime)
 	var cutOff []*Process
 	for p := range half {
@@ -203,13 +203,13 @@
 	n.CheckAll(CheckStall, cutOff...)
 	n.Run(n.now + time.Minute)
 	heal()
-	t.Logf("healed in %s", until(t, n, MaxHealTime))
+	t.Logf("healed in %s", runUntilConverged(t, n, MaxHealTime))
 	expectNone(t, n)
 }
 
-// TestRelaysCutOffFromControl: all relays of a zone hear nothing of the control processes, and go on talking. Their nodes
-// find another zone's by the ages that they tell.
-func TestRelaysCutOffFromControl(t *testing.T) {
+// TestRelaysIsolatedFromControl: all relays of a zone are cut off from the control processes but still send heartbeats.
+// Their nodes move to relays of another zone because of the reported ages.
+func TestRelaysIsolatedFromControl(t *testing.T) {
 	n := started(SmallOptions(8))
 	cut := map[*Process]bool{}
 	var cutOff []*Process
@@ -220,36 +220,37 @@
 		}
 	}
 	n.Cut(func(a, b *Process) bool { return cut[a] && b.Role == RoleControl })
-	endpoint(t, n, region0, 1, 50)
+	appendEndpoint(t, n, region0, 1, 50)
 	n.Run(n.now + MaxHealTime)
 	n.CheckAll(CheckLag, cutOff...)
 	expectNone(t, n)
 }
 
-// TestParentsStalledForTwentySeconds: both parents of some nodes. They go to others, and never back to the old state.
-func TestParentsStalledForTwentySeconds(t *testing.T) {
+// TestStalledParents: both parents of some nodes stall for 20 s. The nodes move to other parents, and never go back to the
+// old state.
+func TestStalledParents(t *testing.T) {
 	n := started(SmallOptions(9))
 	var stalled []*Process
-	var wakes []func()
+	var resumes []func()
 	for _, p := range ofRole(n, RoleRelay) {
 		if p.Zone == "zone-1-0" {
 			stalled = append(stalled, p)
-			wakes = append(wakes, p.Stall())
+			resumes = append(resumes, p.Stall())
 		}
 	}
-	endpoint(t, n, region0, 1, 50)
+	appendEndpoint(t, n, region0, 1, 50)
 	n.Run(n.now + MaxApplyTime)
 	n.CheckAll(CheckStall, stalled...)
 	n.Run(n.now + 20*time.Second - MaxApplyTime)
-	for _, wake := range wakes {
-		wake()
+	for _, resume := range resumes {
+		resume()
 	}
-	t.Logf("healed in %s", until(t, n, MaxHealTime))
+	t.Logf("healed in %s", runUntilConverged(t, n, MaxHealTime))
 	expectNone(t, n)
 }
 
-// TestCostOfANodeIsFlat: bytes a second of a node don't grow with the number of nodes.
-func TestCostOfANodeIsFlat(t *testing.T) {
+// TestNodeTrafficIndependentOfFleetSize: the bytes per second of a node must not grow with the number of nodes.
+func TestNodeTrafficIndependentOfFleetSize(t *testing.T) {
 	perNode := func(nodes int) float64 {
 		o := zoneOptions()
 		o.Nodes, o.Verify = nodes, false
@@ -260,7 +261,7 @@
 			before += p.Traffic.BytesIn + p.Traffic.BytesOut
 		}
 		for i := range 60 {
-			endpoint(t, n, region0, i%20, uint64(i))
+			appendEndpoint(t, n, region0, i%20, uint64(i))
 			n.Run(n.now + time.Second)
 		}
 		after := 0
@@ -270,14 +271,14 @@
 		return float64(after-before) / float64(nodes) / (n.now - start).Seconds()
 	}
 	few, many := perNode(30), perNode(600)
-	t.Logf("bytes a second of a node: %.0f of 30 nodes, %.0f of 600", few, many)
+	t.Logf("bytes per second of a node: %.0f with 30 nodes, %.0f with 600", few, many)
 	if many > few*1.2 || many > 8<<10 {
-		t.Errorf("bytes a second of a node: %.0f of 30 nodes, %.0f of 600", few, many)
+		t.Errorf("bytes per second of a node: %.0f with 30 nodes, %.0f with 600", few, many)
 	}
 }
 
-// TestTrafficIsCounted at both ends.
-func TestTrafficIsCounted(t *testing.T) {
+// TestTrafficCounters: traffic is counted by sender and receiver.
+func TestTrafficCounters(t *testing.T) {
 	n := started(SmallOptions(1))
 	var in, out int
 	for _, p := range n.Processes() {
@@ -289,11 +290,11 @@
 	}
 	node := ofRole(n, RoleNode)[0]
 	if n.Process(node.Name) != node || node.Subscriber(region0).Store(region0).Len() == 0 || node.Publisher() != nil || !node.Up() {
-		t.Error("a node can't be looked at")
+		t.Error("the accessors of a node return wrong values")
 	}
 }
 
-// BenchmarkNetwork is a virtual second of 390 nodes.
+// BenchmarkNetwork measures a virtual second of 390 nodes.
 func BenchmarkNetwork(b *testing.B) {
 	o := zoneOptions()
 	o.Verify = false
--- a/internal/controlplane/simulate/script_test.go
+++ b/internal/controlplane/simulate/script_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-var scripts = flag.Int("scripts", defaultScripts(), "how many scripts TestScripts plays; CONTROLPLANE_SCRIPTS sets it too")
+var scripts = flag.Int("scripts", defaultScripts(), "number of scripts that TestScripts runs; CONTROLPLANE_SCRIPTS sets the default")
 
-// defaultScripts is few enough for CI.
+// defaultScripts returns a number of scripts that is small enough for CI.
 func defaultScripts() int {
 	if n, err := strconv.Atoi(os.Getenv("CONTROLPLANE_SCRIPTS")); err == nil {
 		return n
@@ -20,8 +20,8 @@
 	return 200
 }
 
-// TestScripts plays scripts of loss, doubling, turned order, torn messages, cuts, stalls, restarts, drift, new writers and
-// restored logs. No check may fail in any of them.
+// TestScripts runs scripts with message loss, duplication, reordering and truncation, partitions, stalls, restarts, clock
+// drift, new writers and restored logs. No check may fail in any of them.
 func TestScripts(t *testing.T) {
 	seeds := make(chan uint64)
 	var wait sync.WaitGroup
@@ -52,22 +52,22 @@
 	}
 }
 
-// TestSeedsThatFailed once, of 10,000: what they found stays mended.
-func TestSeedsThatFailed(t *testing.T) {
+// TestRegressionSeeds repeats those of 10,000 seeds that once failed a check.
+func TestRegressionSeeds(t *testing.T) {
 	for _, seed := range []uint64{
-		241, // a relay refused a change, and its request after that was lost
+		241, // a relay refused a change, and its following request was lost
 		512, // the same
-		419, // messages of before a stall came after it
-		991, // a replayed state passed a cut, before what the cut held up: a fault of the network here
+		419, // messages sent before a stall arrived after it
+		991, // a replayed state passed a cut ahead of the messages that it delayed: a fault of this simulation
 	} {
 		playScript(t, seed)
 	}
 }
 
-// TestSameSeedSameRun: a run follows from its seed alone.
-func TestSameSeedSameRun(t *testing.T) {
+// TestDeterministicRun: two runs with the same seed are identical.
+func TestDeterministicRun(t *testing.T) {
 	first, second := RunScript(SmallOptions(7)), RunScript(SmallOptions(7))
 	if !slices.Equal(first.Log, second.Log) || !slices.Equal(first.Traffic, second.Traffic) {
-		t.Error("two runs of one seed differ")
+		t.Error("two runs with the same seed differ")
 	}
 }
--- a/internal/controlplane/simulate/topology.go
+++ b/internal/controlplane/simulate/topology.go
@@ -13,7 +13,7 @@
 	"craneglade/internal/controlplane/subscriber"
 )
 
-// Options are the size of a network and the settings of its processes.
+// Options holds the size of a network and the settings of its processes.
 type Options struct {
 	Seed            uint64
 	Regions         int
@@ -23,15 +23,15 @@
 	Nodes           int // in each zone
 	Services        int // in each region's log
 	ServicesPerNode int // of each region
-	Endpoints       int // of a service, at the start
+	Endpoints       int // of each service at the start
 	ClockDrift      float64
 	Link            Link
 	Publisher       publisher.Config
 	Subscriber      subscriber.Limits
-	Verify          bool                      // check every replica at every step; keeps all states of all logs
-	Size            func(message.Message) int // bytes on the wire; nil for an estimate
+	Verify          bool                      // check every replica at every step; stores all states of all logs
+	Size            func(message.Message) int // size of a message on the wire in bytes; nil for an estimate
 
-	// PlantSubscriber and PlantPublisher see each new state machine. Tests plant faults with them.
+	// PlantSubscriber and PlantPublisher are called with each new state machine. Tests plant faults with them.
 	PlantSubscriber func(*subscriber.Subscriber)
 	PlantPublisher  func(*publisher.Publisher)
 
@@ -39,7 +39,7 @@
 	filters map[string]changelog.Filter
 }
 
-// New builds a network in which all processes start at once. The logs hold their first state already.
+// New returns a network in which all processes start at the same time. The logs have their initial state.
 func New(options Options) *Network {
 	o := &options
 	n := newNetwork(o.Seed, o.Link, o.Size)
@@ -48,7 +48,7 @@
 	n.checks.verify = o.Verify
 	n.checks.ageTolerance = 2*o.Subscriber.SilenceTimeout + 2*time.Second
 	for r := range o.Regions {
-		n.logs[regionName(r)] = &logModel{positions: map[resource.Position]*state{}, epoch: 1}
+		n.logs[regionName(r)] = &logHistory{positions: map[resource.Position]*state{}, epoch: 1}
 	}
 	for r := range o.Regions {
 		o.addRegion(r)
@@ -61,32 +61,32 @@
 
 func regionName(r int) string { return fmt.Sprintf("region-%d", r) }
 
-// ServiceName is that of a service of a region.
+// ServiceName returns the name of a region's service.
 func ServiceName(region string, i int) string { return fmt.Sprintf("%s-service-%d", region, i) }
 
-// addRegion adds the processes of a region; they aren't started yet.
+// addRegion adds the processes of a region without starting them.
 func (o *Options) addRegion(r int) {
 	region := regionName(r)
 	for i := range o.Controls {
-		p := o.add(RoleControl, fmt.Sprintf("control-%d-%d", r, i), region, "")
+		p := o.addProcess(RoleControl, fmt.Sprintf("control-%d-%d", r, i), region, "")
 		if i == 0 {
 			o.network.logs[region].writer = p
-			p.own = map[string]*changelog.Store{region: o.firstLog(region)}
+			p.own = map[string]*changelog.Store{region: o.initialLog(region)}
 		}
 	}
 	for z := range o.Zones {
 		zone := fmt.Sprintf("zone-%d-%d", r, z)
 		for i := range o.Relays {
-			o.add(RoleRelay, fmt.Sprintf("relay-%d-%d-%d", r, z, i), region, zone)
+			o.addProcess(RoleRelay, fmt.Sprintf("relay-%d-%d-%d", r, z, i), region, zone)
 		}
 		for i := range o.Nodes {
-			p := o.add(RoleNode, fmt.Sprintf("node-%d-%d-%d", r, z, i), region, zone)
+			p := o.addProcess(RoleNode, fmt.Sprintf("node-%d-%d-%d", r, z, i), region, zone)
 			o.filters[p.Name] = o.RandomFilter()
 		}
 	}
 }
 
-func (o *Options) add(role Role, name, region, zone string) *Process {
+func (o *Options) addProcess(role Role, name, region, zone string) *Process {
 	n := o.network
 	p := &Process{Name: name, Role: role, Region: region, Zone: zone, network: n, options: o}
 	p.clockOffset = time.Duration(n.random.Int64N(int64(time.Hour)))
@@ -96,7 +96,7 @@
 	return p
 }
 
-// RandomFilter draws a node's subscription: some services of each region.
+// RandomFilter returns a random subscription of a node: some services of each region.
 func (o *Options) RandomFilter() changelog.Filter {
 	var f changelog.Filter
 	for r := range o.Regions {
@@ -108,8 +108,8 @@
 	return f
 }
 
-// firstLog is a log with all services and their endpoints.
-func (o *Options) firstLog(region string) *changelog.Store {
+// initialLog returns a log with all services and their endpoints.
+func (o *Options) initialLog(region string) *changelog.Store {
 	var all []resource.Resource
 	for i := range o.Services {
 		service := ServiceName(region, i)
@@ -120,13 +120,13 @@
 	}
 	store := changelog.NewStore(region, o.Subscriber.Store)
 	if err := store.Replace(resource.Position{Epoch: 1, Version: 1}, all); err != nil {
-		panic(err) // the resources are made above
+		panic(err) // can't happen: the resources are made above
 	}
 	o.network.record(store)
 	return store
 }
 
-// NewService is a service's own resource.
+// NewService returns the resource of a service itself.
 func NewService(region, service string) resource.Resource {
 	return resource.Resource{
 		Key:     resource.Key{Service: service, Kind: resource.KindService, Name: service},
@@ -134,7 +134,7 @@
 	}
 }
 
-// NewEndpoint is an endpoint of a service; generation tells its states apart.
+// NewEndpoint returns an endpoint of a service; generation distinguishes its states.
 func NewEndpoint(service string, i int, generation uint64) resource.Resource {
 	return resource.Resource{
 		Key: resource.Key{Service: service, Kind: resource.KindEndpoint, Name: fmt.Sprintf("endpoint-%d", i)},
@@ -148,20 +148,20 @@
 	}
 }
 
-// connect gives a process that starts its subscribers.
-func (o *Options) connect(p *Process) {
+// addSubscribers adds the subscribers of a starting process.
+func (o *Options) addSubscribers(p *Process) {
 	all := changelog.Filter{All: true}
 	switch p.Role {
 	case RoleControl:
 		for r := range o.Regions {
 			if region := regionName(r); p.own[region] == nil {
-				p.subscribe([]string{region}, all, o.candidates(RoleControl, region, p))
+				p.addSubscriber([]string{region}, all, o.candidates(RoleControl, region, p))
 			}
 		}
 	case RoleRelay:
-		p.subscribe(o.regions(), all, o.candidates(RoleControl, p.Region, p))
+		p.addSubscriber(o.regions(), all, o.candidates(RoleControl, p.Region, p))
 	case RoleNode:
-		p.subscribe(o.regions(), o.filters[p.Name], o.candidates(RoleRelay, p.Region, p))
+		p.addSubscriber(o.regions(), o.filters[p.Name], o.candidates(RoleRelay, p.Region, p))
 	}
 }
 
@@ -173,7 +173,7 @@
 	return names
 }
 
-// candidates are the processes of a role and region that may be a process's parents.
+// candidates returns the processes of a role and region that may be a process's parents.
 func (o *Options) candidates(role Role, region string, child *Process) []parents.Candidate {
 	var all []parents.Candidate
 	for _, p := range o.network.processes {
@@ -184,13 +184,13 @@
 	return all
 }
 
-// Writer is the process that writes a region's log, with the log.
+// Writer returns the process that writes a region's log, and the log.
 func (n *Network) Writer(region string) (*Process, *changelog.Store) {
 	p := n.logs[region].writer
 	return p, p.own[region]
 }
 
-// Append changes a region's log at its writer. A writer that is down or stalled changes nothing.
+// Append appends changes to a region's log at its writer. It does nothing if the writer is down or stalled.
 func (n *Network) Append(region string, changes []resource.Change) error {
 	writer, store := n.Writer(region)
 	if writer.down || writer.stalled {
@@ -204,44 +204,44 @@
 	return nil
 }
 
-// Restore replaces a region's log by what it was at an earlier position, under a newer epoch, as after a restore from a
-// backup.
+// Restore replaces a region's log by its state at an earlier position, under a newer epoch, as after a restore from a
+// backup. It does nothing if the writer is down or stalled.
 func (n *Network) Restore(region string, position resource.Position) {
-	model := n.logs[region]
+	history := n.logs[region]
 	writer, store := n.Writer(region)
-	backup := model.positions[position]
+	backup := history.positions[position]
 	if writer.down || writer.stalled || backup == nil {
 		return
 	}
-	model.epoch++
-	if err := store.Replace(resource.Position{Epoch: model.epoch, Version: position.Version}, backup.resources); err != nil {
-		panic(err) // the state was one of the log's
+	history.epoch++
+	if err := store.Replace(resource.Position{Epoch: history.epoch, Version: position.Version}, backup.resources); err != nil {
+		panic(err) // can't happen: the state was one of the log's
 	}
 	n.record(store)
 	n.schedule(n.now, writer, func() {})
 }
 
-// Promote makes another control process the writer of its region's log, under a newer epoch. It reports false, and changes
-// nothing, where that process doesn't have all of the log.
+// Promote makes another control process the writer of its region's log, under a newer epoch. It reports false and changes
+// nothing if that process doesn't have the latest position of the log.
 func (n *Network) Promote(p *Process) bool {
-	model := n.logs[p.Region]
-	former := model.writer
+	history := n.logs[p.Region]
+	former := history.writer
 	u := p.uplinkFor(p.Region)
-	if p.down || p.stalled || p == former || u == nil || u.subscriber.Store(p.Region).Position() != model.latest {
+	if p.down || p.stalled || p == former || u == nil || u.subscriber.Store(p.Region).Position() != history.latest {
 		return false
 	}
 	store := u.subscriber.Store(p.Region)
 	former.own = nil
-	if !former.down { // it begins again as a replica
+	if !former.down { // it restarts as a replica
 		former.Kill()
 		former.Start()
 	}
 	p.own = map[string]*changelog.Store{p.Region: store}
 	for _, c := range sortedConnections(u.connections) {
-		c.hangUp()
+		c.closeFromChild()
 	}
 	p.uplinks = slices.DeleteFunc(p.uplinks, func(other *uplink) bool { return other == u })
-	model.writer = p
-	model.epoch++
+	history.writer = p
+	history.epoch++
 	return true
 }
