--- a/cmd/craneglade/control_later_test.go
+++ b/cmd/craneglade/control_later_test.go
@@ -160,7 +160,7 @@
 	skipped := int64(0)
 	for _, n := range p.nodes {
 		s, err := n.status()
-		if err != nil || s.Dropped > 0 || s.Sessions.Bad > 0 {
+		if err != nil || s.Dropped > 0 || s.Sessions.Invalid > 0 {
 			t.Errorf("%s: %+v, %v", n.name, s, err)
 		} else {
 			skipped += s.Sessions.Skipped
@@ -285,7 +285,7 @@
 	if got := relay.quota("a"); got != 6 {
 		t.Errorf("the relay has %v, want 6", got)
 	}
-	r, err := controlnet.Ask(relay.socket, controlnet.Request{Operation: controlnet.OperationGet, Service: controlService, Kind: "tenant", Name: "later"})
+	r, err := controlnet.Call(relay.socket, controlnet.Request{Operation: controlnet.OperationGet, Service: controlService, Kind: "tenant", Name: "later"})
 	if err != nil || strings.Contains(string(r.Resources), "later") {
 		t.Errorf("what the backup lacks is still there: %s, %v", r.Resources, err)
 	}
--- a/cmd/craneglade/control_regions_test.go
+++ b/cmd/craneglade/control_regions_test.go
@@ -66,7 +66,7 @@
 			t.Errorf("%s after the heal: %+v, %v, want %s and %s", c.name, s, err, northern, last)
 		}
 	}
-	r, err := controlnet.Ask(relay.socket, controlnet.Request{Operation: controlnet.OperationGet, Region: "south", Kind: "endpoint"})
+	r, err := controlnet.Call(relay.socket, controlnet.Request{Operation: controlnet.OperationGet, Region: "south", Kind: "endpoint"})
 	if err != nil || strings.Count(string(r.Resources), `"address"`) != 2 {
 		t.Errorf("the relay's log of the south: %s, %v", r.Resources, err)
 	}
--- a/cmd/craneglade/control_test.go
+++ b/cmd/craneglade/control_test.go
@@ -225,7 +225,7 @@
 }
 
 func (c *controlled) status() (*controlnet.DaemonStatus, error) {
-	r, err := controlnet.Ask(c.socket, controlnet.Request{Operation: controlnet.OperationStatus})
+	r, err := controlnet.Call(c.socket, controlnet.Request{Operation: controlnet.OperationStatus})
 	if err != nil {
 		return nil, err
 	}
@@ -242,7 +242,7 @@
 
 // apply has the process take changes.
 func (c *controlled) apply(text string) (position string, err error) {
-	r, err := controlnet.Ask(c.socket, controlnet.Request{Operation: controlnet.OperationApply, File: "changes.toml", Text: text})
+	r, err := controlnet.Call(c.socket, controlnet.Request{Operation: controlnet.OperationApply, File: "changes.toml", Text: text})
 	if err != nil {
 		return "", err
 	}
@@ -590,7 +590,7 @@
 // quota is a tenant's in the process's log.
 func (c *controlled) quota(name string) float64 {
 	c.plane.t.Helper()
-	r, err := controlnet.Ask(c.socket, controlnet.Request{Operation: controlnet.OperationGet, Service: controlService, Kind: "tenant", Name: name})
+	r, err := controlnet.Call(c.socket, controlnet.Request{Operation: controlnet.OperationGet, Service: controlService, Kind: "tenant", Name: name})
 	if err != nil {
 		c.plane.t.Fatal(err)
 	}
@@ -627,7 +627,7 @@
 	}
 	p.eventually("four strangers counted", func() bool {
 		s, err := relay.status()
-		return err == nil && s.Counts.Strangers >= before.Counts.Strangers+4
+		return err == nil && s.Counts.FailedHandshakes >= before.Counts.FailedHandshakes+4
 	})
 	if n := strings.Count(relay.log.String(), "a connection is no subscriber's"); n != 1 {
 		p.t.Errorf("%d lines of strangers in the log of the relay, want one", n)
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return controlnet.Ask(path, q)
+	return controlnet.Call(path, q)
 }
 
 type controlRunCmd struct {
@@ -114,7 +114,7 @@
 	n := s.Counts
 	_, err := fmt.Fprintf(out, "\nSent %d messages and %d bytes, received %d and %d. Dropped %d unreadable and %d wrong ones, passed over %d parts of later versions. "+
 		"Connections: %d of strangers, %d turned away, %d ended as too slow.\n",
-		n.Sent, n.SentBytes, n.Received, n.ReceivedBytes, n.Bad, s.Dropped, n.Skipped, n.Strangers, n.TurnedAway, n.Slow)
+		n.Sent, n.SentBytes, n.Received, n.ReceivedBytes, n.Invalid, s.Dropped, n.Skipped, n.FailedHandshakes, n.Rejected, n.Slow)
 	return err
 }
 
--- a/internal/controlnet/accept.go
+++ b/internal/controlnet/accept.go
@@ -73,8 +73,8 @@
 // admit carries the session of a process that is no subscriber.
 func (p *Process) admit(ctx context.Context, s *session) {
 	err := errors.New("its role is not known here")
-	if s.role == asMember && p.cfg.Member != nil {
-		err = p.cfg.Member(ctx, s)
+	if s.role == asMember && p.cfg.ServeMember != nil {
+		err = p.cfg.ServeMember(ctx, s)
 	} else {
 		p.counters.strangers.Add(1)
 		p.warnings.warn("a process was turned away", "from", s.peer, "err", err)
--- a/internal/controlnet/counters.go
+++ b/internal/controlnet/counters.go
@@ -15,20 +15,20 @@
 
 // Counts are what a process has counted since its start.
 type Counts struct {
-	Sent          int64 `json:"sent"`     // messages
-	Received      int64 `json:"received"` // messages
-	SentBytes     int64 `json:"sent_bytes"`
-	ReceivedBytes int64 `json:"received_bytes"`
-	Skipped       int64 `json:"skipped"`     // fields, messages and resources of later versions
-	Bad           int64 `json:"bad"`         // messages that could not be read, dropped
-	Slow          int64 `json:"slow"`        // sessions ended as the other side did not read
-	Strangers     int64 `json:"strangers"`   // connections that never became a session
-	TurnedAway    int64 `json:"turned_away"` // connections over the limit
+	Sent             int64 `json:"sent"`     // messages
+	Received         int64 `json:"received"` // messages
+	SentBytes        int64 `json:"sent_bytes"`
+	ReceivedBytes    int64 `json:"received_bytes"`
+	Skipped          int64 `json:"skipped"`     // fields, messages and resources of later versions
+	Invalid          int64 `json:"bad"`         // messages that could not be read, dropped
+	Slow             int64 `json:"slow"`        // sessions ended as the other side did not read
+	FailedHandshakes int64 `json:"strangers"`   // connections that never became a session
+	Rejected         int64 `json:"turned_away"` // connections over the limit
 }
 
 func (c *counters) counts() Counts {
 	return Counts{Sent: c.sent.Load(), Received: c.received.Load(), SentBytes: c.sentBytes.Load(), ReceivedBytes: c.receivedBytes.Load(),
-		Skipped: c.skipped.Load(), Bad: c.bad.Load(), Slow: c.slow.Load(), Strangers: c.strangers.Load(), TurnedAway: c.turnedAway.Load()}
+		Skipped: c.skipped.Load(), Invalid: c.bad.Load(), Slow: c.slow.Load(), FailedHandshakes: c.strangers.Load(), Rejected: c.turnedAway.Load()}
 }
 
 // add adds the bytes of a session that goes on; nil for one that does not stand yet.
--- a/internal/controlnet/daemon.go
+++ b/internal/controlnet/daemon.go
@@ -138,7 +138,7 @@
 		p.Publish(store)
 	}
 	d.process = NewProcess(Config{Name: d.cfg.Name, Keys: d.cfg.Keys, Cluster: d.cfg.Cluster, MaxSubscribers: limits.Subscribers, StaleAfter: limits.Silence.D(),
-		Subscribers: subscribers, Publisher: p, Member: carryMember, Clock: d.clock, Log: d.log})
+		Subscribers: subscribers, Publisher: p, ServeMember: carryMember, Clock: d.clock, Log: d.log})
 	if d.member != nil {
 		d.member.process = d.process
 	}
--- a/internal/controlnet/member_test.go
+++ b/internal/controlnet/member_test.go
@@ -67,7 +67,7 @@
 	ended := m.ended
 	go func() { ended <- Serve(ctx, m.cfg, slog.New(slog.NewTextHandler(&m.log, nil))) }()
 	m.t.Cleanup(m.stop)
-	eventually(m.t, m.cfg.Name+" up", func() bool { _, err := Ask(m.cfg.Socket, Request{Operation: OperationStatus}); return err == nil })
+	eventually(m.t, m.cfg.Name+" up", func() bool { _, err := Call(m.cfg.Socket, Request{Operation: OperationStatus}); return err == nil })
 }
 
 // stop ends the process, and wants all of it to end.
@@ -89,7 +89,7 @@
 
 func (m *memberUnderTest) status() LogStatus {
 	m.t.Helper()
-	r, err := Ask(m.cfg.Socket, Request{Operation: OperationStatus})
+	r, err := Call(m.cfg.Socket, Request{Operation: OperationStatus})
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 	t.Helper()
 	eventually(t, "a change", func() bool {
 		for _, m := range all {
-			if r, err := Ask(m.cfg.Socket, Request{Operation: OperationApply, File: "c.toml", Text: text}); err == nil {
+			if r, err := Call(m.cfg.Socket, Request{Operation: OperationApply, File: "c.toml", Text: text}); err == nil {
 				position = r.Position
 				return true
 			}
--- a/internal/controlnet/operator.go
+++ b/internal/controlnet/operator.go
@@ -52,8 +52,8 @@
 	Resources json.RawMessage `json:"resources,omitempty"` // a file of changes that sets them
 }
 
-// Ask asks the process that answers on a socket. An error of the process comes as one of Ask.
-func Ask(path string, q Request) (*Response, error) {
+// Call asks the process that answers on a socket. An error of the process comes as one of Call.
+func Call(path string, q Request) (*Response, error) {
 	conn, err := net.DialTimeout("unix", path, operatorTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("no process of the control plane answers on %s: %w", path, err)
--- a/internal/controlnet/process.go
+++ b/internal/controlnet/process.go
@@ -44,14 +44,14 @@
 	StaleAfter     time.Duration                         // nothing came from any parent for so long: what comes then may have been told a while ago
 	Subscribers    []*subscriber.Subscriber              // one for each set of parents
 	Publisher      *publisher.Publisher                  // nil for a process that serves nobody
-	Member         func(context.Context, *session) error // carries the session of a process that says it is a member; nil for none
-	Applied        func(News)                            // called from one goroutine, in order; nil for a process that only passes on
+	ServeMember    func(context.Context, *session) error // carries the session of a process that says it is a member; nil for none
+	Applied        func(Update)                          // called from one goroutine, in order; nil for a process that only passes on
 	Clock          func() time.Duration                  // never steps back
 	Log            *slog.Logger
 }
 
-// News is what a subscriber has applied, and is to be brought into force.
-type News struct {
+// Update is what a subscriber has applied, and is to be brought into force.
+type Update struct {
 	subscriber.Applied
 	Late bool // it may have been told a while ago, as nothing was heard before
 }
@@ -164,7 +164,7 @@
 type work struct {
 	closing []*link
 	dialing []dial
-	news    []News
+	news    []Update
 	sending []delivery
 	notes   []fmt.Stringer
 }
@@ -259,7 +259,7 @@
 		}
 	}
 	for _, a := range actions.Applied {
-		w.news = append(w.news, News{a, now < u.staleUntil})
+		w.news = append(w.news, Update{a, now < u.staleUntil})
 	}
 	for _, n := range u.subscriber.Notes() {
 		w.notes = append(w.notes, n)
--- a/internal/controlnet/process_test.go
+++ b/internal/controlnet/process_test.go
@@ -129,7 +129,7 @@
 }
 
 // child is a configuration of a process that subscribes to a parent at an address.
-func child(address string, applied func(News)) Config {
+func child(address string, applied func(Update)) Config {
 	s := subscriber.New(subscriber.Config{Name: "child", Regions: []string{"north"}, Filter: changelog.Filter{Services: []string{"a"}},
 		Candidates: []parents.Candidate{{Name: "parent", Address: address}}, Limits: LimitsFor(time.Second)}, 0)
 	return Config{Name: "child", Subscribers: []*subscriber.Subscriber{s}, Applied: applied}
@@ -137,8 +137,8 @@
 
 func TestChangesReachASubscriber(t *testing.T) {
 	p := newParent(t, 10)
-	news := make(chan News, 100)
-	c := started(t, child(p.address, func(n News) { news <- n }), false)
+	news := make(chan Update, 100)
+	c := started(t, child(p.address, func(n Update) { news <- n }), false)
 	for i := range 5 {
 		p.set(float64(i))
 		eventually(t, "the change", func() bool {
@@ -150,7 +150,7 @@
 		s := p.Status()
 		return len(s.Subscribers) == 1 && s.Subscribers[0].Position.Version == 5 && s.Names[s.Subscribers[0].Session] == "child"
 	})
-	if s := c.Status(); s.Counts.Received == 0 || s.Counts.SentBytes == 0 || s.Counts.Bad > 0 {
+	if s := c.Status(); s.Counts.Received == 0 || s.Counts.SentBytes == 0 || s.Counts.Invalid > 0 {
 		t.Errorf("%+v", s.Counts)
 	}
 	if text := c.log.String(); strings.Count(text, "is streamed from") != 1 {
@@ -165,7 +165,7 @@
 func TestNewsAreAppliedWithoutTheLock(t *testing.T) {
 	p := newParent(t, 10)
 	applying, release := make(chan struct{}), make(chan struct{})
-	c := started(t, child(p.address, func(News) {
+	c := started(t, child(p.address, func(Update) {
 		close(applying)
 		<-release
 	}), false)
@@ -180,11 +180,11 @@
 // What comes after nothing came for long may have been told a while ago.
 func TestNewsAfterASilenceAreLate(t *testing.T) {
 	p := newParent(t, 10)
-	news := make(chan News, 100)
+	news := make(chan Update, 100)
 	var mu sync.Mutex
 	var ahead time.Duration
 	clock := monotonic()
-	cfg := child(p.address, func(n News) { news <- n })
+	cfg := child(p.address, func(n Update) { news <- n })
 	cfg.StaleAfter = 10 * time.Second
 	cfg.Clock = func() time.Duration {
 		mu.Lock()
@@ -250,7 +250,7 @@
 	for err == nil {
 		_, err = second.Read()
 	}
-	if s := p.Status(); s.Counts.TurnedAway != 1 || len(s.Names) != 1 || s.Counts.Strangers > 0 {
+	if s := p.Status(); s.Counts.Rejected != 1 || len(s.Names) != 1 || s.Counts.FailedHandshakes > 0 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -269,8 +269,8 @@
 	}
 	client(t, p.address, "late")
 	eventually(t, "the late one", func() bool { return len(p.Status().Names) == 1 })
-	if s := p.Status(); s.Counts.TurnedAway != 0 {
-		t.Errorf("%d were turned away", s.Counts.TurnedAway)
+	if s := p.Status(); s.Counts.Rejected != 0 {
+		t.Errorf("%d were turned away", s.Counts.Rejected)
 	}
 }
 
@@ -287,7 +287,7 @@
 		t.Fatal(err)
 	}
 	eventually(t, "the subscription", func() bool { return len(p.Status().Subscribers) == 1 })
-	if s := p.Status(); s.Counts.Bad != 5 || s.Names[s.Subscribers[0].Session] != "client" {
+	if s := p.Status(); s.Counts.Invalid != 5 || s.Names[s.Subscribers[0].Session] != "client" {
 		t.Errorf("%+v", s)
 	}
 	if n := strings.Count(p.log.String(), "a message that can't be read was dropped"); n != 1 {
@@ -304,7 +304,7 @@
 			_, err = c.Read()
 		}
 	}
-	eventually(t, "strangers", func() bool { return p.Status().Counts.Strangers == 4 })
+	eventually(t, "strangers", func() bool { return p.Status().Counts.FailedHandshakes == 4 })
 }
 
 // A session whose other side does not read ends once its queue is full, and nobody waits for it.
@@ -390,8 +390,8 @@
 	t.Cleanup(func() { ln.Close() })
 	asked := make(chan *message.Subscribe, 100)
 	go serveLaterVersion(ln, asked)
-	news := make(chan News, 10)
-	c := started(t, child(ln.Addr().String(), func(n News) { news <- n }), false)
+	news := make(chan Update, 10)
+	c := started(t, child(ln.Addr().String(), func(n Update) { news <- n }), false)
 	select {
 	case n := <-news:
 		if len(n.Changes) != 1 || n.Position != (resource.Position{Epoch: 1, Version: 1}) {
--- a/internal/kit/scale/hollow/hollow.go
+++ b/internal/kit/scale/hollow/hollow.go
@@ -124,7 +124,7 @@
 		Candidates: h.cfg.Parents, Seed: uint64(os.Getpid())<<20 + number, Limits: controlnet.LimitsFor(h.cfg.Silence), Leaf: true}, h.clock())
 	n.process = controlnet.NewProcess(controlnet.Config{Name: cfg.Name, Keys: [][]byte{key}, Cluster: h.cfg.Cluster, BytesPerSecond: h.cfg.Bytes,
 		StaleAfter: h.cfg.Silence, Subscribers: []*subscriber.Subscriber{n.subscriber}, Clock: h.clock, Log: log,
-		Applied: func(news controlnet.News) { h.applied(cfg.Name, news.Changes) }})
+		Applied: func(news controlnet.Update) { h.applied(cfg.Name, news.Changes) }})
 	h.nodes = append(h.nodes, n)
 	return n
 }
@@ -174,7 +174,7 @@
 		out.Counts.Received += status.Counts.Received
 		out.Counts.SentBytes += status.Counts.SentBytes
 		out.Counts.ReceivedBytes += status.Counts.ReceivedBytes
-		out.Counts.Bad += status.Counts.Bad
+		out.Counts.Invalid += status.Counts.Invalid
 	}
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) == nil {
--- a/internal/kit/scale/processes/measure.go
+++ b/internal/kit/scale/processes/measure.go
@@ -64,8 +64,8 @@
 	away, strangers := int64(0), int64(0)
 	for _, c := range r.relays {
 		if s, err := c.status(); err == nil {
-			away += s.Counts.TurnedAway
-			strangers += s.Counts.Strangers
+			away += s.Counts.Rejected
+			strangers += s.Counts.FailedHandshakes
 		}
 	}
 	r.out.AddWall(Mechanism, "relay", "connections turned away at the start, of all relays", "1", float64(away))
@@ -232,7 +232,7 @@
 		sum.Counts.Received += s.Counts.Received
 		sum.Counts.SentBytes += s.Counts.SentBytes
 		sum.Counts.ReceivedBytes += s.Counts.ReceivedBytes
-		sum.Counts.Bad += s.Counts.Bad
+		sum.Counts.Invalid += s.Counts.Invalid
 	}
 	return sum
 }
@@ -244,7 +244,7 @@
 	r.out.Add(Mechanism, "node", "messages in", "1/s", each(after.Counts.Received-before.Counts.Received))
 	r.out.Add(Mechanism, "node", "messages out", "1/s", each(after.Counts.Sent-before.Counts.Sent))
 	r.out.AddWall(Mechanism, "node", "processor time", "cores", each(after.CPUNS-before.CPUNS)/float64(time.Second))
-	r.out.Check("no message could not be read", after.Counts.Bad == 0, "%d", after.Counts.Bad)
+	r.out.Check("no message could not be read", after.Counts.Invalid == 0, "%d", after.Counts.Invalid)
 }
 
 // use is what the processes of a role have used, in the mean.
--- a/internal/kit/scale/processes/processes.go
+++ b/internal/kit/scale/processes/processes.go
@@ -219,7 +219,7 @@
 }
 
 func (c *control) status() (*controlnet.DaemonStatus, error) {
-	r, err := controlnet.Ask(c.socket, controlnet.Request{Operation: controlnet.OperationStatus})
+	r, err := controlnet.Call(c.socket, controlnet.Request{Operation: controlnet.OperationStatus})
 	if err != nil {
 		return nil, err
 	}
@@ -255,7 +255,7 @@
 	if err != nil {
 		return "", err
 	}
-	answer, err := controlnet.Ask(r.writer.socket, controlnet.Request{Operation: controlnet.OperationApply, File: "changes.json", Text: string(text)})
+	answer, err := controlnet.Call(r.writer.socket, controlnet.Request{Operation: controlnet.OperationApply, File: "changes.json", Text: string(text)})
 	if err != nil {
 		return "", fmt.Errorf("the writer refused: %w", err)
 	}
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -74,7 +74,7 @@
 }
 
 // apply brings what the control plane has told into force. What is not reachable in a running node is told in the log.
-func (c *control) apply(news controlnet.News) {
+func (c *control) apply(news controlnet.Update) {
 	c.endpoints.apply(news.Changes, news.Late)
 	for piece := range slices.Chunk(c.shareChanges(news.Changes), pieceSize) {
 		c.front.ChangeShares(piece)
