--- a/internal/controlnet/accept.go
+++ b/internal/controlnet/accept.go
@@ -11,18 +11,18 @@
 	"craneglade/internal/timing"
 )
 
-// acceptPause is how long accepting rests after it has failed, as where no descriptor is left.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the pause after a failed accept, for instance when no file descriptor is free.
+const acceptRetryDelay = 50 * time.Millisecond
 
-// maxHandshakes is how many connections may be at their beginning at a time. Further ones wait in the listener's backlog:
-// closing them would have the nodes of a zone that start together come again after their backoff.
+// maxHandshakes limits concurrent handshakes. Further connections wait in the listener's backlog: if they were closed, nodes
+// of a zone that start at the same time would have to reconnect after their backoff.
 const maxHandshakes = 128
 
-// accept takes subscribers' connections until ctx ends.
+// accept accepts connections on ln until ctx ends.
 func (p *Process) accept(ctx context.Context, ln net.Listener) {
 	stop := context.AfterFunc(ctx, func() { ln.Close() })
 	defer stop()
-	places, handshakes := make(chan struct{}, p.cfg.MaxSubscribers), make(chan struct{}, maxHandshakes)
+	slots, handshakes := make(chan struct{}, p.cfg.MaxSubscribers), make(chan struct{}, maxHandshakes)
 	for {
 		select {
 		case handshakes <- struct{}{}:
@@ -31,66 +31,67 @@
 		}
 		conn, err := ln.Accept()
 		if err == nil {
-			p.sessions.Go(func() { p.receive(ctx, conn, handshakes, places) })
+			p.sessions.Go(func() { p.handleConn(ctx, conn, handshakes, slots) })
 			continue
 		}
 		<-handshakes
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		p.warnings.warn("a connection could not be accepted", "err", err)
-		if !timing.Sleep(ctx, acceptPause) {
+		p.warnings.warn("accept failed", "err", err)
+		if !timing.Sleep(ctx, acceptRetryDelay) {
 			return
 		}
 	}
 }
 
-// receive makes a session of a connection, and carries it where there is a place. It holds a token of handshakes until the
-// other side has shown that it has a key, so that strangers take no place of a subscriber.
-func (p *Process) receive(ctx context.Context, conn net.Conn, handshakes, places chan struct{}) {
+// handleConn performs the handshake on a connection and runs the session that results. The connection holds a token of
+// handshakes until its peer has proven that it has a key, so that unauthenticated connections take no subscriber slot.
+func (p *Process) handleConn(ctx context.Context, conn net.Conn, handshakes, slots chan struct{}) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	s, err := p.welcome(conn)
+	s, err := p.handshake(conn)
 	<-handshakes
 	if err != nil {
-		p.counters.strangers.Add(1)
+		p.counters.failedHandshakes.Add(1)
 		p.warnings.warn("a connection is no subscriber's", "from", conn.RemoteAddr(), "err", err)
 		return
 	}
-	if s.role != asSubscriber {
-		p.admit(ctx, s)
+	if s.role != roleSubscriber {
+		p.serveMember(ctx, s)
 		return
 	}
 	select {
-	case places <- struct{}{}:
-		p.serve(ctx, s)
-		<-places
+	case slots <- struct{}{}:
+		p.serveSubscriber(ctx, s)
+		<-slots
 	default:
-		p.turnAway(conn, "a subscriber was turned away: limits.subscribers is reached")
+		p.reject(conn, "subscriber rejected: limits.subscribers is reached")
 	}
 }
 
-// admit carries the session of a process that is no subscriber.
-func (p *Process) admit(ctx context.Context, s *session) {
-	err := errors.New("its role is not known here")
-	if s.role == asMember && p.cfg.ServeMember != nil {
+// serveMember runs the session of another member of the quorum, and rejects every other role.
+func (p *Process) serveMember(ctx context.Context, s *session) {
+	err := errors.New("role not accepted")
+	if s.role == roleMember && p.cfg.ServeMember != nil {
 		err = p.cfg.ServeMember(ctx, s)
 	} else {
-		p.counters.strangers.Add(1)
-		p.warnings.warn("a process was turned away", "from", s.peer, "err", err)
+		p.counters.failedHandshakes.Add(1)
+		p.warnings.warn("session rejected", "from", s.peer, "err", err)
 	}
 	s.conn.Close()
-	p.cfg.Log.Debug("a session has ended", "name", s.peer, "err", err)
+	p.cfg.Log.Debug("session ended", "name", s.peer, "err", err)
 }
 
-func (p *Process) turnAway(conn net.Conn, why string) {
-	p.counters.turnedAway.Add(1)
-	p.warnings.warn(why, "from", conn.RemoteAddr())
+// reject counts and closes a connection that exceeds a limit.
+func (p *Process) reject(conn net.Conn, reason string) {
+	p.counters.rejected.Add(1)
+	p.warnings.warn(reason, "from", conn.RemoteAddr())
 	conn.Close()
 }
 
-// serve carries one subscriber's session.
-func (p *Process) serve(ctx context.Context, s *session) {
+// serveSubscriber runs one subscriber's session.
+func (p *Process) serveSubscriber(ctx context.Context, s *session) {
 	var id publisher.SessionID
 	p.Do(func() {
 		p.lastID++
@@ -101,28 +102,28 @@
 	err := s.run(ctx, func(r received) {
 		p.Do(func() {
 			if err := p.cfg.Publisher.Receive(p.cfg.Clock(), id, r.message); err != nil {
-				p.counters.bad.Add(1)
-				p.warnings.warn("a subscriber's message was dropped", "from", s.peer, "err", err)
+				p.counters.invalid.Add(1)
+				p.warnings.warn("dropped an invalid message of a subscriber", "from", s.peer, "err", err)
 			}
 		})
-	}, p.unreadable(s))
+	}, p.warnUnreadable(s))
 	p.Do(func() {
 		delete(p.downstreams, id)
 		p.cfg.Publisher.Disconnected(p.cfg.Clock(), id)
 	})
 	if errors.Is(err, errSlow) {
-		p.warnings.warn("a subscriber was disconnected", "name", s.peer, "err", err)
+		p.warnings.warn("subscriber disconnected", "name", s.peer, "err", err)
 	}
-	p.cfg.Log.Debug("a subscriber's session has ended", "name", s.peer, "err", err)
+	p.cfg.Log.Debug("subscriber session ended", "name", s.peer, "err", err)
 }
 
-// welcome makes a session of a connection, or closes it.
-func (p *Process) welcome(conn net.Conn) (*session, error) {
+// handshake establishes a session on a connection. It closes the connection on error.
+func (p *Process) handshake(conn net.Conn) (*session, error) {
 	framed, err := frame.Accept(conn, p.frames)
 	if err != nil {
 		return nil, err
 	}
-	s, err := greet(framed, p, asSubscriber, nil) // the publisher itself keeps to its budget
+	s, err := exchangeGreetings(framed, p, roleSubscriber, nil) // no pacer: the publisher limits its own rate
 	if err != nil {
 		return nil, errors.Join(err, framed.Close())
 	}
--- a/internal/controlnet/daemon.go
+++ b/internal/controlnet/daemon.go
@@ -21,7 +21,7 @@
 	"craneglade/internal/settings"
 )
 
-// daemon is a process of the control plane: the writer of a region's log, or a relay.
+// daemon is a process of the control plane: a member of the quorum of a region's log, or a relay.
 type daemon struct {
 	cfg     *settings.ControlProcess
 	log     *slog.Logger
@@ -33,7 +33,7 @@
 
 // Serve runs a process of the control plane until ctx ends.
 func Serve(ctx context.Context, cfg *settings.ControlProcess, log *slog.Logger) error {
-	d := &daemon{cfg: cfg, log: log, clock: monotonic()}
+	d := &daemon{cfg: cfg, log: log, clock: monotonicClock()}
 	ln, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -47,24 +47,24 @@
 	if err != nil {
 		return errors.Join(fmt.Errorf("socket: %w", err), ln.Close())
 	}
-	var others sync.WaitGroup
-	others.Go(func() { d.answerOperators(ctx, operators) })
+	var background sync.WaitGroup
+	background.Go(func() { d.serveOperators(ctx, operators) })
 	if d.member != nil {
-		others.Go(func() { d.member.run(ctx) })
+		background.Go(func() { d.member.run(ctx) })
 	}
 	log.Info("serving", "role", cfg.Role, "region", cfg.Region, "listen", cfg.Listen)
 	d.process.Run(ctx, ln)
-	others.Wait()
+	background.Wait()
 	return nil
 }
 
-// monotonic is a clock that never steps back, from its start on.
-func monotonic() func() time.Duration {
+// monotonicClock returns a clock that counts from now and never steps back.
+func monotonicClock() func() time.Duration {
 	start := time.Now()
 	return func() time.Duration { return time.Since(start) }
 }
 
-// open makes the state machines that the role needs.
+// open creates the state machines that the role needs.
 func (d *daemon) open() error {
 	var subscribers []*subscriber.Subscriber
 	if d.cfg.Role == settings.RoleWriter {
@@ -74,7 +74,7 @@
 		}
 		d.member = m
 		d.stores = append(d.stores, m.served)
-		subscribers = d.otherRegions()
+		subscribers = d.otherRegionSubscribers()
 	} else {
 		subscribers = []*subscriber.Subscriber{d.subscriber(d.cfg.Regions, d.cfg.Parents)}
 	}
@@ -83,12 +83,12 @@
 			d.stores = append(d.stores, s.Store(region.Region))
 		}
 	}
-	d.serveWith(subscribers)
+	d.createProcess(subscribers)
 	return nil
 }
 
-// otherRegions are the subscribers of a writer to the logs of other regions, one for each.
-func (d *daemon) otherRegions() (all []*subscriber.Subscriber) {
+// otherRegionSubscribers returns the subscribers of a writer to the logs of other regions, one for each region.
+func (d *daemon) otherRegionSubscribers() (all []*subscriber.Subscriber) {
 	byRegion := map[string][]settings.Parent{}
 	for _, o := range d.cfg.Others {
 		byRegion[o.Region] = append(byRegion[o.Region], settings.Parent{Name: o.Name, Address: o.Address, Zone: o.Zone})
@@ -104,7 +104,7 @@
 		Candidates: Candidates(from), Seed: seed(d.cfg.Name), Limits: LimitsFor(d.cfg.Limits.Silence.D())}, d.clock())
 }
 
-// Candidates are the parents that settings name.
+// Candidates converts the parents in the settings.
 func Candidates(all []settings.Parent) (candidates []parents.Candidate) {
 	for _, p := range all {
 		candidates = append(candidates, parents.Candidate{Name: p.Name, Address: p.Address, Zone: p.Zone})
@@ -112,19 +112,19 @@
 	return candidates
 }
 
-// seed draws differ between processes of different names and between their starts.
+// seed returns a random seed that differs between processes of different names and between restarts.
 func seed(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64() ^ uint64(time.Now().UnixNano())
 }
 
-// serveWith makes the process that carries the state machines.
-func (d *daemon) serveWith(subscribers []*subscriber.Subscriber) {
+// createProcess creates the process that drives the state machines.
+func (d *daemon) createProcess(subscribers []*subscriber.Subscriber) {
 	limits := &d.cfg.Limits
-	var carryMember func(context.Context, *session) error
+	var serveMember func(context.Context, *session) error
 	if d.member != nil {
-		carryMember = d.member.receive
+		serveMember = d.member.receive
 	}
 	p := publisher.New(publisher.Config{
 		BytesPerSecond:    float64(limits.Bytes),
@@ -138,13 +138,13 @@
 		p.Publish(store)
 	}
 	d.process = NewProcess(Config{Name: d.cfg.Name, Keys: d.cfg.Keys, Cluster: d.cfg.Cluster, MaxSubscribers: limits.Subscribers, StaleAfter: limits.Silence.D(),
-		Subscribers: subscribers, Publisher: p, ServeMember: carryMember, Clock: d.clock, Log: d.log})
+		Subscribers: subscribers, Publisher: p, ServeMember: serveMember, Clock: d.clock, Log: d.log})
 	if d.member != nil {
 		d.member.process = d.process
 	}
 }
 
-// age is how old the replica of a region is.
+// age returns the age of the replica of a region.
 func (d *daemon) age(subscribers []*subscriber.Subscriber, region string, now time.Duration) time.Duration {
 	if d.member != nil && region == d.cfg.Region {
 		return d.member.age(now)
@@ -160,10 +160,10 @@
 // LogStatus is the state of one log in a process, for operators.
 type LogStatus struct {
 	Region    string             `json:"region"`
-	Writer    string             `json:"writer,omitempty"` // as a member of the region's quorum knows it
-	Own       bool               `json:"own,omitempty"`    // that is this process
+	Writer    string             `json:"writer,omitempty"` // as known to a member of the region's quorum
+	Own       bool               `json:"own,omitempty"`    // this process is the writer
 	Epoch     uint64             `json:"epoch,omitempty"`
-	Failure   string             `json:"failure,omitempty"` // why this process takes no part in the quorum any more
+	Failure   string             `json:"failure,omitempty"` // why this process has stopped taking part in the quorum
 	Position  string             `json:"position"`
 	AgeMS     int64              `json:"age_ms"`
 	Resources int                `json:"resources"`
@@ -172,7 +172,7 @@
 	Counts    *subscriber.Counts `json:"counts,omitempty"`
 }
 
-// SessionStatus is what one subscriber has of one log, for operators.
+// SessionStatus is the state of one subscriber's replica of one log, for operators.
 type SessionStatus struct {
 	Name           string `json:"name"`
 	Region         string `json:"region"`
@@ -189,7 +189,7 @@
 	Role        string          `json:"role"`
 	Logs        []LogStatus     `json:"logs"`
 	Connected   []string        `json:"parents"`
-	Dropped     uint64          `json:"dropped"` // messages of parents that were wrong
+	Dropped     uint64          `json:"dropped"` // invalid messages of parents
 	Subscribers []SessionStatus `json:"subscribers"`
 	Counts      Counts          `json:"counts"`
 }
@@ -204,20 +204,20 @@
 	}
 	d.process.Do(func() {
 		for _, store := range d.stores {
-			out.Logs = append(out.Logs, LogStatus{Region: store.Region(), Position: show(store.Position()), Resources: store.Len()})
+			out.Logs = append(out.Logs, LogStatus{Region: store.Region(), Position: formatPosition(store.Position()), Resources: store.Len()})
 		}
 	})
 	for i := range out.Logs {
 		l := &out.Logs[i]
 		if d.member != nil && l.Region == d.cfg.Region {
-			d.member.report(l)
+			d.member.addStatus(l)
 		} else if r, ok := status.Region(l.Region); ok {
 			l.AgeMS, l.Source, l.Refused, l.Counts = r.Age.Milliseconds(), r.Source, r.Refused, &r.Counts
 		}
 	}
 	for _, s := range status.Subscribers {
 		out.Subscribers = append(out.Subscribers, SessionStatus{Name: status.Names[s.Session], Region: s.Region, State: s.State,
-			Standby: s.Standby, Position: show(s.Position), Refused: s.Refused, Unacknowledged: s.Unacknowledged})
+			Standby: s.Standby, Position: formatPosition(s.Position), Refused: s.Refused, Unacknowledged: s.Unacknowledged})
 	}
 	slices.SortFunc(out.Subscribers, func(a, b SessionStatus) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Region, b.Region))
@@ -225,18 +225,18 @@
 	return out
 }
 
-// show is a position as operators read it.
-func show(p resource.Position) string {
+// formatPosition formats a position for operators.
+func formatPosition(p resource.Position) string {
 	if p.IsZero() {
 		return "-"
 	}
 	return p.String()
 }
 
-// resources are those of a service in the log of a region, or of all; of one kind and name, where these are given.
+// resources returns the resources in the log of a region, restricted to a service, a kind and a name where these are given.
 func (d *daemon) resources(region, service string, kind resource.Kind, name string) ([]resource.Resource, error) {
-	at := slices.IndexFunc(d.stores, func(s *changelog.Store) bool { return s.Region() == region })
-	if at < 0 {
+	i := slices.IndexFunc(d.stores, func(s *changelog.Store) bool { return s.Region() == region })
+	if i < 0 {
 		return nil, fmt.Errorf("this process has no log of region %q", region)
 	}
 	filter := changelog.Filter{All: service == ""}
@@ -244,24 +244,25 @@
 		filter.Services = []string{service}
 	}
 	var all []resource.Resource
-	d.process.Do(func() { all = d.stores[at].Snapshot(filter) })
+	d.process.Do(func() { all = d.stores[i].Snapshot(filter) })
 	return slices.DeleteFunc(all, func(r resource.Resource) bool {
 		return kind != 0 && r.Key.Kind != kind || name != "" && r.Key.Name != name
 	}), nil
 }
 
-// removeStale takes away the socket file that a process left behind when it was killed.
-func removeStale(path string) error {
+// removeStaleSocket removes the socket file of a process that was killed. It fails if the path is not a socket or a process
+// still listens on it.
+func removeStaleSocket(path string) error {
 	info, err := os.Lstat(path)
 	if err != nil {
 		return err
 	}
 	if info.Mode().Type() != os.ModeSocket {
-		return fmt.Errorf("%s is there and is no socket: give a path at which nothing is", path)
+		return fmt.Errorf("%s exists and is not a socket: choose an unused path", path)
 	}
 	if c, err := net.Dial("unix", path); err == nil {
 		c.Close()
-		return fmt.Errorf("another process answers on %s: give each process a path of its own", path)
+		return fmt.Errorf("another process listens on %s: give each process a path of its own", path)
 	}
 	return os.Remove(path)
 }
--- a/internal/controlnet/link.go
+++ b/internal/controlnet/link.go
@@ -14,53 +14,53 @@
 )
 
 const (
-	linkBytes        = 64 << 20 // that wait for one member; what comes beyond is dropped, and sent again
-	linkKeepAlive    = 5 * time.Second
-	redialBase       = 50 * time.Millisecond
-	redialLimit      = time.Second
-	partBytes        = 1 << 20   // of a message between members that one frame holds
-	maxMemberMessage = 512 << 20 // a snapshot of a region's log
+	linkQueueBytes        = 64 << 20 // queued for one member; messages beyond are dropped, and the quorum algorithm repeats them
+	linkKeepAliveInterval = 5 * time.Second
+	redialBackoffBase     = 50 * time.Millisecond
+	redialBackoffLimit    = time.Second
+	fragmentBytes         = 1 << 20   // bytes of a message between members in one frame
+	maxMemberMessage      = 512 << 20 // bytes; has to hold a snapshot of a region's log
 )
 
-// The first byte of a frame between members. An empty frame says that the sender is there.
+// The first byte of a frame between members. An empty frame is a keep-alive.
 const (
-	partLast byte = iota
-	partMore
+	fragmentLast byte = iota
+	fragmentMore
 )
 
-// memberLink carries messages to one other member of the region's quorum, over a connection that this process opens. What
-// can't be sent is lost: the algorithm sends it again.
+// memberLink sends messages to one other member of the region's quorum, over a connection that this process opens. Messages
+// that can't be sent are dropped: the quorum algorithm repeats them.
 type memberLink struct {
 	settings.Member
 	outgoing *queue
 }
 
-func newMemberLink(m settings.Member) *memberLink { return &memberLink{m, newQueue(linkBytes)} }
+func newMemberLink(m settings.Member) *memberLink { return &memberLink{m, newQueue(linkQueueBytes)} }
 
-// send queues a message; one for which there is no room is lost.
+// send queues a message, or drops it if the queue is full.
 func (l *memberLink) send(data []byte) { l.outgoing.push(data) }
 
-// run keeps the connection until ctx ends.
+// run connects, and reconnects with backoff, until ctx ends.
 func (l *memberLink) run(ctx context.Context, p *Process) {
 	failures := 0
 	for ctx.Err() == nil {
-		if err := l.connect(ctx, p); errors.Is(err, errLinkStood) {
+		if err := l.connect(ctx, p); errors.Is(err, errLinkEstablished) {
 			failures = 0
 		}
 		failures++
-		bound := min(redialLimit, redialBase<<min(failures, 10))
-		timing.Sleep(ctx, bound/2+rand.N(bound/2))
+		backoff := min(redialBackoffLimit, redialBackoffBase<<min(failures, 10))
+		timing.Sleep(ctx, backoff/2+rand.N(backoff/2))
 	}
 }
 
-// errLinkStood is joined by the error of a connection that stood.
-var errLinkStood = errors.New("the connection stood")
+// errLinkEstablished marks the error of a connection that had been established; it resets the backoff.
+var errLinkEstablished = errors.New("the connection had been established")
 
-// connect opens the connection and carries messages until it ends.
+// connect opens the connection and sends queued messages until it ends.
 func (l *memberLink) connect(ctx context.Context, p *Process) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s, err := p.dial(ctx, parents.Candidate{Name: l.Name, Address: l.Address}, asMember)
+	s, err := p.dial(ctx, parents.Candidate{Name: l.Name, Address: l.Address}, roleMember)
 	if err != nil {
 		return err
 	}
@@ -68,16 +68,16 @@
 	stop := context.AfterFunc(ctx, func() { s.conn.Close() })
 	defer stop()
 	for {
-		if _, ok := l.outgoing.pop(); !ok { // what waited for the connection is old
+		if _, ok := l.outgoing.pop(); !ok { // messages from before the connection are outdated
 			break
 		}
 	}
-	keepAlive := time.NewTicker(linkKeepAlive)
+	keepAlive := time.NewTicker(linkKeepAliveInterval)
 	defer keepAlive.Stop()
 	for {
 		if data, ok := l.outgoing.pop(); ok {
-			if err := writeParts(s.conn, data); err != nil {
-				return errors.Join(errLinkStood, err)
+			if err := writeFragments(s.conn, data); err != nil {
+				return errors.Join(errLinkEstablished, err)
 			}
 			continue
 		}
@@ -87,50 +87,50 @@
 		case <-l.outgoing.ready:
 		case <-keepAlive.C:
 			if err := s.conn.Write(nil); err != nil {
-				return errors.Join(errLinkStood, err)
+				return errors.Join(errLinkEstablished, err)
 			}
 		}
 	}
 }
 
-// writeParts writes a message in as many frames as it takes.
-func writeParts(conn *frame.Conn, data []byte) error {
+// writeFragments writes a message in as many frames as it needs.
+func writeFragments(conn *frame.Conn, data []byte) error {
 	for {
-		kind, size := partLast, len(data)
-		if size > partBytes {
-			kind, size = partMore, partBytes
+		kind, size := fragmentLast, len(data)
+		if size > fragmentBytes {
+			kind, size = fragmentMore, fragmentBytes
 		}
 		if err := conn.Write(append([]byte{kind}, data[:size]...)); err != nil {
 			return err
 		}
-		if data = data[size:]; kind == partLast {
+		if data = data[size:]; kind == fragmentLast {
 			return nil
 		}
 	}
 }
 
-// readParts reads the next message.
-func readParts(conn *frame.Conn) (data []byte, err error) {
+// readFragments reads the frames of the next message.
+func readFragments(conn *frame.Conn) (data []byte, err error) {
 	for {
-		part, err := conn.Read()
+		fragment, err := conn.Read()
 		switch {
 		case err != nil:
 			return nil, err
-		case len(part) == 0:
+		case len(fragment) == 0:
 			continue
-		case len(data)+len(part) > maxMemberMessage:
-			return nil, fmt.Errorf("a message is larger than %d bytes", maxMemberMessage)
-		case part[0] != partLast && part[0] != partMore:
-			return nil, fmt.Errorf("part %d is not known", part[0])
+		case len(data)+len(fragment) > maxMemberMessage:
+			return nil, fmt.Errorf("message is larger than %d bytes", maxMemberMessage)
+		case fragment[0] != fragmentLast && fragment[0] != fragmentMore:
+			return nil, fmt.Errorf("unknown fragment type %d", fragment[0])
 		}
-		data = append(data, part[1:]...)
-		if part[0] == partLast {
+		data = append(data, fragment[1:]...)
+		if fragment[0] == fragmentLast {
 			return data, nil
 		}
 	}
 }
 
-// receive hands what another member says to the replica, until the session ends.
+// receive passes the messages of another member to the replica, until the session ends.
 func (m *member) receive(ctx context.Context, s *session) error {
 	stop := context.AfterFunc(ctx, func() { s.conn.Close() })
 	defer stop()
@@ -140,15 +140,15 @@
 			continue
 		}
 		for {
-			data, err := readParts(s.conn)
+			data, err := readFragments(s.conn)
 			if err != nil {
 				return err
 			}
 			select {
 			case m.received <- memberMessage{l.ID, data}:
-			default: // it is sent again
+			default: // dropped: the quorum algorithm repeats it
 			}
 		}
 	}
-	return fmt.Errorf("%q is no member of this region", s.peer)
+	return fmt.Errorf("%q is not a member of this region", s.peer)
 }
--- a/internal/controlnet/member.go
+++ b/internal/controlnet/member.go
@@ -20,23 +20,23 @@
 )
 
 const (
-	minTick          = 50 * time.Millisecond
-	ticksPerBeat     = 10
-	proposalTicks    = 60  // after which a change that no majority has kept is given up; three elections take no longer
-	receivedMessages = 256 // of other members that wait; what comes beyond is dropped, and sent again
-	nonceSize        = 16
+	minTick              = 50 * time.Millisecond
+	ticksPerHeartbeat    = 10
+	proposalTimeoutTicks = 60  // a proposal that no majority has stored by then is abandoned; enough for three elections
+	maxReceivedMessages  = 256 // queued from other members; messages beyond are dropped, and the quorum algorithm repeats them
+	nonceBytes           = 16
 )
 
 var (
-	errNoMajority = errors.New("there is no writer now: no majority of the region's control processes is connected")
-	errUnknown    = errors.New("whether the change was taken is not known: look for it with get before applying it again")
-	errEnded      = errors.New("the process ends")
+	errNoMajority     = errors.New("the region has no writer: no majority of its control processes is connected")
+	errOutcomeUnknown = errors.New("it is unknown whether the change was committed: check with get before applying it again")
+	errStopped        = errors.New("the process is shutting down")
 )
 
-// member is this process among the control processes of its region. It votes for the writer of the region's log, keeps the
-// log's entries, and takes changes while it is the writer itself. What the log holds is what a majority has kept.
+// member is this process as a member of its region's quorum. It votes in elections of the writer of the region's log, stores
+// the log's entries, and accepts changes while it is the writer itself. An entry is committed once a majority has stored it.
 //
-// One goroutine owns the replica of the quorum, and does the I/O that it asks for.
+// One goroutine owns the replica of the quorum and does the I/O that the replica asks for.
 type member struct {
 	cfg     *settings.ControlProcess
 	id      uint64
@@ -44,31 +44,31 @@
 	log     *slog.Logger
 	clock   func() time.Duration
 	process *Process
-	served  *changelog.Store // what the publisher serves; guarded by the process
+	served  *changelog.Store // committed changes, which the publisher serves; guarded by the process
 
 	received  chan memberMessage
 	proposals chan *proposal
 	links     map[uint64]*memberLink
-	ended     chan struct{}
+	done      chan struct{}
 
-	// These belong to run.
+	// The following fields are used by the goroutine of run only.
 	storage  *walfile.File
 	replica  *quorum.Replica
-	staged   *changelog.Store // what the log will hold once the pending proposal is taken
+	staged   *changelog.Store // the log's state once the pending proposal is committed
 	pending  *proposal
-	tickedAt time.Duration
+	lastTick time.Duration
 	tick     time.Duration
 
-	mu       sync.Mutex
-	standing standing
+	mu    sync.Mutex
+	state memberState
 }
 
-// standing is what a member knows of the region's writer.
-type standing struct {
-	writer  uint64 // 0 for none
-	epoch   uint64 // with the offset
-	freshAt time.Duration
-	failure error // the member does nothing any more
+// memberState is a member's view of the region's writer.
+type memberState struct {
+	writer      uint64        // 0 if none is known
+	epoch       uint64        // including the configured offset
+	lastContact time.Duration // with the writer; current while this process is the writer
+	failure     error         // why the member has stopped; nil while it runs
 }
 
 type memberMessage struct {
@@ -76,15 +76,15 @@
 	data []byte
 }
 
-// proposal is changes that wait to be taken or refused.
+// proposal is a set of changes that waits to be committed or rejected.
 type proposal struct {
 	changes  []resource.Change
 	deadline time.Duration
-	done     chan outcome // holds one
+	done     chan outcome // capacity 1
 
 	proposed bool
-	epoch    uint64 // in which it was proposed, and by which it is known among the committed entries
-	nonce    []byte
+	epoch    uint64 // in which it was proposed
+	nonce    []byte // identifies it among the committed entries
 }
 
 type outcome struct {
@@ -92,21 +92,21 @@
 	err      error
 }
 
-// openMember takes what the member has kept in its state folder.
+// openMember creates a member from its state folder.
 func openMember(cfg *settings.ControlProcess, clock func() time.Duration, log *slog.Logger) (*member, error) {
 	m := &member{cfg: cfg, log: log, clock: clock, names: map[uint64]string{}, links: map[uint64]*memberLink{},
 		served:   changelog.NewStore(cfg.Region, changelog.Limits{}),
-		received: make(chan memberMessage, receivedMessages), proposals: make(chan *proposal), ended: make(chan struct{}),
-		tick: max(minTick, cfg.Limits.Heartbeat.D()/ticksPerBeat), tickedAt: clock()}
-	m.standing.freshAt = -unknownAge
+		received: make(chan memberMessage, maxReceivedMessages), proposals: make(chan *proposal), done: make(chan struct{}),
+		tick: max(minTick, cfg.Limits.Heartbeat.D()/ticksPerHeartbeat), lastTick: clock()}
+	m.state.lastContact = -unknownAge
 	var ids []uint64
-	for _, x := range cfg.Members {
-		ids = append(ids, x.ID)
-		m.names[x.ID] = x.Name
-		if x.Name == cfg.Name {
-			m.id = x.ID
+	for _, peer := range cfg.Members {
+		ids = append(ids, peer.ID)
+		m.names[peer.ID] = peer.Name
+		if peer.Name == cfg.Name {
+			m.id = peer.ID
 		} else {
-			m.links[x.ID] = newMemberLink(x)
+			m.links[peer.ID] = newMemberLink(peer)
 		}
 	}
 	storage, state, err := walfile.Open(cfg.State, func(line string) { log.Warn(line) })
@@ -120,30 +120,31 @@
 	return m, nil
 }
 
-// unknownAge is the age of a log of which nothing was heard yet.
+// unknownAge is the age of a log before the first contact with its source, and the maximum age that a member reports.
 const unknownAge = 24 * time.Hour
 
-// load makes the replica go on from what the storage holds.
+// load creates the replica from the stored state.
 func (m *member) load(ids []uint64, state *quorum.State) (err error) {
 	empty := state.Hard == quorum.HardState{} && state.Snapshot.Index == 0 && len(state.Entries) == 0
-	if err := identify(m.cfg.State, m.cfg.Region, m.id, empty); err != nil {
+	if err := checkIdentity(m.cfg.State, m.cfg.Region, m.id, empty); err != nil {
 		return err
 	}
 	if err := m.restore(state.Snapshot.Data); err != nil {
 		return err
 	}
-	catchUp(state)
+	reconcileHardState(state)
 	if m.replica, err = quorum.New(quorum.Config{ID: m.id, Peers: ids, State: *state}); err != nil {
 		return err
 	}
-	m.log.Info("the log is open", "member", m.id, "of", len(ids), "term", state.Hard.Term, "entries", len(state.Entries))
+	m.log.Info("log opened", "member", m.id, "of", len(ids), "term", state.Hard.Term, "entries", len(state.Entries))
 	return nil
 }
 
-// catchUp makes a stored state one that a replica can go on from where a crash has left a snapshot of the writer with the hard
-// state of before: what a snapshot stands for is committed, and its term has come. In a term of which nothing was kept
-// nothing was voted or told either.
-func catchUp(state *quorum.State) {
+// reconcileHardState raises the commit index and the term of a stored state to those of its snapshot. They are lower if a
+// crash came after a snapshot of the writer was stored and before the hard state was: the entries of a snapshot are
+// committed, and its term has started. The vote is cleared with the term: the member has stored nothing in the new term, so
+// it has not voted in it or sent anything.
+func reconcileHardState(state *quorum.State) {
 	hard, snapshot := &state.Hard, &state.Snapshot
 	hard.Commit = max(hard.Commit, snapshot.Index)
 	if hard.Term < snapshot.Term {
@@ -151,7 +152,7 @@
 	}
 }
 
-// restore makes the served log what a snapshot of the quorum holds.
+// restore replaces the served log by a snapshot of the quorum.
 func (m *member) restore(data []byte) error {
 	if len(data) == 0 {
 		return nil
@@ -161,18 +162,18 @@
 	case err != nil:
 		return err
 	case region != m.cfg.Region:
-		return fmt.Errorf("the snapshot is of region %q, and this is a member of %q", region, m.cfg.Region)
+		return fmt.Errorf("the snapshot is of region %q, but this is a member of %q", region, m.cfg.Region)
 	case skipped != (message.Skipped{}):
-		m.log.Warn("a later version has written the log: what this one doesn't know is left out", "resources", skipped.Resources, "fields", skipped.Fields)
+		m.log.Warn("the log was written by a later version; unknown resources and fields are skipped", "resources", skipped.Resources, "fields", skipped.Fields)
 	}
-	if m.process == nil { // before it starts
+	if m.process == nil { // the process is not created yet
 		return m.served.Replace(position, all)
 	}
 	m.process.Do(func() { err = m.served.Replace(position, all) })
 	return err
 }
 
-// run takes part in the quorum until ctx ends.
+// run takes part in the quorum until ctx ends or the member fails.
 func (m *member) run(ctx context.Context) {
 	var links sync.WaitGroup
 	ctx, cancel := context.WithCancel(ctx)
@@ -181,65 +182,66 @@
 	}
 	m.drive(ctx)
 	cancel()
-	close(m.ended)
+	close(m.done)
 	links.Wait()
 }
 
 func (m *member) drive(ctx context.Context) {
 	ticker := time.NewTicker(m.tick)
 	defer ticker.Stop()
-	if err := m.elect(); err != nil {
+	if err := m.electSingle(); err != nil {
 		m.fail(err)
 		return
 	}
 	for {
-		var proposals chan *proposal // one at a time
+		var proposals chan *proposal // nil while one is pending
 		if m.pending == nil {
 			proposals = m.proposals
 		}
-		var heard uint64
+		var sender uint64
 		select {
 		case <-ctx.Done():
-			m.fail(errEnded)
+			m.fail(errStopped)
 			return
 		case <-ticker.C:
-			m.pass()
-		case received := <-m.received:
-			heard = received.from
-			if err := m.replica.Receive(received.data); err != nil {
-				m.process.warnings.warn("a member's message was dropped", "from", m.names[received.from], "err", err)
+			m.advanceTicks()
+		case msg := <-m.received:
+			sender = msg.from
+			if err := m.replica.Receive(msg.data); err != nil {
+				m.process.warnings.warn("a member's message was dropped", "from", m.names[msg.from], "err", err)
 			}
 		case m.pending = <-proposals:
 		}
-		if err := m.work(); err != nil {
+		if err := m.processReady(); err != nil {
 			m.fail(err)
 			return
 		}
-		m.note(heard)
+		m.updateWriter(sender)
 	}
 }
 
-// elect makes the only member of a region its writer at once: nobody else could be.
-func (m *member) elect() error {
+// electSingle elects the only member of a region at once, without an election timeout: no other member can compete.
+func (m *member) electSingle() error {
 	if len(m.links) > 0 {
 		return nil
 	}
 	for range 2 * quorum.DefaultElectionTicks {
 		m.replica.Tick()
-		if err := m.work(); err != nil {
+		if err := m.processReady(); err != nil {
 			return err
 		}
 	}
-	m.note(0)
+	m.updateWriter(0)
 	return nil
 }
 
-// pass lets time pass. A process that was stalled for longer than an election takes has lost its office, and is told so at
-// once, before it speaks as the writer that it was.
-func (m *member) pass() {
+// advanceTicks advances the replica's clock by one tick. After a stall longer than an election timeout it catches up on the
+// missed ticks at once, up to two election timeouts, so that a replica that was the writer steps down before it sends
+// anything in that role.
+func (m *member) advanceTicks() {
 	now := m.clock()
-	ticks := int((now - m.tickedAt) / m.tick)
-	m.tickedAt = now
+	ticks := int((now - m.lastTick) / m.tick)
+	m.lastTick = now
 	if ticks < quorum.DefaultElectionTicks {
 		ticks = 1
 	}
@@ -248,10 +250,10 @@
 	}
 }
 
-// work does all that the replica asks for, and proposes what is pending.
-func (m *member) work() error {
+// processReady does all that the replica asks for and advances the pending proposal.
+func (m *member) processReady() error {
 	for {
-		m.propose()
+		m.stepProposal()
 		ready, ok := m.replica.Ready()
 		if !ok {
 			return m.replica.Failure()
@@ -270,7 +272,7 @@
 			}
 		}
 		for _, e := range ready.Committed {
-			m.take(e)
+			m.applyEntry(e)
 		}
 		for _, f := range ready.Fenced {
 			m.log.Warn(f.String())
@@ -282,8 +284,8 @@
 	}
 }
 
-// take applies a committed entry. What is wrong with it is wrong at all members alike: then none of them takes it.
-func (m *member) take(e quorum.Entry) {
+// applyEntry applies a committed entry. An invalid entry is invalid at all members, so none of them applies it.
+func (m *member) applyEntry(e quorum.Entry) {
 	var position resource.Position
 	changes, err := decodeProposal(e.Data)
 	if err == nil {
@@ -294,52 +296,54 @@
 		})
 	}
 	if err != nil {
-		m.log.Error("an entry of the log is refused", "index", e.Index, "err", err)
+		m.log.Error("invalid log entry skipped", "index", e.Index, "err", err)
 	}
 	if p := m.pending; p != nil && p.proposed && bytes.HasPrefix(e.Data, p.nonce) {
-		m.answer(outcome{position, err})
+		m.complete(outcome{position, err})
 	}
 }
 
 func decodeProposal(data []byte) ([]resource.Change, error) {
-	if len(data) < nonceSize {
-		return nil, fmt.Errorf("%d bytes are too few", len(data))
+	if len(data) < nonceBytes {
+		return nil, fmt.Errorf("entry of %d bytes is too short", len(data))
 	}
-	changes, _, err := message.DecodeChanges(data[nonceSize:])
+	changes, _, err := message.DecodeChanges(data[nonceBytes:])
 	return changes, err
 }
 
 func (m *member) offset(epoch uint64) uint64 { return uint64(m.cfg.Offset) + epoch }
 
-// propose proposes what is pending once this process is the writer, and gives up what can't be taken any more.
-func (m *member) propose() {
+// stepProposal submits the pending proposal once this process is the writer, and fails it if it can't be committed any more
+// or its outcome is unknown.
+func (m *member) stepProposal() {
 	p := m.pending
 	if p == nil {
 		return
 	}
 	writer, epoch := m.replica.Writer()
-	late := m.clock() > p.deadline
+	expired := m.clock() > p.deadline
 	switch {
-	case p.proposed && (writer != m.id || epoch != p.epoch || late):
-		m.answer(outcome{err: errUnknown})
+	case p.proposed && (writer != m.id || epoch != p.epoch || expired):
+		m.complete(outcome{err: errOutcomeUnknown})
 	case p.proposed:
 	case writer == m.id:
-		if err := m.proposeAs(p, epoch); err != nil && (late || !errors.Is(err, quorum.ErrBusy)) {
-			m.answer(outcome{err: err})
+		if err := m.submit(p, epoch); err != nil && (expired || !errors.Is(err, quorum.ErrBusy)) {
+			m.complete(outcome{err: err})
 		}
 	case writer != 0:
-		m.answer(outcome{err: fmt.Errorf("the writer is %q: ask that process", m.names[writer])})
-	case late:
-		m.answer(outcome{err: errNoMajority})
+		m.complete(outcome{err: fmt.Errorf("the writer is %q: apply the change there", m.names[writer])})
+	case expired:
+		m.complete(outcome{err: errNoMajority})
 	}
 }
 
-func (m *member) proposeAs(p *proposal, epoch uint64) error {
+// submit proposes the changes to the replica in an epoch.
+func (m *member) submit(p *proposal, epoch uint64) error {
 	if err := m.validate(p.changes, epoch); err != nil {
 		return err
 	}
-	p.nonce = make([]byte, nonceSize)
-	rand.Read(p.nonce) // never fails: see crypto/rand
+	p.nonce = make([]byte, nonceBytes)
+	rand.Read(p.nonce) // never returns an error, see crypto/rand
 	if err := m.replica.ProposeIn(epoch, append(slices.Clone(p.nonce), message.EncodeChanges(p.changes)...)); err != nil {
 		return err
 	}
@@ -347,7 +351,7 @@
 	return nil
 }
 
-// validate checks changes against the log as it is, so that none is proposed which all members would refuse.
+// validate checks changes against the current log, so that no entry is proposed that all members would reject.
 func (m *member) validate(changes []resource.Change, epoch uint64) error {
 	var position resource.Position
 	m.process.Do(func() { position = m.served.Position() })
@@ -365,12 +369,13 @@
 	return err
 }
 
-func (m *member) answer(o outcome) {
+// complete ends the pending proposal with an outcome.
+func (m *member) complete(o outcome) {
 	m.pending.done <- o
 	m.pending = nil
 }
 
-// compact makes a snapshot of the log where much is behind the last one.
+// compact replaces the log's entries by a snapshot once the log has reached its size limit.
 func (m *member) compact() error {
 	if m.storage.Size() < int64(m.cfg.Limits.Log) {
 		return nil
@@ -381,71 +386,73 @@
 	return m.replica.Compact(message.EncodeSnapshot(m.cfg.Region, position, all))
 }
 
-// note notes who the writer is, and whether the log was heard of from it: heard is the member that has spoken.
-func (m *member) note(heard uint64) {
+// updateWriter records the current writer and, if the writer is this process or the sender of the last message, the time of
+// contact. sender is 0 if no message was received.
+func (m *member) updateWriter(sender uint64) {
 	writer, epoch := m.replica.Writer()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := &m.standing
+	s := &m.state
 	if writer != s.writer && writer != 0 {
-		m.log.Info("the region's log has a writer", "writer", m.names[writer], "epoch", m.offset(epoch))
+		m.log.Info("writer elected", "writer", m.names[writer], "epoch", m.offset(epoch))
 	} else if writer != s.writer {
-		m.log.Warn("the region's log has no writer that is known here", "former", m.names[s.writer])
+		m.log.Warn("no writer known for the region's log", "former", m.names[s.writer])
 	}
 	s.writer, s.epoch = writer, m.offset(epoch)
-	if writer == m.id || writer != 0 && heard == writer {
-		s.freshAt = m.clock()
+	if writer == m.id || writer != 0 && sender == writer {
+		s.lastContact = m.clock()
 	}
 }
 
-// fail ends the member for good. The process goes on serving what it has.
+// fail stops the member permanently. The process continues to serve the state that it has.
 func (m *member) fail(err error) {
 	if m.pending != nil {
 		o := outcome{err: err}
 		if m.pending.proposed {
-			o.err = errUnknown
+			o.err = errOutcomeUnknown
 		}
-		m.answer(o)
+		m.complete(o)
 	}
 	m.mu.Lock()
-	m.standing.writer, m.standing.failure = 0, err
+	m.state.writer, m.state.failure = 0, err
 	m.mu.Unlock()
-	if !errors.Is(err, errEnded) {
-		m.log.Error("this process takes no part in its region's log any more; mend the cause and start it anew", "err", err)
+	if !errors.Is(err, errStopped) {
+		m.log.Error("this process has stopped taking part in its region's quorum; fix the cause and restart it", "err", err)
 	}
 	if err := m.storage.Close(); err != nil {
-		m.log.Error("the state folder did not close", "err", err)
+		m.log.Error("closing the state folder failed", "err", err)
 	}
 }
 
-func (m *member) now() standing {
+func (m *member) currentState() memberState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.standing
+	return m.state
 }
 
-// age is how long ago the writer was known to stand where the log stands here.
+// age returns the time since the last contact with the writer, at most unknownAge.
 func (m *member) age(now time.Duration) time.Duration {
-	return min(max(0, now-m.now().freshAt), unknownAge)
+	return min(max(0, now-m.currentState().lastContact), unknownAge)
 }
 
-// report adds what the member knows of its region's log.
-func (m *member) report(l *LogStatus) {
-	s := m.now()
+// addStatus adds the member's view of its region's log.
+func (m *member) addStatus(l *LogStatus) {
+	s := m.currentState()
 	l.Writer, l.Own, l.Epoch, l.AgeMS = m.names[s.writer], s.writer == m.id, s.epoch, m.age(m.clock()).Milliseconds()
 	if s.failure != nil {
 		l.Failure = s.failure.Error()
 	}
 }
 
-// apply takes changes as one transaction, or refuses them whole: an error of package resource names the resource and field.
+// apply commits changes as one transaction, or rejects all of them. An error of package resource names the resource and the
+// field.
 func (m *member) apply(changes []resource.Change) (resource.Position, error) {
-	p := &proposal{changes: changes, deadline: m.clock() + proposalTicks*m.tick, done: make(chan outcome, 1)}
+	p := &proposal{changes: changes, deadline: m.clock() + proposalTimeoutTicks*m.tick, done: make(chan outcome, 1)}
 	select {
 	case m.proposals <- p:
-	case <-m.ended:
-		return resource.Position{}, m.now().failure
+	case <-m.done:
+		return resource.Position{}, m.currentState().failure
 	}
-	o := <-p.done // fail answers it, too
+	o := <-p.done // also completed by fail
 	return o.position, o.err
 }
--- a/internal/controlnet/member_test.go
+++ b/internal/controlnet/member_test.go
@@ -24,17 +24,17 @@
 	"craneglade/internal/tomlfile"
 )
 
-// memberUnderTest is a control process in this process.
-type memberUnderTest struct {
+// testMember is a control process that runs in the test's process.
+type testMember struct {
 	t      *testing.T
 	cfg    *settings.ControlProcess
-	log    logText
+	log    logBuffer
 	cancel context.CancelFunc
-	ended  chan error
+	done   chan error
 }
 
-// quorumUnderTest is a number of control processes of one region.
-func quorumUnderTest(t *testing.T, size int) (all []*memberUnderTest) {
+// newTestMembers returns control processes of one region, not started yet.
+func newTestMembers(t *testing.T, size int) (all []*testMember) {
 	t.Helper()
 	folder := t.TempDir()
 	var members []settings.Member
@@ -51,7 +51,7 @@
 		if err := os.Mkdir(state, 0o700); err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, &memberUnderTest{t: t, cfg: &settings.ControlProcess{Role: settings.RoleWriter, Name: x.Name, Region: "north",
+		all = append(all, &testMember{t: t, cfg: &settings.ControlProcess{Role: settings.RoleWriter, Name: x.Name, Region: "north",
 			Regions: []string{"north"}, Listen: x.Address, Socket: state + ".sock", Cluster: "test", Keys: [][]byte{testKey}, State: state, Members: members,
 			Limits: settings.ControlLimits{Bytes: 8 << 20, Snapshots: 4, Subscribers: 10, Heartbeat: tomlfile.Duration(200 * time.Millisecond),
 				Silence: tomlfile.Duration(time.Second), Log: 128 << 10}}})
@@ -59,35 +59,35 @@
 	return all
 }
 
-func (m *memberUnderTest) start() {
+func (m *testMember) start() {
 	m.t.Helper()
 	var ctx context.Context
 	ctx, m.cancel = context.WithCancel(context.Background())
-	m.ended = make(chan error, 1)
-	ended := m.ended
-	go func() { ended <- Serve(ctx, m.cfg, slog.New(slog.NewTextHandler(&m.log, nil))) }()
+	m.done = make(chan error, 1)
+	done := m.done
+	go func() { done <- Serve(ctx, m.cfg, slog.New(slog.NewTextHandler(&m.log, nil))) }()
 	m.t.Cleanup(m.stop)
 	eventually(m.t, m.cfg.Name+" up", func() bool { _, err := Call(m.cfg.Socket, Request{Operation: OperationStatus}); return err == nil })
 }
 
-// stop ends the process, and wants all of it to end.
-func (m *memberUnderTest) stop() {
+// stop stops the process and fails the test if it does not end.
+func (m *testMember) stop() {
 	if m.cancel == nil {
 		return
 	}
 	m.cancel()
 	m.cancel = nil
 	select {
-	case err := <-m.ended:
+	case err := <-m.done:
 		if err != nil {
 			m.t.Errorf("%s: %v", m.cfg.Name, err)
 		}
-	case <-time.After(patience):
-		m.t.Errorf("%s does not end", m.cfg.Name)
+	case <-time.After(testTimeout):
+		m.t.Errorf("%s does not stop", m.cfg.Name)
 	}
 }
 
-func (m *memberUnderTest) status() LogStatus {
+func (m *testMember) status() LogStatus {
 	m.t.Helper()
 	r, err := Call(m.cfg.Socket, Request{Operation: OperationStatus})
 	if err != nil {
@@ -96,8 +96,8 @@
 	return r.Status.Logs[0]
 }
 
-// applyAnywhere applies changes at whichever member is the writer. Only changes that do no harm twice are applied so.
-func applyAnywhere(t *testing.T, all []*memberUnderTest, text string) (position string) {
+// applyAnywhere applies changes at the member that is the writer. The changes must be idempotent, since they are retried.
+func applyAnywhere(t *testing.T, all []*testMember, text string) (position string) {
 	t.Helper()
 	eventually(t, "a change", func() bool {
 		for _, m := range all {
@@ -113,19 +113,19 @@
 
 const serviceText = "[[service]]\nname = \"a\"\nregion = \"north\"\ndrain_grace = \"2s\"\nmax_attempts = 3\n"
 
-// largeTenant is a change that fills a log soon.
+// largeTenant returns a change of one of 50 tenants whose name is long, to fill a log quickly.
 func largeTenant(i int) string {
 	return fmt.Sprintf("[[tenant]]\nservice = \"a\"\nname = \"%0120d\"\nquota = %d.0\n", i%50, i)
 }
 
-// A member that starts with nothing, when the others' logs no longer reach back, is given a snapshot.
-func TestAMemberStartsFromASnapshot(t *testing.T) {
-	all := quorumUnderTest(t, 3)
+// A new member can't catch up from entries that the others have compacted: it has to receive a snapshot.
+func TestMemberStartsFromSnapshot(t *testing.T) {
+	all := newTestMembers(t, 3)
 	for _, m := range all[:2] {
 		m.start()
 	}
 	applyAnywhere(t, all[:2], serviceText)
-	const kept = 512 // entries that the others keep for members a little behind
+	const kept = 512 // entries that the others retain for lagging members
 	var last string
 	for i := range kept + 300 {
 		last = applyAnywhere(t, all[:2], largeTenant(i))
@@ -141,7 +141,7 @@
 	if got, want := all[2].status().Resources, all[0].status().Resources; got != want || want != 51 {
 		t.Errorf("%d resources, the first has %d", got, want)
 	}
-	// All of it is there after all have ended.
+	// All state survives a restart of all members.
 	for _, m := range all {
 		m.stop()
 	}
@@ -154,9 +154,9 @@
 	}
 }
 
-// The operators' way of a restore: the folder of one member in place of all, with each one's own identity.
-func TestAllMembersRestoredFromOneFolder(t *testing.T) {
-	all := quorumUnderTest(t, 3)
+// A restore by operators: a copy of one member's folder replaces those of the others, each with its own identity file.
+func TestRestoreAllMembersFromOneFolder(t *testing.T) {
+	all := newTestMembers(t, 3)
 	for _, m := range all {
 		m.start()
 	}
@@ -173,8 +173,8 @@
 		if err := os.CopyFS(m.cfg.State, os.DirFS(all[0].cfg.State)); err != nil {
 			t.Fatal(err)
 		}
-		if err := Serve(context.Background(), m.cfg, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "the folder is that of") {
-			t.Errorf("with another's identity: %v", err)
+		if err := Serve(context.Background(), m.cfg, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "the folder belongs to") {
+			t.Errorf("with another member's identity: %v", err)
 		}
 		identity := fmt.Sprintf("region \"north\", member %d\n", i+2)
 		if err := os.WriteFile(filepath.Join(m.cfg.State, "identity"), []byte(identity), 0o600); err != nil {
@@ -194,9 +194,9 @@
 	}
 }
 
-// A crash between the two files of a state folder leaves a snapshot of the writer beside an older log. The member starts, and
-// has what the snapshot holds.
-func TestACrashWhileASnapshotIsTaken(t *testing.T) {
+// A crash between the writes of the two files of a state folder leaves a snapshot of the writer and an older log. The member
+// has to start with the state of the snapshot.
+func TestMemberStartsWithSnapshotNewerThanLog(t *testing.T) {
 	served := changelog.NewStore("north", changelog.Limits{})
 	if _, err := served.Append(7, []resource.Change{{Resource: resource.Resource{Key: resource.Key{Service: "a", Kind: resource.KindService, Name: "a"},
 		Service: &resource.Service{Region: "north", MaxAttempts: 1}}}}); err != nil {
@@ -204,12 +204,12 @@
 	}
 	data := message.EncodeSnapshot("north", served.Position(), served.Snapshot(changelog.Filter{All: true}))
 	for _, term := range []uint64{2, 3} {
-		m := quorumUnderTest(t, 3)[0]
+		m := newTestMembers(t, 3)[0]
 		storage, _, err := walfile.Open(m.cfg.State, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := identify(m.cfg.State, "north", 1, true); err != nil {
+		if err := checkIdentity(m.cfg.State, "north", 1, true); err != nil {
 			t.Fatal(err)
 		}
 		if err := storage.Save(quorum.Persist{Hard: &quorum.HardState{Term: term, Vote: 1}, Entries: []quorum.LogEntry{{Index: 1, Term: 1}}}); err != nil {
@@ -234,36 +234,36 @@
 	}
 }
 
-// A member whose disk fails takes no part any more, says so, and goes on serving.
-func TestAMemberWhoseDiskFails(t *testing.T) {
-	m := quorumUnderTest(t, 1)[0]
-	opened, err := openMember(m.cfg, monotonic(), slog.New(slog.NewTextHandler(&m.log, nil)))
+// A member whose disk fails must leave the quorum and report it, and continue to serve the state that it has.
+func TestMemberStopsAfterDiskFailure(t *testing.T) {
+	m := newTestMembers(t, 1)[0]
+	opened, err := openMember(m.cfg, monotonicClock(), slog.New(slog.NewTextHandler(&m.log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	opened.process = NewProcess(Config{Name: m.cfg.Name, Keys: m.cfg.Keys, Cluster: "test", Clock: monotonic(), Log: slog.New(slog.DiscardHandler)})
+	opened.process = NewProcess(Config{Name: m.cfg.Name, Keys: m.cfg.Keys, Cluster: "test", Clock: monotonicClock(), Log: slog.New(slog.DiscardHandler)})
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		opened.run(ctx)
 	}()
-	defer func() { cancel(); <-ended }()
+	defer func() { cancel(); <-done }()
 	service := []resource.Change{{Resource: resource.Resource{Key: resource.Key{Service: "a", Kind: resource.KindService, Name: "a"},
 		Service: &resource.Service{Region: "north", MaxAttempts: 1}}}}
 	if _, err := opened.apply(service); err != nil {
 		t.Fatal(err)
 	}
-	opened.storage.Close() // every write fails from here on
-	if _, err := opened.apply(service); !errors.Is(err, errUnknown) {
-		t.Errorf("a change that can't be kept: %v", err)
+	opened.storage.Close() // every write fails from now on
+	if _, err := opened.apply(service); !errors.Is(err, errOutcomeUnknown) {
+		t.Errorf("a change that can't be stored: %v", err)
 	}
-	if _, err := opened.apply(service); err == nil || errors.Is(err, errUnknown) {
+	if _, err := opened.apply(service); err == nil || errors.Is(err, errOutcomeUnknown) {
 		t.Errorf("a change after it: %v", err)
 	}
 	var l LogStatus
-	opened.report(&l)
-	if l.Own || l.Failure == "" || !strings.Contains(m.log.String(), "takes no part in its region's log any more") {
+	opened.addStatus(&l)
+	if l.Own || l.Failure == "" || !strings.Contains(m.log.String(), "has stopped taking part in its region's quorum") {
 		t.Errorf("%+v\n%s", l, m.log.String())
 	}
 	if opened.served.Len() != 1 || opened.served.Digest(changelog.Filter{All: true}) == 0 {
@@ -271,9 +271,9 @@
 	}
 }
 
-// Only members of the region speak to a member as such.
-func TestStrangersAmongMembers(t *testing.T) {
-	m := quorumUnderTest(t, 3)[0]
+// A process that claims the role of a member must be a member of the region; its invalid messages are dropped.
+func TestNonMembersAreRejected(t *testing.T) {
+	m := newTestMembers(t, 3)[0]
 	m.start()
 	for _, name := range []string{"stranger", "m2"} {
 		conn, err := net.Dial("tcp", m.cfg.Listen)
@@ -281,18 +281,18 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		c, err := frame.Dial(conn, frame.Config{Keys: [][]byte{testKey}, Cluster: "test", Handshake: patience, ReadTimeout: patience, WriteTimeout: patience})
+		c, err := frame.Dial(conn, frame.Config{Keys: [][]byte{testKey}, Cluster: "test", Handshake: testTimeout, ReadTimeout: testTimeout, WriteTimeout: testTimeout})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := c.Write(greeting(name, asMember)); err != nil {
+		if err := c.Write(encodeGreeting(name, roleMember)); err != nil {
 			t.Fatal(err)
 		}
-		if err := writeParts(c, []byte("no message of any replica")); err != nil {
+		if err := writeFragments(c, []byte("no message of any replica")); err != nil {
 			t.Fatal(err)
 		}
 		if name == "m2" {
-			eventually(t, "a line about the message", func() bool { return strings.Contains(m.log.String(), "a member's message was dropped") })
+			eventually(t, "a log line about the message", func() bool { return strings.Contains(m.log.String(), "a member's message was dropped") })
 			continue
 		}
 		var err2 error
@@ -302,14 +302,14 @@
 	}
 }
 
-func TestParts(t *testing.T) {
-	near, far := connected(t)
-	var both sync.WaitGroup
-	defer both.Wait()
-	sent := [][]byte{nil, []byte("x"), bytes.Repeat([]byte("y"), partBytes), bytes.Repeat([]byte("z"), 3*partBytes+1)}
-	both.Go(func() {
+func TestMessageFragments(t *testing.T) {
+	near, far := frameConnPair(t)
+	var writer sync.WaitGroup
+	defer writer.Wait()
+	sent := [][]byte{nil, []byte("x"), bytes.Repeat([]byte("y"), fragmentBytes), bytes.Repeat([]byte("z"), 3*fragmentBytes+1)}
+	writer.Go(func() {
 		for _, data := range sent {
-			if err := errors.Join(near.Write(nil), writeParts(near, data)); err != nil {
+			if err := errors.Join(near.Write(nil), writeFragments(near, data)); err != nil {
 				t.Error(err)
 			}
 		}
@@ -318,26 +318,26 @@
 		}
 	})
 	for i, want := range sent {
-		if got, err := readParts(far); err != nil || !bytes.Equal(got, want) {
+		if got, err := readFragments(far); err != nil || !bytes.Equal(got, want) {
 			t.Errorf("message %d: %d bytes, %v", i, len(got), err)
 		}
 	}
-	if _, err := readParts(far); err == nil || !strings.Contains(err.Error(), "part 7 is not known") {
-		t.Errorf("a part of no kind: %v", err)
+	if _, err := readFragments(far); err == nil || !strings.Contains(err.Error(), "unknown fragment type 7") {
+		t.Errorf("a fragment of unknown type: %v", err)
 	}
 }
 
-// connected is both ends of a session of frames.
-func connected(t *testing.T) (near, far *frame.Conn) {
+// frameConnPair returns both ends of a framed connection.
+func frameConnPair(t *testing.T) (near, far *frame.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	cfg := frame.Config{Keys: [][]byte{testKey}, Cluster: "test", Handshake: patience, ReadTimeout: patience, WriteTimeout: patience}
-	var begun sync.WaitGroup
-	begun.Go(func() {
+	cfg := frame.Config{Keys: [][]byte{testKey}, Cluster: "test", Handshake: testTimeout, ReadTimeout: testTimeout, WriteTimeout: testTimeout}
+	var accepted sync.WaitGroup
+	accepted.Go(func() {
 		conn, err := ln.Accept()
 		if err == nil {
 			far, err = frame.Accept(conn, cfg)
@@ -350,7 +350,7 @@
 	if err == nil {
 		near, err = frame.Dial(conn, cfg)
 	}
-	begun.Wait()
+	accepted.Wait()
 	if err != nil || far == nil {
 		t.Fatal(err)
 	}
--- a/internal/controlnet/operator.go
+++ b/internal/controlnet/operator.go
@@ -16,14 +16,14 @@
 	"craneglade/internal/controlplane/resource"
 )
 
-// Bounds of what operators ask.
+// Limits of operators' requests.
 const (
 	operatorTimeout  = 30 * time.Second
 	maxOperatorBytes = 16 << 20
 	maxOperators     = 8
 )
 
-// Operation is what an operator asks of a process.
+// Operation is the kind of an operator's request.
 type Operation string
 
 // The operations.
@@ -33,12 +33,12 @@
 	OperationGet    Operation = "get"
 )
 
-// Request is one question of an operator: a JSON object on a connection of its own.
+// Request is one request of an operator: a JSON object on a connection of its own.
 type Request struct {
 	Operation Operation `json:"operation"`
-	File      string    `json:"file,omitempty"`   // the name of the file of changes to apply
-	Text      string    `json:"text,omitempty"`   // and what it holds
-	Region    string    `json:"region,omitempty"` // of the resources to get; "" for the process's own
+	File      string    `json:"file,omitempty"`   // the name of the file of changes to apply, for error messages
+	Text      string    `json:"text,omitempty"`   // the content of the file
+	Region    string    `json:"region,omitempty"` // of the resources to get; "" for the process's own region
 	Service   string    `json:"service,omitempty"`
 	Kind      string    `json:"kind,omitempty"`
 	Name      string    `json:"name,omitempty"`
@@ -49,10 +49,10 @@
 	Error     string          `json:"error,omitempty"` // one line
 	Position  string          `json:"position,omitempty"`
 	Status    *DaemonStatus   `json:"status,omitempty"`
-	Resources json.RawMessage `json:"resources,omitempty"` // a file of changes that sets them
+	Resources json.RawMessage `json:"resources,omitempty"` // in the form of a file of changes that creates them
 }
 
-// Call asks the process that answers on a socket. An error of the process comes as one of Call.
+// Call sends a request to the process that listens on a socket. It returns an error in the response as its own.
 func Call(path string, q Request) (*Response, error) {
 	conn, err := net.DialTimeout("unix", path, operatorTimeout)
 	if err != nil {
@@ -67,7 +67,7 @@
 	}
 	r := &Response{}
 	if err := json.NewDecoder(conn).Decode(r); err != nil {
-		return nil, fmt.Errorf("the answer broke off, and whether anything was done is not known: %w", err)
+		return nil, fmt.Errorf("connection lost before the response: it is unknown whether the request was executed: %w", err)
 	}
 	if r.Error != "" {
 		return nil, errors.New(r.Error)
@@ -75,11 +75,11 @@
 	return r, nil
 }
 
-// listenUnix listens at a path for this process's owner alone.
+// listenUnix listens on a socket that only the owner of this process can connect to.
 func listenUnix(path string) (net.Listener, error) {
 	ln, err := net.Listen("unix", path)
 	if errors.Is(err, syscall.EADDRINUSE) {
-		if err := removeStale(path); err != nil {
+		if err := removeStaleSocket(path); err != nil {
 			return nil, err
 		}
 		ln, err = net.Listen("unix", path)
@@ -93,32 +93,32 @@
 	return ln, nil
 }
 
-// answerOperators answers on ln, which it closes, until ctx ends.
-func (d *daemon) answerOperators(ctx context.Context, ln net.Listener) {
+// serveOperators serves operators' requests on ln until ctx ends, and closes ln.
+func (d *daemon) serveOperators(ctx context.Context, ln net.Listener) {
 	stop := context.AfterFunc(ctx, func() { ln.Close() })
 	defer stop()
-	var open sync.WaitGroup
-	defer open.Wait()
-	places := make(chan struct{}, maxOperators)
+	var conns sync.WaitGroup
+	defer conns.Wait()
+	slots := make(chan struct{}, maxOperators)
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		places <- struct{}{}
-		open.Go(func() {
-			defer func() { <-places }()
+		slots <- struct{}{}
+		conns.Go(func() {
+			defer func() { <-slots }()
 			defer conn.Close()
 			stop := context.AfterFunc(ctx, func() { conn.SetReadDeadline(time.Now()) })
 			defer stop()
-			if err := d.converse(conn); err != nil {
-				d.log.Debug("an operator was not answered", "err", err)
+			if err := d.serveOperator(conn); err != nil {
+				d.log.Debug("operator request failed", "err", err)
 			}
 		})
 	}
 }
 
-func (d *daemon) converse(conn net.Conn) error {
+func (d *daemon) serveOperator(conn net.Conn) error {
 	if err := conn.SetDeadline(time.Now().Add(operatorTimeout)); err != nil {
 		return err
 	}
@@ -126,14 +126,14 @@
 	if err := json.NewDecoder(io.LimitReader(conn, maxOperatorBytes)).Decode(&q); err != nil {
 		return err
 	}
-	r, err := d.answer(&q)
+	r, err := d.handle(&q)
 	if err != nil {
 		r = &Response{Error: err.Error()}
 	}
 	return json.NewEncoder(conn).Encode(r)
 }
 
-func (d *daemon) answer(q *Request) (*Response, error) {
+func (d *daemon) handle(q *Request) (*Response, error) {
 	switch q.Operation {
 	case OperationStatus:
 		status := d.status()
@@ -143,12 +143,12 @@
 	case OperationGet:
 		return d.get(q)
 	}
-	return nil, fmt.Errorf("operation: %q is not known; status, apply or get", q.Operation)
+	return nil, fmt.Errorf("operation: unknown operation %q; use status, apply or get", q.Operation)
 }
 
 func (d *daemon) apply(q *Request) (*Response, error) {
 	if d.member == nil {
-		return nil, fmt.Errorf("this process is a relay: ask the writer of region %q", d.cfg.Region)
+		return nil, fmt.Errorf("this process is a relay: apply changes at the writer of region %q", d.cfg.Region)
 	}
 	changes, err := changefile.Parse(q.File, []byte(q.Text))
 	if err != nil {
--- a/internal/controlnet/pacer.go
+++ b/internal/controlnet/pacer.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// burstSeconds is how many seconds' worth of bytes may go at once.
+// burstSeconds is the burst size in seconds of the permitted rate.
 const burstSeconds = 2
 
-// pacer spreads what a process sends over time, for all of its sessions together. It is a token bucket that may be
-// overdrawn by one message, so that one that is larger than a burst goes too.
+// pacer limits the rate at which a process sends, over all of its sessions together. It is a token bucket that one message
+// may overdraw, so that a message larger than the burst can be sent.
 type pacer struct {
-	perSecond float64 // bytes
+	bytesPerSecond float64
 
-	mu     sync.Mutex
-	tokens float64
-	filled time.Duration
+	mu       sync.Mutex
+	tokens   float64
+	filledAt time.Duration
 }
 
-// newPacer returns a pacer for so many bytes a second. Without a limit it is nil, and nothing waits.
+// newPacer returns a pacer for a rate. If the rate is not positive it returns nil, which never delays.
 func newPacer(bytesPerSecond int, now time.Duration) *pacer {
 	if bytesPerSecond <= 0 {
 		return nil
 	}
-	return &pacer{perSecond: float64(bytesPerSecond), tokens: burstSeconds * float64(bytesPerSecond), filled: now}
+	return &pacer{bytesPerSecond: float64(bytesPerSecond), tokens: burstSeconds * float64(bytesPerSecond), filledAt: now}
 }
 
-// take notes that so many bytes are to go, and returns how long they have to wait.
-func (p *pacer) take(now time.Duration, bytes int) time.Duration {
+// reserve takes tokens for a message and returns how long the message has to wait.
+func (p *pacer) reserve(now time.Duration, bytes int) time.Duration {
 	if p == nil {
 		return 0
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tokens = min(burstSeconds*p.perSecond, p.tokens+max(0, now-p.filled).Seconds()*p.perSecond)
-	p.filled = max(p.filled, now)
-	wait := time.Duration(max(0, -p.tokens) / p.perSecond * float64(time.Second))
+	p.tokens = min(burstSeconds*p.bytesPerSecond, p.tokens+max(0, now-p.filledAt).Seconds()*p.bytesPerSecond)
+	p.filledAt = max(p.filledAt, now)
+	wait := time.Duration(max(0, -p.tokens) / p.bytesPerSecond * float64(time.Second))
 	p.tokens -= float64(bytes)
 	return wait
 }
--- a/internal/controlnet/process.go
+++ b/internal/controlnet/process.go
@@ -1,8 +1,8 @@
-// Package controlnet carries the control plane between processes: it drives the state machines of a subscriber and of a
-// publisher over sealed sessions, and runs the processes of the control plane itself.
+// Package controlnet connects the processes of the control plane: it drives the state machines of subscribers and publishers
+// over encrypted sessions, and runs the control plane's own processes.
 //
-// Process drives the state machines under one lock, which is never held during I/O. One goroutine steps them and does what
-// they ask for; each session has one goroutine that reads and one that writes from a bounded queue. All of them end with
+// Process drives the state machines under one lock, which is never held during I/O. One goroutine steps them and performs
+// their actions; each session has one goroutine that reads and one that writes from a bounded queue. All of them end with
 // the context of Run.
 package controlnet
 
@@ -23,41 +23,41 @@
 	"craneglade/internal/peers/frame"
 )
 
-// Times and bounds of sessions.
+// Times and limits of sessions.
 const (
-	dialTimeout      = 2 * time.Second
-	handshakeTimeout = 3 * time.Second
-	readTimeout      = 30 * time.Second // far more than the silence after which a subscriber gives a parent up
-	writeTimeout     = 5 * time.Second
-	queueBytes       = 2 << 20 // that wait for one session
-	minStep          = time.Millisecond
-	maxStep          = time.Second
+	dialTimeout       = 2 * time.Second
+	handshakeTimeout  = 3 * time.Second
+	readTimeout       = 30 * time.Second // much longer than the silence after which a subscriber abandons a parent
+	writeTimeout      = 5 * time.Second
+	sessionQueueBytes = 2 << 20 // queued for one session
+	minStepDelay      = time.Millisecond
+	maxStepDelay      = time.Second
 )
 
-// Config is what a Process is made from.
+// Config configures a Process.
 type Config struct {
 	Name           string
 	Keys           [][]byte
 	Cluster        string
-	BytesPerSecond int // that it sends to parents; 0 for no limit. What it sends to subscribers is its publisher's matter
+	BytesPerSecond int // limit of sending to parents, 0 for none; the publisher limits sending to subscribers
 	MaxSubscribers int
-	StaleAfter     time.Duration                         // nothing came from any parent for so long: what comes then may have been told a while ago
+	StaleAfter     time.Duration                         // updates after a longer silence of all parents are marked Late
 	Subscribers    []*subscriber.Subscriber              // one for each set of parents
-	Publisher      *publisher.Publisher                  // nil for a process that serves nobody
-	ServeMember    func(context.Context, *session) error // carries the session of a process that says it is a member; nil for none
-	Applied        func(Update)                          // called from one goroutine, in order; nil for a process that only passes on
+	Publisher      *publisher.Publisher                  // nil for a process without subscribers
+	ServeMember    func(context.Context, *session) error // runs the session of a process with the role of a member; nil to reject it
+	Applied        func(Update)                          // called from one goroutine, in order; nil for a process that only forwards
 	Clock          func() time.Duration                  // never steps back
 	Log            *slog.Logger
 }
 
-// Update is what a subscriber has applied, and is to be brought into force.
+// Update is a delta or a snapshot that a subscriber has applied and that the process has to put into effect.
 type Update struct {
 	subscriber.Applied
-	Late bool // it may have been told a while ago, as nothing was heard before
+	Late bool // it may have been published a while ago, because all parents were silent before
 }
 
-// LimitsFor are the limits of a subscriber that gives a parent up after so long a silence. All its other times are in
-// proportion, but for how long a connection may take to come up.
+// LimitsFor returns the limits of a subscriber that abandons a parent after a silence. All other times of the default limits
+// are scaled in proportion, except for the connect timeout.
 func LimitsFor(silence time.Duration) subscriber.Limits {
 	l := subscriber.DefaultLimits()
 	factor := silence.Seconds() / l.Silence.Seconds()
@@ -68,17 +68,17 @@
 	return l
 }
 
-// Process carries the subscribers and the publisher of one process.
+// Process drives the subscribers and the publisher of one process.
 type Process struct {
 	cfg      Config
 	frames   frame.Config
 	counters counters
-	warnings *throttle
+	warnings *logThrottle
 	pacer    *pacer
 	wake     chan struct{}
 	sessions sync.WaitGroup
 
-	mu          sync.Mutex // guards the state machines and what follows; never held during I/O
+	mu          sync.Mutex // guards the state machines and the fields below; never held during I/O
 	upstreams   []*upstream
 	downstreams map[publisher.SessionID]*session
 	lastID      publisher.SessionID
@@ -89,47 +89,47 @@
 	subscriber *subscriber.Subscriber
 	staleAfter time.Duration
 	links      map[string]*link // by the name of the parent
-	heardAt    time.Duration
-	staleUntil time.Duration
+	receivedAt time.Duration
+	lateUntil  time.Duration
 }
 
 // link is one connection to a parent, from the dial on.
 type link struct {
 	parent  string
 	cancel  context.CancelFunc
-	session *session // nil until it stands
+	session *session // nil until it is established
 }
 
-// NewProcess returns a process that does nothing yet.
+// NewProcess returns a process that Run starts.
 func NewProcess(cfg Config) *Process {
 	p := &Process{
 		cfg: cfg,
 		frames: frame.Config{Keys: cfg.Keys, Cluster: cfg.Cluster, Handshake: handshakeTimeout, ReadTimeout: readTimeout,
 			WriteTimeout: writeTimeout},
-		warnings:    newThrottle(cfg.Log, cfg.Clock),
+		warnings:    newLogThrottle(cfg.Log, cfg.Clock),
 		pacer:       newPacer(cfg.BytesPerSecond, cfg.Clock()),
 		wake:        make(chan struct{}, 1),
 		downstreams: map[publisher.SessionID]*session{},
 	}
 	for _, s := range cfg.Subscribers {
-		p.upstreams = append(p.upstreams, &upstream{subscriber: s, staleAfter: cfg.StaleAfter, links: map[string]*link{}, heardAt: cfg.Clock()})
+		p.upstreams = append(p.upstreams, &upstream{subscriber: s, staleAfter: cfg.StaleAfter, links: map[string]*link{}, receivedAt: cfg.Clock()})
 	}
 	return p
 }
 
-// Run drives the process until ctx ends, and returns once all of its goroutines have ended. Subscribers are accepted on ln,
-// which it closes; ln is nil for a process that serves nobody.
+// Run drives the process until ctx ends, and returns once all of its goroutines have ended. It accepts connections on ln and
+// closes it; ln is nil for a process without subscribers.
 func (p *Process) Run(ctx context.Context, ln net.Listener) {
-	var own sync.WaitGroup
+	var background sync.WaitGroup
 	if ln != nil {
-		own.Go(func() { p.accept(ctx, ln) })
+		background.Go(func() { p.accept(ctx, ln) })
 	}
 	p.drive(ctx)
-	own.Wait()
+	background.Wait()
 	p.sessions.Wait()
 }
 
-// drive steps the state machines whenever there is something new or time has come.
+// drive steps the state machines when it is woken and when their next timer is due.
 func (p *Process) drive(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -144,7 +144,7 @@
 	}
 }
 
-// Wake has the state machines stepped soon, after a change from outside under Do.
+// Wake requests a step of the state machines.
 func (p *Process) Wake() {
 	select {
 	case p.wake <- struct{}{}:
@@ -152,7 +152,7 @@
 	}
 }
 
-// Do calls f with the state machines and their stores at rest, and has them stepped. f must not wait.
+// Do calls f under the lock of the state machines and their stores, and requests a step. f must not block.
 func (p *Process) Do(f func()) {
 	p.mu.Lock()
 	f()
@@ -160,11 +160,11 @@
 	p.Wake()
 }
 
-// work is what one step asks for, to be done without the lock.
+// work is the result of one step, to be carried out without the lock.
 type work struct {
 	closing []*link
 	dialing []dial
-	news    []Update
+	updates []Update
 	sending []delivery
 	notes   []fmt.Stringer
 }
@@ -181,7 +181,7 @@
 	message message.Message
 }
 
-// step steps the state machines once, does what they ask for, and returns after how long they are to be stepped again.
+// step steps the state machines once, performs their actions, and returns the time until the next step.
 func (p *Process) step(ctx context.Context) time.Duration {
 	w, next := p.collect(ctx)
 	for _, n := range w.notes {
@@ -193,8 +193,8 @@
 	for _, d := range w.dialing {
 		p.sessions.Go(func() { p.connect(d) })
 	}
-	// What is applied is brought into force before it is acknowledged.
-	for _, n := range w.news {
+	// Updates take effect before they are acknowledged.
+	for _, n := range w.updates {
 		if p.cfg.Applied != nil {
 			p.cfg.Applied(n)
 		}
@@ -203,7 +203,7 @@
 	return next
 }
 
-// deliver queues messages. One that goes to many sessions, one after the other, is encoded once.
+// deliver queues messages. Consecutive deliveries of the same message encode it once.
 func deliver(all []delivery) {
 	var last message.Message
 	var encoded []byte
@@ -215,12 +215,12 @@
 	}
 }
 
-// collect steps the state machines under the lock.
+// collect steps the state machines under the lock, and returns their actions and the time until the next step.
 func (p *Process) collect(ctx context.Context) (w work, next time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.cfg.Clock()
-	next = now + maxStep
+	next = now + maxStepDelay
 	for _, u := range p.upstreams {
 		u.collect(ctx, now, &w)
 		next = min(next, u.subscriber.Next(now))
@@ -233,9 +233,10 @@
 		}
 		next = min(next, p.cfg.Publisher.Next(now))
 	}
-	return w, max(next-now, minStep)
+	return w, max(next-now, minStepDelay)
 }
 
+// collect steps one subscriber and adds its actions to w.
 func (u *upstream) collect(ctx context.Context, now time.Duration, w *work) {
 	actions := u.subscriber.Step(now)
 	for _, parent := range actions.Close {
@@ -247,8 +248,8 @@
 	for _, candidate := range actions.Connect {
 		dialCtx, cancel := context.WithCancel(ctx)
 		l := &link{parent: candidate.Name, cancel: cancel}
-		if former := u.links[candidate.Name]; former != nil {
-			w.closing = append(w.closing, former)
+		if previous := u.links[candidate.Name]; previous != nil {
+			w.closing = append(w.closing, previous)
 		}
 		u.links[candidate.Name] = l
 		w.dialing = append(w.dialing, dial{dialCtx, u, l, candidate})
@@ -259,32 +260,32 @@
 		}
 	}
 	for _, a := range actions.Applied {
-		w.news = append(w.news, Update{a, now < u.staleUntil})
+		w.updates = append(w.updates, Update{a, now < u.lateUntil})
 	}
 	for _, n := range u.subscriber.Notes() {
 		w.notes = append(w.notes, n)
 	}
 }
 
-// connect opens a session to a parent and carries it until it ends.
+// connect opens a session to a parent and runs it until it ends.
 func (p *Process) connect(d dial) {
 	defer d.link.cancel()
-	s, err := p.dial(d.ctx, d.candidate, asSubscriber)
+	s, err := p.dial(d.ctx, d.candidate, roleSubscriber)
 	if err == nil {
-		err = p.carryUp(d, s)
+		err = p.runUpstream(d, s)
 	}
 	p.Do(func() {
-		if d.upstream.links[d.link.parent] == d.link { // else the subscriber itself has closed it
+		if d.upstream.links[d.link.parent] == d.link { // otherwise the subscriber has closed or replaced the link itself
 			delete(d.upstream.links, d.link.parent)
 			d.upstream.subscriber.Disconnected(p.cfg.Clock(), d.link.parent)
 		}
 	})
-	p.cfg.Log.Debug("a session with a parent has ended", "parent", d.link.parent, "err", err)
+	p.cfg.Log.Debug("parent session ended", "parent", d.link.parent, "err", err)
 }
 
-// dial opens a session to another process, as what this one is to it.
-func (p *Process) dial(ctx context.Context, candidate parents.Candidate, own role) (*session, error) {
-	address, err := netip.ParseAddrPort(candidate.Address) // no name is ever looked up
+// dial opens a session to another process in the given role.
+func (p *Process) dial(ctx context.Context, candidate parents.Candidate, ownRole role) (*session, error) {
+	address, err := netip.ParseAddrPort(candidate.Address) // host names are not resolved
 	if err != nil {
 		return nil, err
 	}
@@ -293,16 +294,16 @@
 	if err != nil {
 		return nil, err
 	}
-	stop := context.AfterFunc(ctx, func() { conn.Close() }) // a handshake ends with the link, too
+	stop := context.AfterFunc(ctx, func() { conn.Close() }) // interrupts the handshake when ctx ends
 	defer stop()
 	framed, err := frame.Dial(conn, p.frames)
 	if err != nil {
 		return nil, err
 	}
-	s, err := greet(framed, p, own, p.pacer)
+	s, err := exchangeGreetings(framed, p, ownRole, p.pacer)
 	if err == nil && s.peer != candidate.Name {
-		err = fmt.Errorf("%s is %q and not %q", candidate.Address, s.peer, candidate.Name)
-		p.warnings.warn("a process has another name than the settings say", "address", candidate.Address, "name", s.peer, "want", candidate.Name)
+		err = fmt.Errorf("%s is %q, expected %q", candidate.Address, s.peer, candidate.Name)
+		p.warnings.warn("peer name differs from the configured name", "address", candidate.Address, "name", s.peer, "want", candidate.Name)
 	}
 	if err != nil {
 		return nil, errors.Join(err, framed.Close())
@@ -310,8 +311,8 @@
 	return s, nil
 }
 
-// carryUp hands what a parent says to the subscriber until the session ends.
-func (p *Process) carryUp(d dial, s *session) error {
+// runUpstream passes the messages of a parent to the subscriber until the session ends.
+func (p *Process) runUpstream(d dial, s *session) error {
 	u := d.upstream
 	current := false
 	p.Do(func() {
@@ -329,26 +330,27 @@
 				return
 			}
 			now := p.cfg.Clock()
-			u.heard(now)
+			u.noteReceived(now)
 			if r.partial {
 				u.subscriber.Skipped(now, d.link.parent)
 			}
-			// What is wrong with a message was noted by the subscriber.
+			// The subscriber records the error in its notes.
 			_ = u.subscriber.Receive(now, d.link.parent, r.message)
 		})
-	}, p.unreadable(s))
+	}, p.warnUnreadable(s))
 }
 
-// heard notes when something came from any parent.
-func (u *upstream) heard(now time.Duration) {
-	if now-u.heardAt > u.staleAfter {
-		u.staleUntil = now + u.staleAfter
+// noteReceived records the time of a message from any parent. After a silence of more than staleAfter, updates count as late
+// for staleAfter.
+func (u *upstream) noteReceived(now time.Duration) {
+	if now-u.receivedAt > u.staleAfter {
+		u.lateUntil = now + u.staleAfter
 	}
-	u.heardAt = now
+	u.receivedAt = now
 }
 
-// unreadable returns what is done with what can't be read as a message.
-func (p *Process) unreadable(s *session) func(error) {
+// warnUnreadable returns a function that logs a message that could not be decoded.
+func (p *Process) warnUnreadable(s *session) func(error) {
 	return func(err error) {
 		p.warnings.warn("a message that can't be read was dropped", "from", s.peer, "err", err)
 	}
@@ -358,7 +360,7 @@
 type Status struct {
 	Parents     []subscriber.Status
 	Subscribers []publisher.SubscriberStatus
-	Names       map[publisher.SessionID]string // of subscribers
+	Names       map[publisher.SessionID]string // the subscribers' process names
 	Counts      Counts
 }
 
@@ -384,7 +386,7 @@
 	return status
 }
 
-// Region returns the state of the replica of a region. ok is false where no subscriber follows it.
+// Region returns the state of the replica of a region. ok is false if no subscriber follows the region.
 func (s *Status) Region(name string) (status subscriber.RegionStatus, ok bool) {
 	for _, parents := range s.Parents {
 		for _, r := range parents.Regions {
--- a/internal/controlnet/process_test.go
+++ b/internal/controlnet/process_test.go
@@ -22,48 +22,48 @@
 	"craneglade/internal/peers/frame"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 var testKey = bytes.Repeat([]byte{7}, 16)
 
-// logText is a log that a test reads while it is written.
-type logText struct {
+// logBuffer is a log that can be read while it is written.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logText) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *logText) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// harness is a process under test with its log.
-type harness struct {
+// testProcess is a process under test with its log.
+type testProcess struct {
 	*Process
 	t       *testing.T
-	log     *logText
+	log     *logBuffer
 	address string
 	stop    context.CancelFunc
-	ended   chan struct{}
+	done    chan struct{}
 }
 
-// started runs a process until the test ends, and wants all of its goroutines to end then.
-func started(t *testing.T, cfg Config, listens bool) *harness {
+// startProcess runs a process until the test ends, and fails the test if its goroutines do not end then.
+func startProcess(t *testing.T, cfg Config, listens bool) *testProcess {
 	t.Helper()
-	h := &harness{t: t, log: &logText{}, ended: make(chan struct{})}
+	h := &testProcess{t: t, log: &logBuffer{}, done: make(chan struct{})}
 	cfg.Keys, cfg.Cluster, cfg.Log = [][]byte{testKey}, "test", slog.New(slog.NewTextHandler(h.log, nil))
 	if cfg.Clock == nil {
-		cfg.Clock = monotonic()
+		cfg.Clock = monotonicClock()
 	}
 	if cfg.StaleAfter == 0 {
-		cfg.StaleAfter = patience
+		cfg.StaleAfter = testTimeout
 	}
 	var ln net.Listener
 	if listens {
@@ -77,15 +77,15 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	h.stop = cancel
 	go func() {
-		defer close(h.ended)
+		defer close(h.done)
 		h.Run(ctx, ln)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		select {
-		case <-h.ended:
-		case <-time.After(patience):
-			t.Error("the process does not end")
+		case <-h.done:
+		case <-time.After(testTimeout):
+			t.Error("the process does not stop")
 		}
 	})
 	return h
@@ -93,16 +93,16 @@
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: did not come", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// parent is a process that serves the log of a region.
+// parent is a test process that publishes the log of a region.
 type parent struct {
-	*harness
+	*testProcess
 	store *changelog.Store
 }
 
@@ -111,10 +111,10 @@
 	store := changelog.NewStore("north", changelog.Limits{})
 	p := publisher.New(publisher.Config{HeartbeatInterval: 20 * time.Millisecond})
 	p.Publish(store)
-	return &parent{started(t, Config{Name: "parent", Publisher: p, MaxSubscribers: maxSubscribers}, true), store}
+	return &parent{startProcess(t, Config{Name: "parent", Publisher: p, MaxSubscribers: maxSubscribers}, true), store}
 }
 
-// set changes the quota of a tenant of the service "a", which is there from the first change on.
+// set changes the quota of a tenant of the service "a", and creates both on the first call.
 func (p *parent) set(quota float64) {
 	p.t.Helper()
 	changes := []resource.Change{
@@ -128,21 +128,21 @@
 	}
 }
 
-// child is a configuration of a process that subscribes to a parent at an address.
-func child(address string, applied func(Update)) Config {
+// childConfig returns the configuration of a process that subscribes to a parent at an address.
+func childConfig(address string, applied func(Update)) Config {
 	s := subscriber.New(subscriber.Config{Name: "child", Regions: []string{"north"}, Filter: changelog.Filter{Services: []string{"a"}},
 		Candidates: []parents.Candidate{{Name: "parent", Address: address}}, Limits: LimitsFor(time.Second)}, 0)
 	return Config{Name: "child", Subscribers: []*subscriber.Subscriber{s}, Applied: applied}
 }
 
-func TestChangesReachASubscriber(t *testing.T) {
+func TestChangesReachSubscriber(t *testing.T) {
 	p := newParent(t, 10)
-	news := make(chan Update, 100)
-	c := started(t, child(p.address, func(n Update) { news <- n }), false)
+	updates := make(chan Update, 100)
+	c := startProcess(t, childConfig(p.address, func(n Update) { updates <- n }), false)
 	for i := range 5 {
 		p.set(float64(i))
 		eventually(t, "the change", func() bool {
-			n := <-news
+			n := <-updates
 			return n.Position == resource.Position{Epoch: 1, Version: uint64(i + 1)} && !n.Late
 		})
 	}
@@ -154,18 +154,18 @@
 		t.Errorf("%+v", s.Counts)
 	}
 	if text := c.log.String(); strings.Count(text, "is streamed from") != 1 {
-		t.Errorf("the log of the child, want one line of its source:\n%s", text)
+		t.Errorf("the log of the child, want one line about its source:\n%s", text)
 	}
 	c.stop()
-	<-c.ended
+	<-c.done
 	eventually(t, "the end of the session at the parent", func() bool { return len(p.Status().Names) == 0 })
 }
 
-// While news are brought into force the lock is free: the process still answers.
-func TestNewsAreAppliedWithoutTheLock(t *testing.T) {
+// The Applied callback may be slow: it must run without the lock, so that the process still receives and reports its status.
+func TestUpdatesAreAppliedWithoutLock(t *testing.T) {
 	p := newParent(t, 10)
 	applying, release := make(chan struct{}), make(chan struct{})
-	c := started(t, child(p.address, func(Update) {
+	c := startProcess(t, childConfig(p.address, func(Update) {
 		close(applying)
 		<-release
 	}), false)
@@ -177,75 +177,75 @@
 	close(release)
 }
 
-// What comes after nothing came for long may have been told a while ago.
-func TestNewsAfterASilenceAreLate(t *testing.T) {
+// Updates that arrive after a long silence may have been published a while ago, and must be marked Late.
+func TestUpdatesAfterSilenceAreLate(t *testing.T) {
 	p := newParent(t, 10)
-	news := make(chan Update, 100)
+	updates := make(chan Update, 100)
 	var mu sync.Mutex
-	var ahead time.Duration
-	clock := monotonic()
-	cfg := child(p.address, func(n Update) { news <- n })
+	var offset time.Duration
+	clock := monotonicClock()
+	cfg := childConfig(p.address, func(n Update) { updates <- n })
 	cfg.StaleAfter = 10 * time.Second
 	cfg.Clock = func() time.Duration {
 		mu.Lock()
 		defer mu.Unlock()
-		return clock() + ahead
+		return clock() + offset
 	}
-	started(t, cfg, false)
+	startProcess(t, cfg, false)
 	p.set(1)
-	if n := <-news; n.Late {
-		t.Error("the first news are late")
+	if n := <-updates; n.Late {
+		t.Error("the first update is late")
 	}
 	mu.Lock()
-	ahead = time.Minute // as a process that was stopped wakes
+	offset = time.Minute // as if the process was stopped and woken
 	mu.Unlock()
 	p.set(2)
-	if n := <-news; !n.Late {
-		t.Error("news after a minute's silence are not late")
+	if n := <-updates; !n.Late {
+		t.Error("the update after a minute's silence is not late")
 	}
 }
 
-// A parent under another name than the settings say is no parent.
-func TestAParentOfAnotherName(t *testing.T) {
+// A process with another name than configured for its address must not be used as a parent; host names are not resolved.
+func TestParentWithOtherNameIsRejected(t *testing.T) {
 	p := newParent(t, 10)
 	s := subscriber.New(subscriber.Config{Name: "child", Regions: []string{"north"}, Filter: changelog.Filter{All: true},
 		Candidates: []parents.Candidate{{Name: "other", Address: p.address}, {Name: "nowhere", Address: "name.example:1"}}, Limits: LimitsFor(time.Second)}, 0)
-	c := started(t, Config{Name: "child", Subscribers: []*subscriber.Subscriber{s}}, false)
-	eventually(t, "a line about the name", func() bool {
-		return strings.Contains(c.log.String(), `a process has another name than the settings say`)
+	c := startProcess(t, Config{Name: "child", Subscribers: []*subscriber.Subscriber{s}}, false)
+	eventually(t, "a log line about the name", func() bool {
+		return strings.Contains(c.log.String(), `peer name differs from the configured name`)
 	})
 	if got := c.Status().Parents[0].Connected; len(got) > 0 {
 		t.Errorf("connected to %q", got)
 	}
 }
 
-// client is the other side of a session, driven by a test.
-func client(t *testing.T, address, name string) *frame.Conn {
+// dialSession opens a session as a subscriber, with a greeting of a later version.
+func dialSession(t *testing.T, address, name string) *frame.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	c, err := frame.Dial(conn, frame.Config{Keys: [][]byte{testKey}, Cluster: "test", Handshake: patience, ReadTimeout: patience, WriteTimeout: patience})
+	c, err := frame.Dial(conn, frame.Config{Keys: [][]byte{testKey}, Cluster: "test", Handshake: testTimeout, ReadTimeout: testTimeout, WriteTimeout: testTimeout})
 	if err != nil {
 		t.Fatal(err)
 	}
 	greeting := append([]byte{1<<3 | 2, byte(len(name))}, name...)
-	if err := c.Write(append(greeting, 15<<3, 1)); err != nil { // with a field of a later version
+	if err := c.Write(append(greeting, 15<<3, 1)); err != nil { // an unknown field
 		t.Fatal(err)
 	}
 	return c
 }
 
-func TestSubscribersOverTheLimit(t *testing.T) {
+func TestSubscribersOverLimitAreRejected(t *testing.T) {
 	p := newParent(t, 1)
-	first := client(t, p.address, "first")
+	first := dialSession(t, p.address, "first")
 	if _, err := first.Read(); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the first", func() bool { return len(p.Status().Names) == 1 })
-	second := client(t, p.address, "second")
+	second := dialSession(t, p.address, "second")
 	var err error
 	for err == nil {
 		_, err = second.Read()
@@ -255,9 +255,9 @@
 	}
 }
 
-// More connections at their beginning than are taken at a time wait for their turn, here until the handshakes of those
-// before them time out: none is turned away.
-func TestConnectionsBeyondTheHandshakesWait(t *testing.T) {
+// Connections beyond maxHandshakes wait for a free handshake slot, here until the earlier handshakes time out. None may be
+// rejected.
+func TestConnectionsWaitForHandshakeSlot(t *testing.T) {
 	t.Parallel()
 	p := newParent(t, 10)
 	for range maxHandshakes {
@@ -267,17 +267,17 @@
 		}
 		defer conn.Close()
 	}
-	client(t, p.address, "late")
+	dialSession(t, p.address, "late")
 	eventually(t, "the late one", func() bool { return len(p.Status().Names) == 1 })
 	if s := p.Status(); s.Counts.Rejected != 0 {
-		t.Errorf("%d were turned away", s.Counts.Rejected)
+		t.Errorf("%d were rejected", s.Counts.Rejected)
 	}
 }
 
-// What can't be read as a message is counted, dropped and told in one line, and the session goes on.
-func TestUnreadableMessages(t *testing.T) {
+// Undecodable messages are counted, dropped and logged in one line; the session must continue.
+func TestUnreadableMessagesAreDropped(t *testing.T) {
 	p := newParent(t, 10)
-	c := client(t, p.address, "client")
+	c := dialSession(t, p.address, "client")
 	for range 5 {
 		if err := c.Write([]byte{0xff, 0xff, 0xff}); err != nil {
 			t.Fatal(err)
@@ -291,14 +291,14 @@
 		t.Errorf("%+v", s)
 	}
 	if n := strings.Count(p.log.String(), "a message that can't be read was dropped"); n != 1 {
-		t.Errorf("%d lines of it in the log", n)
+		t.Errorf("%d log lines about it", n)
 	}
 }
 
-func TestGreetings(t *testing.T) {
+func TestInvalidGreetingsAreRejected(t *testing.T) {
 	p := newParent(t, 10)
 	for _, name := range []string{"", "two words", "a\nline", strings.Repeat("x", 127) + "é"} {
-		c := client(t, p.address, name)
+		c := dialSession(t, p.address, name)
 		var err error
 		for err == nil {
 			_, err = c.Read()
@@ -307,8 +307,8 @@
 	eventually(t, "strangers", func() bool { return p.Status().Counts.FailedHandshakes == 4 })
 }
 
-// A session whose other side does not read ends once its queue is full, and nobody waits for it.
-func TestASlowReader(t *testing.T) {
+// A session whose peer does not read must end once its send queue is full, without blocking the sender.
+func TestSlowReaderIsDisconnected(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -323,14 +323,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := frame.Config{Keys: [][]byte{testKey}, Cluster: "test", Handshake: patience, ReadTimeout: patience, WriteTimeout: patience}
-	process := NewProcess(Config{Name: "here", Keys: cfg.Keys, Cluster: cfg.Cluster, Clock: monotonic(), Log: slog.New(slog.DiscardHandler)})
+	cfg := frame.Config{Keys: [][]byte{testKey}, Cluster: "test", Handshake: testTimeout, ReadTimeout: testTimeout, WriteTimeout: testTimeout}
+	process := NewProcess(Config{Name: "here", Keys: cfg.Keys, Cluster: cfg.Cluster, Clock: monotonicClock(), Log: slog.New(slog.DiscardHandler)})
 	var s *session
-	var begun sync.WaitGroup
-	begun.Go(func() {
+	var accepted sync.WaitGroup
+	accepted.Go(func() {
 		framed, err := frame.Accept(far, cfg)
 		if err == nil {
-			s, err = greet(framed, process, asSubscriber, nil)
+			s, err = exchangeGreetings(framed, process, roleSubscriber, nil)
 		}
 		if err != nil {
 			t.Error(err)
@@ -340,7 +340,7 @@
 	if err == nil {
 		err = framed.Write([]byte{1<<3 | 2, 4, 's', 'l', 'o', 'w'})
 	}
-	begun.Wait()
+	accepted.Wait()
 	if err != nil || s == nil || s.peer != "slow" {
 		t.Fatalf("%v, %+v", err, s)
 	}
@@ -354,65 +354,65 @@
 	}
 }
 
-// The times of a subscriber are in proportion to the silence after which it gives a parent up.
+// The times of a subscriber are scaled in proportion to the silence after which it abandons a parent.
 func TestLimitsFor(t *testing.T) {
-	usual, half := subscriber.DefaultLimits(), LimitsFor(subscriber.DefaultLimits().Silence/2)
-	if got := LimitsFor(usual.Silence); got != usual {
+	defaults, half := subscriber.DefaultLimits(), LimitsFor(subscriber.DefaultLimits().Silence/2)
+	if got := LimitsFor(defaults.Silence); got != defaults {
 		t.Errorf("%+v", got)
 	}
-	if half.Lag != usual.Lag/2 || half.BackoffLimit != usual.BackoffLimit/2 || half.Connect != usual.Connect || half.RetryPerSec != usual.RetryPerSec*2 {
+	if half.Lag != defaults.Lag/2 || half.BackoffLimit != defaults.BackoffLimit/2 || half.Connect != defaults.Connect || half.RetryPerSec != defaults.RetryPerSec*2 {
 		t.Errorf("%+v", half)
 	}
 }
 
-func TestThrottle(t *testing.T) {
-	log := &logText{}
+func TestLogThrottle(t *testing.T) {
+	log := &logBuffer{}
 	var now time.Duration
-	limited := newThrottle(slog.New(slog.NewTextHandler(log, nil)), func() time.Duration { return now })
+	throttle := newLogThrottle(slog.New(slog.NewTextHandler(log, nil)), func() time.Duration { return now })
 	for range 5 {
-		limited.warn("one")
-		limited.warn("another")
+		throttle.warn("one")
+		throttle.warn("another")
 	}
-	now = throttleInterval
-	limited.warn("one")
+	now = logThrottleInterval
+	throttle.warn("one")
 	if text := log.String(); strings.Count(text, "msg=one") != 2 || strings.Count(text, "msg=another") != 1 || !strings.Contains(text, "omitted=4") {
 		t.Error(fmt.Sprint("the log is\n", text))
 	}
 }
 
-// A parent of a later version sends fields that this one can't read, and counts them in its digest. The state is taken all
-// the same, and not asked for again and again.
-func TestAParentOfALaterVersion(t *testing.T) {
+// A parent of a later version sends fields unknown to this version and includes them in its digest. The state must be
+// applied despite the mismatch, and not be requested repeatedly.
+func TestParentOfLaterVersion(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	asked := make(chan *message.Subscribe, 100)
-	go serveLaterVersion(ln, asked)
-	news := make(chan Update, 10)
-	c := started(t, child(ln.Addr().String(), func(n Update) { news <- n }), false)
+	subscribes := make(chan *message.Subscribe, 100)
+	go serveLaterVersion(ln, subscribes)
+	updates := make(chan Update, 10)
+	c := startProcess(t, childConfig(ln.Addr().String(), func(n Update) { updates <- n }), false)
 	select {
-	case n := <-news:
+	case n := <-updates:
 		if len(n.Changes) != 1 || n.Position != (resource.Position{Epoch: 1, Version: 1}) {
 			t.Errorf("%+v", n)
 		}
-	case <-time.After(patience):
-		t.Fatalf("nothing came into force; the state: %+v", c.Status().Parents)
+	case <-time.After(testTimeout):
+		t.Fatalf("no update was applied; the state: %+v", c.Status().Parents)
 	}
-	if len(asked) != 1 {
-		t.Errorf("asked for the log %d times", len(asked))
+	if len(subscribes) != 1 {
+		t.Errorf("subscribed to the log %d times", len(subscribes))
 	}
 }
 
-// serveLaterVersion answers the first subscription on ln with a snapshot that holds what no reader of this version knows.
-func serveLaterVersion(ln net.Listener, asked chan<- *message.Subscribe) {
+// serveLaterVersion answers subscriptions on the first connection of ln with a snapshot that contains unknown fields.
+func serveLaterVersion(ln net.Listener, subscribes chan<- *message.Subscribe) {
 	raw, err := ln.Accept()
 	if err != nil {
 		return
 	}
 	defer raw.Close()
-	conn, err := frame.Accept(raw, frame.Config{Keys: [][]byte{testKey}, Cluster: "test", Handshake: patience, ReadTimeout: patience, WriteTimeout: patience})
+	conn, err := frame.Accept(raw, frame.Config{Keys: [][]byte{testKey}, Cluster: "test", Handshake: testTimeout, ReadTimeout: testTimeout, WriteTimeout: testTimeout})
 	if err != nil {
 		return
 	}
@@ -426,20 +426,20 @@
 		}
 		if !greeted {
 			greeted = true
-			conn.Write(greeting("parent", asSubscriber))
+			conn.Write(encodeGreeting("parent", roleSubscriber))
 			continue
 		}
 		messages, _, _ := message.Decode(text)
 		for _, m := range messages {
 			if subscribe, ok := m.(*message.Subscribe); ok {
-				asked <- subscribe
+				subscribes <- subscribe
 				conn.Write(later)
 			}
 		}
 	}
 }
 
-// withUnknownFields adds a field of a later version to each message of a frame.
+// withUnknownFields adds an unknown field to each message of a frame.
 func withUnknownFields(frame []byte) []byte {
 	var later []byte
 	for len(frame) > 0 {
--- a/internal/controlnet/queue.go
+++ b/internal/controlnet/queue.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// queue holds the encoded messages that wait to be written to a session, up to a number of bytes.
+// queue holds encoded messages to be written to a session, up to a number of bytes.
 type queue struct {
 	maxBytes int
-	ready    chan struct{} // holds a token while there may be a message
+	ready    chan struct{} // holds a token if there may be a message
 
 	mu       sync.Mutex
 	messages [][]byte
@@ -16,7 +16,7 @@
 	return &queue{maxBytes: maxBytes, ready: make(chan struct{}, 1)}
 }
 
-// push appends a message, and reports whether there was room. One message fits into an empty queue whatever its size.
+// push appends a message and reports whether it fitted. An empty queue takes one message of any size.
 func (q *queue) push(message []byte) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -32,7 +32,7 @@
 	return true
 }
 
-// pop takes the oldest message, if there is one.
+// pop removes and returns the oldest message, if there is one.
 func (q *queue) pop() ([]byte, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/controlnet/queue_test.go
+++ b/internal/controlnet/queue_test.go
@@ -8,7 +8,7 @@
 func TestQueueIsBounded(t *testing.T) {
 	q := newQueue(10)
 	if _, ok := q.pop(); ok {
-		t.Error("a message out of an empty queue")
+		t.Error("popped a message from an empty queue")
 	}
 	for i, x := range []struct {
 		size int
@@ -27,7 +27,7 @@
 		}
 	}
 	if q.push([]byte{11}) {
-		t.Error("a byte too many was taken")
+		t.Error("pushed a byte beyond the limit")
 	}
 	for i := range 10 {
 		if m, ok := q.pop(); !ok || m[0] != byte(i) {
@@ -37,7 +37,7 @@
 }
 
 func TestPacer(t *testing.T) {
-	if wait := (*pacer)(nil).take(0, 1<<30); wait != 0 {
+	if wait := (*pacer)(nil).reserve(0, 1<<30); wait != 0 {
 		t.Errorf("without a limit it waits %v", wait)
 	}
 	p := newPacer(1000, 0)
@@ -48,15 +48,15 @@
 	}{
 		{0, 2000, 0},                  // the burst
 		{0, 500, 0},                   // overdrawn by one message
-		{0, 500, time.Second / 2},     // which the next one waits for
-		{time.Second, 1000, 0},        // paid back
-		{time.Second, 0, time.Second}, // and overdrawn again
-		{time.Minute, 2000, 0},        // no more than a burst is saved
+		{0, 500, time.Second / 2},     // the next message waits for it
+		{time.Second, 1000, 0},        // tokens refilled
+		{time.Second, 0, time.Second}, // overdrawn again
+		{time.Minute, 2000, 0},        // tokens are limited to the burst
 		{time.Minute, 1, 0},
 		{time.Minute, 0, time.Millisecond},
-		{0, 0, time.Millisecond}, // a clock that steps back fills nothing
+		{0, 0, time.Millisecond}, // a clock that steps back adds no tokens
 	} {
-		if got := p.take(x.now, x.bytes); got != x.want {
+		if got := p.reserve(x.now, x.bytes); got != x.want {
 			t.Errorf("step %d waits %v, want %v", i, got, x.want)
 		}
 	}
--- a/internal/controlnet/session.go
+++ b/internal/controlnet/session.go
@@ -14,63 +14,63 @@
 	"craneglade/internal/peers/frame"
 )
 
-// errSlow ends a session whose other side does not take what is sent to it.
-var errSlow = errors.New("the other side is too slow: what waits for it has reached its bound")
+// errSlow ends a session whose peer does not read fast enough.
+var errSlow = errors.New("the peer is too slow: its send queue is full")
 
-// The fields of a greeting, the first message of a session. Those of a later version are skipped.
+// The fields of a greeting, the first message of a session. Unknown fields are skipped.
 const (
-	greetingName protowire.Number = iota + 1 // of the process that sends it
-	greetingRole                             // what it is to the other side
+	greetingName protowire.Number = iota + 1 // of the sending process
+	greetingRole                             // of the sending process towards the receiver
 )
 
-// role is what a process is to the one that it connects to.
+// role is the role of a process towards its peer.
 type role uint64
 
-// The roles.
+// The roles of a process that opens a session.
 const (
-	asSubscriber role = iota
-	asMember          // of the same region's quorum
+	roleSubscriber role = iota
+	roleMember          // member of the same region's quorum
 )
 
-// session carries messages to and from one other process. Its reader hands each message to receive; its writer sends what
-// send has queued. Both end with the session.
+// session exchanges messages with one other process. Its reader passes each message to the receive function of run; its
+// writer sends the messages that send has queued. Both end with the session.
 type session struct {
 	conn     *frame.Conn
-	peer     string // the name of the process at the other side
-	role     role   // that it has said to have
+	peer     string // name of the other process
+	role     role   // announced by the other process
 	outgoing *queue
 	pacer    *pacer
-	now      func() time.Duration
+	clock    func() time.Duration
 	counters *counters
 
 	once   sync.Once
 	closed chan struct{}
-	err    error // why it was closed; read after closed
+	err    error // why it was closed; read only after closed
 }
 
-// greet exchanges greetings of a process on a connection, and returns the session. What it sends is paced; nil for at once.
-func greet(conn *frame.Conn, p *Process, own role, pace *pacer) (*session, error) {
-	if err := conn.Write(greeting(p.cfg.Name, own)); err != nil {
+// exchangeGreetings exchanges greetings on a connection and returns the session. A nil pacer means no rate limit.
+func exchangeGreetings(conn *frame.Conn, p *Process, ownRole role, pacer *pacer) (*session, error) {
+	if err := conn.Write(encodeGreeting(p.cfg.Name, ownRole)); err != nil {
 		return nil, err
 	}
 	text, err := conn.Read()
 	if err != nil {
 		return nil, err
 	}
-	peer, other, err := readGreeting(text)
+	peer, peerRole, err := decodeGreeting(text)
 	if err != nil {
 		return nil, err
 	}
-	return &session{conn: conn, peer: peer, role: other, outgoing: newQueue(queueBytes), pacer: pace, now: p.cfg.Clock, counters: &p.counters, closed: make(chan struct{})}, nil
+	return &session{conn: conn, peer: peer, role: peerRole, outgoing: newQueue(sessionQueueBytes), pacer: pacer, clock: p.cfg.Clock, counters: &p.counters, closed: make(chan struct{})}, nil
 }
 
-func greeting(name string, own role) []byte {
+func encodeGreeting(name string, ownRole role) []byte {
 	text := protowire.AppendString(protowire.AppendTag(nil, greetingName, protowire.BytesType), name)
-	return protowire.AppendVarint(protowire.AppendTag(text, greetingRole, protowire.VarintType), uint64(own))
+	return protowire.AppendVarint(protowire.AppendTag(text, greetingRole, protowire.VarintType), uint64(ownRole))
 }
 
-// readGreeting returns the name and the role in a greeting.
-func readGreeting(text []byte) (name string, other role, err error) {
+// decodeGreeting returns the name and the role in a greeting.
+func decodeGreeting(text []byte) (name string, peerRole role, err error) {
 	for len(text) > 0 {
 		number, kind, n := protowire.ConsumeTag(text)
 		if n < 0 {
@@ -83,7 +83,7 @@
 		case number == greetingRole && kind == protowire.VarintType:
 			var value uint64
 			value, n = protowire.ConsumeVarint(text)
-			other = role(value)
+			peerRole = role(value)
 		default:
 			n = protowire.ConsumeFieldValue(number, kind, text)
 		}
@@ -92,41 +92,41 @@
 		}
 		text = text[n:]
 	}
-	key := resource.Key{Service: name, Kind: resource.KindService, Name: name} // the rules for names are those of resources
+	key := resource.Key{Service: name, Kind: resource.KindService, Name: name} // process names follow the rules of resource names
 	if err := key.Validate(); err != nil {
-		return "", 0, errors.New("greeting: the name of the process is missing or not a name")
+		return "", 0, errors.New("greeting: the name of the process is missing or invalid")
 	}
-	return name, other, nil
+	return name, peerRole, nil
 }
 
-// send queues an encoded message, which nobody may change, and ends the session if there is no room for it.
+// send queues an encoded message, which must not be modified afterwards, and closes the session if the queue is full.
 func (s *session) send(encoded []byte) {
 	if !s.outgoing.push(encoded) && s.close(errSlow) {
 		s.counters.slow.Add(1)
 	}
 }
 
-// received is a message that came on a session.
+// received is a message received on a session.
 type received struct {
 	message message.Message
-	partial bool // its frame held fields or resources of a later version, which were skipped
+	partial bool // its frame contained fields or resources of a later version, which were skipped
 }
 
-// run reads and writes until the session ends or ctx does, and returns why. receive is called with each message from one
-// goroutine; bad with what could not be read as one.
-func (s *session) run(ctx context.Context, receive func(received), bad func(err error)) error {
+// run reads and writes until the session or ctx ends, and returns the cause. It calls receive for each message, and
+// unreadable with the error for each frame that could not be decoded, both from one goroutine.
+func (s *session) run(ctx context.Context, receive func(received), unreadable func(err error)) error {
 	stop := context.AfterFunc(ctx, func() { s.close(ctx.Err()) })
 	defer stop()
-	var both sync.WaitGroup
-	both.Go(func() { s.close(s.write()) })
-	both.Go(func() { s.close(s.read(receive, bad)) })
-	both.Wait()
+	var loops sync.WaitGroup
+	loops.Go(func() { s.close(s.write()) })
+	loops.Go(func() { s.close(s.read(receive, unreadable)) })
+	loops.Wait()
 	s.counters.sentBytes.Add(s.conn.Sent())
 	s.counters.receivedBytes.Add(s.conn.Received())
 	return s.err
 }
 
-// close ends the session for a reason. It reports whether it is the first, which counts.
+// close ends the session and reports whether it was open. Only the error of the first call is kept.
 func (s *session) close(err error) (first bool) {
 	s.once.Do(func() {
 		first = true
@@ -156,9 +156,9 @@
 	}
 }
 
-// pace waits until so many bytes may go, or the session ends.
+// pace waits until the pacer permits a number of bytes, or the session ends.
 func (s *session) pace(bytes int) {
-	wait := s.pacer.take(s.now(), bytes)
+	wait := s.pacer.reserve(s.clock(), bytes)
 	if wait <= 0 {
 		return
 	}
@@ -170,7 +170,7 @@
 	}
 }
 
-func (s *session) read(receive func(received), bad func(err error)) error {
+func (s *session) read(receive func(received), unreadable func(err error)) error {
 	for {
 		encoded, err := s.conn.Read()
 		if err != nil {
@@ -180,8 +180,8 @@
 		s.counters.received.Add(int64(len(messages)))
 		s.counters.skipped.Add(int64(skipped.Fields + skipped.Messages + skipped.Resources))
 		if err != nil {
-			s.counters.bad.Add(1)
-			bad(err)
+			s.counters.invalid.Add(1)
+			unreadable(err)
 			continue
 		}
 		partial := skipped.Fields > 0 || skipped.Resources > 0
--- a/internal/controlnet/throttle.go
+++ b/internal/controlnet/throttle.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// throttleInterval is how often a line of the same kind is logged at most.
-const throttleInterval = 10 * time.Second
+// logThrottleInterval is the minimum interval between log lines of the same text.
+const logThrottleInterval = 10 * time.Second
 
-// throttle logs what others can cause as often as they like: the first at once, and then one line in an interval, with the
-// number of those that were left out.
-type throttle struct {
+// logThrottle logs warnings that peers can cause at any rate: for each text, the first at once and then at most one in each
+// logThrottleInterval, with the number of omitted ones.
+type logThrottle struct {
 	log *slog.Logger
 	now func() time.Duration
 
-	mu   sync.Mutex
-	kind map[string]*throttled
+	mu    sync.Mutex
+	lines map[string]*throttledLine
 }
 
-type throttled struct {
+type throttledLine struct {
 	loggedAt time.Duration
 	omitted  int
 }
 
-func newThrottle(log *slog.Logger, now func() time.Duration) *throttle {
-	return &throttle{log: log, now: now, kind: map[string]*throttled{}}
+func newLogThrottle(log *slog.Logger, now func() time.Duration) *logThrottle {
+	return &logThrottle{log: log, now: now, lines: map[string]*throttledLine{}}
 }
 
-// warn logs a line, unless one with the same text was logged lately.
-func (t *throttle) warn(text string, args ...any) {
+// warn logs a line, unless one with the same text was logged within logThrottleInterval.
+func (t *logThrottle) warn(text string, args ...any) {
 	now := t.now()
 	t.mu.Lock()
-	k := t.kind[text]
-	if k != nil && now-k.loggedAt < throttleInterval {
+	k := t.lines[text]
+	if k != nil && now-k.loggedAt < logThrottleInterval {
 		k.omitted++
 		t.mu.Unlock()
 		return
@@ -42,7 +42,7 @@
 	if k != nil {
 		omitted = k.omitted
 	}
-	t.kind[text] = &throttled{loggedAt: now}
+	t.lines[text] = &throttledLine{loggedAt: now}
 	t.mu.Unlock()
 	if omitted > 0 {
 		args = append(args, "omitted", omitted)
--- a/internal/controlnet/walfile/record.go
+++ b/internal/controlnet/walfile/record.go
@@ -12,9 +12,9 @@
 	"craneglade/internal/controlplane/quorum"
 )
 
-// A record is a header of fixed size and a payload:
+// A record consists of a header of fixed size and a payload:
 //
-//	4 bytes  recordMagic, for the search after a damaged record
+//	4 bytes  recordMagic, used to search for records after a damaged one
 //	4 bytes  length of the payload, little endian
 //	4 bytes  CRC-32C of the length and the payload, little endian
 const (
@@ -26,18 +26,18 @@
 var (
 	crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-	errTorn = errors.New("record is cut off or damaged")
+	errTorn = errors.New("record is truncated or damaged")
 )
 
-// The fields of a payload. Unknown ones are refused: a state that is understood in part is not to be used.
+// The fields of a payload. Unknown fields are an error: a state that is understood only in part must not be used.
 const (
-	fieldHard     protowire.Number = 1 // of hardField*
-	fieldEntry    protowire.Number = 2 // of entryField*
-	fieldSnapshot protowire.Number = 3 // of snapshotField*
+	fieldHardState protowire.Number = 1 // message of hardStateField*
+	fieldEntry     protowire.Number = 2 // message of entryField*
+	fieldSnapshot  protowire.Number = 3 // message of entryField*, too
 
-	hardFieldTerm   protowire.Number = 1
-	hardFieldVote   protowire.Number = 2
-	hardFieldCommit protowire.Number = 3
+	hardStateFieldTerm   protowire.Number = 1
+	hardStateFieldVote   protowire.Number = 2
+	hardStateFieldCommit protowire.Number = 3
 
 	entryFieldIndex protowire.Number = 1
 	entryFieldTerm  protowire.Number = 2
@@ -56,7 +56,7 @@
 	return crc32.Update(crc32.Checksum(length, crcTable), crcTable, payload)
 }
 
-// readRecord is the payload of the record at the beginning of b, and the size of the record. The error is errTorn.
+// readRecord returns the payload of the record at the beginning of b, and the size of the record. The error is errTorn.
 func readRecord(b []byte) (payload []byte, size int, err error) {
 	if len(b) < headerBytes || string(b[:4]) != recordMagic {
 		return nil, 0, errTorn
@@ -72,8 +72,8 @@
 	return payload, headerBytes + length, nil
 }
 
-// holdsRecord reports whether there is a whole record anywhere in b.
-func holdsRecord(b []byte) bool {
+// containsRecord reports whether there is a valid record anywhere in b.
+func containsRecord(b []byte) bool {
 	for {
 		at := bytes.Index(b, []byte(recordMagic))
 		if at < 0 {
@@ -86,7 +86,7 @@
 	}
 }
 
-// encodePersist writes a Persist as a payload, its snapshot with the data where withData.
+// encodePersist encodes a Persist as a payload. The snapshot's data is included if withData is set.
 func encodePersist(p quorum.Persist, withData bool) []byte {
 	var b []byte
 	if s := p.Snapshot; s != nil {
@@ -100,10 +100,10 @@
 		b = appendMessage(b, fieldEntry, encodeEntry(e))
 	}
 	if h := p.Hard; h != nil {
-		hard := appendNumber(nil, hardFieldTerm, h.Term)
-		hard = appendNumber(hard, hardFieldVote, h.Vote)
-		hard = appendNumber(hard, hardFieldCommit, h.Commit)
-		b = appendMessage(b, fieldHard, hard)
+		hard := appendNumber(nil, hardStateFieldTerm, h.Term)
+		hard = appendNumber(hard, hardStateFieldVote, h.Vote)
+		hard = appendNumber(hard, hardStateFieldCommit, h.Commit)
+		b = appendMessage(b, fieldHardState, hard)
 	}
 	return b
 }
@@ -122,39 +122,39 @@
 	return protowire.AppendBytes(protowire.AppendTag(b, field, protowire.BytesType), value)
 }
 
-// decodePersist reads what encodePersist wrote. The error wraps ErrCorrupt.
+// decodePersist decodes a payload of encodePersist. The error wraps ErrCorrupt.
 func decodePersist(payload []byte) (quorum.Persist, error) {
 	var p quorum.Persist
-	err := eachField(payload, func(field protowire.Number, _ uint64, text []byte) error {
+	err := eachField(payload, func(field protowire.Number, _ uint64, data []byte) error {
 		switch field {
-		case fieldHard:
+		case fieldHardState:
 			p.Hard = &quorum.HardState{}
-			return decodeHard(text, p.Hard)
+			return decodeHardState(data, p.Hard)
 		case fieldEntry:
-			entry, err := decodeEntry(text)
+			entry, err := decodeEntry(data)
 			p.Entries = append(p.Entries, entry)
 			return err
 		case fieldSnapshot:
-			entry, err := decodeEntry(text)
+			entry, err := decodeEntry(data)
 			p.Snapshot = &quorum.Snapshot{Index: entry.Index, Term: entry.Term, Data: entry.Data}
 			return err
 		}
-		return fmt.Errorf("%w: field %d of a record is not known to this version", ErrCorrupt, field)
+		return fmt.Errorf("%w: field %d of a record is unknown to this version", ErrCorrupt, field)
 	})
 	return p, err
 }
 
-func decodeHard(b []byte, h *quorum.HardState) error {
+func decodeHardState(b []byte, h *quorum.HardState) error {
 	return eachField(b, func(field protowire.Number, value uint64, _ []byte) error {
 		switch field {
-		case hardFieldTerm:
+		case hardStateFieldTerm:
 			h.Term = value
-		case hardFieldVote:
+		case hardStateFieldVote:
 			h.Vote = value
-		case hardFieldCommit:
+		case hardStateFieldCommit:
 			h.Commit = value
 		default:
-			return fmt.Errorf("%w: field %d of a hard state is not known to this version", ErrCorrupt, field)
+			return fmt.Errorf("%w: field %d of a hard state is unknown to this version", ErrCorrupt, field)
 		}
 		return nil
 	})
@@ -162,26 +162,26 @@
 
 func decodeEntry(b []byte) (quorum.LogEntry, error) {
 	var e quorum.LogEntry
-	err := eachField(b, func(field protowire.Number, value uint64, text []byte) error {
+	err := eachField(b, func(field protowire.Number, value uint64, data []byte) error {
 		switch field {
 		case entryFieldIndex:
 			e.Index = value
 		case entryFieldTerm:
 			e.Term = value
 		case entryFieldData:
-			if len(text) > 0 {
-				e.Data = bytes.Clone(text)
+			if len(data) > 0 {
+				e.Data = bytes.Clone(data)
 			}
 		default:
-			return fmt.Errorf("%w: field %d of an entry is not known to this version", ErrCorrupt, field)
+			return fmt.Errorf("%w: field %d of an entry is unknown to this version", ErrCorrupt, field)
 		}
 		return nil
 	})
 	return e, err
 }
 
-// eachField calls read with each field: value of one that is a number, text of one that is bytes.
-func eachField(b []byte, read func(field protowire.Number, value uint64, text []byte) error) error {
+// eachField calls visit for each field, with value set for a varint field and data for a bytes field.
+func eachField(b []byte, visit func(field protowire.Number, value uint64, data []byte) error) error {
 	for len(b) > 0 {
 		field, kind, size := protowire.ConsumeTag(b)
 		if size < 0 {
@@ -189,20 +189,20 @@
 		}
 		b = b[size:]
 		var value uint64
-		var text []byte
+		var data []byte
 		switch kind {
 		case protowire.VarintType:
 			value, size = protowire.ConsumeVarint(b)
 		case protowire.BytesType:
-			text, size = protowire.ConsumeBytes(b)
+			data, size = protowire.ConsumeBytes(b)
 		default:
-			return fmt.Errorf("%w: field %d of a record is of type %d", ErrCorrupt, field, kind)
+			return fmt.Errorf("%w: field %d of a record has type %d", ErrCorrupt, field, kind)
 		}
 		if size < 0 {
 			return fmt.Errorf("%w: a record's payload: %v", ErrCorrupt, protowire.ParseError(size))
 		}
 		b = b[size:]
-		if err := read(field, value, text); err != nil {
+		if err := visit(field, value, data); err != nil {
 			return err
 		}
 	}
--- a/internal/controlnet/walfile/walfile.go
+++ b/internal/controlnet/walfile/walfile.go
@@ -1,9 +1,9 @@
-// Package walfile keeps what a replica of a quorum must not forget in a directory: a write-ahead log of records with
-// checksums, to which is only appended, and a snapshot, which is replaced as a whole by renaming.
+// Package walfile stores the durable state of a quorum replica in a directory: an append-only write-ahead log of records
+// with checksums, and a snapshot, which is replaced atomically by renaming.
 //
-// What Save has returned from is on the disk (fsync). A record that a crash left half written at the log's end is cut off,
-// with one line to the logger; it was never confirmed to anybody. Damage anywhere else is ErrCorrupt, for then something
-// that was confirmed may be gone, and a replica that forgot it could take part in a wrong decision.
+// Save returns once the data is on disk (fsync). Open truncates an incomplete record that a crash left at the end of the
+// log, with one line to the logger; such a record was never acknowledged. Damage anywhere else is reported as ErrCorrupt:
+// acknowledged data may be missing, and a replica without it could take part in a wrong decision.
 package walfile
 
 import (
@@ -17,40 +17,40 @@
 	"craneglade/internal/controlplane/quorum"
 )
 
-// Errors of Open and Save, which wrap them.
+// Errors that Open and Save wrap.
 var (
-	ErrCorrupt = errors.New("stored log is damaged") // remedy: a restore; one that starts empty has forgotten its votes
+	ErrCorrupt = errors.New("stored log is damaged") // needs a restore: a replica that starts empty has forgotten its votes
 	ErrInUse   = errors.New("stored log is used by another process")
-	ErrFailed  = errors.New("an earlier write failed") // the file's end is not known any more; open it anew
+	ErrFailed  = errors.New("an earlier write failed") // the file's end is unknown; it has to be reopened
 )
 
 const (
-	logName       = "log"
-	snapshotName  = "snapshot"
-	lockName      = "lock"
-	temporaryName = ".new" // appended to the name of a file until it is whole
-	fileMode      = 0o600
-	dirMode       = 0o700
+	logName         = "log"
+	snapshotName    = "snapshot"
+	lockName        = "lock"
+	temporarySuffix = ".new" // appended to the name of a file until it is complete
+	fileMode        = 0o600
+	dirMode         = 0o700
 )
 
-// File is the storage of one replica. It belongs to one goroutine at a time.
+// File is the storage of one replica. It is not safe for concurrent use.
 type File struct {
-	dir    string
-	log    *os.File
-	lock   *os.File
-	state  quorum.State // as on the disk, without the snapshot's data
-	size   int64        // bytes of the log
-	failed error
+	dir     string
+	log     *os.File
+	lock    *os.File
+	state   quorum.State // as stored, without the snapshot's data
+	size    int64        // of the log, in bytes
+	saveErr error
 }
 
-// Open reads what a directory keeps, and makes the directory where there is none. logger gets a line where a torn end was
-// cut off. Errors: ErrCorrupt, ErrInUse, and those of the file system.
+// Open loads the state stored in a directory, and creates the directory if needed. logger gets a line if an incomplete
+// record was truncated. Errors: ErrCorrupt, ErrInUse, and those of the file system.
 func Open(dir string, logger func(line string)) (*File, quorum.State, error) {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return nil, quorum.State{}, err
 	}
 	f := &File{dir: dir}
-	if err := f.takeLock(); err != nil {
+	if err := f.acquireLock(); err != nil {
 		return nil, quorum.State{}, err
 	}
 	state, err := f.load(logger)
@@ -63,8 +63,8 @@
 	return f, state, nil
 }
 
-// takeLock keeps other processes from the directory until the file is closed.
-func (f *File) takeLock() error {
+// acquireLock locks the directory against other processes until the file is closed.
+func (f *File) acquireLock() error {
 	path := filepath.Join(f.dir, lockName)
 	lock, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
@@ -89,10 +89,10 @@
 		return quorum.State{}, err
 	}
 	if snapshot.Index < state.Snapshot.Index {
-		return quorum.State{}, fmt.Errorf("%s: %w: of entry %d, and the log begins after entry %d", f.path(snapshotName), ErrCorrupt,
+		return quorum.State{}, fmt.Errorf("%s: %w: the snapshot ends with entry %d, but the log begins after entry %d", f.path(snapshotName), ErrCorrupt,
 			snapshot.Index, state.Snapshot.Index)
 	}
-	// A crash may have come after the snapshot was renamed and before the log was.
+	// The snapshot is newer than the log if a crash came between the renames of the two.
 	if err := state.Take(quorum.Persist{Snapshot: &snapshot}); err != nil {
 		return quorum.State{}, fmt.Errorf("%s: %w: %v", f.path(snapshotName), ErrCorrupt, err)
 	}
@@ -101,7 +101,7 @@
 
 func (f *File) path(name string) string { return filepath.Join(f.dir, name) }
 
-// readLog reads the log, cuts off its torn end, and opens it. A directory without one gets an empty one.
+// readLog reads the log, truncates an incomplete record at its end, and opens it. It creates the log if the directory is new.
 func (f *File) readLog(logger func(string)) (quorum.State, error) {
 	content, err := os.ReadFile(f.path(logName))
 	if errors.Is(err, os.ErrNotExist) {
@@ -110,58 +110,59 @@
 	if err != nil {
 		return quorum.State{}, err
 	}
-	state, whole, err := replay(content)
+	state, validBytes, err := replay(content)
 	if err != nil {
 		return quorum.State{}, fmt.Errorf("%s: %w", f.path(logName), err)
 	}
 	if f.log, err = os.OpenFile(f.path(logName), os.O_WRONLY, fileMode); err != nil {
 		return quorum.State{}, err
 	}
-	if whole < len(content) {
-		logger(fmt.Sprintf("%s: the last %d of %d bytes are half a record, which was never confirmed: cut off", f.path(logName), len(content)-whole, len(content)))
-		if err := f.log.Truncate(int64(whole)); err != nil {
+	if validBytes < len(content) {
+		logger(fmt.Sprintf("%s: the last %d of %d bytes are an incomplete record, which was never acknowledged: truncated", f.path(logName), len(content)-validBytes, len(content)))
+		if err := f.log.Truncate(int64(validBytes)); err != nil {
 			return quorum.State{}, err
 		}
 		if err := f.log.Sync(); err != nil {
 			return quorum.State{}, err
 		}
 	}
-	f.size = int64(whole)
+	f.size = int64(validBytes)
 	_, err = f.log.Seek(f.size, io.SeekStart)
 	return state, err
 }
 
-// createLog makes the first log of a directory, unless there was one: a snapshot tells.
+// createLog creates the first log of a directory. It fails if there is a snapshot: then an earlier log is missing.
 func (f *File) createLog() error {
 	if _, err := os.Stat(f.path(snapshotName)); !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("%s: %w: there is a snapshot, and no log", f.path(logName), ErrCorrupt)
+		return fmt.Errorf("%s: %w: there is a snapshot but no log", f.path(logName), ErrCorrupt)
 	}
 	return f.rewriteLog(quorum.State{})
 }
 
-// replay is the state that the records of a log make, and how many bytes of it are whole records.
-func replay(content []byte) (state quorum.State, whole int, err error) {
-	for whole < len(content) {
-		payload, size, err := readRecord(content[whole:])
+// replay returns the state that results from the records of a log, and the length of its complete records in bytes. An
+// invalid remainder is a torn write only if it is not at the beginning and no valid record follows.
+func replay(content []byte) (state quorum.State, validBytes int, err error) {
+	for validBytes < len(content) {
+		payload, size, err := readRecord(content[validBytes:])
 		if err != nil {
-			if whole == 0 || holdsRecord(content[whole+1:]) {
-				return quorum.State{}, 0, fmt.Errorf("%w: the record at byte %d of %d", ErrCorrupt, whole, len(content))
+			if validBytes == 0 || containsRecord(content[validBytes+1:]) {
+				return quorum.State{}, 0, fmt.Errorf("%w: invalid record at byte %d of %d", ErrCorrupt, validBytes, len(content))
 			}
-			return state, whole, nil
+			return state, validBytes, nil
 		}
 		persist, err := decodePersist(payload)
 		if err != nil {
 			return quorum.State{}, 0, err
 		}
 		if err := state.Take(persist); err != nil {
-			return quorum.State{}, 0, fmt.Errorf("%w: the record at byte %d: %v", ErrCorrupt, whole, err)
+			return quorum.State{}, 0, fmt.Errorf("%w: record at byte %d: %v", ErrCorrupt, validBytes, err)
 		}
-		whole += size
+		validBytes += size
 	}
-	if whole == 0 {
-		return quorum.State{}, 0, fmt.Errorf("%w: it is empty", ErrCorrupt)
+	if validBytes == 0 {
+		return quorum.State{}, 0, fmt.Errorf("%w: the file is empty", ErrCorrupt)
 	}
-	return state, whole, nil
+	return state, validBytes, nil
 }
 
 func (f *File) readSnapshot() (quorum.Snapshot, error) {
@@ -174,26 +175,26 @@
 	}
 	payload, size, err := readRecord(content)
 	if err != nil || size != len(content) {
-		return quorum.Snapshot{}, fmt.Errorf("%s: %w: it is not one whole record", f.path(snapshotName), ErrCorrupt)
+		return quorum.Snapshot{}, fmt.Errorf("%s: %w: the file is not exactly one record", f.path(snapshotName), ErrCorrupt)
 	}
 	persist, err := decodePersist(payload)
 	if err != nil || persist.Snapshot == nil {
-		return quorum.Snapshot{}, fmt.Errorf("%s: %w: there is no snapshot in it", f.path(snapshotName), ErrCorrupt)
+		return quorum.Snapshot{}, fmt.Errorf("%s: %w: the file contains no snapshot", f.path(snapshotName), ErrCorrupt)
 	}
 	return *persist.Snapshot, nil
 }
 
-// Save keeps a Persist; when it returns, all of it is on the disk. After an error nothing is known of what was kept, and
-// every later Save fails with ErrFailed: the replica has to stop.
+// Save stores a Persist durably before it returns. After an error it is unknown what was stored, and every later Save fails
+// with ErrFailed: the replica has to stop.
 func (f *File) Save(p quorum.Persist) error {
-	if f.failed != nil {
-		return fmt.Errorf("%w: %v", ErrFailed, f.failed)
+	if f.saveErr != nil {
+		return fmt.Errorf("%w: %v", ErrFailed, f.saveErr)
 	}
 	if p.Empty() {
 		return nil
 	}
 	if err := f.save(p); err != nil {
-		f.failed = err
+		f.saveErr = err
 		return err
 	}
 	return nil
@@ -202,9 +203,9 @@
 func (f *File) save(p quorum.Persist) error {
 	next := f.state
 	if p.Snapshot != nil {
-		short := p
-		short.Snapshot = &quorum.Snapshot{Index: p.Snapshot.Index, Term: p.Snapshot.Term}
-		if err := next.Take(short); err != nil {
+		withoutData := p
+		withoutData.Snapshot = &quorum.Snapshot{Index: p.Snapshot.Index, Term: p.Snapshot.Term}
+		if err := next.Take(withoutData); err != nil {
 			return err
 		}
 		if err := f.replace(snapshotName, encodePersist(quorum.Persist{Snapshot: p.Snapshot}, true)); err != nil {
@@ -232,7 +233,8 @@
 	return f.log.Sync()
 }
 
-// rewriteLog makes a log of one record, which says after which snapshot it begins, and goes on with it.
+// rewriteLog replaces the log by one record of the state, which includes the position of the snapshot that precedes the log,
+// and opens it for appending.
 func (f *File) rewriteLog(state quorum.State) error {
 	payload := encodePersist(quorum.Persist{Hard: &state.Hard, Snapshot: &state.Snapshot, Entries: state.Entries}, false)
 	if err := f.replace(logName, payload); err != nil {
@@ -250,9 +252,9 @@
 	return err
 }
 
-// replace makes a file of one record take the place of another, whole or not at all.
+// replace atomically replaces a file by one of a single record.
 func (f *File) replace(name string, payload []byte) error {
-	temporary := f.path(name + temporaryName)
+	temporary := f.path(name + temporarySuffix)
 	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
 		return err
@@ -261,8 +263,8 @@
 	if err == nil {
 		err = file.Sync()
 	}
-	if closed := file.Close(); err == nil {
-		err = closed
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return err
@@ -282,10 +284,10 @@
 	return dir.Sync()
 }
 
-// Size is the bytes of the log, without the snapshot: what tells its owner when to compact.
+// Size returns the size of the log in bytes, without the snapshot. Callers use it to decide when to compact.
 func (f *File) Size() int64 { return f.size }
 
-// Close ends the use of the directory. Nothing is lost by not calling it.
+// Close closes the files and unlocks the directory. No data is lost without it.
 func (f *File) Close() error {
 	var err error
 	if f.log != nil {
--- a/internal/controlnet/walfile/walfile_test.go
+++ b/internal/controlnet/walfile/walfile_test.go
@@ -15,17 +15,17 @@
 	"craneglade/internal/controlplane/quorum"
 )
 
-// lines collects what a file tells its logger.
-type lines []string
+// logLines collects the lines that a file passes to its logger.
+type logLines []string
 
-func (l *lines) log(line string) { *l = append(*l, line) }
+func (l *logLines) log(line string) { *l = append(*l, line) }
 
 func mustOpen(t testing.TB, dir string) (*File, quorum.State) {
 	t.Helper()
-	var told lines
-	f, state, err := Open(dir, told.log)
-	if err != nil || len(told) > 0 {
-		t.Fatal(err, told)
+	var logged logLines
+	f, state, err := Open(dir, logged.log)
+	if err != nil || len(logged) > 0 {
+		t.Fatal(err, logged)
 	}
 	t.Cleanup(func() { f.Close() })
 	return f, state
@@ -42,7 +42,7 @@
 	return quorum.LogEntry{Index: index, Term: term, Data: []byte(data)}
 }
 
-// saves are what a replica may persist, one after the other.
+// saves is a sequence of updates as a replica persists them.
 var saves = []quorum.Persist{
 	{Hard: &quorum.HardState{Term: 1, Vote: 2}},
 	{Hard: &quorum.HardState{Term: 1, Vote: 2, Commit: 1}, Entries: []quorum.LogEntry{{Index: 1, Term: 1}, entry(2, 1, "two")}},
@@ -54,8 +54,8 @@
 	{Entries: []quorum.LogEntry{entry(10, 5, "ten")}},
 }
 
-// after is the state after some of the saves.
-func after(t testing.TB, count int) quorum.State {
+// stateAfter returns the state after the first count saves.
+func stateAfter(t testing.TB, count int) quorum.State {
 	t.Helper()
 	var state quorum.State
 	for _, p := range saves[:count] {
@@ -66,31 +66,31 @@
 	return state
 }
 
-func same(a, b quorum.State) bool {
+func equalStates(a, b quorum.State) bool {
 	sameEntries := slices.EqualFunc(a.Entries, b.Entries, func(a, b quorum.LogEntry) bool {
 		return a.Index == b.Index && a.Term == b.Term && string(a.Data) == string(b.Data)
 	})
 	return sameEntries && a.Hard == b.Hard && reflect.DeepEqual(a.Snapshot, b.Snapshot)
 }
 
-func TestWhatIsSavedIsLoaded(t *testing.T) {
+func TestSavedStateIsLoaded(t *testing.T) {
 	for count := range len(saves) + 1 {
 		dir := filepath.Join(t.TempDir(), "new")
 		f, state := mustOpen(t, dir)
-		if !same(state, quorum.State{}) {
+		if !equalStates(state, quorum.State{}) {
 			t.Fatalf("a new directory has %+v", state)
 		}
 		for i, p := range saves[:count] {
 			mustSave(t, f, p)
-			if i%3 == 2 { // opened anew in between
+			if i%3 == 2 { // reopened in between
 				f.Close()
-				if f, state = mustOpen(t, dir); !same(state, after(t, i+1)) {
+				if f, state = mustOpen(t, dir); !equalStates(state, stateAfter(t, i+1)) {
 					t.Fatalf("after %d saves: %+v", i+1, state)
 				}
 			}
 		}
 		f.Close()
-		if _, state := mustOpen(t, dir); !same(state, after(t, count)) {
+		if _, state := mustOpen(t, dir); !equalStates(state, stateAfter(t, count)) {
 			t.Errorf("after %d saves: %+v", count, state)
 		}
 	}
@@ -112,8 +112,9 @@
 	}
 }
 
-// A log that is cut off at any byte of its last record is that without the record, with one line; what is saved next stays.
-func TestATornEndIsCutOff(t *testing.T) {
+// A crash can leave any number of bytes of the last record. Open truncates them with one log line, and the next Save has to
+// be readable after them.
+func TestTornRecordAtEndIsTruncated(t *testing.T) {
 	dir := t.TempDir()
 	f, _ := mustOpen(t, dir)
 	for _, p := range saves[:3] {
@@ -122,31 +123,31 @@
 	before := f.Size()
 	mustSave(t, f, saves[3])
 	f.Close()
-	whole := read(t, dir, logName)
-	for size := before; size < int64(len(whole)); size++ {
-		torn := slices.Clone(whole[:size])
-		if size%2 == 1 { // blocks that were allocated and never written
+	complete := read(t, dir, logName)
+	for size := before; size < int64(len(complete)); size++ {
+		torn := slices.Clone(complete[:size])
+		if size%2 == 1 { // blocks that were allocated but never written
 			torn = append(torn, make([]byte, 600)...)
 		}
 		write(t, dir, logName, torn)
-		var told lines
-		f, state, err := Open(dir, told.log)
-		if err != nil || !same(state, after(t, 3)) {
-			t.Fatalf("%d of %d bytes: %+v, %v", size, len(whole), state, err)
+		var logged logLines
+		f, state, err := Open(dir, logged.log)
+		if err != nil || !equalStates(state, stateAfter(t, 3)) {
+			t.Fatalf("%d of %d bytes: %+v, %v", size, len(complete), state, err)
 		}
-		if size > before && (len(told) != 1 || !strings.Contains(told[0], "cut off") || strings.Contains(told[0], "\n")) {
-			t.Errorf("%d of %d bytes: told %q", size, len(whole), told)
+		if size > before && (len(logged) != 1 || !strings.Contains(logged[0], "truncated") || strings.Contains(logged[0], "\n")) {
+			t.Errorf("%d of %d bytes: logged %q", size, len(complete), logged)
 		}
 		mustSave(t, f, saves[3])
 		f.Close()
-		if got := read(t, dir, logName); !slices.Equal(got, whole) {
-			t.Fatalf("%d of %d bytes: the record did not take the torn one's place", size, len(whole))
+		if got := read(t, dir, logName); !slices.Equal(got, complete) {
+			t.Fatalf("%d of %d bytes: the record did not replace the torn one", size, len(complete))
 		}
 	}
 }
 
-// Any bit that is wrong before the last record is found, and nothing is loaded.
-func TestDamageIsFound(t *testing.T) {
+// A flipped bit in the snapshot or in any record but the last must be reported as corruption: acknowledged data may be lost.
+func TestCorruptionIsDetected(t *testing.T) {
 	dir := t.TempDir()
 	f, _ := mustOpen(t, dir)
 	for _, p := range saves[:6] {
@@ -178,7 +179,7 @@
 	mustOpen(t, dir)
 }
 
-func TestFilesThatDontBelongTogether(t *testing.T) {
+func TestInconsistentFilesAreRejected(t *testing.T) {
 	make := func(t *testing.T, count int) string {
 		dir := t.TempDir()
 		f, _ := mustOpen(t, dir)
@@ -194,12 +195,12 @@
 			t.Error(err)
 		}
 	}
-	t.Run("snapshot gone", func(t *testing.T) {
+	t.Run("snapshot missing", func(t *testing.T) {
 		dir := make(t, 6)
 		os.Remove(filepath.Join(dir, snapshotName))
 		refused(t, dir)
 	})
-	t.Run("log gone", func(t *testing.T) {
+	t.Run("log missing", func(t *testing.T) {
 		dir := make(t, 6)
 		os.Remove(filepath.Join(dir, logName))
 		refused(t, dir)
@@ -232,9 +233,9 @@
 	})
 }
 
-// A crash between the two renames of a Save with a snapshot leaves the new snapshot and the old log; one before leaves half
-// a new file aside.
-func TestACrashBetweenSnapshotAndLog(t *testing.T) {
+// A crash between the two renames of a Save with a snapshot leaves the new snapshot and the old log; a crash before a rename
+// leaves an incomplete temporary file.
+func TestCrashBetweenSnapshotAndLogRename(t *testing.T) {
 	for _, at := range []int{4, 6} {
 		dir := t.TempDir()
 		f, _ := mustOpen(t, dir)
@@ -245,26 +246,26 @@
 		mustSave(t, f, saves[at])
 		f.Close()
 		write(t, dir, logName, oldLog)
-		write(t, dir, logName+temporaryName, oldLog[:len(oldLog)/2])
+		write(t, dir, logName+temporarySuffix, oldLog[:len(oldLog)/2])
 		f, state := mustOpen(t, dir)
-		want := after(t, at)
+		want := stateAfter(t, at)
 		if err := want.Take(quorum.Persist{Snapshot: saves[at].Snapshot}); err != nil {
 			t.Fatal(err)
 		}
-		if !same(state, want) {
+		if !equalStates(state, want) {
 			t.Errorf("save %d: %+v\nwant %+v", at, state, want)
 		}
 		next := saves[at]
 		next.Snapshot = nil
 		mustSave(t, f, next)
 		f.Close()
-		if _, state := mustOpen(t, dir); !same(state, after(t, at+1)) {
-			t.Errorf("save %d, then the rest of it: %+v", at, state)
+		if _, state := mustOpen(t, dir); !equalStates(state, stateAfter(t, at+1)) {
+			t.Errorf("save %d, then its remainder: %+v", at, state)
 		}
 	}
 }
 
-func TestOneProcessAtATime(t *testing.T) {
+func TestDirectoryIsLocked(t *testing.T) {
 	dir := t.TempDir()
 	f, _ := mustOpen(t, dir)
 	if _, _, err := Open(dir, func(string) {}); !errors.Is(err, ErrInUse) {
@@ -274,8 +275,8 @@
 	mustOpen(t, dir)
 }
 
-// After a write that failed the file takes nothing more, for its end is not known.
-func TestAFailureIsForGood(t *testing.T) {
+// The end of the file is unknown after a failed write, so later saves must fail, too.
+func TestNoSaveAfterWriteError(t *testing.T) {
 	f, _ := mustOpen(t, t.TempDir())
 	mustSave(t, f, saves[0])
 	f.log.Close()
@@ -287,8 +288,8 @@
 	}
 }
 
-// Whatever is saved, and whatever bytes of the last save a crash leaves, the state is that before the last save or after.
-func TestAnySavesAndAnyTear(t *testing.T) {
+// For random saves, and a log truncated anywhere within the last one, the loaded state is that before or after the last save.
+func TestRandomSavesWithTornEnd(t *testing.T) {
 	root, number := t.TempDir(), 0
 	rapid.Check(t, func(t *rapid.T) {
 		number++
@@ -315,8 +316,8 @@
 		}
 		size := f.Size()
 		f.Close()
-		left := rapid.Int64Range(oldSize, size).Draw(t, "bytes left")
-		if err := os.Truncate(filepath.Join(dir, logName), left); err != nil {
+		remaining := rapid.Int64Range(oldSize, size).Draw(t, "bytes left")
+		if err := os.Truncate(filepath.Join(dir, logName), remaining); err != nil {
 			t.Fatal(err)
 		}
 		f, got, err := Open(dir, func(string) {})
@@ -325,11 +326,11 @@
 		}
 		f.Close()
 		want := before
-		if left == size {
+		if remaining == size {
 			want = state
 		}
-		if !same(got, want) {
-			t.Fatalf("%d of %d bytes: %+v\nwant %+v", left, size, got, want)
+		if !equalStates(got, want) {
+			t.Fatalf("%d of %d bytes: %+v\nwant %+v", remaining, size, got, want)
 		}
 	})
 }
@@ -351,12 +352,12 @@
 	return p
 }
 
-// A replica that is killed at any time goes on from its files: together with the checks of package quorum, one process
-// that elects itself, commits, compacts and is opened anew.
-func TestAReplicaGoesOn(t *testing.T) {
+// A replica has to continue from its files after a restart: one process elects itself, commits, compacts and is reopened,
+// several times. The checks of package quorum cover crashes at other times.
+func TestReplicaRestarts(t *testing.T) {
 	dir := t.TempDir()
 	var committed []string
-	for life := range 5 {
+	for incarnation := range 5 {
 		f, state := mustOpen(t, dir)
 		if data := string(state.Snapshot.Data); data != "" {
 			committed = strings.Split(data, "\n")
@@ -372,7 +373,7 @@
 			replica.Tick()
 			if id, _ := replica.Writer(); id == 1 && !proposed {
 				proposed = true
-				if err := replica.Propose(fmt.Append(nil, "life ", life)); err != nil {
+				if err := replica.Propose(fmt.Append(nil, "life ", incarnation)); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -384,7 +385,7 @@
 				replica.Advance()
 			}
 		}
-		if life%2 == 1 {
+		if incarnation%2 == 1 {
 			if err := replica.Compact([]byte(strings.Join(committed, "\n"))); err != nil {
 				t.Fatal(err)
 			}
