--- a/internal/tool/knownred/main_test.go
+++ b/internal/tool/knownred/main_test.go
@@ -30,7 +30,7 @@
 		{"nothing", "", "", "the cause and the issue"},
 		{"a pattern", "Test.*, a, 1\n", "", "the cause and the issue"},
 	} {
-		got, err := read(write("red.txt", c.text), root)
+		got, err := skipPattern(write("red.txt", c.text), root)
 		if got != c.want || (err == nil) != (c.fails == "") || err != nil && !strings.Contains(err.Error(), c.fails) {
 			t.Errorf("%s: %q, %v; want %q or an error with %q", c.name, got, err, c.want, c.fails)
 		}
--- a/internal/tool/lint/docs.go
+++ b/internal/tool/lint/docs.go
@@ -11,12 +11,12 @@
 	"strings"
 )
 
-// wellKnownMethods need no doc comment: an interface of the standard library says what they do.
+// wellKnownMethods need no doc comment: an interface of the standard library defines them.
 var wellKnownMethods = []string{"Error", "Is", "Unwrap", "String", "Read", "Write", "Close", "ServeHTTP",
 	"Len", "Less", "Swap", "Push", "Pop", "MarshalJSON", "UnmarshalJSON", "MarshalText", "UnmarshalText"}
 
 // checkDocs finds the packages without a package comment and the exported items without a doc comment in the Go files
-// below root, tests and generated files left out.
+// below root, except in tests and generated files.
 func checkDocs(root string) ([]finding, error) {
 	packages := map[string]*packageDocs{}
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -54,15 +54,15 @@
 	return findings, nil
 }
 
-// packageDocs collects what is found in the files of one directory.
+// packageDocs collects the findings in the files of one directory.
 type packageDocs struct {
 	directory  string
 	firstFile  string
-	documented bool // a file has a package comment
+	documented bool // whether a file has a package comment
 	findings   []finding
 }
 
-// addFile parses the file at path and checks its declarations. Findings call it by its relative name.
+// addFile parses the file at path and checks its declarations. Findings use its relative name.
 func (p *packageDocs) addFile(path, relative string) error {
 	files := token.NewFileSet()
 	file, err := parser.ParseFile(files, path, nil, parser.ParseComments)
@@ -134,7 +134,7 @@
 	return names
 }
 
-// exemptMethod tells whether a function is a well-known method or one of a type that is not exported.
+// exemptMethod reports whether a function is a well-known method or one of a type that is not exported.
 func exemptMethod(function *ast.FuncDecl) bool {
 	if function.Recv == nil {
 		return false
@@ -142,7 +142,7 @@
 	return slices.Contains(wellKnownMethods, function.Name.Name) || !receiverExported(function.Recv.List[0].Type)
 }
 
-// receiverExported tells whether the type of a receiver, as *T, T or T[P], is exported.
+// receiverExported reports whether the type of a receiver, as *T, T or T[P], is exported.
 func receiverExported(receiver ast.Expr) bool {
 	switch r := receiver.(type) {
 	case *ast.StarExpr:
--- a/internal/tool/lint/exceptions.go
+++ b/internal/tool/lint/exceptions.go
@@ -13,7 +13,7 @@
 	docComments check = "doc"
 )
 
-// finding is one place that a check objects to.
+// finding is one problem reported by a check.
 type finding struct {
 	Package string // directory, relative to the module's root, with slashes
 	Check   check
@@ -32,8 +32,8 @@
 	Place string // file and line that list it
 }
 
-// parseExceptions reads lines of a package directory and a check's name. Empty lines and those that start with # are
-// skipped. The error names the file and the line.
+// parseExceptions parses lines that each consist of a package directory and a check's name. Empty lines and lines that start
+// with # are skipped. The error names the file and the line.
 func parseExceptions(file, text string) ([]exception, error) {
 	var exceptions []exception
 	listed := map[subject]bool{}
@@ -70,7 +70,7 @@
 	for _, e := range exceptions {
 		exempted[e.subject] = true
 		if !found[e.subject] {
-			problems = append(problems, fmt.Sprintf("%s: %s has no %s findings any more: take this line off", e.Place, e.Package, e.Check))
+			problems = append(problems, fmt.Sprintf("%s: %s has no %s findings any more: remove this line", e.Place, e.Package, e.Check))
 		}
 	}
 	for _, f := range findings {
--- a/internal/tool/lint/lint_test.go
+++ b/internal/tool/lint/lint_test.go
@@ -29,7 +29,7 @@
 func TestReport(t *testing.T) {
 	findings := []finding{{"old", docComments, "old doc"}, {"old", staticcheck, "old code"}, {"new", docComments, "new doc"}}
 	exceptions := []exception{{subject{"old", docComments}, "list:1"}, {subject{"clean", docComments}, "list:2"}}
-	want := []string{"list:2: clean has no doc findings any more: take this line off", "old code", "new doc"}
+	want := []string{"list:2: clean has no doc findings any more: remove this line", "old code", "new doc"}
 	if got := report(findings, exceptions); !slices.Equal(got, want) {
 		t.Errorf("%q", got)
 	}
@@ -43,7 +43,7 @@
 		t.Errorf("%v, %v", got, err)
 	}
 	if got, err := parseStaticcheck("/m", []byte(line+"panic: no")); err == nil {
-		t.Errorf("output that breaks off passes: %v", got)
+		t.Errorf("truncated output passes: %v", got)
 	}
 }
 
--- a/internal/tool/lint/main.go
+++ b/internal/tool/lint/main.go
@@ -3,8 +3,8 @@
 //
 //	lint .ci/lint-exceptions.txt
 //
-// It exits with status 1 if a package that is not exempted has a finding, or if an exempted one has none any more, and
-// with status 2 if the checks themselves could not run.
+// It exits with status 1 if a package that is not exempted has a finding or an exempted package has none any more, and with
+// status 2 if the checks could not run.
 package main
 
 import (
--- a/internal/tool/lint/staticcheck.go
+++ b/internal/tool/lint/staticcheck.go
@@ -18,13 +18,13 @@
 	command.Stderr = &stderr
 	stdout, err := command.Output()
 	var exit *exec.ExitError
-	if err != nil && !(errors.As(err, &exit) && len(stdout) > 0) { // with findings it exits with status 1
+	if err != nil && !(errors.As(err, &exit) && len(stdout) > 0) { // staticcheck exits with status 1 if it has findings
 		return nil, fmt.Errorf("staticcheck: %w: %s", err, bytes.TrimSpace(stderr.Bytes()))
 	}
 	return parseStaticcheck(root, stdout)
 }
 
-// staticcheckDiagnostic is the part that is used of a line of staticcheck's JSON output.
+// staticcheckDiagnostic is the used subset of a line of staticcheck's JSON output.
 type staticcheckDiagnostic struct {
 	Code     string `json:"code"`
 	Message  string `json:"message"`
@@ -45,7 +45,7 @@
 			return findings, nil
 		}
 		if err != nil {
-			return nil, fmt.Errorf("staticcheck's output: %w", err)
+			return nil, fmt.Errorf("parsing staticcheck's output: %w", err)
 		}
 		file, err := filepath.Rel(root, d.Location.File)
 		if err != nil {
--- a/internal/tool/needs/main.go
+++ b/internal/tool/needs/main.go
@@ -1,5 +1,5 @@
-// Command needs tells whether a program asks for a shared library: `needs PROGRAM LIBRARY`. It ends with status 1, and
-// one line that says what the program asks for, where it does not.
+// Command needs checks that a program is dynamically linked against a shared library: `needs PROGRAM LIBRARY`. If it is not,
+// the command lists the libraries that the program needs and exits with status 1.
 package main
 
 import (
@@ -26,7 +26,7 @@
 		os.Exit(2)
 	}
 	if !slices.Contains(libraries, os.Args[2]) {
-		fmt.Fprintf(os.Stderr, "needs: %s asks for %q and not for %s: it has to be built with cgo and -ldflags=-linkmode=external\n",
+		fmt.Fprintf(os.Stderr, "needs: %s is linked against %q and not against %s: build it with cgo and -ldflags=-linkmode=external\n",
 			os.Args[1], libraries, os.Args[2])
 		os.Exit(1)
 	}
