--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -74,7 +74,7 @@
 }
 
 // apply applies an update from the control plane. Changes that a running node cannot apply are logged.
-func (c *control) apply(update controlnet.News) {
+func (c *control) apply(update controlnet.Update) {
 	c.endpoints.apply(update.Changes, update.Late)
 	for batch := range slices.Chunk(c.shareChanges(update.Changes), batchSize) {
 		c.front.ChangeShares(batch)
