--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of craneglade: the daemon and the rehearsal kit that ships with it.
+// Package cli implements the command line of craneglade: the daemon and the rehearsal kit that ships with it.
 package cli
 
 import (
@@ -14,12 +14,12 @@
 	"github.com/alecthomas/kong"
 )
 
-// Exit statuses.
+// Exit statuses of the program.
 const (
-	ExitKept   = 0 // the daemon ended as it was told to; a rehearsal kept all rules
-	ExitBroken = 1 // the daemon failed; a rule was broken or a node crashed
-	ExitUsage  = 2 // bad usage, configuration, scenario or trace
-	ExitVoid   = 3 // the rehearsal proves nothing: the kit itself ran late, or the evidence does not decide
+	ExitOK           = 0 // the daemon shut down as requested; a rehearsal broke no rule
+	ExitFailure      = 1 // the daemon failed; a rule was broken or a node crashed
+	ExitUsage        = 2 // invalid usage, configuration, scenario or trace
+	ExitInconclusive = 3 // the kit itself ran late, or the evidence decides no verdict
 )
 
 type commands struct {
@@ -36,49 +36,51 @@
 	Check     checkCmd         `cmd:"" help:"Check a scenario file (.toml) or a node's configuration (.json) and start nothing."`
 }
 
-// app is what a command works with.
+// app holds the output streams and the environment of a command.
 type app struct {
 	out, err io.Writer
 	getenv   func(string) string
 }
 
-// exit is an error that ends the program with a status of its own.
-type exit struct {
+// exitError is an error that determines the program's exit status.
+type exitError struct {
 	status int
-	err    error // nil: all is said
+	err    error // nil: no message to print
 }
 
-func (e exit) Error() string {
+func (e exitError) Error() string {
 	if e.err == nil {
 		return "exit"
 	}
 	return e.err.Error()
 }
 
-func (e exit) Unwrap() error { return e.err }
+func (e exitError) Unwrap() error { return e.err }
 
-func usage(format string, args ...any) error { return exit{ExitUsage, fmt.Errorf(format, args...)} }
+func usageError(format string, args ...any) error {
+	return exitError{ExitUsage, fmt.Errorf(format, args...)}
+}
 
-// Main runs the program and returns its exit status. Errors are one line on errOut.
+// Main runs the program and returns its exit status. An error is printed as one line on errOut.
 func Main(args []string, getenv func(string) string, out, errOut io.Writer) int {
-	// Before anything else: a reload that comes early must not end the daemon.
-	hup := make(chan os.Signal, 1) // holds one: another during a reload makes for one more reading
+	// First of all, so that an early SIGHUP does not terminate the daemon.
+	hup := make(chan os.Signal, 1) // buffers one: a signal during a reload causes one more
 	signal.Notify(hup, syscall.SIGHUP)
 	a := &app{out, errOut, getenv}
 	base, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	var err error
 	if len(args) == 0 {
-		err = serveCmd{}.Run(base, a, hup) // the daemon does without the parser, and the memory that it takes
+		err = serveCmd{}.Run(base, a, hup) // without the parser, to save the daemon its memory
 	} else {
-		err = parsed(base, a, args, hup)
+		err = runCommand(base, a, args, hup)
 	}
-	var e exit
+	var e exitError
 	switch {
 	case err == nil:
-		return ExitKept
+		return ExitOK
 	case !errors.As(err, &e):
-		e = exit{ExitBroken, err}
+		e = exitError{ExitFailure, err}
 	}
 	if e.err != nil {
 		fmt.Fprintln(errOut, "craneglade:", e.err)
@@ -86,28 +88,28 @@
 	return e.status
 }
 
-// parsed runs the command that args name.
-func parsed(ctx context.Context, a *app, args []string, hup <-chan os.Signal) error {
+// runCommand parses args and runs the command that they name.
+func runCommand(ctx context.Context, a *app, args []string, hup <-chan os.Signal) error {
 	var cmds commands
-	ended := -1
+	parserStatus := -1
 	parser, err := kong.New(&cmds, kong.Name("craneglade"), kong.Writers(a.out, a.err),
 		kong.Description("An HTTP load balancer node, and the kit that rehearses it."),
-		kong.Vars{"version": version(), "figures": figureNames()}, kong.Exit(func(status int) { ended = status }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
+		kong.Vars{"version": version(), "figures": figureNames()}, kong.Exit(func(status int) { parserStatus = status }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
-		return exit{ExitUsage, err}
+		return exitError{ExitUsage, err}
 	}
 	cmd, err := parser.Parse(args)
-	if ended >= 0 { // --help or --version
-		return exit{status: ended}
+	if parserStatus >= 0 { // --help or --version
+		return exitError{status: parserStatus}
 	}
 	if err != nil {
-		return exit{ExitUsage, err}
+		return exitError{ExitUsage, err}
 	}
 	cmd.BindTo(ctx, (*context.Context)(nil))
 	return cmd.Run(a, hup)
 }
 
-// version is that of the module, with the revision that it was built from where the tool chain tells.
+// version returns the module's version, or the revision of a development build where the build info has it.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -23,7 +23,7 @@
 	Get    controlGetCmd    `cmd:"" help:"Print resources, as a file of changes that sets them."`
 }
 
-// controlSocket says where a process of the control plane answers operators.
+// controlSocket holds the flags that locate the operator socket of a control plane process.
 type controlSocket struct {
 	Config string `placeholder:"FILE" type:"path" help:"The file that the process was started with; socket in it tells where the process answers."`
 	Socket string `placeholder:"PATH" type:"path" help:"Where the process answers, in place of what the file says."`
@@ -34,16 +34,16 @@
 		return c.Socket, nil
 	}
 	if c.Config == "" {
-		return "", usage("say where the process answers: --socket PATH, or --config FILE")
+		return "", usageError("say where the process answers: --socket PATH, or --config FILE")
 	}
 	cfg, err := settings.LoadControlProcess(c.Config)
 	if err != nil {
-		return "", exit{ExitUsage, err}
+		return "", exitError{ExitUsage, err}
 	}
 	return cfg.Socket, nil
 }
 
-func (c *controlSocket) ask(q controlnet.Request) (*controlnet.Response, error) {
+func (c *controlSocket) call(q controlnet.Request) (*controlnet.Response, error) {
 	path, err := c.path()
 	if err != nil {
 		return nil, err
@@ -56,11 +56,11 @@
 	LogLevel slog.Level `placeholder:"LEVEL" default:"info" help:"Least level that is logged: debug, info, warn or error."`
 }
 
-// Run is a process of the control plane, until ctx ends.
+// Run runs a control plane process until ctx is cancelled.
 func (c controlRunCmd) Run(ctx context.Context, a *app) error {
 	cfg, err := settings.LoadControlProcess(c.Config)
 	if err != nil {
-		return exit{ExitUsage, err}
+		return exitError{ExitUsage, err}
 	}
 	log := slog.New(slog.NewTextHandler(a.err, &slog.HandlerOptions{Level: c.LogLevel})).With("control", cfg.Name)
 	return controlnet.Serve(ctx, cfg, log)
@@ -72,9 +72,9 @@
 	JSON bool `help:"One JSON object, as the process gives it."`
 }
 
-// Run prints the state of a process.
+// Run prints the status of a control plane process.
 func (c controlStatusCmd) Run(a *app) error {
-	r, err := c.ask(controlnet.Request{Operation: controlnet.OperationStatus})
+	r, err := c.call(controlnet.Request{Operation: controlnet.OperationStatus})
 	if err != nil {
 		return err
 	}
@@ -135,9 +135,9 @@
 func (c controlApplyCmd) Run(a *app) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
-		return exit{ExitUsage, err}
+		return exitError{ExitUsage, err}
 	}
-	r, err := c.ask(controlnet.Request{Operation: controlnet.OperationApply, File: filepath.Base(c.File), Text: string(text)})
+	r, err := c.call(controlnet.Request{Operation: controlnet.OperationApply, File: filepath.Base(c.File), Text: string(text)})
 	if err != nil {
 		return err
 	}
@@ -156,7 +156,7 @@
 
 // Run prints resources.
 func (c controlGetCmd) Run(a *app) error {
-	r, err := c.ask(controlnet.Request{Operation: controlnet.OperationGet, Region: c.Region, Service: c.Service, Kind: c.Kind, Name: c.Name})
+	r, err := c.call(controlnet.Request{Operation: controlnet.OperationGet, Region: c.Region, Service: c.Service, Kind: c.Kind, Name: c.Name})
 	if err != nil {
 		return err
 	}
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -26,37 +26,37 @@
 	JSON   bool   `help:"One JSON object a line, as the node gives it."`
 }
 
-// fleetTime is how long a node may take to answer.
-const fleetTime = 5 * time.Second
+// fleetTimeout bounds the dial of a node's socket and, separately, the reading of its response.
+const fleetTimeout = 5 * time.Second
 
-// Run prints what a running node believes of each box, and why.
+// Run prints a running node's state of each backend with the reason, and the state of its sites, configuration and peers.
 func (c fleetCmd) Run(a *app) error {
 	path := c.Socket
 	if path == "" {
 		if c.Config == "" {
-			return usage("say where the node answers: --socket PATH, or --config FILE with fleet.socket in it")
+			return usageError("say where the node answers: --socket PATH, or --config FILE with fleet.socket in it")
 		}
-		own, err := settings.Load(c.Config)
+		localSettings, err := settings.Load(c.Config)
 		if err != nil {
-			return exit{ExitUsage, err}
+			return exitError{ExitUsage, err}
 		}
-		if path = own.Fleet.Socket; path == "" {
-			return usage("%s: fleet.socket is not set: the node answers nowhere", c.Config)
+		if path = localSettings.Fleet.Socket; path == "" {
+			return usageError("%s: fleet.socket is not set: the node serves no status", c.Config)
 		}
 	}
-	conn, err := net.DialTimeout("unix", path, fleetTime)
+	conn, err := net.DialTimeout("unix", path, fleetTimeout)
 	if err != nil {
 		return fmt.Errorf("no node answers on %s: %w", path, err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(fleetTime))
+	conn.SetDeadline(time.Now().Add(fleetTimeout))
 	if c.JSON {
 		_, err := io.Copy(a.out, conn)
 		return err
 	}
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "BOX\tADDRESS\tZONE\tUSED\tMODE\tOUT\tSINCE\tBY\tWHY")
-	in := json.NewDecoder(conn)
+	decoder := json.NewDecoder(conn)
 	for {
 		var m struct {
 			node.Member
@@ -64,19 +64,19 @@
 			Control *node.ControlStatus `json:"control"`
 			Fleet   *peers.Report       `json:"fleet"`
 		}
-		if err := in.Decode(&m); errors.Is(err, io.EOF) {
+		if err := decoder.Decode(&m); errors.Is(err, io.EOF) {
 			return w.Flush()
 		} else if err != nil {
-			return errors.Join(w.Flush(), fmt.Errorf("the node's answer broke off: %w", err))
+			return errors.Join(w.Flush(), fmt.Errorf("incomplete response from the node: %w", err))
 		}
 		if m.SitesStatus.Sites != nil {
-			if err := errors.Join(w.Flush(), standings(a.out, &m.SitesStatus)); err != nil {
+			if err := errors.Join(w.Flush(), printSites(a.out, &m.SitesStatus)); err != nil {
 				return err
 			}
 			continue
 		}
 		if m.Control != nil {
-			if err := errors.Join(w.Flush(), printControl(a.out, m.Control)); err != nil {
+			if err := errors.Join(w.Flush(), printConfiguration(a.out, m.Control)); err != nil {
 				return err
 			}
 			continue
@@ -85,7 +85,7 @@
 			if err := w.Flush(); err != nil {
 				return err
 			}
-			if err := together(a.out, m.Fleet); err != nil {
+			if err := printShared(a.out, m.Fleet); err != nil {
 				return err
 			}
 			continue
@@ -102,8 +102,8 @@
 	}
 }
 
-// printControl prints where the node's configuration stands.
-func printControl(out io.Writer, c *node.ControlStatus) error {
+// printConfiguration prints the position, age and source of the node's configuration.
+func printConfiguration(out io.Writer, c *node.ControlStatus) error {
 	position, age := "none yet", "-"
 	if c.Version > 0 {
 		position = fmt.Sprintf("%d.%d", c.Epoch, c.Version)
@@ -116,11 +116,11 @@
 	return w.Flush()
 }
 
-// standings prints how each site stands.
-func standings(out io.Writer, all *node.SitesStatus) error {
+// printSites prints the state and load of each site.
+func printSites(out io.Writer, status *node.SitesStatus) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nSITE\tSTANDING\tFOR\tGETS\tCARRIES\tOF OTHERS\tUP TO\tREFUSED\tWHY")
-	for _, s := range all.Sites {
+	for _, s := range status.Sites {
 		refused := "-"
 		if len(s.Refused) > 0 {
 			var parts []string
@@ -141,15 +141,15 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if all.CutOff {
+	if status.CutOff {
 		_, err := fmt.Fprintln(out, "This node reaches no site: it is cut off itself.")
 		return err
 	}
 	return nil
 }
 
-// together prints what the nodes share, as one of them knows it.
-func together(out io.Writer, r *peers.Report) error {
+// printShared prints the state that nodes share, as one of them has it.
+func printShared(out io.Writer, r *peers.Report) error {
 	round := func(d time.Duration) time.Duration { return d.Round(10 * time.Millisecond) }
 	count := func(c roster.Count) string {
 		if c.Lower == c.Upper {
@@ -169,7 +169,7 @@
 	if len(r.Budgets) > 0 {
 		fmt.Fprintln(w, "\nBUDGET\tSPENDABLE\tOWNED\tHELD OF\tLENT TO")
 		for _, p := range r.Budgets {
-			fmt.Fprintf(w, "%s\t%.2f%%\t%.2f%%\t%s\t%s\n", p.Budget, 100*p.Spendable, 100*p.Base, loans(p.Borrowed), loans(p.Lent))
+			fmt.Fprintf(w, "%s\t%.2f%%\t%.2f%%\t%s\t%s\n", p.Budget, 100*p.Spendable, 100*p.Base, formatLoans(p.Borrowed), formatLoans(p.Lent))
 		}
 	}
 	if len(r.Votes) > 0 {
@@ -189,10 +189,10 @@
 	return err
 }
 
-// loans lists loans as one cell of a table.
-func loans(all []escrow.Loan) string {
+// formatLoans formats loans as one table cell.
+func formatLoans(loans []escrow.Loan) string {
 	var out []string
-	for _, l := range all {
+	for _, l := range loans {
 		out = append(out, fmt.Sprintf("%d: %.2f%%", l.With, 100*float64(l.Grains)/float64(escrow.BudgetGrains)))
 	}
 	return cmp.Or(strings.Join(out, ", "), "-")
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -40,39 +40,39 @@
 	outputs `embed:""`
 }
 
-// Run plays the laboratory.
+// Run simulates the scenario with each seed and setting and compares the settings.
 func (c labCmd) Run(ctx context.Context, a *app) error {
-	s, err := load(c.Scenario)
+	s, err := loadScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
 	if c.Seeds < 1 || c.Seeds > 100000 {
-		return usage("--seeds: %d is outside 1 to 100000", c.Seeds)
+		return usageError("--seeds: %d is outside 1 to 100000", c.Seeds)
 	}
-	sets, err := c.settings()
+	labSettings, err := c.settings()
 	if err != nil {
 		return err
 	}
-	sweep := &lab.Sweep{Name: strings.TrimSuffix(filepath.Base(c.Scenario), ".toml"), Scenario: s, Settings: sets, Workers: c.Workers}
+	sweep := &lab.Sweep{Name: strings.TrimSuffix(filepath.Base(c.Scenario), ".toml"), Scenario: s, Settings: labSettings, Workers: c.Workers}
 	if c.Trace != "" || c.Beliefs != "" || c.Counts || c.Chart != "" {
-		return c.one(a, sweep)
+		return c.playOne(a, sweep)
 	}
 	for i := range c.Seeds {
 		sweep.Seeds = append(sweep.Seeds, c.Seed+uint64(i))
 	}
-	live := isTerminal(a.out)
+	terminal := isTerminal(a.out)
 	out, err := sweep.Run(ctx, func(played, all int) {
-		if live {
+		if terminal {
 			fmt.Fprintf(a.out, "\r\x1b[K%d of %d days", played, all)
 		}
 	})
-	if live {
+	if terminal {
 		fmt.Fprint(a.out, "\r\x1b[K")
 	}
 	if err != nil {
-		return exit{ExitUsage, err}
+		return exitError{ExitUsage, err}
 	}
-	if err := table(a.out, sweep, out); err != nil {
+	if err := writeOutcomes(a.out, sweep, out); err != nil {
 		return err
 	}
 	for _, f := range []struct {
@@ -87,19 +87,19 @@
 			continue
 		}
 		if err := save(f.path, f.write); err != nil {
-			return exit{ExitUsage, err}
+			return exitError{ExitUsage, err}
 		}
 	}
 	for _, o := range out {
 		if o.Broken > 0 {
-			return exit{status: ExitBroken}
+			return exitError{status: ExitFailure}
 		}
 	}
 	return nil
 }
 
-// table writes the outcomes for a terminal.
-func table(w io.Writer, s *lab.Sweep, out []lab.Outcome) error {
+// writeOutcomes writes the outcomes as text tables.
+func writeOutcomes(w io.Writer, s *lab.Sweep, out []lab.Outcome) error {
 	fmt.Fprintf(w, "%s, seeds %d to %d; 95%% intervals\n\n", s.Name, s.Seeds[0], s.Seeds[len(s.Seeds)-1])
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "setting\tfigure\tagainst the first\tworth in time\trefused\trefused twice\trules\tworth in time by window\n")
@@ -137,13 +137,13 @@
 	return nil
 }
 
-// one plays the first seed with the first setting and keeps what it was asked for.
-func (c labCmd) one(a *app, s *lab.Sweep) (err error) {
+// playOne simulates the first seed with the first setting and writes the requested trace, beliefs, chart and counts.
+func (c labCmd) playOne(a *app, s *lab.Sweep) (err error) {
 	o := lab.Options{Name: s.Name, Plan: plan.New(s.Scenario, c.Seed), Tuning: s.Settings[0].Tuning, Sharing: s.Settings[0].Share, Record: func(*trace.Record) {}}
 	if c.Trace != "" {
 		f, err := os.Create(c.Trace)
 		if err != nil {
-			return exit{ExitUsage, err}
+			return exitError{ExitUsage, err}
 		}
 		w := trace.NewWriter(f, lab.Head(&o))
 		defer func() { err = errors.Join(err, w.Close(), f.Close()) }()
@@ -152,35 +152,35 @@
 	if c.Beliefs != "" {
 		f, err := os.Create(c.Beliefs)
 		if err != nil {
-			return exit{ExitUsage, err}
+			return exitError{ExitUsage, err}
 		}
 		buf := bufio.NewWriter(f)
 		enc := json.NewEncoder(buf)
-		var bad error
+		var encodeErr error
 		o.Belief = func(b lab.Belief) {
-			if bad == nil {
-				bad = enc.Encode(b)
+			if encodeErr == nil {
+				encodeErr = enc.Encode(b)
 			}
 		}
-		defer func() { err = errors.Join(err, bad, buf.Flush(), f.Close()) }()
+		defer func() { err = errors.Join(err, encodeErr, buf.Flush(), f.Close()) }()
 	}
 	o.Counts = &lab.Counts{}
 	if err := lab.Play(o); err != nil {
-		return exit{ExitUsage, err}
+		return exitError{ExitUsage, err}
 	}
 	if c.Chart != "" {
 		if err := save(c.Chart, o.Counts.Chart); err != nil {
-			return exit{ExitUsage, err}
+			return exitError{ExitUsage, err}
 		}
 	}
 	if c.Counts {
-		return counted(a.out, o.Counts)
+		return writeCounts(a.out, o.Counts)
 	}
 	return nil
 }
 
-// counted writes what the nodes did by second, for a terminal.
-func counted(w io.Writer, c *lab.Counts) error {
+// writeCounts writes the nodes' counts for each second as a text table.
+func writeCounts(w io.Writer, c *lab.Counts) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "second\tattempts\tnew conns\tshaken s\tacross\tcold s\tbudget\tuntried\ttried\tlist\twhole\taway\treport s\tno report\topen\topen p99\theld\tbelieved\t")
 	for i := range c.Seconds {
@@ -191,7 +191,7 @@
 	return t.Flush()
 }
 
-// figures are what a setting can change.
+// figures are the policy parameters that a setting can change, with their bounds.
 var figures = []struct {
 	name     string
 	min, max float64
@@ -213,23 +213,23 @@
 	return strings.Join(names, ", ")
 }
 
-// change sets one figure of a tuning.
-func change(t *policy.Tuning, flag, name, value string) error {
+// setFigure sets one figure of a tuning.
+func setFigure(t *policy.Tuning, flag, name, value string) error {
 	for _, f := range figures {
 		if f.name != name {
 			continue
 		}
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || math.IsNaN(v) || v < f.min || v > f.max {
-			return usage("%s: %s=%s is no number from %g to %g", flag, name, value, f.min, f.max)
+			return usageError("%s: %s=%s is not a number from %g to %g", flag, name, value, f.min, f.max)
 		}
 		*f.of(t) = v
 		return nil
 	}
-	return usage("%s: %q is none of %s", flag, name, figureNames())
+	return usageError("%s: %q is none of %s", flag, name, figureNames())
 }
 
-// settings are those that the command line asks for.
+// settings returns the settings that the flags request.
 func (c labCmd) settings() ([]lab.Setting, error) {
 	var out []lab.Setting
 	if !c.Only {
@@ -240,48 +240,48 @@
 		for _, part := range strings.Split(text, ",") {
 			name, value, ok := strings.Cut(part, "=")
 			if !ok {
-				return nil, usage("--set: %q is not of the form figure=value", part)
+				return nil, usageError("--set: %q is not of the form figure=value", part)
 			}
-			if err := change(&s.Tuning, "--set", name, value); err != nil {
+			if err := setFigure(&s.Tuning, "--set", name, value); err != nil {
 				return nil, err
 			}
 		}
 		out = append(out, s)
 	}
-	var plans []*lab.Siting
+	var sitePlans []*lab.Siting
 	for _, file := range c.Sites {
-		own, err := settings.Load(file)
+		localSettings, err := settings.Load(file)
 		if err != nil {
-			return nil, exit{ExitUsage, err}
+			return nil, exitError{ExitUsage, err}
 		}
-		if !own.Sites.On() {
-			return nil, usage("--sites: %s has no [[sites.site]], and no sites.watch = true", file)
+		if !localSettings.Sites.On() {
+			return nil, usageError("--sites: %s has no [[sites.site]], and no sites.watch = true", file)
 		}
-		plans = append(plans, &lab.Siting{Plan: own.Sites.Plan})
-		out = append(out, lab.Setting{Name: "sites " + filepath.Base(file), Tuning: policy.DefaultTuning(), Sites: plans[len(plans)-1]})
+		sitePlans = append(sitePlans, &lab.Siting{Plan: localSettings.Sites.Plan})
+		out = append(out, lab.Setting{Name: "sites " + filepath.Base(file), Tuning: policy.DefaultTuning(), Sites: sitePlans[len(sitePlans)-1]})
 	}
 	for _, text := range c.Share {
 		use, err := settings.ParseUse(strings.Split(text, ","))
 		if err != nil {
-			return nil, usage("--share: %w", err)
+			return nil, usageError("--share: %w", err)
 		}
 		if c.Loss < 0 || c.Loss >= 1 {
-			return nil, usage("--loss: %v is outside 0 to 1", c.Loss)
+			return nil, usageError("--loss: %v is outside 0 to 1", c.Loss)
 		}
-		set := lab.Setting{Name: "share " + text, Tuning: policy.DefaultTuning(), Share: &lab.Sharing{Use: use, Loss: c.Loss, BytesPS: settings.DefaultBytesPerSecond}}
+		setting := lab.Setting{Name: "share " + text, Tuning: policy.DefaultTuning(), Share: &lab.Sharing{Use: use, Loss: c.Loss, BytesPS: settings.DefaultBytesPerSecond}}
 		if use.Crossing {
-			if len(plans) == 0 || plans[0].Plan == nil {
-				return nil, usage("--share: crossing needs a plan: --sites FILE")
+			if len(sitePlans) == 0 || sitePlans[0].Plan == nil {
+				return nil, usageError("--share: crossing needs a plan: --sites FILE")
 			}
-			set.Sites = plans[0]
+			setting.Sites = sitePlans[0]
 		}
-		out = append(out, set)
+		out = append(out, setting)
 	}
 	var grid []lab.Setting
 	for _, text := range c.Grid {
 		name, values, ok := strings.Cut(text, "=")
 		if !ok {
-			return nil, usage("--grid: %q is not of the form figure=value,value", text)
+			return nil, usageError("--grid: %q is not of the form figure=value,value", text)
 		}
 		from := grid
 		if from == nil {
@@ -291,7 +291,7 @@
 		for _, s := range from {
 			for _, v := range strings.Split(values, ",") {
 				n := lab.Setting{Name: strings.TrimPrefix(s.Name+","+name+"="+v, ","), Tuning: s.Tuning}
-				if err := change(&n.Tuning, "--grid", name, v); err != nil {
+				if err := setFigure(&n.Tuning, "--grid", name, v); err != nil {
 					return nil, err
 				}
 				grid = append(grid, n)
@@ -299,7 +299,7 @@
 		}
 	}
 	if out = append(out, grid...); len(out) == 0 {
-		return nil, usage("--only: no setting is left: give --set, --share or --grid")
+		return nil, usageError("--only: no setting is left: give --set, --share or --grid")
 	}
 	return out, nil
 }
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -33,18 +33,18 @@
 	HTML   string   `placeholder:"FILE" type:"path" help:"Write them as one page that needs nothing else."`
 }
 
-// Run works a plan through.
+// Run evaluates the plan for the loss of each site and each pair of sites, and writes the results.
 func (c siteLossCmd) Run(a *app) error {
-	own, err := settings.Load(c.Config)
+	localSettings, err := settings.Load(c.Config)
 	if err != nil {
-		return exit{ExitUsage, err}
+		return exitError{ExitUsage, err}
 	}
-	p := own.Sites.Plan
+	p := localSettings.Sites.Plan
 	if p == nil {
-		return usage("%s: there is no plan in it: it needs [[sites.site]]", c.Config)
+		return usageError("%s: no site plan: [[sites.site]] is missing", c.Config)
 	}
 	if !(c.Times > 0 && c.Times <= 1000) {
-		return usage("--times: %v is outside 0 to 1000", c.Times)
+		return usageError("--times: %v is outside 0 to 1000", c.Times)
 	}
 	mix, err := c.mix()
 	if err != nil {
@@ -52,7 +52,7 @@
 	}
 	cases, err := p.Evaluate(mix, c.Times)
 	if err != nil {
-		return exit{ExitUsage, err}
+		return exitError{ExitUsage, err}
 	}
 	if err := c.table(a.out, cases); err != nil {
 		return err
@@ -63,21 +63,21 @@
 			enc.SetIndent("", " ")
 			return enc.Encode(cases)
 		}); err != nil {
-			return exit{ExitUsage, err}
+			return exitError{ExitUsage, err}
 		}
 	}
 	if c.HTML != "" {
-		if err := save(c.HTML, func(w io.Writer) error { return planPage(w, c.Times, cases) }); err != nil {
-			return exit{ExitUsage, err}
+		if err := save(c.HTML, func(w io.Writer) error { return writePlanPage(w, c.Times, cases) }); err != nil {
+			return exitError{ExitUsage, err}
 		}
 	}
 	return nil
 }
 
-// mix is what the load is made of.
+// mix returns the shares of the load by kind of request.
 func (c siteLossCmd) mix() ([]sites.KindShare, error) {
 	if c.Counts != "" {
-		return askedFor(c.Counts)
+		return readDemand(c.Counts)
 	}
 	if len(c.Class) == 0 {
 		return []sites.KindShare{{Kind: sites.Kind{Class: "requests", Utility: 1, Work: 1}, Share: 1}}, nil
@@ -92,7 +92,7 @@
 			v = append(v, x)
 		}
 		if !ok || name == "" || len(v) < 2 || len(v) > 3 {
-			return nil, usage("--class: %q is not of the form NAME=SHARE:WORTH or NAME=SHARE:WORTH:WORK", text)
+			return nil, usageError("--class: %q is not of the form NAME=SHARE:WORTH or NAME=SHARE:WORTH:WORK", text)
 		}
 		work := 1.0
 		if len(v) == 3 {
@@ -103,11 +103,11 @@
 	return out, nil
 }
 
-// askedFor reads what a node is asked for.
-func askedFor(path string) ([]sites.KindShare, error) {
+// readDemand reads the demand by kind of request from the output of craneglade fleet --json.
+func readDemand(path string) ([]sites.KindShare, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, exit{ExitUsage, err}
+		return nil, exitError{ExitUsage, err}
 	}
 	defer f.Close()
 	in := bufio.NewScanner(f)
@@ -125,20 +125,20 @@
 		return out, nil
 	}
 	if err := in.Err(); err != nil {
-		return nil, exit{ExitUsage, err}
+		return nil, exitError{ExitUsage, err}
 	}
-	return nil, usage("%s: no line tells what a node is asked for: take craneglade fleet --json of a node that watches sites", path)
+	return nil, usageError("%s: no line with the demand of a node: use the output of craneglade fleet --json of a node that watches sites", path)
 }
 
-// named is what is lost in a case.
-func named(c *sites.Case) string {
+// lostSites names the lost sites of a case.
+func lostSites(c *sites.Case) string {
 	if len(c.Lost) == 0 {
 		return "nothing"
 	}
 	return strings.Join(c.Lost, " and ")
 }
 
-func kindsRefused(c *sites.Case) string {
+func formatRefused(c *sites.Case) string {
 	var parts []string
 	for _, k := range c.Kinds {
 		name := k.Class
@@ -153,7 +153,7 @@
 	return strings.Join(parts, ", ")
 }
 
-func fits(x float64) string {
+func formatLoadFactor(x float64) string {
 	if math.IsInf(x, 1) {
 		return "any"
 	}
@@ -169,7 +169,7 @@
 	fmt.Fprintln(w)
 	for i := range cases {
 		x := &cases[i]
-		fmt.Fprintf(w, "%s\t%.1f/s\t%.1f/s\t%s\t%s", named(x), x.Carried, x.Refused, kindsRefused(x), fits(x.MaxLoadFactor))
+		fmt.Fprintf(w, "%s\t%.1f/s\t%.1f/s\t%s\t%s", lostSites(x), x.Carried, x.Refused, formatRefused(x), formatLoadFactor(x.MaxLoadFactor))
 		for _, s := range x.Sites {
 			switch {
 			case s.Limit == 0:
@@ -185,23 +185,23 @@
 	return w.Flush()
 }
 
-// planPage draws the cases: what each site carries of its own and of others, and what is refused.
-func planPage(w io.Writer, times float64, cases []sites.Case) error {
+// writePlanPage writes an HTML page that charts each case: each site's own and moved load, and the refused load.
+func writePlanPage(w io.Writer, loadFactor float64, cases []sites.Case) error {
 	type row struct {
 		Lost, Carried, Refused, Kinds, Fits string
 		Chart                               template.HTML
 	}
 	var rows []row
-	most := 1.0
+	maxRate := 1.0
 	for _, c := range cases {
 		for _, s := range c.Sites {
-			most = max(most, s.Own+s.Moved, s.Limit)
+			maxRate = max(maxRate, s.Own+s.Moved, s.Limit)
 		}
 	}
 	for i := range cases {
 		c := &cases[i]
 		g := charts.BarChart{Width: 460, Height: 220, BarWidth: 46, BarSpacing: 34, Background: charts.Style{Padding: charts.Box{Top: 18, Left: 8, Right: 8, Bottom: 28}},
-			YAxis: charts.YAxis{Range: &charts.ContinuousRange{Max: most * 1.05}, ValueFormatter: charts.IntValueFormatter}}
+			YAxis: charts.YAxis{Range: &charts.ContinuousRange{Max: maxRate * 1.05}, ValueFormatter: charts.IntValueFormatter}}
 		bar := func(label string, v float64, colour string) {
 			style := charts.Style{FillColor: drawing.ColorFromHex(colour), StrokeColor: drawing.ColorFromHex(colour), StrokeWidth: 1}
 			g.Bars = append(g.Bars, charts.Value{Label: label, Value: v, Style: style})
@@ -215,9 +215,9 @@
 		if err := g.Render(charts.SVG, &svg); err != nil {
 			return fmt.Errorf("chart: %w", err)
 		}
-		rows = append(rows, row{named(c), fmt.Sprintf("%.1f", c.Carried), fmt.Sprintf("%.1f", c.Refused), kindsRefused(c), fits(c.MaxLoadFactor), template.HTML(svg.String())})
+		rows = append(rows, row{lostSites(c), fmt.Sprintf("%.1f", c.Carried), fmt.Sprintf("%.1f", c.Refused), formatRefused(c), formatLoadFactor(c.MaxLoadFactor), template.HTML(svg.String())})
 	}
-	return planTemplate.Execute(w, map[string]any{"Times": times, "Rows": rows})
+	return planTemplate.Execute(w, map[string]any{"Times": loadFactor, "Rows": rows})
 }
 
 var planTemplate = template.Must(template.New("plan").Parse(`<!doctype html>
--- a/internal/cli/rehearse.go
+++ b/internal/cli/rehearse.go
@@ -41,16 +41,16 @@
 
 func isJSON(file string) bool { return strings.HasSuffix(file, ".json") }
 
-// load reads a scenario; what is wrong with it is a matter of usage.
-func load(name string) (*scenario.Scenario, error) {
+// loadScenario reads a scenario. An error has the status ExitUsage.
+func loadScenario(name string) (*scenario.Scenario, error) {
 	s, err := scenario.Load(name)
 	if err != nil {
-		return nil, exit{ExitUsage, err}
+		return nil, exitError{ExitUsage, err}
 	}
 	return s, nil
 }
 
-// Run plays a rehearsal.
+// Run runs a rehearsal and reports its verdict.
 func (c rehearseCmd) Run(ctx context.Context, a *app) error {
 	if c.List {
 		return c.list(a.out)
@@ -58,17 +58,17 @@
 	if c.Show {
 		text, err := scenario.Text(c.Scenario)
 		if err != nil {
-			return exit{ExitUsage, err}
+			return exitError{ExitUsage, err}
 		}
 		_, err = a.out.Write(text)
 		return err
 	}
-	s, err := load(c.Scenario)
+	s, err := loadScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
 	if s.List.Calls > 0 {
-		return usage("list.calls: only the laboratory plays a list of fixed capacity: use lab, or leave it out")
+		return usageError("list.calls: only the laboratory plays a list of fixed capacity: use lab, or leave it out")
 	}
 	seed := c.Seed
 	if seed == 0 {
@@ -86,7 +86,7 @@
 	if len(command) == 0 {
 		self, err := os.Executable()
 		if err != nil {
-			return fmt.Errorf("find this program: %w", err)
+			return fmt.Errorf("locate the craneglade executable: %w", err)
 		}
 		command = []string{self, "serve"}
 	}
@@ -95,20 +95,20 @@
 		if dir, err = os.MkdirTemp("", "craneglade-"); err != nil {
 			return err
 		}
-		defer os.RemoveAll(dir) // made here, by MkdirTemp
+		defer os.RemoveAll(dir) // created above by MkdirTemp
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
-		return exit{ExitUsage, err}
+		return exitError{ExitUsage, err}
 	}
-	file, kept, err := c.trace()
+	file, keepTrace, err := c.openTrace()
 	if err != nil {
-		return exit{ExitUsage, err}
+		return exitError{ExitUsage, err}
 	}
 	defer file.Close()
 	name := strings.TrimSuffix(filepath.Base(c.Scenario), ".toml")
-	show := &view{out: a.out, quiet: c.Quiet, live: isTerminal(a.out)}
-	show.line("%s, seed %d: %d nodes, %d boxes, %v", name, seed, s.Nodes.Count, s.Boxes(), s.Length)
-	cost, err := run.Play(ctx, run.Options{Name: name, Plan: p, Command: command, Dir: dir, Trace: file, Progress: show.status, Note: show.note})
-	show.end()
+	progress := &progressView{out: a.out, quiet: c.Quiet, terminal: isTerminal(a.out)}
+	progress.printf("%s, seed %d: %d nodes, %d boxes, %v", name, seed, s.Nodes.Count, s.Boxes(), s.Length)
+	cost, err := run.Play(ctx, run.Options{Name: name, Plan: p, Command: command, Dir: dir, Trace: file, Progress: progress.status, Note: progress.note})
+	progress.end()
 	if err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 	}
 	rep.Kit = cost
 	err = c.finish(a, rep)
-	if status := (exit{}); !kept {
+	if status := (exitError{}); !keepTrace {
 		if errors.As(err, &status) && status.status != ExitUsage {
 			fmt.Fprintf(a.out, "\nthe trace is kept: %s\n", file.Name())
 		} else {
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// trace opens the file for the trace, and tells whether the user asked for it.
-func (c rehearseCmd) trace() (*os.File, bool, error) {
+// openTrace creates the trace file and reports whether the user requested it.
+func (c rehearseCmd) openTrace() (*os.File, bool, error) {
 	if c.Trace == "" {
 		f, err := os.CreateTemp("", "craneglade-*.trace")
 		return f, false, err
@@ -167,19 +167,19 @@
 			continue
 		}
 		if err := save(f.path, f.write); err != nil {
-			return exit{ExitUsage, err}
+			return exitError{ExitUsage, err}
 		}
 	}
 	v := rep.Verdict
 	switch {
 	case v.Crashes > 0:
-		return exit{status: ExitBroken}
+		return exitError{status: ExitFailure}
 	case v.Void != "" || !v.Whole:
-		return exit{status: ExitVoid}
+		return exitError{status: ExitInconclusive}
 	case len(v.Violations) > 0:
-		return exit{status: ExitBroken}
+		return exitError{status: ExitFailure}
 	case len(v.Undecided) > 0:
-		return exit{status: ExitVoid}
+		return exitError{status: ExitInconclusive}
 	}
 	return nil
 }
@@ -202,12 +202,12 @@
 func (c judgeCmd) Run(a *app) error {
 	f, err := os.Open(c.Trace)
 	if err != nil {
-		return exit{ExitUsage, err}
+		return exitError{ExitUsage, err}
 	}
 	defer f.Close()
 	rep, err := report.Read(f)
 	if err != nil {
-		return usage("%s: %w", c.Trace, err)
+		return usageError("%s: %w", c.Trace, err)
 	}
 	return c.finish(a, rep)
 }
@@ -217,60 +217,60 @@
 	return ok && term.IsTerminal(int(f.Fd()))
 }
 
-// view shows how a rehearsal goes: on a terminal one line that stays, elsewhere a line each second.
-type view struct {
-	out         io.Writer
-	quiet, live bool
-	drawn       bool
-	last        run.Status
+// progressView shows the progress of a rehearsal: a status line that is redrawn on a terminal, a new line each second elsewhere.
+type progressView struct {
+	out             io.Writer
+	quiet, terminal bool
+	drawn           bool
+	last            run.Status
 }
 
-func (v *view) line(format string, args ...any) {
+func (v *progressView) printf(format string, args ...any) {
 	if !v.quiet {
 		v.clear()
 		fmt.Fprintf(v.out, format+"\n", args...)
 	}
 }
 
-func (v *view) note(text string) { v.line("        * %s", text) }
+func (v *progressView) note(text string) { v.printf("        * %s", text) }
 
-// clear takes away the line that stays.
-func (v *view) clear() {
+// clear erases the status line.
+func (v *progressView) clear() {
 	if v.drawn {
 		fmt.Fprint(v.out, "\r\x1b[K")
 		v.drawn = false
 	}
 }
 
-func (v *view) end() { v.clear() }
+func (v *progressView) end() { v.clear() }
 
-func (v *view) status(s run.Status) {
+func (v *progressView) status(s run.Status) {
 	if v.quiet {
 		return
 	}
-	d := v.last
+	previous := v.last
 	v.last = s
-	ended := s.InTime + s.Late + s.Refused + s.Failed + s.Unreached - d.InTime - d.Late - d.Refused - d.Failed - d.Unreached
+	ended := s.InTime + s.Late + s.Refused + s.Failed + s.Unreached - previous.InTime - previous.Late - previous.Refused - previous.Failed - previous.Unreached
 	share := 100.0
 	if ended > 0 {
-		share = 100 * float64(s.InTime-d.InTime) / float64(ended)
+		share = 100 * float64(s.InTime-previous.InTime) / float64(ended)
 	}
-	var boxes []string
+	var states []string
 	for _, x := range []struct {
 		n    int
 		name string
 	}{{s.Cold, "cold"}, {s.Slow, "slow"}, {s.Leaving, "leaving"}, {s.Silent, "silent"}, {s.Fallen, "fallen"}} {
 		if x.n > 0 {
-			boxes = append(boxes, fmt.Sprintf("%d %s", x.n, x.name))
+			states = append(states, fmt.Sprintf("%d %s", x.n, x.name))
 		}
 	}
 	extra := ""
-	if len(boxes) > 0 {
-		extra = " (" + strings.Join(boxes, ", ") + ")"
+	if len(states) > 0 {
+		extra = " (" + strings.Join(states, ", ") + ")"
 	}
 	text := fmt.Sprintf("%4.0f s  %4d/s asked  %5.1f%% in time  %3d refused  %3d failed  %4d open  %d nodes  %d boxes%s", min(s.At, s.Length+time.Hour).Seconds(),
-		s.Asked-d.Asked, share, s.Refused-d.Refused, s.Failed+s.Unreached-d.Failed-d.Unreached, s.Open, s.Nodes, s.Boxes, extra)
-	if !v.live {
+		s.Asked-previous.Asked, share, s.Refused-previous.Refused, s.Failed+s.Unreached-previous.Failed-previous.Unreached, s.Open, s.Nodes, s.Boxes, extra)
+	if !v.terminal {
 		fmt.Fprintln(v.out, text)
 		return
 	}
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -29,19 +29,19 @@
 	Quiet bool   `short:"q" help:"Show no progress."`
 }
 
-// Run plays a scale run. An interruption keeps the steps that are measured, and reports these.
+// Run runs the plan. An interrupted run reports the steps measured so far.
 func (c scaleCmd) Run(ctx context.Context, a *app) error {
 	p, err := plan.Load(c.Plan)
 	if err != nil {
-		return exit{ExitUsage, err}
+		return exitError{ExitUsage, err}
 	}
 	for _, part := range c.Part {
 		if !slices.Contains(scale.Parts(), part) {
-			return usage("--part: %q is none of %s", part, strings.Join(scale.Parts(), ", "))
+			return usageError("--part: %q is none of %s", part, strings.Join(scale.Parts(), ", "))
 		}
 	}
 	if c.Check {
-		return c.need(a, p)
+		return c.printNeeds(a, p)
 	}
 	o := scale.Options{File: c.Plan, Plan: p, Parts: c.Part, Dir: c.Steps, Resume: c.Resume, Tell: func(line string) {
 		if !c.Quiet {
@@ -50,7 +50,7 @@
 	}}
 	if c.Processes {
 		if p.Processes.Hosts == 0 {
-			return usage("%s: there is no [processes] with hosts in it", c.Plan)
+			return usageError("%s: no [processes] table with hosts", c.Plan)
 		}
 		if o.Program, err = os.Executable(); err != nil {
 			return err
@@ -60,10 +60,10 @@
 	report, err := scale.Play(ctx, o)
 	var inUse *scale.InUseError
 	if errors.As(err, &inUse) || report == nil {
-		return exit{ExitUsage, err}
+		return exitError{ExitUsage, err}
 	}
-	if wrong := c.write(a, report); wrong != nil {
-		return exit{ExitUsage, errors.Join(err, wrong)}
+	if writeErr := c.write(a, report); writeErr != nil {
+		return exitError{ExitUsage, errors.Join(err, writeErr)}
 	}
 	switch {
 	case ctx.Err() != nil:
@@ -71,13 +71,13 @@
 	case err != nil:
 		return err
 	case !result.Passed(report.Steps):
-		return exit{status: ExitBroken}
+		return exitError{status: ExitFailure}
 	}
 	return nil
 }
 
-// need prints what a plan needs of the machine.
-func (c scaleCmd) need(a *app, p *plan.Plan) error {
+// printNeeds prints the size and estimated memory of each step, and the plan's limits.
+func (c scaleCmd) printNeeds(a *app, p *plan.Plan) error {
 	for _, s := range p.Steps {
 		fmt.Fprintf(a.out, "%d nodes, %d endpoints, %d services, %d routes, %d of %d tenants: about %d MiB\n",
 			s.Nodes, s.Endpoints, s.Services, s.Routes, p.Tenants(s), s.Tenants, p.Memory(s)>>20)
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// write writes the report wherever it was asked for.
+// write writes the report as a table, and as JSON and HTML where requested.
 func (c scaleCmd) write(a *app, r *result.Report) error {
 	err := r.Table(a.out)
 	if c.JSON != "" {
@@ -98,20 +98,20 @@
 	return err
 }
 
-// scaleHostCmd is a process of a scale run. Its input is held open by who started it.
+// scaleHostCmd is a child process of a scale run. Its parent keeps its standard input open.
 type scaleHostCmd struct {
 	Config string `arg:"" type:"path" help:"What the host is told."`
 }
 
-// Run hosts hollow nodes until ctx or standard input ends.
+// Run hosts hollow nodes until ctx is cancelled or standard input ends.
 func (c scaleHostCmd) Run(ctx context.Context, a *app) error {
 	text, err := os.ReadFile(c.Config)
 	if err != nil {
-		return exit{ExitUsage, err}
+		return exitError{ExitUsage, err}
 	}
 	var cfg hollow.Host
 	if err := json.Unmarshal(text, &cfg); err != nil {
-		return usage("%s: %w", c.Config, err)
+		return usageError("%s: %w", c.Config, err)
 	}
 	return hollow.Run(ctx, &cfg, os.Stdin, a.out, slog.New(slog.NewTextHandler(a.err, &slog.HandlerOptions{Level: slog.LevelWarn})))
 }
--- a/internal/cli/scale_test.go
+++ b/internal/cli/scale_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// scaleRun runs craneglade scale with a plan's text, and returns the status, the output and the errors.
-func scaleRun(t *testing.T, text string, args ...string) (status int, out, errOut string) {
+// runScale runs craneglade scale on a plan with the given text.
+func runScale(t *testing.T, text string, args ...string) (status int, out, errOut string) {
 	t.Helper()
-	return call(t, append([]string{"scale", file(t, "plan.toml", text)}, args...)...)
+	return runMain(t, append([]string{"scale", tempFile(t, "plan.toml", text)}, args...)...)
 }
 
 const scaleSizes = `[[step]]
@@ -29,7 +29,7 @@
 sizes = [10]
 `
 
-func TestScaleRefusesWithOneLine(t *testing.T) {
+func TestScaleErrorsAreOneLine(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		args []string
@@ -38,7 +38,7 @@
 		"a wrong plan":     {"[fleet]\nzones = 0\n" + scaleSizes, nil, "plan.toml:2: fleet.zones: 0 is outside 1 to 100"},
 		"too much memory":  {"[limits]\nmemory = \"20GiB\"\n" + scaleSizes, nil, "plan.toml:2: limits.memory: 20480 MiB is outside 1MiB to 12GiB"},
 		"an unknown part":  {scaleSizes, []string{"--part", "mash"}, `--part: "mash" is none of list, mesh, control, faults`},
-		"no processes":     {scaleSizes, []string{"--processes"}, "there is no [processes] with hosts in it"},
+		"no processes":     {scaleSizes, []string{"--processes"}, "no [processes] table with hosts"},
 		"a directory used": {scaleSizes, []string{"--steps", "USED"}, "holds steps of an earlier run"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 					c.args[i] = steps
 				}
 			}
-			status, _, errOut := scaleRun(t, c.text, c.args...)
+			status, _, errOut := runScale(t, c.text, c.args...)
 			if status != ExitUsage || !strings.Contains(errOut, c.want) || strings.Count(errOut, "\n") != 1 {
 				t.Errorf("status %d, %q; want %d and one line with %q", status, errOut, ExitUsage, c.want)
 			}
@@ -59,19 +59,19 @@
 	}
 }
 
-func TestScaleWritesItsFigures(t *testing.T) {
+func TestScaleWritesReports(t *testing.T) {
 	dir := t.TempDir()
 	json, page := filepath.Join(dir, "out.json"), filepath.Join(dir, "out.html")
-	status, out, errOut := scaleRun(t, scaleSizes, "--part", "list", "--steps", filepath.Join(dir, "steps"), "--json", json, "--html", page, "-q")
-	if status != ExitKept || !strings.Contains(out, "bytes of a full list") || errOut != "" {
+	status, out, errOut := runScale(t, scaleSizes, "--part", "list", "--steps", filepath.Join(dir, "steps"), "--json", json, "--html", page, "-q")
+	if status != ExitOK || !strings.Contains(out, "bytes of a full list") || errOut != "" {
 		t.Errorf("status %d\n%s\n%s", status, out, errOut)
 	}
 	for path, want := range map[string]string{json: `"mechanism": "endpoint list"`, page: "<!doctype html>", filepath.Join(dir, "steps", "step-list-000010.json"): `"bytes of a full list"`} {
 		if text, err := os.ReadFile(path); err != nil || !strings.Contains(string(text), want) {
-			t.Errorf("%s: %v, or no %q in it", filepath.Base(path), err, want)
+			t.Errorf("%s: %v, or missing %q", filepath.Base(path), err, want)
 		}
 	}
-	if status, out, _ := scaleRun(t, scaleSizes, "--check"); status != ExitKept || !strings.Contains(out, "6 nodes, 12 endpoints") {
+	if status, out, _ := runScale(t, scaleSizes, "--check"); status != ExitOK || !strings.Contains(out, "6 nodes, 12 endpoints") {
 		t.Errorf("--check: status %d\n%s", status, out)
 	}
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -16,18 +16,18 @@
 	Config string `placeholder:"FILE" type:"path" help:"Settings of our own (deploy/craneglade.toml): what the platform does not set."`
 }
 
-// Run is the daemon. SIGHUP makes it read its configuration again; it ends once ctx does and all is answered.
+// Run runs the daemon, which reloads its configuration on SIGHUP. Once ctx is cancelled it finishes its requests and returns.
 func (c serveCmd) Run(ctx context.Context, a *app, hup <-chan os.Signal) error {
 	cfg, err := node.Load(a.getenv)
 	if err != nil {
-		return exit{ExitUsage, err}
+		return exitError{ExitUsage, err}
 	}
 	if c.Config != "" {
 		if cfg.LocalSettings, err = settings.Load(c.Config); err != nil {
-			return exit{ExitUsage, err}
+			return exitError{ExitUsage, err}
 		}
 		if err := cfg.CheckLocalSettings(); err != nil {
-			return usage("%s: %w", c.Config, err)
+			return usageError("%s: %w", c.Config, err)
 		}
 	}
 	log := slog.New(slog.NewTextHandler(a.err, &slog.HandlerOptions{Level: c.LogLevel})).With("node", cfg.Name)
@@ -36,7 +36,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		defer close(done)
-		reread(ctx, a, hup, reload, log)
+		forwardReloads(ctx, a, hup, reload, log)
 	}()
 	defer func() {
 		cancel()
@@ -45,8 +45,8 @@
 	return node.Run(ctx, cfg, reload, log)
 }
 
-// reread passes on the configuration as it is after each SIGHUP, until ctx ends. One that is bad changes nothing.
-func reread(ctx context.Context, a *app, hup <-chan os.Signal, reload chan<- node.Config, log *slog.Logger) {
+// forwardReloads sends the configuration read after each SIGHUP to reload, until ctx is cancelled. An invalid one is logged and dropped.
+func forwardReloads(ctx context.Context, a *app, hup <-chan os.Signal, reload chan<- node.Config, log *slog.Logger) {
 	for {
 		select {
 		case <-hup:
@@ -55,7 +55,7 @@
 		}
 		cfg, err := node.Reload(a.getenv)
 		if err != nil {
-			log.Error("the new configuration is bad; keeping the old one", "err", err)
+			log.Error("new configuration is invalid; keeping the old one", "err", err)
 			continue
 		}
 		select {
@@ -73,7 +73,7 @@
 	Control  bool `help:"The file describes a process of the control plane, as control --config reads it."`
 }
 
-// Run checks a file.
+// Run validates a file.
 func (c checkCmd) Run(a *app) error {
 	if isJSON(c.File) {
 		_, err := node.Load(func(name string) string {
@@ -83,17 +83,17 @@
 			return ""
 		})
 		if err != nil {
-			return usage("%s: %w", c.File, err)
+			return usageError("%s: %w", c.File, err)
 		}
 	} else if c.Control {
 		if _, err := settings.LoadControlProcess(c.File); err != nil {
-			return exit{ExitUsage, err}
+			return exitError{ExitUsage, err}
 		}
 	} else if c.Settings {
 		if _, err := settings.Load(c.File); err != nil {
-			return exit{ExitUsage, err}
+			return exitError{ExitUsage, err}
 		}
-	} else if _, err := load(c.File); err != nil {
+	} else if _, err := loadScenario(c.File); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(a.out, "%s: good\n", c.File)
