--- a/cmd/craneglade/control_quorum_test.go
+++ b/cmd/craneglade/control_quorum_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// quorum makes three control processes of one region.
-func (p *plane) quorum() (members []*controlled) {
+// newQuorum writes the configurations of the three quorum members of one region.
+func (p *controlPlane) newQuorum() (members []*controlProcess) {
 	p.t.Helper()
 	for i := range 3 {
 		members = append(members, p.newWriter(fmt.Sprint("writer-", i+1), fmt.Sprint("state-", i+1)))
@@ -24,10 +24,10 @@
 	return members
 }
 
-// chosen waits until one of the members is the writer, and returns it.
-func (p *plane) chosen(members []*controlled) (writer *controlled) {
+// waitForWriter waits until one of the members is the elected writer and returns it.
+func (p *controlPlane) waitForWriter(members []*controlProcess) (writer *controlProcess) {
 	p.t.Helper()
-	p.eventually("a writer", func() bool {
+	p.eventually("election of a writer", func() bool {
 		for _, m := range members {
 			if s, err := m.status(); err == nil && s.Logs[0].Own {
 				writer = m
@@ -39,95 +39,96 @@
 	return writer
 }
 
-// Three control processes choose their writer. It is killed, and another goes on from all that was taken; it is stopped, and
-// wakes when another has its office; without a majority nothing is taken; and a process that missed all of it catches up.
-func TestControlPlaneWithAQuorum(t *testing.T) {
+// Three control processes elect a writer. After a kill another writer continues from all accepted changes; a writer that was
+// stopped and resumes after another's election accepts no change; without a majority no change is accepted; and members that
+// missed changes catch up.
+func TestControlPlaneQuorumWriterFailover(t *testing.T) {
 	t.Parallel()
-	p := newPlane(t)
+	p := newControlPlane(t)
 	p.newBackend("one")
-	members := p.quorum()
+	members := p.newQuorum()
 	for _, m := range members {
 		m.start()
 	}
-	p.relays = members // their logs are told where a test fails
+	p.relays = members // for their logs in failure messages
 	relay := p.newRelay("relay-1", members...)
 	relay.start()
 	n := p.newNode("n0", relay)
 	n.start()
-	writer := p.chosen(members)
-	p.everywhere(writer.applied(serviceTable + p.endpoint("one", "ready")))
-	p.stops = append(p.stops, n.clients())
+	writer := p.waitForWriter(members)
+	p.waitForPosition(writer.mustApply(serviceTable + p.endpoint("one", "ready")))
+	p.stopFuncs = append(p.stopFuncs, n.startClients())
 	defer p.stopClients()
 
-	// Another member says who the writer is.
+	// A member that is not the writer names the writer.
 	others := without(members, writer)
 	if _, err := others[0].apply(tenant("x", 1)); err == nil || !strings.Contains(err.Error(), fmt.Sprintf("the writer is %q", writer.name)) {
-		t.Errorf("a member that is not the writer: %v", err)
+		t.Errorf("change at a member that is not the writer: %v", err)
 	}
 
-	// Killed.
-	p.everywhere(writer.applied(tenant("a", 1)))
+	// The writer is killed.
+	p.waitForPosition(writer.mustApply(tenant("a", 1)))
 	writer.kill(t)
-	second := p.chosen(others)
-	p.everywhere(second.applied(tenant("a", 2)))
+	second := p.waitForWriter(others)
+	p.waitForPosition(second.mustApply(tenant("a", 2)))
 	if got := second.quota("a"); got != 2 {
-		t.Errorf("the second writer has %v, want 2", got)
+		t.Errorf("second writer has quota %v, want 2", got)
 	}
 	writer.start()
-	last := second.applied(tenant("a", 3))
-	p.eventually("the killed member at "+last, func() bool { return writer.position() == last })
+	last := second.mustApply(tenant("a", 3))
+	p.eventually("restarted member at "+last, func() bool { return writer.position() == last })
 
-	// Stopped, and woken when another is the writer.
+	// The writer is stopped, and resumes once another is elected.
 	second.stop(t)
-	third := p.chosen(without(members, second))
-	p.everywhere(third.applied(tenant("a", 4)))
+	third := p.waitForWriter(without(members, second))
+	p.waitForPosition(third.mustApply(tenant("a", 4)))
 	second.signal(t, syscall.SIGCONT)
 	if position, err := second.apply(tenant("a", 100)); err == nil {
-		t.Errorf("the woken writer has taken a change, at %s", position)
+		t.Errorf("resumed writer accepted a change, at %s", position)
 	}
-	last = third.applied(tenant("b", 1))
-	p.everywhere(last)
-	p.eventually("the woken member at "+last, func() bool { return second.position() == last })
+	last = third.mustApply(tenant("b", 1))
+	p.waitForPosition(last)
+	p.eventually("resumed member at "+last, func() bool { return second.position() == last })
 	for _, m := range members {
 		if got := m.quota("a"); got != 4 {
-			t.Errorf("%s has %v, want 4", m.name, got)
+			t.Errorf("%s has quota %v, want 4", m.name, got)
 		}
 	}
 
-	// No majority: nothing is taken, and all that was goes on being served.
+	// Without a majority no change is accepted, and the configuration in force is still served.
 	for _, m := range without(members, third) {
 		m.stop(t)
 	}
 	if position, err := third.apply(tenant("a", 200)); err == nil {
-		t.Errorf("one of three has taken a change, at %s", position)
+		t.Errorf("one of three members accepted a change, at %s", position)
 	}
-	asked := p.requests()
-	p.eventually("requests without a majority", func() bool { return p.requests() >= asked+20 })
+	before := p.requestsSent()
+	p.eventually("requests without a majority", func() bool { return p.requestsSent() >= before+20 })
 	for _, m := range without(members, third) {
 		m.signal(t, syscall.SIGCONT)
 	}
-	fourth := p.chosen(members)
-	p.eventually("a change taken again", func() bool { _, err := fourth.apply(tenant("c", 1)); return err == nil })
+	fourth := p.waitForWriter(members)
+	p.eventually("change accepted with a majority", func() bool { _, err := fourth.apply(tenant("c", 1)); return err == nil })
 	last = fourth.position()
-	p.everywhere(last)
+	p.waitForPosition(last)
 	for _, m := range members {
 		p.eventually(m.name+" at "+last, func() bool { return m.position() == last })
 		if a, b := m.quota("a"), fourth.quota("a"); a != b || a != 4 && a != 200 {
-			t.Errorf("%s has %v and the writer %v", m.name, a, b)
+			t.Errorf("%s has quota %v and the writer %v", m.name, a, b)
 		}
 	}
-	if s, err := n.status(); err != nil || s.Refused != "" || s.AgeMS > patience.Milliseconds() {
+	if s, err := n.status(); err != nil || s.Refused != "" || s.AgeMS > testTimeout.Milliseconds() {
 		t.Errorf("%+v, %v", s, err)
 	}
-	p.eventually("a fresh log at the node", func() bool {
+	p.eventually("configuration age under 2 s at the node", func() bool {
 		s, err := n.status()
 		return err == nil && s.AgeMS < 2*time.Second.Milliseconds()
 	})
 }
 
-func without(all []*controlled, one *controlled) (others []*controlled) {
-	for _, c := range all {
-		if c != one {
+func without(processes []*controlProcess, excluded *controlProcess) (others []*controlProcess) {
+	for _, c := range processes {
+		if c != excluded {
 			others = append(others, c)
 		}
 	}
--- a/cmd/craneglade/control_test.go
+++ b/cmd/craneglade/control_test.go
@@ -30,34 +30,34 @@
 	drainGrace     = 500 * time.Millisecond
 )
 
-// plane is a control plane of real processes on loopback: a writer, relays, and nodes with real requests.
-type plane struct {
-	t        *testing.T
-	bin      string
-	folder   string
-	writer   *controlled
-	relays   []*controlled
-	nodes    []*controlledNode
-	backends map[string]*backend
-	stops    []func() // of clients
-}
-
-// controlled is a process of the control plane.
-type controlled struct {
-	plane                      *plane
-	name, address, config, via string // via is where its subscribers reach it
-	socket                     string
-	running
-}
-
-// running is one program that was started.
-type running struct {
+// controlPlane is a control plane of real processes on loopback: a writer, relays, and nodes that serve requests.
+type controlPlane struct {
+	t         *testing.T
+	bin       string
+	folder    string
+	writer    *controlProcess
+	relays    []*controlProcess
+	nodes     []*testNode
+	backends  map[string]*backend
+	stopFuncs []func() // of the nodes' clients
+}
+
+// controlProcess is a writer, quorum member or relay.
+type controlProcess struct {
+	plane                              *controlPlane
+	name, address, config, dialAddress string // dialAddress is where subscribers connect, which may be a proxy
+	socket                             string
+	runningProcess
+}
+
+// runningProcess is a started child process.
+type runningProcess struct {
 	cmd    *exec.Cmd
-	log    logText
+	log    logBuffer
 	exited chan error
 }
 
-func (r *running) start(t *testing.T, cmd *exec.Cmd) {
+func (r *runningProcess) start(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	r.cmd, r.exited = cmd, make(chan error, 1)
 	cmd.Stderr = &r.log
@@ -72,26 +72,26 @@
 	})
 }
 
-func (r *running) signal(t *testing.T, s syscall.Signal) {
+func (r *runningProcess) signal(t *testing.T, s syscall.Signal) {
 	t.Helper()
 	if err := r.cmd.Process.Signal(s); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// stop stops the program, and returns once none of its threads runs any more.
-func (r *running) stop(t *testing.T) {
+// stop sends SIGSTOP and returns once all threads of the process are stopped.
+func (r *runningProcess) stop(t *testing.T) {
 	t.Helper()
 	r.signal(t, syscall.SIGSTOP)
-	for end := time.Now().Add(patience); !r.stopped(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !r.stopped(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("a stopped program goes on")
+			t.Fatal("process still runs after SIGSTOP")
 		}
 	}
 }
 
-// stopped tells whether all threads of the program are in the state T, by proc(5).
-func (r *running) stopped() bool {
+// stopped reports whether all threads of the process are in state T of proc(5).
+func (r *runningProcess) stopped() bool {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", r.cmd.Process.Pid))
 	if err != nil || len(threads) == 0 {
 		return false
@@ -105,27 +105,27 @@
 	return true
 }
 
-// kill ends the program without a warning, and returns once it has ended.
-func (r *running) kill(t *testing.T) {
+// kill sends SIGKILL and returns once the process has exited.
+func (r *runningProcess) kill(t *testing.T) {
 	t.Helper()
 	r.signal(t, syscall.SIGKILL)
 	select {
 	case <-r.exited:
-	case <-time.After(patience):
-		t.Fatal("a killed program does not end")
+	case <-time.After(testTimeout):
+		t.Fatal("process did not exit after SIGKILL")
 	}
 }
 
-func newPlane(t *testing.T) *plane {
+func newControlPlane(t *testing.T) *controlPlane {
 	t.Helper()
-	p := &plane{t: t, bin: built(t), folder: t.TempDir(), backends: map[string]*backend{}}
+	p := &controlPlane{t: t, bin: buildProgram(t), folder: t.TempDir(), backends: map[string]*backend{}}
 	p.write("key", controlKey+"\n")
 	return p
 }
 
-func (p *plane) path(name string) string { return filepath.Join(p.folder, name) }
+func (p *controlPlane) path(name string) string { return filepath.Join(p.folder, name) }
 
-func (p *plane) write(name, text string) string {
+func (p *controlPlane) write(name, text string) string {
 	p.t.Helper()
 	if err := os.WriteFile(p.path(name), []byte(text), 0o600); err != nil {
 		p.t.Fatal(err)
@@ -133,19 +133,19 @@
 	return p.path(name)
 }
 
-// eventually waits for what must come.
-func (p *plane) eventually(what string, ok func() bool) {
+// eventually waits until ok returns true, and fails the test after testTimeout.
+func (p *controlPlane) eventually(what string, ok func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("%s: did not come\n%s", what, p.logs())
+			p.t.Fatalf("timed out waiting for: %s\n%s", what, p.logs())
 		}
 	}
 }
 
-func (p *plane) logs() string {
+func (p *controlPlane) logs() string {
 	var b strings.Builder
-	for _, c := range append([]*controlled{p.writer}, p.relays...) {
+	for _, c := range append([]*controlProcess{p.writer}, p.relays...) {
 		if c != nil {
 			fmt.Fprintf(&b, "--- %s\n%s", c.name, c.log.String())
 		}
@@ -156,11 +156,11 @@
 	return b.String()
 }
 
-// process writes the file of a process of the control plane; special is what its role needs.
-func (p *plane) process(role, name, special string) *controlled {
+// newProcess writes the configuration of a control plane process; roleSettings are the lines specific to its role.
+func (p *controlPlane) newProcess(role, name, roleSettings string) *controlProcess {
 	p.t.Helper()
-	c := &controlled{plane: p, name: name, address: freeAddr(p.t), socket: p.path(name + ".sock")}
-	c.via = c.address
+	c := &controlProcess{plane: p, name: name, address: freeAddr(p.t), socket: p.path(name + ".sock")}
+	c.dialAddress = c.address
 	c.config = p.write(name+".toml", fmt.Sprintf(`role = %q
 name = %q
 region = %q
@@ -172,35 +172,35 @@
 [limits]
 heartbeat = "100ms"
 silence = "900ms"
-`, role, name, controlRegion, c.address, c.socket, controlCluster, p.path("key"), special))
+`, role, name, controlRegion, c.address, c.socket, controlCluster, p.path("key"), roleSettings))
 	return c
 }
 
-func (p *plane) newWriter(name, state string) *controlled {
+func (p *controlPlane) newWriter(name, state string) *controlProcess {
 	p.t.Helper()
 	if err := os.MkdirAll(p.path(state), 0o700); err != nil {
 		p.t.Fatal(err)
 	}
-	return p.process("writer", name, fmt.Sprintf("state = %q", p.path(state)))
+	return p.newProcess("writer", name, fmt.Sprintf("state = %q", p.path(state)))
 }
 
-func (p *plane) newRelay(name string, of ...*controlled) *controlled {
+func (p *controlPlane) newRelay(name string, parents ...*controlProcess) *controlProcess {
 	p.t.Helper()
-	c := p.process("relay", name, "")
-	c.configure(parentTables("parent", of))
+	c := p.newProcess("relay", name, "")
+	c.configure(parentTables("parent", parents))
 	return c
 }
 
-// configure adds tables to the process's file.
-func (c *controlled) configure(tables string) {
+// configure appends tables to the process's configuration file.
+func (c *controlProcess) configure(tables string) {
 	c.plane.t.Helper()
 	c.edit(func(text string) string { return text + tables })
 }
 
-// edit changes the process's file.
-func (c *controlled) edit(change func(text string) string) { c.plane.edit(c.name+".toml", change) }
+// edit rewrites the process's configuration file.
+func (c *controlProcess) edit(change func(text string) string) { c.plane.edit(c.name+".toml", change) }
 
-func (p *plane) edit(name string, change func(text string) string) {
+func (p *controlPlane) edit(name string, change func(text string) string) {
 	p.t.Helper()
 	text, err := os.ReadFile(p.path(name))
 	if err != nil {
@@ -209,22 +209,22 @@
 	p.write(name, change(string(text)))
 }
 
-func parentTables(table string, all []*controlled) string {
+func parentTables(table string, parents []*controlProcess) string {
 	var b strings.Builder
-	for _, c := range all {
-		fmt.Fprintf(&b, "[[%s]]\nname = %q\naddress = %q\n", table, c.name, c.via)
+	for _, c := range parents {
+		fmt.Fprintf(&b, "[[%s]]\nname = %q\naddress = %q\n", table, c.name, c.dialAddress)
 	}
 	return b.String()
 }
 
-// start starts the process and waits until it answers operators.
-func (c *controlled) start() {
+// start starts the process and waits until it responds on its operator socket.
+func (c *controlProcess) start() {
 	c.plane.t.Helper()
-	c.running.start(c.plane.t, exec.Command(c.plane.bin, "control", "--config", c.config))
-	c.plane.eventually(c.name+" up", func() bool { _, err := c.status(); return err == nil })
+	c.runningProcess.start(c.plane.t, exec.Command(c.plane.bin, "control", "--config", c.config))
+	c.plane.eventually(c.name+" responding", func() bool { _, err := c.status(); return err == nil })
 }
 
-func (c *controlled) status() (*controlnet.DaemonStatus, error) {
+func (c *controlProcess) status() (*controlnet.DaemonStatus, error) {
 	r, err := controlnet.Call(c.socket, controlnet.Request{Operation: controlnet.OperationStatus})
 	if err != nil {
 		return nil, err
@@ -232,16 +232,16 @@
 	return r.Status, nil
 }
 
-// position is where the process has its region's log.
-func (c *controlled) position() string {
+// position returns the process's position in its region's log, or "" if it does not respond.
+func (c *controlProcess) position() string {
 	if s, err := c.status(); err == nil {
 		return s.Logs[0].Position
 	}
 	return ""
 }
 
-// apply has the process take changes.
-func (c *controlled) apply(text string) (position string, err error) {
+// apply submits a transaction to the process.
+func (c *controlProcess) apply(text string) (position string, err error) {
 	r, err := controlnet.Call(c.socket, controlnet.Request{Operation: controlnet.OperationApply, File: "changes.toml", Text: text})
 	if err != nil {
 		return "", err
@@ -249,8 +249,8 @@
 	return r.Position, nil
 }
 
-// applied is apply of what must be taken.
-func (c *controlled) applied(text string) (position string) {
+// mustApply is like apply, but fails the test if the transaction is rejected.
+func (c *controlProcess) mustApply(text string) (position string) {
 	c.plane.t.Helper()
 	position, err := c.apply(text)
 	if err != nil {
@@ -259,13 +259,13 @@
 	return position
 }
 
-// backend is an endpoint that counts what it serves.
+// backend is an endpoint that counts its requests.
 type backend struct {
 	*httptest.Server
 	hits atomic.Int64
 }
 
-func (p *plane) newBackend(name string) *backend {
+func (p *controlPlane) newBackend(name string) *backend {
 	b := &backend{}
 	b.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b.hits.Add(1)
@@ -283,8 +283,8 @@
 max_attempts = 2
 `
 
-// endpoint is the table that sets an endpoint.
-func (p *plane) endpoint(name, state string) string {
+// endpoint returns the change that sets an endpoint.
+func (p *controlPlane) endpoint(name, state string) string {
 	return fmt.Sprintf("[[endpoint]]\nservice = %q\nname = %q\naddress = %q\nzone = \"n\"\nclass = \"k\"\nstate = %q\n", controlService, name,
 		p.backends[name].Listener.Addr(), state)
 }
@@ -293,42 +293,42 @@
 	return fmt.Sprintf("[[tenant]]\nservice = %q\nname = %q\nquota = %v\n", controlService, name, quota)
 }
 
-// controlledNode is a node that follows the control plane.
-type controlledNode struct {
-	plane                 *plane
-	name, address, socket string
-	own, platform         string // files
-	running
-	asked, failed atomic.Int64 // requests of its clients
+// testNode is a node that takes its configuration from the control plane.
+type testNode struct {
+	plane                   *controlPlane
+	name, address, socket   string
+	localFile, platformFile string // configuration files
+	runningProcess
+	sent, failed atomic.Int64 // requests by startClients
 }
 
-func (p *plane) newNode(name string, parents ...*controlled) *controlledNode {
+func (p *controlPlane) newNode(name string, parents ...*controlProcess) *testNode {
 	p.t.Helper()
-	n := &controlledNode{plane: p, name: name, address: freeAddr(p.t), socket: p.path(name + ".sock")}
-	n.own = p.write(name+".toml", fmt.Sprintf("[fleet]\nsocket = %q\n[control]\nservices = [%q]\nregion = %q\ncluster = %q\nkey_file = %q\nsilence = \"900ms\"\n%s",
+	n := &testNode{plane: p, name: name, address: freeAddr(p.t), socket: p.path(name + ".sock")}
+	n.localFile = p.write(name+".toml", fmt.Sprintf("[fleet]\nsocket = %q\n[control]\nservices = [%q]\nregion = %q\ncluster = %q\nkey_file = %q\nsilence = \"900ms\"\n%s",
 		n.socket, controlService, controlRegion, controlCluster, p.path("key"), parentTables("control.parent", parents)))
 	platform := strings.Replace(config("127.0.0.1:1"), `"policy_limits"`, `"invariants":{"drain_grace_s":0.5},"policy_limits"`, 1)
-	n.platform = p.write(name+".json", platform)
+	n.platformFile = p.write(name+".json", platform)
 	p.nodes = append(p.nodes, n)
 	return n
 }
 
-// edit changes the node's own file.
-func (n *controlledNode) edit(change func(text string) string) { n.plane.edit(n.name+".toml", change) }
+// edit rewrites the node's local settings file.
+func (n *testNode) edit(change func(text string) string) { n.plane.edit(n.name+".toml", change) }
 
-func (n *controlledNode) start() {
+func (n *testNode) start() {
 	n.plane.t.Helper()
-	cmd := exec.Command(n.plane.bin, "serve", "--config", n.own)
-	cmd.Env = append(os.Environ(), "GW_NAME="+n.name, "GW_LISTEN="+n.address, "GW_DISCOVERY=127.0.0.1:1", "GW_CONFIG="+n.platform)
-	n.running.start(n.plane.t, cmd)
+	cmd := exec.Command(n.plane.bin, "serve", "--config", n.localFile)
+	cmd.Env = append(os.Environ(), "GW_NAME="+n.name, "GW_LISTEN="+n.address, "GW_DISCOVERY=127.0.0.1:1", "GW_CONFIG="+n.platformFile)
+	n.runningProcess.start(n.plane.t, cmd)
 }
 
-// status is what the node says of its configuration on its local socket.
-func (n *controlledNode) status() (*node.ControlStatus, error) {
+// status returns the configuration status that the node reports on its local socket.
+func (n *testNode) status() (*node.ControlStatus, error) {
 	return node.ReadControlStatus(n.socket)
 }
 
-func (n *controlledNode) position() string {
+func (n *testNode) position() string {
 	s, err := n.status()
 	if err != nil {
 		return ""
@@ -338,20 +338,20 @@
 
 var requestIDs atomic.Int64
 
-// errBehind is a refusal of a node that was itself not run in time: it reads requests so late that it refuses some, and tells
-// clients to come again. It is the machine's load, and no word on the node's backends.
-var errBehind = errors.New("the node is behind")
+// errNodeLate is a 503 with Retry-After from a node that the machine's load kept from running: it read the request so late that it
+// refused it. The node's backends and configuration do not cause it.
+var errNodeLate = errors.New("node is late")
 
-// ask sends one request to the node, and tells whether it was served. One that is refused as the node is behind comes again.
-func (n *controlledNode) ask(client *http.Client) error {
-	err := n.askOnce(client)
-	for end := time.Now().Add(patience); errors.Is(err, errBehind) && time.Now().Before(end); err = n.askOnce(client) {
+// requestWithRetry sends a request to the node and returns an error unless it is served. It retries on errNodeLate.
+func (n *testNode) requestWithRetry(client *http.Client) error {
+	err := n.request(client)
+	for end := time.Now().Add(testTimeout); errors.Is(err, errNodeLate) && time.Now().Before(end); err = n.request(client) {
 		time.Sleep(50 * time.Millisecond)
 	}
 	return err
 }
 
-func (n *controlledNode) askOnce(client *http.Client) error {
+func (n *testNode) request(client *http.Client) error {
 	id := fmt.Sprint("r", requestIDs.Add(1))
 	req, err := http.NewRequest("GET", "http://"+n.address+"/api", nil)
 	if err != nil {
@@ -367,16 +367,16 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if resp.StatusCode == 503 && string(body) == "too much at once\n" && resp.Header.Get("Retry-After") != "" {
-		return errBehind
+		return errNodeLate
 	}
 	if err != nil || resp.StatusCode != 200 || string(body) != "made for "+id {
-		return fmt.Errorf("answered %d %q, %v", resp.StatusCode, body, err)
+		return fmt.Errorf("status %d, body %q, %v", resp.StatusCode, body, err)
 	}
 	return nil
 }
 
-// clients ask the node without end until stop is called; one that is not served is counted and told once.
-func (n *controlledNode) clients() (stop func()) {
+// startClients sends requests to the node until stop is called. Failures are counted, and the first fails the test.
+func (n *testNode) startClients() (stop func()) {
 	var wg sync.WaitGroup
 	done := make(chan struct{})
 	wg.Go(func() {
@@ -388,8 +388,8 @@
 				return
 			case <-time.After(5 * time.Millisecond):
 			}
-			n.asked.Add(1)
-			if err := n.ask(client); err != nil && n.failed.Add(1) == 1 {
+			n.sent.Add(1)
+			if err := n.requestWithRetry(client); err != nil && n.failed.Add(1) == 1 {
 				n.plane.t.Errorf("%s: %v\n%s", n.name, err, n.log.String())
 			}
 		}
@@ -397,8 +397,8 @@
 	return sync.OnceFunc(func() { close(done); wg.Wait() })
 }
 
-// everywhere waits until all nodes have a position in force.
-func (p *plane) everywhere(position string) {
+// waitForPosition waits until all nodes have the configuration at position in force.
+func (p *controlPlane) waitForPosition(position string) {
 	p.t.Helper()
 	p.eventually("position "+position+" at all nodes", func() bool {
 		for _, n := range p.nodes {
@@ -410,185 +410,184 @@
 	})
 }
 
-// drained wants nothing new sent to a backend any more. It is called once all nodes were told of the drain and the grace is over.
-func (p *plane) drained(name string) {
+// checkDrained fails the test if a backend gets requests. It is called after all nodes have the drain in force and the grace is over.
+func (p *controlPlane) checkDrained(name string) {
 	p.t.Helper()
-	before, asked := p.backends[name].hits.Load(), p.requests()
-	p.eventually("further requests", func() bool { return p.requests() >= asked+60 })
+	before, sent := p.backends[name].hits.Load(), p.requestsSent()
+	p.eventually("further requests", func() bool { return p.requestsSent() >= sent+60 })
 	if got := p.backends[name].hits.Load() - before; got > 0 {
 		p.t.Errorf("%s got %d requests after its grace\n%s", name, got, p.logs())
 	}
 }
 
-func (p *plane) requests() (asked int64) {
+func (p *controlPlane) requestsSent() (sent int64) {
 	for _, n := range p.nodes {
-		asked += n.asked.Load()
+		sent += n.sent.Load()
 	}
-	return asked
+	return sent
 }
 
-// fleet starts a writer, two relays and three nodes with two endpoints, and clients at each node. via may change where a
-// relay is reached.
-func fleet(t *testing.T, via func(p *plane, relay *controlled)) *plane {
+// startFleet starts a writer, two relays and three nodes with two endpoints, and clients of each node. configureRelay may set
+// the dial address of a relay; it may be nil.
+func startFleet(t *testing.T, configureRelay func(p *controlPlane, relay *controlProcess)) *controlPlane {
 	t.Helper()
-	p := newPlane(t)
+	p := newControlPlane(t)
 	p.newBackend("one")
 	p.newBackend("two")
 	p.writer = p.newWriter("writer-1", "state")
 	p.writer.start()
-	p.relays = []*controlled{p.newRelay("relay-1", p.writer), p.newRelay("relay-2", p.writer)}
+	p.relays = []*controlProcess{p.newRelay("relay-1", p.writer), p.newRelay("relay-2", p.writer)}
 	for _, r := range p.relays {
 		r.start()
-		if via != nil {
-			via(p, r)
+		if configureRelay != nil {
+			configureRelay(p, r)
 		}
 	}
-	position := p.writer.applied(serviceTable + p.endpoint("one", "ready") + p.endpoint("two", "ready"))
+	position := p.writer.mustApply(serviceTable + p.endpoint("one", "ready") + p.endpoint("two", "ready"))
 	for i := range 3 {
 		p.newNode(fmt.Sprint("n", i), p.relays...).start()
 	}
-	p.everywhere(position)
+	p.waitForPosition(position)
 	for _, n := range p.nodes {
-		p.stops = append(p.stops, n.clients())
+		p.stopFuncs = append(p.stopFuncs, n.startClients())
 	}
 	return p
 }
 
-// stopClients ends all requests: before the end of a test, which ends what serves them.
-func (p *plane) stopClients() {
-	for _, stop := range p.stops {
+// stopClients stops all clients. Tests call it before their cleanup stops the backends and nodes.
+func (p *controlPlane) stopClients() {
+	for _, stop := range p.stopFuncs {
 		stop()
 	}
 }
 
-// A writer, two relays and three nodes, with requests at each node all the time and one fault after the other: no request
-// fails, all nodes come to the same position, and nothing new goes to what drains once its grace is over.
-func TestControlPlane(t *testing.T) {
+// Faults of writer, relays and nodes under continuous requests: no request may fail, all nodes must reach the same position,
+// and a draining backend must get no new request after its grace.
+func TestControlPlaneFaults(t *testing.T) {
 	t.Parallel()
-	p := fleet(t, nil)
+	p := startFleet(t, nil)
 	defer p.stopClients()
 
-	// A drain reaches all nodes, and its end too.
-	p.everywhere(p.writer.applied(p.endpoint("one", "draining")))
-	time.Sleep(drainGrace) // the grace itself, from the telling at the last node on
-	p.drained("one")
+	// A drain and then the removal of the endpoint reach all nodes.
+	p.waitForPosition(p.writer.mustApply(p.endpoint("one", "draining")))
+	time.Sleep(drainGrace) // the grace starts with the update of the last node
+	p.checkDrained("one")
 	p.newBackend("three")
-	p.everywhere(p.writer.applied(p.endpoint("three", "ready") + fmt.Sprintf("[[delete]]\nservice = %q\nkind = \"endpoint\"\nname = \"one\"\n", controlService)))
+	p.waitForPosition(p.writer.mustApply(p.endpoint("three", "ready") + fmt.Sprintf("[[delete]]\nservice = %q\nkind = \"endpoint\"\nname = \"one\"\n", controlService)))
 	served := p.backends["three"].hits.Load()
 	p.eventually("requests at the new endpoint", func() bool { return p.backends["three"].hits.Load() > served })
 
-	// What is wrong is refused whole, with one line.
+	// An invalid transaction is rejected as a whole, with an error of one line.
 	before := p.writer.position()
 	_, err := p.writer.apply(p.endpoint("two", "draining") + "[[tenant]]\nservice = \"configurator\"\nname = \"x\"\nquota = -1.0\n")
 	if err == nil || !strings.Contains(err.Error(), `changes.toml: tenant "x" of service "configurator": quota`) || strings.Contains(err.Error(), "\n") {
-		t.Errorf("refused with: %v", err)
+		t.Errorf("invalid transaction: %v", err)
 	}
 	if _, err := p.relays[0].apply(tenant("x", 1)); err == nil || !strings.Contains(err.Error(), "this process is a relay") {
-		t.Errorf("a relay takes changes: %v", err)
+		t.Errorf("change at a relay: %v", err)
 	}
 	if got := p.writer.position(); got != before {
-		t.Errorf("after refusals at %s, want %s", got, before)
+		t.Errorf("position after rejected changes is %s, want %s", got, before)
 	}
 
-	// A relay is stopped, the log moves on, and the relay is woken with what it had.
+	// A relay is stopped, misses changes, and resumes with its old state.
 	p.relays[0].stop(t)
-	p.everywhere(p.writer.applied(p.endpoint("two", "draining")))
+	p.waitForPosition(p.writer.mustApply(p.endpoint("two", "draining")))
 	time.Sleep(drainGrace)
-	p.drained("two")
-	last := p.writer.applied(tenant("a", 3))
-	p.everywhere(last)
+	p.checkDrained("two")
+	last := p.writer.mustApply(tenant("a", 3))
+	p.waitForPosition(last)
 	p.relays[0].signal(t, syscall.SIGCONT)
-	p.eventually("the woken relay at "+last, func() bool { return p.relays[0].position() == last })
-	p.drained("two")
-	p.everywhere(last)
+	p.eventually("resumed relay at "+last, func() bool { return p.relays[0].position() == last })
+	p.checkDrained("two")
+	p.waitForPosition(last)
 
-	// Both relays are gone, and come back with nothing.
+	// Both relays are killed and restart without state.
 	for _, r := range p.relays {
 		r.kill(t)
 	}
 	p.newBackend("four")
-	last = p.writer.applied(p.endpoint("four", "ready"))
-	asked := p.requests()
-	p.eventually("requests without a control plane", func() bool { return p.requests() >= asked+100 })
+	last = p.writer.mustApply(p.endpoint("four", "ready"))
+	sent := p.requestsSent()
+	p.eventually("requests without a control plane", func() bool { return p.requestsSent() >= sent+100 })
 	for _, r := range p.relays {
 		r.start()
 	}
-	p.everywhere(last)
+	p.waitForPosition(last)
 
-	// A node is restarted, and has all of it again.
+	// A restarted node gets the whole configuration again.
 	p.nodes[0].restart()
-	p.everywhere(last)
+	p.waitForPosition(last)
 
-	// The writer is killed while it takes changes: each is there whole or not at all, and everybody agrees.
-	p.killedWriter()
+	// The writer is killed while it accepts changes: each transaction is applied as a whole or not at all, everywhere alike.
+	p.killWriterDuringChanges()
 
-	// A stranger at the port of a relay.
-	p.strangers()
-	p.everywhere(p.writer.applied(tenant("z", 1)))
+	// Connections to a relay that do not speak the subscriber protocol.
+	p.connectNonSubscribers()
+	p.waitForPosition(p.writer.mustApply(tenant("z", 1)))
 	for _, n := range p.nodes {
 		if s, err := n.status(); err != nil || s.Source == "" || s.Refused != "" || s.Dropped > 0 {
-			t.Errorf("%s in the end: %+v, %v", n.name, s, err)
+			t.Errorf("%s at the end: %+v, %v", n.name, s, err)
 		}
 	}
 }
 
-// restart ends the node after its clients' requests and starts it again. Requests that find no node meanwhile don't count:
-// none has taken them.
-func (n *controlledNode) restart() {
+// restart terminates the node and starts it again. Requests that fail meanwhile are not counted: no node accepted them.
+func (n *testNode) restart() {
 	n.plane.t.Helper()
-	failed := n.failed.Swap(1 << 30) // not told
+	failed := n.failed.Swap(1 << 30) // suppresses errors of startClients
 	n.signal(n.plane.t, syscall.SIGTERM)
 	select {
 	case err := <-n.exited:
 		if err != nil {
 			n.plane.t.Errorf("after SIGTERM: %v\n%s", err, n.log.String())
 		}
-	case <-time.After(patience):
-		n.plane.t.Fatal("a node does not end")
+	case <-time.After(testTimeout):
+		n.plane.t.Fatal("node did not exit after SIGTERM")
 	}
 	n.start()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	n.plane.eventually("a request at the restarted node", func() bool { return n.ask(client) == nil })
+	n.plane.eventually("request served by the restarted node", func() bool { return n.requestWithRetry(client) == nil })
 	n.failed.Store(failed)
 }
 
-// killedWriter kills the writer in the middle of changes of two resources each, and starts it again.
-func (p *plane) killedWriter() {
+// killWriterDuringChanges kills the writer during a series of transactions of two resources each, and restarts it.
+func (p *controlPlane) killWriterDuringChanges() {
 	p.t.Helper()
-	taken, stopped := make(chan int, 1), make(chan struct{})
-	begun := make(chan struct{})
+	lastApplied, stopped := make(chan int, 1), make(chan struct{})
+	started := make(chan struct{})
 	go func() {
 		defer close(stopped)
 		for i := 0; ; i++ {
 			if i == 20 {
-				close(begun)
+				close(started)
 			}
 			if _, err := p.writer.apply(tenant("left", float64(i)) + tenant("right", float64(i))); err != nil {
-				taken <- i - 1
+				lastApplied <- i - 1
 				return
 			}
 		}
 	}()
-	<-begun
+	<-started
 	p.writer.kill(p.t)
 	<-stopped
-	least := <-taken
+	minValue := <-lastApplied
 	p.writer.start()
 	last := p.writer.position()
-	p.everywhere(last)
-	for _, c := range append([]*controlled{p.writer}, p.relays...) {
+	p.waitForPosition(last)
+	for _, c := range append([]*controlProcess{p.writer}, p.relays...) {
 		p.eventually(c.name+" at "+last, func() bool { return c.position() == last })
 		left, right := c.quota("left"), c.quota("right")
-		if left != right || left < float64(least) || left > float64(least)+1 {
-			p.t.Errorf("%s: %v and %v after a kill behind change %d", c.name, left, right, least)
+		if left != right || left < float64(minValue) || left > float64(minValue)+1 {
+			p.t.Errorf("%s: quotas %v and %v after a kill behind change %d", c.name, left, right, minValue)
 		}
 	}
-	// A newer epoch goes on.
-	p.everywhere(p.writer.applied(tenant("left", 1)))
+	// Changes are accepted in the new epoch.
+	p.waitForPosition(p.writer.mustApply(tenant("left", 1)))
 }
 
-// quota is a tenant's in the process's log.
-func (c *controlled) quota(name string) float64 {
+// quota returns a tenant's quota in the process's log.
+func (c *controlProcess) quota(name string) float64 {
 	c.plane.t.Helper()
 	r, err := controlnet.Call(c.socket, controlnet.Request{Operation: controlnet.OperationGet, Service: controlService, Kind: "tenant", Name: name})
 	if err != nil {
@@ -603,8 +602,8 @@
 	return file.Tenant[0].Quota
 }
 
-// strangers say to a relay what no subscriber says. It counts them, says so in its log and serves on.
-func (p *plane) strangers() {
+// connectNonSubscribers sends invalid handshakes to a relay, which must count them, log them once and go on serving.
+func (p *controlPlane) connectNonSubscribers() {
 	p.t.Helper()
 	relay := p.relays[0]
 	before, err := relay.status()
@@ -619,17 +618,17 @@
 		}
 		io.WriteString(conn, text)
 		conn.(*net.TCPConn).CloseWrite()
-		conn.SetReadDeadline(time.Now().Add(patience))
+		conn.SetReadDeadline(time.Now().Add(testTimeout))
 		if _, err := io.Copy(io.Discard, conn); err != nil && !errors.Is(err, syscall.ECONNRESET) {
-			p.t.Errorf("after %.10q the relay goes on: %v", text, err)
+			p.t.Errorf("relay did not close the connection after %.10q: %v", text, err)
 		}
 		conn.Close()
 	}
-	p.eventually("four strangers counted", func() bool {
+	p.eventually("four failed handshakes counted", func() bool {
 		s, err := relay.status()
 		return err == nil && s.Counts.FailedHandshakes >= before.Counts.FailedHandshakes+4
 	})
 	if n := strings.Count(relay.log.String(), "a connection is no subscriber's"); n != 1 {
-		p.t.Errorf("%d lines of strangers in the log of the relay, want one", n)
+		p.t.Errorf("%d log lines about failed handshakes, want one", n)
 	}
 }
--- a/cmd/craneglade/draingrace_test.go
+++ b/cmd/craneglade/draingrace_test.go
@@ -17,50 +17,50 @@
 	"time"
 )
 
-// A wall clock that is set back gives a drain no more grace: a request whose connection comes up once the grace is over is not
-// written to the backend. The end of the grace was kept as Unix time, which then lay an hour ahead.
+// A wall clock set back by an hour must not extend the drain grace: a request whose connection is established after the grace is
+// not written to the backend. The end of the grace was once kept as Unix time, which the clock step moved an hour ahead.
 func TestWallClockThatIsSetBackLeavesNoGrace(t *testing.T) {
 	const grace = 500 * time.Millisecond
-	backend := newFullBackend(t)
-	list := newNewsList(t, backend.addr)
+	backend := newFullBacklogBackend(t)
+	list := newDrainDiscovery(t, backend.addr)
 	faults := newFaults(t)
-	cmd := exec.Command(builtForDeployment(t))
+	cmd := exec.Command(buildForDeployment(t))
 	cmd.Env = append(os.Environ(), faults.Environment()...)
 	text := strings.Replace(config(""), `"policy_limits"`, fmt.Sprintf(`"invariants":{"drain_grace_s":%g},"policy_limits"`, grace.Seconds()), 1)
-	p := startAs(t, cmd, list.addr, text)
+	p := startCommand(t, cmd, list.addr, text)
 
 	status := make(chan int, 1)
 	client := newShutdownClient(t, p.addr)
-	go func() { status <- client.askFor("late", 4*time.Second) }()
+	go func() { status <- client.requestWithDeadline("late", 4*time.Second) }()
 	backend.waitForDial(t)
 	list.drain(t)
-	told := time.Now()
+	drainedAt := time.Now()
 	setClock(t, faults, -time.Hour)
-	time.Sleep(time.Until(told.Add(grace)))
-	backend.takeConnections()
+	time.Sleep(time.Until(drainedAt.Add(grace)))
+	backend.acceptConnections()
 
 	if got := <-status; got == http.StatusOK || got == 0 {
-		t.Errorf("the request is answered %d; want it refused or failed", got)
+		t.Errorf("status %d, want the request refused or failed", got)
 	}
-	backend.waitForConnection(t) // without one the play would show nothing
-	p.leave(t)                   // its connections end, and what came on them is counted
-	if n := backend.receivedInAll(t); n > 0 {
-		t.Errorf("%d bytes were written to a backend whose grace was over", n)
+	backend.waitForConnection(t) // without one the test proves nothing
+	p.terminate(t)               // closes its connections, so that their bytes are counted
+	if n := backend.totalReceived(t); n > 0 {
+		t.Errorf("%d bytes written to a backend after its grace", n)
 	}
 }
 
-// fullBackend takes no connection until it is told to: its listener's backlog is full, and connections to it come up late.
-type fullBackend struct {
+// fullBacklogBackend is a backend with a full accept backlog: connections to it are not established until acceptConnections.
+type fullBacklogBackend struct {
 	addr     string
 	listener net.Listener
 	fillers  []net.Conn
-	taken    atomic.Int64 // connections that it took, beside its own fillers
-	ended    atomic.Int64 // those of them that have ended
-	received atomic.Int64 // bytes on those
-	all      sync.WaitGroup
+	accepted atomic.Int64 // connections, without its own fillers
+	closed   atomic.Int64 // of the accepted ones
+	received atomic.Int64 // bytes on the accepted ones
+	wg       sync.WaitGroup
 }
 
-func newFullBackend(t *testing.T) *fullBackend {
+func newFullBacklogBackend(t *testing.T) *fullBacklogBackend {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 	file := os.NewFile(uintptr(fd), "listener")
 	defer file.Close()
-	b := &fullBackend{}
+	b := &fullBacklogBackend{}
 	if b.listener, err = net.FileListener(file); err != nil {
 		t.Fatal(err)
 	}
@@ -84,29 +84,29 @@
 		for _, c := range b.fillers {
 			c.Close()
 		}
-		b.all.Wait()
+		b.wg.Wait()
 	})
 	for {
 		c, err := net.DialTimeout("tcp", b.addr, 200*time.Millisecond)
 		if err != nil {
-			return b // it is full
+			return b // the backlog is full
 		}
 		b.fillers = append(b.fillers, c)
 	}
 }
 
-// waitForDial waits until somebody is trying to connect.
-func (b *fullBackend) waitForDial(t *testing.T) {
+// waitForDial waits until a connection attempt is pending.
+func (b *fullBacklogBackend) waitForDial(t *testing.T) {
 	t.Helper()
-	const synSent = "02" // the state in /proc/net/tcp, proc(5)
+	const synSent = "02" // state in /proc/net/tcp, proc(5)
 	_, port, err := net.SplitHostPort(b.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var number int
-	fmt.Sscan(port, &number)
-	remote := fmt.Sprintf("0100007F:%04X", number)
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	var portNumber int
+	fmt.Sscan(port, &portNumber)
+	remote := fmt.Sprintf("0100007F:%04X", portNumber)
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		table, err := os.ReadFile("/proc/net/tcp")
 		if err != nil {
 			t.Fatal(err)
@@ -117,76 +117,76 @@
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatal("nobody connects")
+			t.Fatal("no pending connection to the backend")
 		}
 	}
 }
 
-// takeConnections takes what there is and what comes, and counts what is written on all but the fillers.
-func (b *fullBackend) takeConnections() {
-	own := map[string]bool{}
+// acceptConnections accepts pending and new connections and counts the bytes received on all but the fillers.
+func (b *fullBacklogBackend) acceptConnections() {
+	fillerAddrs := map[string]bool{}
 	for _, c := range b.fillers {
-		own[c.LocalAddr().String()] = true
+		fillerAddrs[c.LocalAddr().String()] = true
 	}
-	b.all.Go(func() {
+	b.wg.Go(func() {
 		for {
 			c, err := b.listener.Accept()
 			if err != nil {
 				return
 			}
-			if own[c.RemoteAddr().String()] {
+			if fillerAddrs[c.RemoteAddr().String()] {
 				c.Close()
 				continue
 			}
-			b.taken.Add(1)
-			b.all.Go(func() {
+			b.accepted.Add(1)
+			b.wg.Go(func() {
 				defer c.Close()
-				c.SetReadDeadline(time.Now().Add(patience))
+				c.SetReadDeadline(time.Now().Add(testTimeout))
 				n, _ := io.Copy(io.Discard, c)
 				b.received.Add(n)
-				b.ended.Add(1)
+				b.closed.Add(1)
 			})
 		}
 	})
 }
 
-// waitForConnection waits until it has taken one.
-func (b *fullBackend) waitForConnection(t *testing.T) {
+// waitForConnection waits until a connection other than the fillers is accepted.
+func (b *fullBacklogBackend) waitForConnection(t *testing.T) {
 	t.Helper()
-	for end := time.Now().Add(patience); b.taken.Load() == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); b.accepted.Load() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no connection of the node came up")
+			t.Fatal("no connection from the node")
 		}
 	}
 }
 
-// receivedInAll waits until all connections have ended, and returns the bytes that came on them.
-func (b *fullBackend) receivedInAll(t *testing.T) int64 {
+// totalReceived waits until all accepted connections are closed and returns the bytes received on them.
+func (b *fullBacklogBackend) totalReceived(t *testing.T) int64 {
 	t.Helper()
-	for end := time.Now().Add(patience); b.ended.Load() < b.taken.Load(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); b.closed.Load() < b.accepted.Load(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("a connection of the node does not end")
+			t.Fatal("a connection from the node was not closed")
 		}
 	}
 	return b.received.Load()
 }
 
-// newsList is a discovery with one backend, which it tells to drain when the test says so.
-type newsList struct {
+// drainDiscovery is a discovery server with one backend, which starts to drain when the test calls drain.
+type drainDiscovery struct {
 	addr string
 
 	mu      sync.Mutex
 	drained bool
-	changed chan struct{} // closed by the drain
-	heard   chan struct{} // closed when the node asks for what comes after the drain
+	changed chan struct{} // closed by drain
+	polled  chan struct{} // closed when the node polls for updates after the drain
 }
 
-func newNewsList(t *testing.T, backend string) *newsList {
+func newDrainDiscovery(t *testing.T, backend string) *drainDiscovery {
 	t.Helper()
-	const ready, draining = 2, 3 // versions
-	l := &newsList{changed: make(chan struct{}), heard: make(chan struct{})}
-	heard := sync.OnceFunc(func() { close(l.heard) })
-	over := make(chan struct{})
+	const ready, draining = 2, 3 // versions of the list
+	l := &drainDiscovery{changed: make(chan struct{}), polled: make(chan struct{})}
+	polled := sync.OnceFunc(func() { close(l.polled) })
+	closing := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Query().Get("since") {
 		case fmt.Sprint(ready):
@@ -194,14 +194,14 @@
 			case <-l.changed:
 			case <-r.Context().Done():
 				return
-			case <-over:
+			case <-closing:
 				return
 			}
 		case fmt.Sprint(draining):
-			heard()
+			polled()
 			select {
 			case <-r.Context().Done():
-			case <-over:
+			case <-closing:
 			}
 			return
 		}
@@ -215,21 +215,21 @@
 			{"id": "s-1", "addr": backend, "zone": "n", "kind": "k", "state": state}}})
 	}))
 	t.Cleanup(s.Close)
-	t.Cleanup(func() { close(over) })
+	t.Cleanup(func() { close(closing) })
 	l.addr = s.Listener.Addr().String()
 	return l
 }
 
-// drain tells the node of the drain, and returns once it has heard.
-func (l *newsList) drain(t *testing.T) {
+// drain announces the drain and returns once the node has received it.
+func (l *drainDiscovery) drain(t *testing.T) {
 	t.Helper()
 	l.mu.Lock()
 	l.drained = true
 	l.mu.Unlock()
 	close(l.changed)
 	select {
-	case <-l.heard:
-	case <-time.After(patience):
-		t.Fatal("the node does not ask again")
+	case <-l.polled:
+	case <-time.After(testTimeout):
+		t.Fatal("the node did not poll again")
 	}
 }
--- a/cmd/craneglade/main.go
+++ b/cmd/craneglade/main.go
@@ -1,6 +1,6 @@
-// Command craneglade is one HTTP load balancer node and the kit that rehearses it. Without a command it is the node:
-// it takes its configuration from GW_* variables and the JSON file that GW_CONFIG names, reads the file again on
-// SIGHUP, and ends on SIGTERM once all that it has taken is answered. craneglade --help lists the commands.
+// Command craneglade is an HTTP load balancer node and its rehearsal kit. Without a command it runs the node, which
+// takes its configuration from GW_* variables and the JSON file that GW_CONFIG names, reloads the file on SIGHUP, and
+// exits after SIGTERM once it has responded to all accepted requests. craneglade --help lists the commands.
 package main
 
 import (
--- a/cmd/craneglade/main_test.go
+++ b/cmd/craneglade/main_test.go
@@ -20,13 +20,13 @@
 	"craneglade/internal/kit/trace"
 )
 
-const settings = `{"balancers":1,"zone":"n","discovery":"push","grades":[{"name":"a","aim_s":20,"deadline_s":60,` +
+const platformSettings = `{"balancers":1,"zone":"n","discovery":"push","grades":[{"name":"a","aim_s":20,"deadline_s":60,` +
 	`"gain":1,"effect":"free","group":"all"}],"policy_limits":{"max_attempts":2,"connect_timeout_s":5}}`
 
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
-// built returns the path of a freshly built craneglade.
-func built(t *testing.T) string {
+// buildProgram builds craneglade and returns the path of the binary.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "craneglade")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
@@ -35,7 +35,7 @@
 	return bin
 }
 
-func write(t *testing.T, text string) string {
+func writeConfig(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -44,8 +44,8 @@
 	return path
 }
 
-// freeAddr returns an address on which nothing listens. Another process may take it before the node does; the
-// kernel hands out ports in turn, so that this is as good as never.
+// freeAddr returns an address on which nothing listens. Another process could take it before the node does, which is
+// unlikely, as the kernel hands out ports in turn.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,27 +56,27 @@
 	return ln.Addr().String()
 }
 
-func TestStartsServesAndLeaves(t *testing.T) {
+func TestStartServeAndTerminate(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, "made for "+r.Header.Get("X-Request-Id"))
 	}))
 	defer backend.Close()
 	discovery := newDiscovery(t, backend.Listener.Addr().String())
-	p := start(t, discovery.Addr, "")
-	p.ask(t, "r1")
-	p.leave(t)
+	p := startProgram(t, discovery.Addr, "")
+	p.checkServed(t, "r1")
+	p.terminate(t)
 }
 
-// SIGHUP used to end the program. It takes the file again: a bad one changes nothing, a good one's discovery goes
-// before GW_DISCOVERY, and one that comes during another or after SIGTERM does no harm.
-func TestReloads(t *testing.T) {
+// SIGHUP once terminated the program. It must reload the file: an invalid file changes nothing, the discovery address of a
+// valid one overrides GW_DISCOVERY, and a SIGHUP during a reload or after SIGTERM does no harm.
+func TestSIGHUPReloadsDiscovery(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, "made for "+r.Header.Get("X-Request-Id"))
 	}))
 	defer backend.Close()
 	first, second := newDiscovery(t, backend.Listener.Addr().String()), newDiscovery(t, backend.Listener.Addr().String())
-	p := start(t, first.Addr, "")
-	first.wait(t)
+	p := startProgram(t, first.Addr, "")
+	first.waitForConnection(t)
 	replace := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(p.config, []byte(text), 0o600); err != nil {
@@ -87,115 +87,115 @@
 		}
 	}
 	replace("{")
-	for end := time.Now().Add(patience); !strings.Contains(p.log.String(), "keeping the old one"); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !strings.Contains(p.log.String(), "keeping the old one"); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("nothing logged of a bad file\n%s", p.log.String())
+			t.Fatalf("no log line about an invalid file\n%s", p.log.String())
 		}
 	}
-	p.ask(t, "r1")
+	p.checkServed(t, "r1")
 	replace(config(second.Addr))
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	second.wait(t)
-	p.ask(t, "r2")
+	second.waitForConnection(t)
+	p.checkServed(t, "r2")
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.leave(t)
+	p.terminate(t)
 }
 
-// discovery is the kit's box list with a single backend, which tells when it is asked.
+// discovery is the kit's discovery server with a single backend. It notifies the test of each connection.
 type discovery struct {
 	*stand.AgentServer
-	asked chan struct{}
+	connected chan struct{}
 }
 
 func newDiscovery(t *testing.T, backend string) *discovery {
 	t.Helper()
-	return newDiscoveryAt(t, "127.0.0.1:0", backend, 2) // news to the node
+	return newDiscoveryAt(t, "127.0.0.1:0", backend, 2) // newer than version 1 in the node's file
 }
 
-// newDiscoveryAt is newDiscovery at an address, with a list that has reached a version.
+// newDiscoveryAt is newDiscovery at the given address, with a list of the given version.
 func newDiscoveryAt(t *testing.T, addr, backend string, version int) *discovery {
 	t.Helper()
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &discovery{asked: make(chan struct{}, 100)}
+	d := &discovery{connected: make(chan struct{}, 100)}
 	agent := stand.NewAgent("n0", false, stand.Clock{Start: time.Now()}, trace.NewWriter(io.Discard, trace.Head{}),
 		[]stand.Entry{{ID: "s-1", Addr: backend, Zone: "n", Kind: "k", State: trace.Ready, Weight: 1}})
 	for range version - 1 {
 		agent.Apply(stand.Entry{ID: "s-1", Addr: backend, Zone: "n", Kind: "k", State: trace.Ready, Weight: 1})
 	}
-	d.AgentServer = stand.ServeAgent(agent, &noted{ln, d.asked})
+	d.AgentServer = stand.ServeAgent(agent, &notifyingListener{ln, d.connected})
 	t.Cleanup(d.Close)
 	return d
 }
 
-// noted is a listener that tells of each connection.
-type noted struct {
+// notifyingListener sends on connected for each accepted connection.
+type notifyingListener struct {
 	net.Listener
-	asked chan<- struct{}
+	connected chan<- struct{}
 }
 
-func (n *noted) Accept() (net.Conn, error) {
+func (n *notifyingListener) Accept() (net.Conn, error) {
 	c, err := n.Listener.Accept()
 	if err == nil {
-		n.asked <- struct{}{}
+		n.connected <- struct{}{}
 	}
 	return c, err
 }
 
-// wait returns once the discovery has been asked.
-func (d *discovery) wait(t *testing.T) {
+// waitForConnection returns once a node has connected to the discovery server.
+func (d *discovery) waitForConnection(t *testing.T) {
 	t.Helper()
 	select {
-	case <-d.asked:
-	case <-time.After(patience):
-		t.Fatal("discovery is not asked")
+	case <-d.connected:
+	case <-time.After(testTimeout):
+		t.Fatal("no connection to discovery")
 	}
 }
 
 func config(discovery string) string {
 	return fmt.Sprintf(`{"seed":"8c1f30d27a5be964","discovery":%q,"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`+
-		`"known":{"version":1,"full":true,"servers":[]},"settings":%s}`, discovery, settings)
+		`"known":{"version":1,"full":true,"servers":[]},"settings":%s}`, discovery, platformSettings)
 }
 
-// logText is what a program has written so far.
-type logText struct {
+// logBuffer collects the output of a process; it is safe for concurrent use.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *logText) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
-func (l *logText) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.String()
 }
 
-// program is a craneglade that runs and is ready.
+// program is a running craneglade node.
 type program struct {
 	addr, config string
 	cmd          *exec.Cmd
-	log          logText
+	log          logBuffer
 	exited       chan error
 }
 
-// start starts one with discovery in GW_DISCOVERY and inFile in its file.
-func start(t *testing.T, discovery, inFile string) *program {
+// startProgram starts a node with discovery in GW_DISCOVERY and inFile as discovery in its file, and waits until it is ready.
+func startProgram(t *testing.T, discovery, inFile string) *program {
 	t.Helper()
-	return startAs(t, exec.Command(built(t)), discovery, config(inFile))
+	return startCommand(t, exec.Command(buildProgram(t)), discovery, config(inFile))
 }
 
-// startAs is start of a command of the caller's, with the text of its file. Where the command has an environment, that is added to.
-func startAs(t *testing.T, cmd *exec.Cmd, discovery, text string) *program {
+// startCommand is startProgram for the given command and file text. It adds to the command's environment.
+func startCommand(t *testing.T, cmd *exec.Cmd, discovery, text string) *program {
 	t.Helper()
-	p := &program{addr: freeAddr(t), config: write(t, text), cmd: cmd, exited: make(chan error, 1)}
+	p := &program{addr: freeAddr(t), config: writeConfig(t, text), cmd: cmd, exited: make(chan error, 1)}
 	p.cmd.Stderr = &p.log
 	p.cmd.Env = append(cmd.Environ(), "GW_NAME=n0", "GW_LISTEN="+p.addr, "GW_DISCOVERY="+discovery, "GW_CONFIG="+p.config)
 	if err := p.cmd.Start(); err != nil {
@@ -211,10 +211,10 @@
 		resp.Body.Close()
 		return resp.StatusCode == 200
 	}
-	for end := time.Now().Add(patience); !ready(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ready(); time.Sleep(10 * time.Millisecond) {
 		select {
 		case err := <-p.exited:
-			t.Fatalf("ended: %v\n%s", err, p.log.String())
+			t.Fatalf("exited: %v\n%s", err, p.log.String())
 		default:
 		}
 		if time.Now().After(end) {
@@ -224,8 +224,8 @@
 	return p
 }
 
-// ask wants a request under id served.
-func (p *program) ask(t *testing.T, id string) {
+// checkServed fails the test unless a request with the given id is served.
+func (p *program) checkServed(t *testing.T, id string) {
 	t.Helper()
 	req, _ := http.NewRequest("GET", "http://"+p.addr+"/api", nil)
 	for name, value := range map[string]string{"X-Request-Id": id, "X-Class": "a", "X-Deadline": "50000m"} {
@@ -238,12 +238,12 @@
 	body, _ := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	if resp.StatusCode != 200 || string(body) != "made for "+id {
-		t.Errorf("answered %d %q", resp.StatusCode, body)
+		t.Errorf("status %d, body %q", resp.StatusCode, body)
 	}
 }
 
-// leave wants the program to end well after SIGTERM.
-func (p *program) leave(t *testing.T) {
+// terminate sends SIGTERM and fails the test unless the program exits with status 0.
+func (p *program) terminate(t *testing.T) {
 	t.Helper()
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
@@ -251,13 +251,13 @@
 		if err != nil {
 			t.Errorf("after SIGTERM: %v\n%s", err, p.log.String())
 		}
-	case <-time.After(patience):
-		t.Error("does not end after SIGTERM")
+	case <-time.After(testTimeout):
+		t.Error("did not exit after SIGTERM")
 	}
 }
 
-func TestBadConfig(t *testing.T) {
-	bin := built(t)
+func TestInvalidConfigIsOneErrorLine(t *testing.T) {
+	bin := buildProgram(t)
 	for _, c := range []struct{ text, want string }{
 		{`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1"}`, "settings"},
 		{`{"listen":7}`, "listen"},
@@ -266,17 +266,17 @@
 		cmd := exec.Command(bin)
 		var stderr bytes.Buffer
 		cmd.Stderr = &stderr
-		cmd.Env = append(os.Environ(), "GW_CONFIG="+write(t, c.text))
+		cmd.Env = append(os.Environ(), "GW_CONFIG="+writeConfig(t, c.text))
 		err := cmd.Run()
 		text := stderr.String()
 		if err == nil || !strings.Contains(text, c.want) || strings.Count(text, "\n") != 1 {
-			t.Errorf("%s: %v and %q, want a failure and one line that names %s", c.text, err, text, c.want)
+			t.Errorf("%s: %v and %q, want a failure and one line that contains %s", c.text, err, text, c.want)
 		}
 	}
 }
 
-// A SIGHUP that comes while the program starts does not end it, as the deployment starts it: until the program takes the signal,
-// which the Go runtime leaves to the system's default, it is ignored. One that comes later is taken.
+// SIGHUP during start must not terminate the program when it is started as in the deployment, whose command ignores the signal
+// until the program handles it: the Go runtime leaves it at the system's default, which terminates. A later SIGHUP reloads.
 func TestSIGHUPWhileTheProgramStarts(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, "made for "+r.Header.Get("X-Request-Id"))
@@ -284,24 +284,24 @@
 	defer backend.Close()
 	first, second := newDiscovery(t, backend.Listener.Addr().String()), newDiscovery(t, backend.Listener.Addr().String())
 	const program, hangups = "exec bin/craneglade", `(i=0; while [ $i -lt 5000 ]; do kill -HUP $$; i=$((i+1)); done) & exec `
-	run := deployed(t, "run")
+	run := deployCommand(t, "run")
 	if !strings.Contains(run, program) {
-		t.Fatalf("deploy/balancer.toml starts the node by %q", run)
+		t.Fatalf("unexpected run command in deploy/balancer.toml: %q", run)
 	}
-	p := startAs(t, exec.Command("sh", "-c", strings.Replace(run, program, hangups+built(t), 1)), first.Addr, config(""))
-	p.ask(t, "r1")
+	p := startCommand(t, exec.Command("sh", "-c", strings.Replace(run, program, hangups+buildProgram(t), 1)), first.Addr, config(""))
+	p.checkServed(t, "r1")
 	if err := os.WriteFile(p.config, []byte(config(second.Addr)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	second.wait(t)
-	p.leave(t)
+	second.waitForConnection(t)
+	p.terminate(t)
 }
 
-// deployed is a command of deploy/balancer.toml.
-func deployed(t *testing.T, key string) string {
+// deployCommand returns the command of the given key in deploy/balancer.toml.
+func deployCommand(t *testing.T, key string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
--- a/cmd/craneglade/processor_test.go
+++ b/cmd/craneglade/processor_test.go
@@ -10,22 +10,22 @@
 	"testing"
 )
 
-// What a request costs a real node, without its client and its backend: processor time of the process from its start to its
-// end, by request, and what it holds while twenty clients ask. The figures are logged (docs/CAPACITY.md).
+// Logs the processor time of a node per request, from its start to its exit and without client and backend, and its memory and
+// descriptors with twenty clients, for docs/CAPACITY.md.
 func TestProcessorOfARequest(t *testing.T) {
-	const clients, each = 20, 200
+	const clients, requestsPerClient = 20, 200
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, "made for "+r.Header.Get("X-Request-Id"))
 	}))
 	defer backend.Close()
 	discovery := newDiscovery(t, backend.Listener.Addr().String())
-	p := startAs(t, exec.Command(built(t)), "", config(discovery.Addr))
+	p := startCommand(t, exec.Command(buildProgram(t)), "", config(discovery.Addr))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clients}}
 	defer client.CloseIdleConnections()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for c := range clients {
-		all.Go(func() {
-			for i := range each {
+		wg.Go(func() {
+			for i := range requestsPerClient {
 				id := fmt.Sprint("c", c, "-", i)
 				req, err := http.NewRequest("GET", "http://"+p.addr+"/api", nil)
 				if err != nil {
@@ -43,16 +43,16 @@
 				body, err := io.ReadAll(resp.Body)
 				resp.Body.Close()
 				if err != nil || resp.StatusCode != 200 || string(body) != "made for "+id {
-					t.Errorf("%s: answered %d %q, %v", id, resp.StatusCode, body, err)
+					t.Errorf("%s: status %d, body %q, %v", id, resp.StatusCode, body, err)
 					return
 				}
 			}
 		})
 	}
-	all.Wait()
-	t.Logf("it holds %s and %d descriptors", p.resident(t), p.descriptors(t))
+	wg.Wait()
+	t.Logf("resident memory %s, %d open descriptors", p.residentMemory(t), p.openDescriptors(t))
 	client.CloseIdleConnections()
-	p.leave(t)
+	p.terminate(t)
 	used := p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
-	t.Logf("%v of processor for %d requests, %v each", used, clients*each, used/(clients*each))
+	t.Logf("%v of processor time for %d requests, %v each", used, clients*requestsPerClient, used/(clients*requestsPerClient))
 }
--- a/cmd/craneglade/restart_test.go
+++ b/cmd/craneglade/restart_test.go
@@ -13,52 +13,52 @@
 	"time"
 )
 
-// A change of anything but discovery takes a restart: SIGHUP goes to the other discovery in the same file and leaves a
-// tenant's share as it was. How long a start takes until the node is ready is logged (docs/CAPACITY.md).
+// Settings other than discovery change only with a restart: SIGHUP follows the new discovery address in a file and leaves a
+// tenant's quota as it was. The time from start to readiness is logged for docs/CAPACITY.md.
 func TestAShareTakesARestart(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, "made for "+r.Header.Get("X-Request-Id"))
 	}))
 	defer backend.Close()
 	first, second := newDiscovery(t, backend.Listener.Addr().String()), newDiscovery(t, backend.Listener.Addr().String())
-	share := func(quota int, discovery string) string {
+	configWithQuota := func(quota int, discovery string) string {
 		return strings.Replace(config(discovery), `"policy_limits"`, fmt.Sprintf(`"projects":[{"name":"acme","quota_per_s":%d}],"policy_limits"`, quota), 1)
 	}
-	told := func(p *program, quota int) bool {
+	loggedQuota := func(p *program, quota int) bool {
 		return strings.Contains(p.log.String(), fmt.Sprintf("Name:acme QuotaPerS:%d}", quota))
 	}
-	bin := built(t)
-	begun := time.Now()
-	p := startAs(t, exec.Command(bin, "serve", "--log-level", "debug"), "", share(100, first.Addr))
-	t.Logf("ready %v after the start", time.Since(begun))
-	first.wait(t)
-	if !told(p, 100) {
-		t.Fatalf("the share is not in the log\n%s", p.log.String())
+	bin := buildProgram(t)
+	started := time.Now()
+	p := startCommand(t, exec.Command(bin, "serve", "--log-level", "debug"), "", configWithQuota(100, first.Addr))
+	t.Logf("ready %v after the start", time.Since(started))
+	first.waitForConnection(t)
+	if !loggedQuota(p, 100) {
+		t.Fatalf("quota is not in the log\n%s", p.log.String())
 	}
-	if err := os.WriteFile(p.config, []byte(share(900, second.Addr)), 0o600); err != nil {
+	if err := os.WriteFile(p.config, []byte(configWithQuota(900, second.Addr)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	second.wait(t)
-	p.ask(t, "r1")
-	if told(p, 900) {
-		t.Error("SIGHUP has taken in a tenant's share; docs/CAPACITY.md says that it does not")
+	second.waitForConnection(t)
+	p.checkServed(t, "r1")
+	if loggedQuota(p, 900) {
+		t.Error("SIGHUP changed a tenant's quota; docs/CAPACITY.md says that it does not")
 	}
-	t.Logf("it holds %s and %d descriptors", p.resident(t), p.descriptors(t))
-	p.leave(t)
-	begun = time.Now()
-	again := startAs(t, exec.Command(bin, "serve", "--log-level", "debug"), "", share(900, second.Addr))
-	t.Logf("ready %v after the start", time.Since(begun))
-	if !told(again, 900) {
-		t.Error("a restart has not taken in the share")
+	t.Logf("resident memory %s, %d open descriptors", p.residentMemory(t), p.openDescriptors(t))
+	p.terminate(t)
+	started = time.Now()
+	restarted := startCommand(t, exec.Command(bin, "serve", "--log-level", "debug"), "", configWithQuota(900, second.Addr))
+	t.Logf("ready %v after the start", time.Since(started))
+	if !loggedQuota(restarted, 900) {
+		t.Error("quota unchanged after a restart")
 	}
-	again.leave(t)
+	restarted.terminate(t)
 }
 
-// resident is the process's resident memory, as the kernel writes it.
-func (p *program) resident(t *testing.T) string {
+// residentMemory returns VmRSS of the process, as in proc(5).
+func (p *program) residentMemory(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
@@ -69,12 +69,12 @@
 			return strings.TrimSpace(size)
 		}
 	}
-	t.Fatal("no resident memory is told")
+	t.Fatal("no VmRSS in the status file")
 	return ""
 }
 
-// descriptors is how many the process has open.
-func (p *program) descriptors(t *testing.T) int {
+// openDescriptors returns the number of open descriptors of the process.
+func (p *program) openDescriptors(t *testing.T) int {
 	t.Helper()
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
--- a/cmd/craneglade/scale_test.go
+++ b/cmd/craneglade/scale_test.go
@@ -37,8 +37,8 @@
 tenants = 1500000
 `
 
-// startedBy are the ids of the processes that a process has started.
-func startedBy(t *testing.T, parent int) (ids []int) {
+// childProcesses returns the ids of the child processes of parent.
+func childProcesses(t *testing.T, parent int) (ids []int) {
 	t.Helper()
 	files, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil {
@@ -47,61 +47,62 @@
 	for _, f := range files {
 		text, err := os.ReadFile(f)
 		if err != nil {
-			continue // it has just ended
+			continue // the process has exited meanwhile
 		}
-		var id, of int
+		var id, parentID int
 		var state string
 		rest := string(text[strings.LastIndexByte(string(text), ')')+1:])
 		if _, err := fmt.Sscan(string(text), &id); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := fmt.Sscan(rest, &state, &of); err != nil {
+		if _, err := fmt.Sscan(rest, &state, &parentID); err != nil {
 			t.Fatal(err)
 		}
-		if of == parent {
+		if parentID == parent {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// A scale run of real processes that is interrupted ends all that it started, and says what it has.
-func TestAnInterruptedScaleRunEndsItsProcesses(t *testing.T) {
-	bin := built(t)
+// An interrupted scale run of real processes must stop all its child processes, remove its temporary files and report the
+// measured steps.
+func TestInterruptedScaleRunStopsChildren(t *testing.T) {
+	bin := buildProgram(t)
 	folder := t.TempDir()
 	plan := filepath.Join(folder, "plan.toml")
 	if err := os.WriteFile(plan, []byte(scalePlan), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	run := &running{}
+	run := &runningProcess{}
 	cmd := exec.Command(bin, "scale", "--processes", "--steps", filepath.Join(folder, "steps"), plan)
 	cmd.Env = append(os.Environ(), "TMPDIR="+folder)
 	run.start(t, cmd)
-	const all = 1 + 2 + 2 + 2 // the writer, relays, hosts and daemons
+	const processes = 1 + 2 + 2 + 2 // the writer, relays, hosts and daemons
 	var ids []int
-	for end := time.Now().Add(patience); len(ids) < all; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); len(ids) < processes; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d processes of %d\n%s", len(ids), all, run.log.String())
+			t.Fatalf("%d of %d processes started\n%s", len(ids), processes, run.log.String())
 		}
-		ids = startedBy(t, cmd.Process.Pid)
+		ids = childProcesses(t, cmd.Process.Pid)
 	}
 	run.signal(t, syscall.SIGINT)
 	select {
 	case err := <-run.exited:
 		var status *exec.ExitError
 		if !errors.As(err, &status) || status.ExitCode() != 1 || !strings.Contains(run.log.String(), "interrupted: 0 steps are in") {
-			t.Errorf("ended with %v\n%s", err, run.log.String())
+			t.Errorf("exited with %v\n%s", err, run.log.String())
 		}
-	case <-time.After(patience):
-		t.Fatal("an interrupted run does not end")
+	case <-time.After(testTimeout):
+		t.Fatal("interrupted run did not exit")
 	}
 	for _, id := range ids {
 		if err := syscall.Kill(id, 0); !errors.Is(err, syscall.ESRCH) {
-			t.Errorf("process %d is there still: %v", id, err)
+			t.Errorf("process %d still exists: %v", id, err)
 		}
 	}
-	left, err := filepath.Glob(filepath.Join(folder, "craneglade-scale-*"))
-	if err != nil || len(left) > 0 {
-		t.Errorf("left behind: %v, %v", left, err)
+	remaining, err := filepath.Glob(filepath.Join(folder, "craneglade-scale-*"))
+	if err != nil || len(remaining) > 0 {
+		t.Errorf("files left behind: %v, %v", remaining, err)
 	}
 }
--- a/cmd/craneglade/shutdown_test.go
+++ b/cmd/craneglade/shutdown_test.go
@@ -1,18 +1,18 @@
 package main
 
-// In a run with faults injected, nodes that were told to end took requests that no backend answered, and some of these
-// requests still had no answer when the process was killed, dozens at a time. A node gave each such request its answer
-// 20 ms before it could be killed, so all of them waited for that one moment, and a process that was held up then, or that
-// had noted SIGTERM late, was killed with every one of them open. In a replay a process was held up for 0.146 s (a line of
-// its log was that much older than the moment it was written), seven times what was left for it.
-// The moment was also kept as Unix time: with the wall clock set back it moved an hour away, and nothing was bounded.
+// These tests guard against forwarded requests without a response when a node is killed after SIGTERM. A node once gave requests
+// that no backend answered their response only 20 ms before the earliest possible SIGKILL. All of them waited for that time, so
+// that a process that stalled then, or that handled SIGTERM late, was killed with all of them open, dozens at a time. One
+// process stalled for 0.146 s (the age of a log line when it was written), seven times the 20 ms. The time was also kept as Unix
+// time, so that a wall clock set back by an hour moved it an hour away.
 //
-// Before the repair, in three plays of each, with no fault none was lost of 29, and otherwise:
+// Forwarded requests without a response at the kill, before the fix, in three runs of each case:
 //
-//	held up when told to end:       13 requests were forwarded and had no answer when the process was killed, of 29
-//	held up before the kill:        17 requests were forwarded and had no answer when the process was killed, of 29
-//	wall clock set back by an hour: 13 requests were forwarded and had no answer when the process was killed, of 29
-//	wall clock set forward:         a request that a backend answers at once: 503; want it served
+//	no fault:                       0 of 29
+//	stalled at SIGTERM:             13 of 29
+//	stalled before the kill:        17 of 29
+//	wall clock set back by an hour: 13 of 29
+//	wall clock set forward:         503 for a request that a backend answers at once; want it served
 
 import (
 	"bufio"
@@ -37,177 +37,177 @@
 )
 
 const (
-	// The longest deadline in these tests' settings, and what PROTOCOL has behind it: SIGKILL may come that long after SIGTERM.
+	// The longest deadline in these tests' settings; PROTOCOL allows SIGKILL this deadline plus 700 ms after SIGTERM.
 	longestDeadline = time.Second
 	earliestKill    = longestDeadline + 700*time.Millisecond
-	// A process may be held up for so long between reading its clock and writing.
-	heldUp = 150 * time.Millisecond
-	// A play in which the test itself ran this late says nothing of the node, and is played again.
-	tooLate  = 60 * time.Millisecond
-	mostLate = 20 // plays
+	// Longest stall that a process must tolerate between reading its clock and writing.
+	stallTime = 150 * time.Millisecond
+	// A run in which the test itself was later than this is inconclusive and is repeated.
+	maxLateness = 60 * time.Millisecond
+	maxRuns     = 20
 )
 
-// shutdownFaults are what goes wrong in a shutdown, beside backends that hang from its begin on.
+// shutdownFaults are the faults of a shutdown, besides backends that hang from its start.
 type shutdownFaults struct {
-	heldWhenTold     bool          // the process is stopped while SIGTERM comes
-	heldBeforeKilled bool          // it is stopped for the last moments before the kill
-	step             time.Duration // the wall clock is set by so much, 0.2 s into the shutdown
+	stallAtSIGTERM  bool          // the process is stopped when SIGTERM is sent
+	stallBeforeKill bool          // it is stopped for the last stallTime before the kill
+	clockStep       time.Duration // step of the wall clock, 0.2 s into the shutdown
 }
 
-// A process that is held up for as long as the pages allow, when it is told to end or before it is killed, has answered
-// what it forwarded.
+// A process that stalls for the longest tolerated time, at SIGTERM or before SIGKILL, must have responded to all forwarded
+// requests when it is killed.
 func TestHeldUpProcessAnswersBeforeItIsKilled(t *testing.T) {
-	bin := builtForDeployment(t)
-	t.Run("never", func(t *testing.T) {
-		wantAllAnswered(t, bin, shutdownFaults{})
+	bin := buildForDeployment(t)
+	t.Run("no stall", func(t *testing.T) {
+		checkAllAnswered(t, bin, shutdownFaults{})
 	})
-	t.Run("when it is told to end", func(t *testing.T) {
-		wantAllAnswered(t, bin, shutdownFaults{heldWhenTold: true})
+	t.Run("at SIGTERM", func(t *testing.T) {
+		checkAllAnswered(t, bin, shutdownFaults{stallAtSIGTERM: true})
 	})
-	t.Run("before it is killed", func(t *testing.T) {
-		wantAllAnswered(t, bin, shutdownFaults{heldBeforeKilled: true})
+	t.Run("before SIGKILL", func(t *testing.T) {
+		checkAllAnswered(t, bin, shutdownFaults{stallBeforeKill: true})
 	})
 }
 
-// Requests on connections that come while they may still come, to a process that is held up until it is to take no more, have
-// their answers. Where a listener closes before they are accepted, the system resets them.
+// Connections that arrive while the node still accepts them, but that it cannot accept as it is stalled until after that time,
+// must be served. If the listener were closed before they are accepted, the kernel would reset them.
 func TestConnectionsInTheBacklogAreAnsweredWhileLeaving(t *testing.T) {
 	const (
-		heldFrom  = 380 * time.Millisecond // PROTOCOL has new connections go on coming for 0.4 s
-		heldUntil = heldFrom + heldUp
-		late      = 200
+		stallStart  = 380 * time.Millisecond // PROTOCOL: new connections arrive for up to 0.4 s after SIGTERM
+		stallEnd    = stallStart + stallTime
+		connections = 200
 	)
-	p := startShutdownPlay(t, builtForDeployment(t))
+	p := startShutdownRun(t, buildForDeployment(t))
 	process := p.program.cmd.Process
-	told := time.Now()
+	sigtermAt := time.Now()
 	process.Signal(syscall.SIGTERM)
-	time.Sleep(time.Until(told.Add(heldFrom)))
+	time.Sleep(time.Until(sigtermAt.Add(stallStart)))
 	process.Signal(syscall.SIGSTOP)
-	var asking sync.WaitGroup
+	var requests sync.WaitGroup
 	var answered atomic.Int64
-	for i := range late {
-		c := newShutdownClient(t, p.program.addr) // the kernel takes it
-		asking.Go(func() {
-			if c.ask(fmt.Sprint("warm-late-", i)) != 0 {
+	for i := range connections {
+		c := newShutdownClient(t, p.program.addr) // established by the kernel
+		requests.Go(func() {
+			if c.request(fmt.Sprint("warm-late-", i)) != 0 {
 				answered.Add(1)
 			}
 		})
 	}
-	time.Sleep(time.Until(told.Add(heldUntil)))
+	time.Sleep(time.Until(sigtermAt.Add(stallEnd)))
 	process.Signal(syscall.SIGCONT)
-	asking.Wait()
-	if n := answered.Load(); n != late {
-		t.Errorf("%d of %d requests on connections that came in time were answered\n%s", n, late, p.program.log.String())
+	requests.Wait()
+	if n := answered.Load(); n != connections {
+		t.Errorf("%d of %d requests on connections in the backlog got a response\n%s", n, connections, p.program.log.String())
 	}
 }
 
-// A wall clock that is set during a shutdown moves none of its bounds.
+// A step of the wall clock during a shutdown must not move its time limits.
 func TestWallClockIsSetDuringAShutdown(t *testing.T) {
-	bin := builtForDeployment(t)
+	bin := buildForDeployment(t)
 	t.Run("back by an hour", func(t *testing.T) {
-		wantAllAnswered(t, bin, shutdownFaults{step: -time.Hour})
+		checkAllAnswered(t, bin, shutdownFaults{clockStep: -time.Hour})
 	})
 	t.Run("forward by an hour", func(t *testing.T) {
-		p := startShutdownPlay(t, bin)
+		p := startShutdownRun(t, bin)
 		p.program.cmd.Process.Signal(syscall.SIGTERM)
-		p.logged(t, "leaving")
+		p.waitForLog(t, "leaving")
 		setClock(t, p.faults, time.Hour)
-		status := p.clients[0].ask("warm-behind")
+		status := p.clients[0].request("warm-behind")
 		if status != http.StatusOK {
-			t.Errorf("a request that a backend answers at once: %d; want it served", status)
+			t.Errorf("status %d for a request that a backend answers at once, want 200", status)
 		}
 	})
 }
 
-// wantAllAnswered plays a shutdown and wants each request that was forwarded in it to be answered by the earliest kill.
-func wantAllAnswered(t *testing.T, bin string, faults shutdownFaults) {
+// checkAllAnswered runs a shutdown and fails the test unless each request forwarded during it has a response by earliestKill.
+func checkAllAnswered(t *testing.T, bin string, faults shutdownFaults) {
 	t.Helper()
-	for range mostLate {
-		p := startShutdownPlay(t, bin)
+	for range maxRuns {
+		p := startShutdownRun(t, bin)
 		lost, forwarded, late := p.run(t, faults)
-		if late > tooLate {
-			t.Logf("this machine ran %v late: played again", late)
+		if late > maxLateness {
+			t.Logf("test ran %v late: repeated", late)
 			continue
 		}
 		if forwarded < len(p.clients)/4 {
-			t.Fatalf("%d requests were forwarded, too few for a verdict\n%s", forwarded, p.program.log.String())
+			t.Fatalf("only %d requests were forwarded\n%s", forwarded, p.program.log.String())
 		}
 		if lost > 0 {
-			t.Errorf("%d requests were forwarded and had no answer when the process was killed, of %d\n%s", lost, forwarded, p.program.log.String())
+			t.Errorf("%d requests were forwarded and had no response when the process was killed, of %d\n%s", lost, forwarded, p.program.log.String())
 		}
 		return
 	}
-	t.Fatalf("this machine was late in %d plays", mostLate)
+	t.Fatalf("test ran late in %d runs", maxRuns)
 }
 
-// shutdownPlay is a node with clients whose connections are open, and backends that answer requests until they are to hang.
-type shutdownPlay struct {
+// shutdownRun is a node with clients on open connections, and backends that respond to all but requests that are to hang.
+type shutdownRun struct {
 	program  *program
 	faults   *processfaults.Faults
 	backends *hangingBackends
 	clients  []*shutdownClient
 }
 
-func startShutdownPlay(t *testing.T, bin string) *shutdownPlay {
+func startShutdownRun(t *testing.T, bin string) *shutdownRun {
 	t.Helper()
 	const clients = 35
-	p := &shutdownPlay{faults: newFaults(t), backends: newHangingBackends(t)}
+	p := &shutdownRun{faults: newFaults(t), backends: newHangingBackends(t)}
 	text := strings.Replace(config(""), `"aim_s":20,"deadline_s":60`, fmt.Sprintf(`"aim_s":0.1,"deadline_s":%g`, longestDeadline.Seconds()), 1)
 	cmd := exec.Command(bin, "serve", "--log-level", "debug")
 	cmd.Env = append(os.Environ(), p.faults.Environment()...)
-	p.program = startAs(t, cmd, p.backends.list, text)
+	p.program = startCommand(t, cmd, p.backends.list, text)
 	for range clients {
 		p.clients = append(p.clients, newShutdownClient(t, p.program.addr))
 	}
 	for i, c := range p.clients {
-		if status := c.ask(fmt.Sprint("warm-", i)); status != http.StatusOK {
-			t.Fatalf("before the shutdown a request is answered %d\n%s", status, p.program.log.String())
+		if status := c.request(fmt.Sprint("warm-", i)); status != http.StatusOK {
+			t.Fatalf("status %d before the shutdown\n%s", status, p.program.log.String())
 		}
 	}
 	return p
 }
 
-// run ends the node under faults while each client sends one request that hangs, and kills it as early as PROTOCOL allows. It
-// returns how many requests the backends were sent, how many of these had no answer, and by how much the test itself ran late.
-func (p *shutdownPlay) run(t *testing.T, faults shutdownFaults) (lost, forwarded int, late time.Duration) {
+// run sends SIGTERM under faults while each client sends one request that hangs, and SIGKILL as early as PROTOCOL allows. It
+// returns how many requests reached the backends, how many of these got no response, and the test's own lateness.
+func (p *shutdownRun) run(t *testing.T, faults shutdownFaults) (lost, forwarded int, late time.Duration) {
 	t.Helper()
 	process := p.program.cmd.Process
 	signal := func(s syscall.Signal) {
-		if err := process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) { // one that has ended by then has answered or not
+		if err := process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) { // an exited process needs no signal
 			t.Fatal(err)
 		}
 	}
-	lateness := watchLateness()
-	if faults.heldWhenTold {
+	lateness := measureLateness()
+	if faults.stallAtSIGTERM {
 		signal(syscall.SIGSTOP)
 	}
-	told := time.Now()
+	sigtermAt := time.Now()
 	signal(syscall.SIGTERM)
-	until := func(after time.Duration) { time.Sleep(time.Until(told.Add(after))) }
+	waitUntil := func(after time.Duration) { time.Sleep(time.Until(sigtermAt.Add(after))) }
 
-	var asking sync.WaitGroup
+	var requests sync.WaitGroup
 	for i, c := range p.clients {
-		asking.Go(func() {
-			until(heldUp + time.Duration(i)*40*time.Millisecond)
-			c.ask(fmt.Sprint("hangs-", i))
+		requests.Go(func() {
+			waitUntil(stallTime + time.Duration(i)*40*time.Millisecond)
+			c.request(fmt.Sprint("hangs-", i))
 		})
 	}
-	if faults.heldWhenTold {
-		until(heldUp)
+	if faults.stallAtSIGTERM {
+		waitUntil(stallTime)
 		signal(syscall.SIGCONT)
 	}
-	if faults.step != 0 {
-		until(200 * time.Millisecond)
-		setClock(t, p.faults, faults.step)
+	if faults.clockStep != 0 {
+		waitUntil(200 * time.Millisecond)
+		setClock(t, p.faults, faults.clockStep)
 	}
-	if faults.heldBeforeKilled {
-		until(earliestKill - heldUp)
+	if faults.stallBeforeKill {
+		waitUntil(earliestKill - stallTime)
 		signal(syscall.SIGSTOP)
 	}
-	until(earliestKill)
+	waitUntil(earliestKill)
 	process.Kill()
 	late = lateness()
-	asking.Wait()
+	requests.Wait()
 
 	answered := map[string]bool{}
 	for _, c := range p.clients {
@@ -215,7 +215,7 @@
 			answered[id] = true
 		}
 	}
-	for _, id := range p.backends.hung() {
+	for _, id := range p.backends.hungRequests() {
 		if !answered[id] {
 			lost++
 		}
@@ -224,17 +224,17 @@
 	return lost, forwarded, late
 }
 
-// logged waits for a word in the node's log.
-func (p *shutdownPlay) logged(t *testing.T, word string) {
+// waitForLog waits until the node's log contains word.
+func (p *shutdownRun) waitForLog(t *testing.T, word string) {
 	t.Helper()
-	for end := time.Now().Add(patience); !strings.Contains(p.program.log.String(), word); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !strings.Contains(p.program.log.String(), word); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%q is not logged\n%s", word, p.program.log.String())
+			t.Fatalf("no log line with %q\n%s", word, p.program.log.String())
 		}
 	}
 }
 
-// shutdownClient is one connection to a node, with the ids of its requests that got a whole answer.
+// shutdownClient is a connection to a node, with the ids of its requests that got a complete response.
 type shutdownClient struct {
 	conn     net.Conn
 	in       *bufio.Reader
@@ -248,16 +248,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	return &shutdownClient{conn: conn, in: bufio.NewReader(conn)}
 }
 
-// ask sends a request and returns its answer's status; 0 where the connection ends without one.
-func (c *shutdownClient) ask(id string) (status int) { return c.askFor(id, longestDeadline) }
+// request sends a request and returns the response's status, or 0 if the connection closes without a complete response.
+func (c *shutdownClient) request(id string) (status int) {
+	return c.requestWithDeadline(id, longestDeadline)
+}
 
-// askFor is ask by a client that waits for so long.
-func (c *shutdownClient) askFor(id string, wait time.Duration) (status int) {
-	_, err := fmt.Fprintf(c.conn, "GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: a\r\nX-Deadline: %dm\r\n\r\n", id, wait.Milliseconds())
+// requestWithDeadline is request with the given deadline.
+func (c *shutdownClient) requestWithDeadline(id string, deadline time.Duration) (status int) {
+	_, err := fmt.Fprintf(c.conn, "GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: a\r\nX-Deadline: %dm\r\n\r\n", id, deadline.Milliseconds())
 	if err != nil {
 		return 0
 	}
@@ -272,9 +274,9 @@
 	return resp.StatusCode
 }
 
-// hangingBackends are some backends, and a discovery that lists them. They never answer a request whose id begins with "hangs".
+// hangingBackends is a set of backends and the discovery server that lists them. They never respond to ids that start with "hangs".
 type hangingBackends struct {
-	list string // discovery's address
+	list string // address of the discovery server
 
 	mu  sync.Mutex
 	ids []string
@@ -330,14 +332,14 @@
 	return h
 }
 
-// hung are the ids of the requests that got no answer from a backend.
-func (h *hangingBackends) hung() []string {
+// hungRequests returns the ids of the requests that a backend received and left without a response.
+func (h *hangingBackends) hungRequests() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]string(nil), h.ids...)
 }
 
-// newFaults are the faults of a process that a test starts.
+// newFaults creates the fault injection for a process that a test starts.
 func newFaults(t *testing.T) *processfaults.Faults {
 	t.Helper()
 	f, err := processfaults.New(t.TempDir())
@@ -347,7 +349,7 @@
 	return f
 }
 
-// setClock sets the wall clock of a process with faults.
+// setClock shifts the wall clock of a process with faults by offset.
 func setClock(t *testing.T, f *processfaults.Faults, offset time.Duration) {
 	t.Helper()
 	if err := f.SetClock(offset); err != nil {
@@ -355,19 +357,19 @@
 	}
 }
 
-// watchLateness begins to measure how late this process is woken; the function that it returns tells the worst so far.
-func watchLateness() (worst func() time.Duration) {
+// measureLateness measures how late timers of this process fire, until the returned function is called, which returns the maximum.
+func measureLateness() (worst func() time.Duration) {
 	const tick = 5 * time.Millisecond
 	stop, result := make(chan struct{}), make(chan time.Duration)
 	go func() {
-		var most time.Duration
+		var maxLate time.Duration
 		for {
-			begun := time.Now()
+			started := time.Now()
 			select {
 			case <-time.After(tick):
-				most = max(most, time.Since(begun)-tick)
+				maxLate = max(maxLate, time.Since(started)-tick)
 			case <-stop:
-				result <- most
+				result <- maxLate
 				return
 			}
 		}
@@ -378,9 +380,9 @@
 	}
 }
 
-// builtForDeployment returns the path of a craneglade that is built as deploy/balancer.toml has it: linked against the C
-// library, so that another library can be preloaded.
-func builtForDeployment(t *testing.T) string {
+// buildForDeployment builds craneglade as deploy/balancer.toml does, linked against the C library so that a library can be
+// preloaded, and returns the path of the binary.
+func buildForDeployment(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "craneglade")
 	cmd := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", bin, ".")
--- a/cmd/craneglade/systemcalls_test.go
+++ b/cmd/craneglade/systemcalls_test.go
@@ -17,65 +17,65 @@
 	"craneglade/internal/kit/processfaults"
 )
 
-// momentary is how often in a row a system call fails in these tests.
-const momentary = 3
+// consecutiveFailures is the number of consecutive calls that fail with an injected error.
+const consecutiveFailures = 3
 
-// A listener survives what accept(2) may answer for a moment: whoever connects meanwhile is served by the same process.
+// Transient errors of accept(2) must not stop a listener: a client that connects meanwhile is served by the same process.
 func TestAcceptThatFailsForAMoment(t *testing.T) {
 	p, calls := startWithFaults(t, nil)
 	for _, errno := range []syscall.Errno{unix.ECONNABORTED, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM,
 		unix.ENETDOWN, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.ETIMEDOUT, unix.EINTR} {
-		fail(t, calls, unix.SYS_ACCEPT4, errno)
-		p.askAnew(t, "accept "+unix.ErrnoName(errno))
-		waitUsed(t, calls)
+		failCalls(t, calls, unix.SYS_ACCEPT4, errno)
+		p.checkServedOnNewConnection(t, "accept "+unix.ErrnoName(errno))
+		waitForFailures(t, calls)
 	}
-	p.leave(t)
+	p.terminate(t)
 }
 
-// What the machine refuses a node for a moment is no fault of a backend, and no reason to fail a request.
-func TestConnectionsToBackendsThatFailForAMoment(t *testing.T) {
+// Transient local errors of socket(2) and connect(2) are no failures of a backend and must not fail a request.
+func TestTransientDialErrorsAreRetried(t *testing.T) {
 	p, calls := startWithFaults(t, nil)
 	for _, c := range []struct {
 		call   int
 		errnos []syscall.Errno
 	}{
 		{unix.SYS_SOCKET, []syscall.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM}},
-		// Not EINTR: the kernel goes on connecting behind it, where a call that never began does not.
+		// Not EINTR: after a real one the kernel goes on connecting, which an injected one does not do.
 		{unix.SYS_CONNECT, []syscall.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENOBUFS, unix.EAGAIN}},
 	} {
 		for _, errno := range c.errnos {
-			fail(t, calls, c.call, errno)
-			p.askAnew(t, fmt.Sprintf("call %d %s", c.call, unix.ErrnoName(errno)))
-			waitUsed(t, calls)
+			failCalls(t, calls, c.call, errno)
+			p.checkServedOnNewConnection(t, fmt.Sprintf("call %d %s", c.call, unix.ErrnoName(errno)))
+			waitForFailures(t, calls)
 		}
 	}
-	p.leave(t)
+	p.terminate(t)
 }
 
-// Interrupted waits and looks at a socket are begun again: they say nothing of a client.
-func TestInterruptedSystemCalls(t *testing.T) {
+// EINTR from epoll_pwait(2) and recvfrom(2) must be retried: it says nothing about the client.
+func TestEINTRIsRetried(t *testing.T) {
 	p, calls := startWithFaults(t, nil)
 	for _, call := range []int{unix.SYS_EPOLL_PWAIT, unix.SYS_RECVFROM} {
-		fail(t, calls, call, unix.EINTR)
-		p.askAnew(t, fmt.Sprint("interrupted call ", call))
-		waitUsed(t, calls)
+		failCalls(t, calls, call, unix.EINTR)
+		p.checkServedOnNewConnection(t, fmt.Sprint("interrupted call ", call))
+		waitForFailures(t, calls)
 	}
-	p.leave(t)
+	p.terminate(t)
 }
 
-// A node starts though its first sockets are refused.
-func TestStartWhileSocketsAreRefused(t *testing.T) {
-	const refused = 4 * momentary // package net makes some sockets to learn what the machine has
+// A node must start although its first calls of socket(2) fail.
+func TestStartRetriesSocketErrors(t *testing.T) {
+	const refused = 4 * consecutiveFailures // package net creates some sockets to probe the system
 	for _, errno := range []syscall.Errno{unix.ENFILE, unix.ENOBUFS} {
-		p, calls := startWithFaults(t, func(calls *processfaults.Faults) { failOften(t, calls, unix.SYS_SOCKET, errno, refused) })
-		p.askAnew(t, "after the start")
-		waitUsed(t, calls)
-		p.leave(t)
+		p, calls := startWithFaults(t, func(calls *processfaults.Faults) { failCallsTimes(t, calls, unix.SYS_SOCKET, errno, refused) })
+		p.checkServedOnNewConnection(t, "after the start")
+		waitForFailures(t, calls)
+		p.terminate(t)
 	}
 }
 
-// startWithFaults starts a node whose system calls a test can have fail, with a backend that closes each connection. before is
-// called before the start; it may be nil.
+// startWithFaults starts a node with injectable system call errors, and a backend that closes each connection after its
+// response. before is called before the start; it may be nil.
 func startWithFaults(t *testing.T, before func(*processfaults.Faults)) (*program, *processfaults.Faults) {
 	t.Helper()
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -88,49 +88,49 @@
 	if before != nil {
 		before(calls)
 	}
-	cmd := exec.Command(builtForDeployment(t))
+	cmd := exec.Command(buildForDeployment(t))
 	cmd.Env = append(os.Environ(), calls.Environment()...)
-	return startAs(t, cmd, d.Addr, config("")), calls
+	return startCommand(t, cmd, d.Addr, config("")), calls
 }
 
-var asked atomic.Int64
+var requestCount atomic.Int64
 
-// askAnew wants a request on a new connection served.
-func (p *program) askAnew(t *testing.T, what string) {
+// checkServedOnNewConnection fails the test unless a request on a new connection is served.
+func (p *program) checkServedOnNewConnection(t *testing.T, what string) {
 	t.Helper()
 	c := newShutdownClient(t, p.addr)
-	if status := c.askFor(fmt.Sprint("r", asked.Add(1)), patience); status != http.StatusOK {
-		t.Errorf("%s: answered %d, want 200\n%s", what, status, p.log.String())
+	if status := c.requestWithDeadline(fmt.Sprint("r", requestCount.Add(1)), testTimeout); status != http.StatusOK {
+		t.Errorf("%s: status %d, want 200\n%s", what, status, p.log.String())
 	}
 }
 
-// fail has the next momentary calls of a kind fail with an error.
-func fail(t *testing.T, f *processfaults.Faults, call int, errno syscall.Errno) {
+// failCalls makes the next consecutiveFailures calls of the given system call fail with errno.
+func failCalls(t *testing.T, f *processfaults.Faults, call int, errno syscall.Errno) {
 	t.Helper()
-	failOften(t, f, call, errno, momentary)
+	failCallsTimes(t, f, call, errno, consecutiveFailures)
 }
 
-// failOften has so many of the next calls of a kind fail with an error.
-func failOften(t *testing.T, f *processfaults.Faults, call int, errno syscall.Errno, times int) {
+// failCallsTimes makes the next times calls of the given system call fail with errno.
+func failCallsTimes(t *testing.T, f *processfaults.Faults, call int, errno syscall.Errno, times int) {
 	t.Helper()
 	if err := f.Fail(call, errno, times); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// waitUsed waits until no call is left to fail.
-func waitUsed(t *testing.T, f *processfaults.Faults) {
+// waitForFailures waits until all injected failures have occurred.
+func waitForFailures(t *testing.T, f *processfaults.Faults) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		left, err := f.Left()
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		remaining, err := f.Left()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("the process did not make the calls that are to fail")
+			t.Fatal("the process did not make the calls with injected failures")
 		}
 	}
 }
