--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -43,7 +43,7 @@
 	if c.Check {
 		return c.need(a, p)
 	}
-	o := scale.Options{File: c.Plan, Plan: p, Parts: c.Part, Dir: c.Steps, Resume: c.Resume, Tell: func(line string) {
+	o := scale.Options{File: c.Plan, Plan: p, Parts: c.Part, Dir: c.Steps, Resume: c.Resume, Progress: func(line string) {
 		if !c.Quiet {
 			fmt.Fprintln(a.err, line)
 		}
@@ -57,7 +57,7 @@
 		}
 		o.Parts = []string{scale.PartProcesses}
 	}
-	report, err := scale.Play(ctx, o)
+	report, err := scale.Run(ctx, o)
 	var inUse *scale.InUseError
 	if errors.As(err, &inUse) || report == nil {
 		return exit{ExitUsage, err}
@@ -80,7 +80,7 @@
 func (c scaleCmd) need(a *app, p *plan.Plan) error {
 	for _, s := range p.Steps {
 		fmt.Fprintf(a.out, "%d nodes, %d endpoints, %d services, %d routes, %d of %d tenants: about %d MiB\n",
-			s.Nodes, s.Endpoints, s.Services, s.Routes, p.Tenants(s), s.Tenants, p.Memory(s)>>20)
+			s.Nodes, s.Endpoints, s.Services, s.Routes, p.TenantCount(s), s.Tenants, p.EstimatedMemory(s)>>20)
 	}
 	fmt.Fprintf(a.out, "limits: %d MiB, %d processes\n", p.Limits.Memory>>20, p.Limits.Processes)
 	return nil
@@ -109,7 +109,7 @@
 	if err != nil {
 		return exit{ExitUsage, err}
 	}
-	var cfg hollow.Host
+	var cfg hollow.HostConfig
 	if err := json.Unmarshal(text, &cfg); err != nil {
 		return usage("%s: %w", c.Config, err)
 	}
--- a/internal/kit/scale/hierarchy/fleet.go
+++ b/internal/kit/scale/hierarchy/fleet.go
@@ -34,7 +34,7 @@
 	f := &fleet{regions: p.Fleet.Regions, serves: make([][]string, step.Nodes)}
 	weights := sizesByRank(step.Services, p.Fleet.ServiceSkew, p.Fleet.LargestService)
 	endpoints := deal(step.Endpoints, weights, 1)
-	tenants := deal(p.Tenants(step), weights, 0)
+	tenants := deal(p.TenantCount(step), weights, 0)
 	routes := deal(step.Routes, sizesByRank(step.Services, 0, 1), 0)
 	for i := range step.Services {
 		f.services = append(f.services, service{name: fmt.Sprintf("service-%05d", i), number: i, region: i % f.regions,
--- a/internal/kit/scale/hierarchy/measure.go
+++ b/internal/kit/scale/hierarchy/measure.go
@@ -36,8 +36,8 @@
 		return nil, nil, err
 	}
 	r := &Run{network: n, out: &result.Step{Part: "control", Size: step}}
-	if p.Tenants(step) != step.Tenants {
-		r.out.Notes = append(r.out.Notes, fmt.Sprintf("%d of %d tenants are played", p.Tenants(step), step.Tenants))
+	if p.TenantCount(step) != step.Tenants {
+		r.out.Notes = append(r.out.Notes, fmt.Sprintf("%d of %d tenants are played", p.TenantCount(step), step.Tenants))
 	}
 	if err := r.start(ctx); err != nil {
 		return nil, nil, err
--- a/internal/kit/scale/hollow/hollow.go
+++ b/internal/kit/scale/hollow/hollow.go
@@ -26,8 +26,8 @@
 // tellEvery is how often a host tells where its nodes stand.
 const tellEvery = 500 * time.Millisecond
 
-// Host is what a process with hollow nodes is told.
-type Host struct {
+// HostConfig is what a process with hollow nodes is told.
+type HostConfig struct {
 	Region  string              `json:"region"`
 	Cluster string              `json:"cluster"`
 	Key     string              `json:"key"` // in hexadecimal
@@ -72,7 +72,7 @@
 
 // host is a running one.
 type host struct {
-	cfg   *Host
+	cfg   *HostConfig
 	clock func() time.Duration
 
 	mu    sync.Mutex // of the output
@@ -86,7 +86,7 @@
 }
 
 // Run runs the nodes until ctx ends or in does, and tells a last time. Nothing is read from in.
-func Run(ctx context.Context, cfg *Host, in io.Reader, out io.Writer, log *slog.Logger) error {
+func Run(ctx context.Context, cfg *HostConfig, in io.Reader, out io.Writer, log *slog.Logger) error {
 	key, err := hex.DecodeString(cfg.Key)
 	if err != nil {
 		return fmt.Errorf("key: %w", err)
--- a/internal/kit/scale/hollow/hollow_test.go
+++ b/internal/kit/scale/hollow/hollow_test.go
@@ -49,7 +49,7 @@
 }
 
 func TestNodesTellWhatIsInForceAndEndWithTheirInput(t *testing.T) {
-	cfg := &Host{Region: "north", Cluster: "test", Key: testKey, Silence: time.Second, Parents: []parents.Candidate{parent(t, "north")},
+	cfg := &HostConfig{Region: "north", Cluster: "test", Key: testKey, Silence: time.Second, Parents: []parents.Candidate{parent(t, "north")},
 		Nodes: []Node{{Name: "n0", Services: []string{"one"}}, {Name: "n1", Services: []string{"one"}}}}
 	in, input := io.Pipe()
 	output, out := io.Pipe()
@@ -85,7 +85,7 @@
 }
 
 func TestABadKeyIsRefused(t *testing.T) {
-	if err := Run(context.Background(), &Host{Key: "no"}, strings.NewReader(""), io.Discard, slog.New(slog.DiscardHandler)); err == nil {
+	if err := Run(context.Background(), &HostConfig{Key: "no"}, strings.NewReader(""), io.Discard, slog.New(slog.DiscardHandler)); err == nil {
 		t.Error("a key that is no hexadecimal number was taken")
 	}
 }
--- a/internal/kit/scale/plan/need.go
+++ b/internal/kit/scale/plan/need.go
@@ -20,14 +20,14 @@
 	MeshSources  = 4
 )
 
-// Tenants is how many tenants a step plays.
-func (p *Plan) Tenants(s Step) int { return int(float64(s.Tenants) * p.Fleet.TenantPart) }
+// TenantCount is how many tenants a step plays.
+func (p *Plan) TenantCount(s Step) int { return int(float64(s.Tenants) * p.Fleet.TenantPart) }
 
 // Resources is how many resources all logs of a step hold.
-func (p *Plan) Resources(s Step) int { return s.Services + s.Endpoints + s.Routes + p.Tenants(s) }
+func (p *Plan) Resources(s Step) int { return s.Services + s.Endpoints + s.Routes + p.TenantCount(s) }
 
-// Memory is how many bytes a step needs about, at its peak.
-func (p *Plan) Memory(s Step) int64 {
+// EstimatedMemory is how many bytes a step needs about, at its peak.
+func (p *Plan) EstimatedMemory(s Step) int64 {
 	all := int64(p.Resources(s))
 	replicas := int64(p.Fleet.Regions + p.Fleet.Zones*p.Fleet.RelaysPerZone)
 	serving := int64(min(p.Fleet.NodesPerService, s.Nodes))
--- a/internal/kit/scale/plan/plan.go
+++ b/internal/kit/scale/plan/plan.go
@@ -348,7 +348,7 @@
 		return keys.Problem("processes", "the run needs %d processes, and limits.processes allows %d", need, p.Limits.Processes)
 	}
 	for i, s := range p.Steps {
-		if need := p.Memory(s); need > int64(p.Limits.Memory) {
+		if need := p.EstimatedMemory(s); need > int64(p.Limits.Memory) {
 			return keys.Problem(fmt.Sprintf("step[%d].nodes", i), "this size needs about %.1f GiB, and limits.memory allows %.1f GiB: take fewer tenants (fleet.tenant_part) or a smaller size",
 				gib(need), gib(int64(p.Limits.Memory)))
 		}
--- a/internal/kit/scale/processes/measure.go
+++ b/internal/kit/scale/processes/measure.go
@@ -81,7 +81,7 @@
 
 // startHost starts a process with hollow nodes.
 func (r *run) startHost(number int) (*host, error) {
-	cfg := hollow.Host{Region: r.catalogue.Region(), Cluster: cluster, Key: key, Silence: silence, Bytes: int(r.plan.Rates.NodeBytes)}
+	cfg := hollow.HostConfig{Region: r.catalogue.Region(), Cluster: cluster, Key: key, Silence: silence, Bytes: int(r.plan.Rates.NodeBytes)}
 	for _, c := range r.relays {
 		cfg.Parents = append(cfg.Parents, parents.Candidate{Name: c.name, Address: c.address})
 	}
--- a/internal/kit/scale/scale.go
+++ b/internal/kit/scale/scale.go
@@ -38,12 +38,12 @@
 
 // Options say what is played.
 type Options struct {
-	File   string // of the plan, for the report
-	Plan   *plan.Plan
-	Parts  []string // none for Parts()
-	Dir    string   // where steps are saved
-	Resume bool     // steps that Dir holds are not played again
-	Tell   func(line string)
+	File     string // of the plan, for the report
+	Plan     *plan.Plan
+	Parts    []string // none for Parts()
+	Dir      string   // where steps are saved
+	Resume   bool     // steps that Dir holds are not played again
+	Progress func(line string)
 
 	Program string // the file of craneglade itself, for PartProcesses
 }
@@ -68,8 +68,8 @@
 	steps []result.Step
 }
 
-// Play plays a plan. Where it ends early, by an error or with ctx, the report has what was measured until then.
-func Play(ctx context.Context, o Options) (*result.Report, error) {
+// Run plays a plan. Where it ends early, by an error or with ctx, the report has what was measured until then.
+func Run(ctx context.Context, o Options) (*result.Report, error) {
 	steps, err := result.Read(o.Dir)
 	if err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 	r := &run{Options: o, steps: steps}
 	err = r.play(watched)
 	most := g.Stop()
-	r.Tell(fmt.Sprintf("at most %d MiB resident, %d processes", most.Memory>>20, most.Processes))
+	r.Progress(fmt.Sprintf("at most %d MiB resident, %d processes", most.Memory>>20, most.Processes))
 	return result.NewReport(o.File, o.Plan.Seed, r.steps), err
 }
 
@@ -112,7 +112,7 @@
 		}
 	}
 	if r.wants(PartProcesses) {
-		r.Tell("starting " + processes.Names(&r.Plan.Processes))
+		r.Progress("starting " + processes.Names(&r.Plan.Processes))
 		size := processes.Size(r.Plan)
 		return r.step(PartProcesses, size, func() (*result.Step, error) { return processes.Measure(ctx, r.Plan, r.Program) })
 	}
@@ -217,7 +217,7 @@
 	s.Plan = r.Plan.Digest
 	r.steps = slices.DeleteFunc(r.steps, func(old result.Step) bool { return old.Part == s.Part && old.Size == s.Size })
 	r.steps = append(r.steps, *s)
-	r.Tell(fmt.Sprintf("%s: measured in %.0f s", s.Where(), time.Since(began).Seconds()))
+	r.Progress(fmt.Sprintf("%s: measured in %.0f s", s.Where(), time.Since(began).Seconds()))
 	if err := result.Save(r.Dir, s); err != nil {
 		return fmt.Errorf("save: %w", err)
 	}
--- a/internal/kit/scale/scale_test.go
+++ b/internal/kit/scale/scale_test.go
@@ -52,12 +52,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Options{File: "tiny.toml", Plan: p, Dir: dir, Tell: func(string) {}}
+	return Options{File: "tiny.toml", Plan: p, Dir: dir, Progress: func(string) {}}
 }
 
 func TestPlaysAllPartsAndSavesEachStep(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "steps")
-	r, err := Play(context.Background(), options(t, dir))
+	r, err := Run(context.Background(), options(t, dir))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,12 +75,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	o, told := options(t, dir), 0
-	o.Tell = func(string) {
+	o.Progress = func(string) {
 		if told++; told == 3 {
 			cancel()
 		}
 	}
-	r, err := Play(ctx, o)
+	r, err := Run(ctx, o)
 	if !errors.Is(err, context.Canceled) || len(r.Steps) != 3 {
 		t.Fatalf("%d steps, %v", len(r.Steps), err)
 	}
@@ -89,12 +89,12 @@
 	}
 	o = options(t, dir)
 	var inUse *InUseError
-	if _, err := Play(context.Background(), o); !errors.As(err, &inUse) {
+	if _, err := Run(context.Background(), o); !errors.As(err, &inUse) {
 		t.Errorf("a directory in use: %v", err)
 	}
 	before := modified(t, dir)
 	o.Resume = true
-	if r, err = Play(context.Background(), o); err != nil || len(r.Steps) != 6 {
+	if r, err = Run(context.Background(), o); err != nil || len(r.Steps) != 6 {
 		t.Fatalf("resumed: %d steps, %v", len(r.Steps), err)
 	}
 	for name, at := range before {
@@ -124,7 +124,7 @@
 func TestEndsWhereMemoryPassesTheLimit(t *testing.T) {
 	o := options(t, filepath.Join(t.TempDir(), "steps"))
 	o.Plan.Limits.Memory = 1 << 20 // less than any program takes; the plan's estimate was looked at before
-	_, err := Play(context.Background(), o)
+	_, err := Run(context.Background(), o)
 	var over *guard.Over
 	if !errors.As(err, &over) {
 		t.Fatalf("ended with %v", err)
@@ -133,14 +133,14 @@
 
 func TestStepsOfAnotherPlanAreNotMixedIn(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "steps")
-	if _, err := Play(context.Background(), options(t, dir)); err != nil {
+	if _, err := Run(context.Background(), options(t, dir)); err != nil {
 		t.Fatal(err)
 	}
 	o := options(t, dir)
 	o.Resume = true
 	o.Plan.Digest = "another"
 	var other *OtherPlanError
-	if _, err := Play(context.Background(), o); !errors.As(err, &other) {
+	if _, err := Run(context.Background(), o); !errors.As(err, &other) {
 		t.Errorf("resumed with another plan: %v", err)
 	}
 }
