--- a/internal/kit/scale/endpointlist/endpointlist.go
+++ b/internal/kit/scale/endpointlist/endpointlist.go
@@ -1,6 +1,6 @@
-// Package endpointlist measures what a list of endpoints costs a node today: its bytes, how long the engine holds its lock
-// to take in a full list and a change of one endpoint, and what one decision over so many endpoints takes. Times are by the
-// wall clock of one process and one core.
+// Package endpointlist measures what a list of endpoints costs a node: its size in bytes, how long the engine holds its
+// lock to apply a full list and a change of one endpoint, and how long one decision over the endpoints takes. Times are
+// wall-clock times in one process on one core.
 package endpointlist
 
 import (
@@ -20,141 +20,142 @@
 	"craneglade/policy"
 )
 
-// Mechanism is the name of the figures.
+// Mechanism is the mechanism of the figures of this package.
 const Mechanism = "endpoint list"
 
 const (
-	repeats   = 5   // of a full list; the median counts
-	deltas    = 100 // changes of one endpoint; the median counts
-	decisions = 2000
-	class     = "read"
-	wait      = 40 * time.Millisecond // until a request's answer
+	fullListRuns = 5   // full lists; the median is reported
+	deltaRuns    = 100 // changes of one endpoint; the median is reported
+	decisionRuns = 2000
+	class        = "read"
+	responseTime = 40 * time.Millisecond // from an attempt to its outcome
 )
 
 var settings = policy.Settings{Zone: "north", Nodes: 12, MaxAttempts: 2, DrainGrace: time.Second, ColdShare: 0.3, ColdFor: 8 * time.Second,
 	Classes: []policy.Class{{Name: class, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1}}}
 
-// Measure measures one size.
+// Measure measures a list of the given size.
 func Measure(ctx context.Context, endpoints int) (*result.Step, error) {
 	out := &result.Step{Part: "list", Size: plan.Step{Endpoints: endpoints}}
 	list := make([]engine.ListedBackend, endpoints)
 	for i := range list {
-		list[i] = listed(i, 0)
+		list[i] = listedBackend(i, 0)
 	}
 	full := engine.List{Version: 1, Full: true, Backends: list}
-	out.Add(Mechanism, "node", "bytes of a full list", "B", float64(size(&full)))
-	out.Add(Mechanism, "node", "bytes of a change of one", "B", float64(size(&engine.List{Version: 2, Backends: list[:1]})))
-	if err := engineTimes(ctx, out, list); err != nil {
+	out.Add(Mechanism, "node", "bytes of a full list", "B", float64(jsonBytes(&full)))
+	out.Add(Mechanism, "node", "bytes of a change of one", "B", float64(jsonBytes(&engine.List{Version: 2, Backends: list[:1]})))
+	if err := measureEngine(ctx, out, list); err != nil {
 		return nil, err
 	}
-	if err := membershipTimes(ctx, out, list); err != nil {
+	if err := measureMembership(ctx, out, list); err != nil {
 		return nil, err
 	}
-	return out, decisionTimes(ctx, out, list)
+	return out, measureDecisions(ctx, out, list)
 }
 
-// listed is one endpoint, by number and generation.
-func listed(i, generation int) engine.ListedBackend {
+// listedBackend returns an endpoint, by number and generation.
+func listedBackend(i, generation int) engine.ListedBackend {
 	return engine.ListedBackend{ID: fmt.Sprintf("be-%08x", uint32(i)*2654435761), Addr: fmt.Sprintf("10.%d.%d.%d:8080", i>>16&255, i>>8&255, i&255),
 		Zone: []string{"north", "south", "west"}[i%3], Kind: "standard", Cell: int64(i % 8), State: membership.Ready, StartedMS: 1 + int64(generation)}
 }
 
-func size(l *engine.List) int {
+func jsonBytes(l *engine.List) int {
 	text, err := json.Marshal(l)
 	if err != nil {
-		panic(err) // its fields are all plain
+		panic(err) // all fields can be encoded
 	}
 	return len(text)
 }
 
-// source asks for nothing: lists are handed in.
-type source struct{}
+// noSource never fetches: lists are passed to the engine directly.
+type noSource struct{}
 
-func (source) Watch() {}
-func (source) Fetch() {}
+func (noSource) Watch() {}
+func (noSource) Fetch() {}
 
-// carrier carries nothing: no request is begun.
-type carrier struct{}
+// noCarrier sends no attempts, as no request is submitted.
+type noCarrier struct{}
 
-func (carrier) Carry(context.Context, *engine.Attempt) engine.Result {
+func (noCarrier) Carry(context.Context, *engine.Attempt) engine.Result {
 	return engine.Result{Outcome: policy.NeverSent}
 }
-func (carrier) Retire(*engine.Backend) {}
+func (noCarrier) Retire(*engine.Backend) {}
 
-// engineTimes measures lists in a real engine.
-func engineTimes(ctx context.Context, out *result.Step, list []engine.ListedBackend) error {
+// measureEngine measures how long an engine takes to apply lists, and the heap it needs.
+func measureEngine(ctx context.Context, out *result.Step, list []engine.ListedBackend) error {
 	var first []time.Duration
-	for range repeats {
+	for range fullListRuns {
 		e, err := newEngine()
 		if err != nil {
 			return err
 		}
-		first = append(first, news(e, &engine.List{Version: 1, Full: true, Backends: list}, policy.ListFull))
+		first = append(first, applyList(e, &engine.List{Version: 1, Full: true, Backends: list}, policy.ListFull))
 		e.Stop()
 		if err := context.Cause(ctx); err != nil {
 			return err
 		}
 	}
-	before := heap.InUse()
+	heapBefore := heap.InUse()
 	e, err := newEngine()
 	if err != nil {
 		return err
 	}
 	defer e.Stop()
-	news(e, &engine.List{Version: 1, Full: true, Backends: list}, policy.ListFull)
-	mebibytes := float64(heap.InUse()-before) / (1 << 20)
-	var again, one []time.Duration
-	for i := range repeats {
-		again = append(again, news(e, &engine.List{Version: int64(2 + i), Full: true, Backends: list}, policy.ListFull))
-	}
-	for i := range deltas {
-		change := []engine.ListedBackend{listed(i%len(list), 1+i)}
-		one = append(one, news(e, &engine.List{Version: int64(2 + repeats + i), Backends: change}, policy.ListDelta))
-	}
-	out.AddWall(Mechanism, "node", "full list taken in, the first", "ms", milliseconds(median(first)))
-	out.AddWall(Mechanism, "node", "full list taken in, the same again", "ms", milliseconds(median(again)))
-	out.AddWall(Mechanism, "node", "change of one taken in", "ms", milliseconds(median(one)))
+	applyList(e, &engine.List{Version: 1, Full: true, Backends: list}, policy.ListFull)
+	mebibytes := float64(heap.InUse()-heapBefore) / (1 << 20)
+	var repeated, delta []time.Duration
+	for i := range fullListRuns {
+		repeated = append(repeated, applyList(e, &engine.List{Version: int64(2 + i), Full: true, Backends: list}, policy.ListFull))
+	}
+	for i := range deltaRuns {
+		change := []engine.ListedBackend{listedBackend(i%len(list), 1+i)}
+		delta = append(delta, applyList(e, &engine.List{Version: int64(2 + fullListRuns + i), Backends: change}, policy.ListDelta))
+	}
+	out.AddWallClock(Mechanism, "node", "full list taken in, the first", "ms", milliseconds(median(first)))
+	out.AddWallClock(Mechanism, "node", "full list taken in, the same again", "ms", milliseconds(median(repeated)))
+	out.AddWallClock(Mechanism, "node", "change of one taken in", "ms", milliseconds(median(delta)))
 	out.Add(Mechanism, "node", "heap of the engine", "MiB", mebibytes)
 	return context.Cause(ctx)
 }
 
 func newEngine() (*engine.Engine, error) {
-	e, err := engine.New(engine.Config{Settings: settings, Seed: 1, Clock: engine.NewClock(), Carrier: carrier{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	e, err := engine.New(engine.Config{Settings: settings, Seed: 1, Clock: engine.NewClock(), Carrier: noCarrier{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err == nil {
-		e.SetSource(source{}, &engine.List{})
+		e.SetSource(noSource{}, &engine.List{})
 	}
 	return e, err
 }
 
-// news hands a list in and returns how long that took.
-func news(e *engine.Engine, l *engine.List, kind policy.ListKind) time.Duration {
-	began := time.Now()
-	e.UpdateList(source{}, l, kind, func(int64) bool { return true })
-	return time.Since(began)
+// applyList passes a list to the engine and returns how long that took.
+func applyList(e *engine.Engine, l *engine.List, kind policy.ListKind) time.Duration {
+	started := time.Now()
+	e.UpdateList(noSource{}, l, kind, func(int64) bool { return true })
+	return time.Since(started)
 }
 
-// membershipTimes measures the rule on several sources, which a node with names beside its list goes through too.
-func membershipTimes(ctx context.Context, out *result.Step, list []engine.ListedBackend) error {
+// measureMembership measures the merging of several sources (package membership), which applies also to a node that
+// resolves names beside its list.
+func measureMembership(ctx context.Context, out *result.Step, list []engine.ListedBackend) error {
 	fleet := membership.New(membership.Config{SourceTimeout: time.Minute, ConfirmDelay: time.Second, FlapPenalty: 2 * time.Second})
-	var full, one []time.Duration
-	for i := range repeats {
-		began := time.Now()
+	var full, delta []time.Duration
+	for i := range fullListRuns {
+		started := time.Now()
 		fleet.UpdateList(time.Duration(i)*time.Second, true, list)
-		full = append(full, time.Since(began))
+		full = append(full, time.Since(started))
 	}
-	for i := range deltas {
-		change := []engine.ListedBackend{listed(i%len(list), 1+i)}
-		began := time.Now()
-		fleet.UpdateList(time.Duration(repeats+i)*time.Second, false, change)
-		one = append(one, time.Since(began))
+	for i := range deltaRuns {
+		change := []engine.ListedBackend{listedBackend(i%len(list), 1+i)}
+		started := time.Now()
+		fleet.UpdateList(time.Duration(fullListRuns+i)*time.Second, false, change)
+		delta = append(delta, time.Since(started))
 	}
-	out.AddWall(Mechanism, "node", "full list through membership", "ms", milliseconds(median(full)))
-	out.AddWall(Mechanism, "node", "change of one through membership", "ms", milliseconds(median(one)))
+	out.AddWallClock(Mechanism, "node", "full list through membership", "ms", milliseconds(median(full)))
+	out.AddWallClock(Mechanism, "node", "change of one through membership", "ms", milliseconds(median(delta)))
 	return context.Cause(ctx)
 }
 
-// decisionTimes measures the decision of a request among so many endpoints.
-func decisionTimes(ctx context.Context, out *result.Step, list []engine.ListedBackend) error {
+// measureDecisions measures the decision on a request over all endpoints.
+func measureDecisions(ctx context.Context, out *result.Step, list []engine.ListedBackend) error {
 	balancer, err := policy.New(settings, 1)
 	if err != nil {
 		return err
@@ -165,30 +166,30 @@
 	}
 	now := time.Hour
 	actions := balancer.Handle(now, &policy.Event{Kind: policy.EvList, List: policy.ListFull, Entries: entries}, nil)
-	var taken []time.Duration
+	var durations []time.Duration
 	number := 0
 	decide := func() {
 		number++
 		now += time.Millisecond
 		request := policy.Event{Kind: policy.EvRequest, ID: fmt.Sprint("r", number), Class: class, Remaining: time.Second}
-		began := time.Now()
+		started := time.Now()
 		actions = balancer.Handle(now, &request, actions[:0])
-		taken = append(taken, time.Since(began))
-		finish(balancer, now, request.ID, actions)
+		durations = append(durations, time.Since(started))
+		reportOutcomes(balancer, now, request.ID, actions)
 	}
-	for range decisions {
+	for range decisionRuns {
 		decide()
 	}
-	out.AddWall(Mechanism, "decision", "time", "us", float64(median(taken))/float64(time.Microsecond))
-	out.Add(Mechanism, "decision", "allocations, with its outcome", "1", heap.Allocations(decisions, decide))
+	out.AddWallClock(Mechanism, "decision", "time", "us", float64(median(durations))/float64(time.Microsecond))
+	out.Add(Mechanism, "decision", "allocations, with its outcome", "1", heap.AllocationsPerCall(decisionRuns, decide))
 	return context.Cause(ctx)
 }
 
-// finish tells the outcome of each attempt that a decision sends.
-func finish(balancer *policy.Balancer, now time.Duration, id string, actions []policy.Action) {
+// reportOutcomes reports a successful outcome for each attempt that a decision sends.
+func reportOutcomes(balancer *policy.Balancer, now time.Duration, id string, actions []policy.Action) {
 	for i := range actions {
 		if actions[i].Kind == policy.ActSend {
-			balancer.Handle(now+wait, &policy.Event{Kind: policy.EvOutcome, ID: id, Backend: actions[i].Backend, Took: wait, Finished: true, Outcome: policy.OK,
+			balancer.Handle(now+responseTime, &policy.Event{Kind: policy.EvOutcome, ID: id, Backend: actions[i].Backend, Took: responseTime, Finished: true, Outcome: policy.OK,
 				Load: policy.Load{Known: true, Occupancy: 2}}, nil)
 		}
 	}
--- a/internal/kit/scale/endpointlist/endpointlist_test.go
+++ b/internal/kit/scale/endpointlist/endpointlist_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestMeasuresALongerListAsMoreBytes(t *testing.T) {
+func TestListBytesGrowWithEndpoints(t *testing.T) {
 	figures := map[int]map[string]float64{}
 	for _, n := range []int{10, 100} {
 		step, err := Measure(context.Background(), n)
@@ -23,11 +23,11 @@
 	}
 	const bytes, one = "bytes of a full list", "bytes of a change of one"
 	if ratio := figures[100][bytes] / figures[10][bytes]; ratio < 8 || ratio > 10 || figures[100][one] != figures[10][one] {
-		t.Errorf("ten times the endpoints have %v times the bytes", ratio)
+		t.Errorf("ten times the endpoints take %v times the bytes", ratio)
 	}
 }
 
-func TestEndsWithItsContext(t *testing.T) {
+func TestCancelledContext(t *testing.T) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	reason := errors.New("enough")
 	cancel(reason)
--- a/internal/kit/scale/guard/guard.go
+++ b/internal/kit/scale/guard/guard.go
@@ -1,5 +1,5 @@
-// Package guard watches what a scale run uses of the machine, and ends the run where it passes its limits. It counts this
-// process and all that descend from it, as the kernel lists them (/proc).
+// Package guard monitors the memory and processes of a scale run, and cancels the run if it exceeds its limits. It counts
+// this process and all its descendants as listed in /proc.
 package guard
 
 import (
@@ -13,39 +13,39 @@
 	"time"
 )
 
-// Interval is how often the use is looked at.
+// Interval is the time between two readings of the usage.
 const Interval = 200 * time.Millisecond
 
-// Use is what a run has in use.
-type Use struct {
+// Usage is what a run uses of the machine.
+type Usage struct {
 	Memory    int64 // resident bytes of all its processes together
 	Processes int
 }
 
-// Limits are what it may use.
-type Limits Use
+// Limits bounds the usage of a run.
+type Limits Usage
 
-// Over is the error of a run that passed a limit.
-type Over struct {
-	Use    Use
+// LimitError reports that a run exceeded a limit.
+type LimitError struct {
+	Usage  Usage
 	Limits Limits
 }
 
-func (e *Over) Error() string {
-	return fmt.Sprintf("ended: the run uses %d MiB in %d processes, and its limits are %d MiB and %d processes",
-		e.Use.Memory>>20, e.Use.Processes, e.Limits.Memory>>20, e.Limits.Processes)
+func (e *LimitError) Error() string {
+	return fmt.Sprintf("run stopped: %d MiB in %d processes in use, limits are %d MiB and %d processes",
+		e.Usage.Memory>>20, e.Usage.Processes, e.Limits.Memory>>20, e.Limits.Processes)
 }
 
-// Guard watches until it is stopped.
+// Guard monitors the usage until it is stopped.
 type Guard struct {
 	mu   sync.Mutex
-	most Use
+	peak Usage
 
 	stop context.CancelFunc
 	done chan struct{}
 }
 
-// Watch returns a context that ends with an Over as its cause once a limit is passed.
+// Watch returns a context that is cancelled with a LimitError as its cause when a limit is exceeded.
 func Watch(ctx context.Context, limits Limits) (context.Context, *Guard) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	watch, stop := context.WithCancel(ctx)
@@ -55,8 +55,8 @@
 		tick := time.NewTicker(Interval)
 		defer tick.Stop()
 		for {
-			if use, err := Now(); err == nil && g.note(use, limits) {
-				cancel(&Over{use, limits})
+			if usage, err := CurrentUsage(); err == nil && g.record(usage, limits) {
+				cancel(&LimitError{usage, limits})
 				return
 			}
 			select {
@@ -69,53 +69,53 @@
 	return ctx, g
 }
 
-// note keeps the most that was seen, and tells whether a limit is passed.
-func (g *Guard) note(use Use, limits Limits) bool {
+// record updates the peak, and reports whether a limit is exceeded.
+func (g *Guard) record(usage Usage, limits Limits) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.most.Memory, g.most.Processes = max(g.most.Memory, use.Memory), max(g.most.Processes, use.Processes)
-	return use.Memory > limits.Memory || use.Processes > limits.Processes
+	g.peak.Memory, g.peak.Processes = max(g.peak.Memory, usage.Memory), max(g.peak.Processes, usage.Processes)
+	return usage.Memory > limits.Memory || usage.Processes > limits.Processes
 }
 
-// Stop ends the watching and returns the most that was in use.
-func (g *Guard) Stop() Use {
+// Stop ends the monitoring and returns the peak of each figure.
+func (g *Guard) Stop() Usage {
 	g.stop()
 	<-g.done
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.most
+	return g.peak
 }
 
-// Now is what this process and its descendants use.
-func Now() (Use, error) {
+// CurrentUsage returns the usage of this process and its descendants.
+func CurrentUsage() (Usage, error) {
 	files, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil {
-		return Use{}, err
+		return Usage{}, err
 	}
 	parents, resident := map[int]int{}, map[int]int64{}
 	for _, f := range files {
 		text, err := os.ReadFile(f)
 		if err != nil {
-			continue // it has just ended
+			continue // the process has exited meanwhile
 		}
 		if pid, parent, pages, ok := parseStat(string(text)); ok {
 			parents[pid], resident[pid] = parent, pages*int64(os.Getpagesize())
 		}
 	}
-	var use Use
+	var usage Usage
 	for pid := range parents {
-		if descends(parents, pid, os.Getpid()) {
-			use.Memory += resident[pid]
-			use.Processes++
+		if isDescendant(parents, pid, os.Getpid()) {
+			usage.Memory += resident[pid]
+			usage.Processes++
 		}
 	}
-	return use, nil
+	return usage, nil
 }
 
-// descends tells whether a process is another one or descends from it.
-func descends(parents map[int]int, pid, from int) bool {
-	for range len(parents) { // a list that was read while it changed may hold a ring
-		if pid == from {
+// isDescendant reports whether a process is ancestor or descends from it.
+func isDescendant(parents map[int]int, pid, ancestor int) bool {
+	for range len(parents) { // parents were read while they changed, so they may form a cycle
+		if pid == ancestor {
 			return true
 		}
 		parent, ok := parents[pid]
@@ -127,24 +127,24 @@
 	return false
 }
 
-// The places of fields in a stat line, from 0 behind the name (proc(5)).
+// Indexes of fields in /proc/PID/stat, counted from 0 after the process name (proc(5)).
 const (
 	fieldParent   = 1
 	fieldResident = 21
 )
 
-// parseStat reads a line of /proc/PID/stat. A name may hold spaces and brackets.
+// parseStat parses /proc/PID/stat. The process name may contain spaces and parentheses.
 func parseStat(text string) (pid, parent int, pages int64, ok bool) {
 	open, end := strings.IndexByte(text, '('), strings.LastIndexByte(text, ')')
 	if open < 0 || end < open {
 		return 0, 0, 0, false
 	}
-	rest := strings.Fields(text[end+1:])
-	if len(rest) <= fieldResident {
+	fields := strings.Fields(text[end+1:])
+	if len(fields) <= fieldResident {
 		return 0, 0, 0, false
 	}
 	pid, err1 := strconv.Atoi(strings.TrimSpace(text[:open]))
-	parent, err2 := strconv.Atoi(rest[fieldParent])
-	pages, err3 := strconv.ParseInt(rest[fieldResident], 10, 64)
+	parent, err2 := strconv.Atoi(fields[fieldParent])
+	pages, err3 := strconv.ParseInt(fields[fieldResident], 10, 64)
 	return pid, parent, pages, err1 == nil && err2 == nil && err3 == nil
 }
--- a/internal/kit/scale/guard/guard_test.go
+++ b/internal/kit/scale/guard/guard_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-func TestCountsItselfAndItsChildren(t *testing.T) {
-	before, err := Now()
+func TestUsageIncludesChildProcesses(t *testing.T) {
+	before, err := CurrentUsage()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,47 +21,47 @@
 	if err := child.Start(); err != nil {
 		t.Fatal(err)
 	}
-	after, err := Now()
+	after, err := CurrentUsage()
 	in.Close()
 	if err := errors.Join(err, child.Wait()); err != nil {
 		t.Fatal(err)
 	}
 	if after.Processes != before.Processes+1 || before.Memory <= 0 {
-		t.Errorf("before %+v, with a child %+v", before, after)
+		t.Errorf("before %+v, with a child process %+v", before, after)
 	}
 }
 
-func TestEndsTheRunPastALimit(t *testing.T) {
+func TestExceededLimitCancelsContext(t *testing.T) {
 	for _, limits := range []Limits{{Memory: 1, Processes: 1000}, {Memory: 1 << 40, Processes: 0}} {
 		ctx, g := Watch(context.Background(), limits)
 		<-ctx.Done()
-		var over *Over
-		if !errors.As(context.Cause(ctx), &over) {
-			t.Errorf("%+v: ended by %v", limits, context.Cause(ctx))
+		var exceeded *LimitError
+		if !errors.As(context.Cause(ctx), &exceeded) {
+			t.Errorf("%+v: context cancelled by %v", limits, context.Cause(ctx))
 		}
-		if most := g.Stop(); most.Memory <= 0 || most.Processes < 1 {
-			t.Errorf("the most is %+v", most)
+		if peak := g.Stop(); peak.Memory <= 0 || peak.Processes < 1 {
+			t.Errorf("peak is %+v", peak)
 		}
 	}
 }
 
-func TestStopsWithoutAnError(t *testing.T) {
+func TestStopDoesNotCancelContext(t *testing.T) {
 	ctx, g := Watch(context.Background(), Limits{1 << 40, 1 << 20})
 	g.Stop()
 	if ctx.Err() != nil {
-		t.Error("ended", context.Cause(ctx))
+		t.Error("context cancelled:", context.Cause(ctx))
 	}
 }
 
-func TestReadsNamesWithBrackets(t *testing.T) {
+func TestStatNameWithParentheses(t *testing.T) {
 	pid, parent, pages, ok := parseStat("17 (a) b (c) S 5 1 1 0 -1 0 0 0 0 0 0 0 0 0 20 0 1 0 99 1000 42 0 0")
 	if !ok || pid != 17 || parent != 5 || pages != 42 {
 		t.Error(pid, parent, pages, ok)
 	}
 	if _, _, _, ok := parseStat("nothing"); ok {
-		t.Error("took nothing for a process")
+		t.Error("parsed an invalid line")
 	}
-	if descends(map[int]int{3: 4, 4: 3}, 3, os.Getpid()) {
-		t.Error("a ring has no beginning")
+	if isDescendant(map[int]int{3: 4, 4: 3}, 3, os.Getpid()) {
+		t.Error("a cycle counts as a descendant")
 	}
 }
--- a/internal/kit/scale/heap/heap.go
+++ b/internal/kit/scale/heap/heap.go
@@ -1,20 +1,20 @@
-// Package heap tells what the heap of this process holds, for figures of memory.
+// Package heap measures the heap of this process.
 package heap
 
 import "runtime"
 
-// InUse is the bytes of all that is reachable, after a collection.
+// InUse returns the bytes of live heap objects, after a garbage collection.
 func InUse() int64 {
 	runtime.GC()
-	runtime.GC() // what finalizers kept
+	runtime.GC() // frees objects that finalizers kept alive
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return int64(stats.HeapAlloc)
 }
 
-// Allocations is the mean number of allocations of a call, over so many calls.
-func Allocations(calls int, f func()) float64 {
-	f() // what is allocated once
+// AllocationsPerCall returns the mean number of allocations of f, over the given number of calls.
+func AllocationsPerCall(calls int, f func()) float64 {
+	f() // excludes allocations of the first call only
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range calls {
--- a/internal/kit/scale/hierarchy/changes.go
+++ b/internal/kit/scale/hierarchy/changes.go
@@ -9,49 +9,49 @@
 	"craneglade/internal/controlplane/subscriber"
 )
 
-// tracker follows each change until it is in force at every node that serves its service.
+// tracker tracks each change until it is in force at every node that serves its service.
 type tracker struct {
-	open     map[string][]*change          // by service
-	taken    []time.Duration               // until in force: one for each change and node
-	exclude  func(*Process) bool           // nodes that changes don't wait for: those that a fault holds up
-	crossing func(*service, *Process) bool // pairs that a cut separates
-	made     int
-	longest  time.Duration // until in force, also where a writer was down meanwhile
+	open        map[string][]*change          // by service
+	latencies   []time.Duration               // until in force, one for each change and node
+	excluded    func(*Process) bool           // nodes for which changes don't wait, as a fault stalls them
+	partitioned func(*service, *Process) bool // pairs that a network partition separates
+	created     int
+	maxLatency  time.Duration // until in force, including the time that a writer was down
 }
 
-// change is one that is not in force everywhere yet.
+// change is a change that is not in force everywhere yet.
 type change struct {
-	made    time.Duration
-	at      time.Duration // from which its time counts: made, or when its writer came back
-	version uint64
-	nodes   map[*Process]struct{} // that it is not in force at
+	createdAt    time.Duration
+	measuredFrom time.Duration // start of its latency: its creation, or the restart of its writer
+	version      uint64
+	pending      map[*Process]struct{} // nodes at which it is not in force
 }
 
 func (t *tracker) init() { t.open = map[string][]*change{} }
 
-// reset forgets what was measured; open changes are still followed.
-func (t *tracker) reset() { t.taken, t.made, t.longest = nil, 0, 0 }
+// reset discards the measurements; open changes are still tracked.
+func (t *tracker) reset() { t.latencies, t.created, t.maxLatency = nil, 0, 0 }
 
-// appended notes a change that a writer has taken.
+// appended records a change that a writer has appended to its log.
 func (t *tracker) appended(n *Network, s *service, position resource.Position) {
-	t.made++
-	c := &change{made: n.now, at: n.now, version: position.Version, nodes: map[*Process]struct{}{}}
+	t.created++
+	c := &change{createdAt: n.now, measuredFrom: n.now, version: position.Version, pending: map[*Process]struct{}{}}
 	for _, i := range s.nodes {
-		if p := n.byRole[RoleNode][i]; !p.down && !t.excused(s, p) {
-			c.nodes[p] = struct{}{}
+		if p := n.byRole[RoleNode][i]; !p.down && !t.exempt(s, p) {
+			c.pending[p] = struct{}{}
 		}
 	}
-	if len(c.nodes) > 0 {
+	if len(c.pending) > 0 {
 		t.open[s.name] = append(t.open[s.name], c)
 	}
 }
 
-// excused reports whether a fault is why a change need not reach a node in time.
-func (t *tracker) excused(s *service, p *Process) bool {
-	return t.exclude != nil && t.exclude(p) || t.crossing != nil && t.crossing(s, p)
+// exempt reports whether a fault excuses a node from applying a change in time.
+func (t *tracker) exempt(s *service, p *Process) bool {
+	return t.excluded != nil && t.excluded(p) || t.partitioned != nil && t.partitioned(s, p)
 }
 
-// applied notes what a node has in force.
+// applied records what a node has put in force.
 func (t *tracker) applied(now time.Duration, p *Process, a *subscriber.Applied) {
 	if p.Role != RoleNode || len(t.open) == 0 {
 		return
@@ -67,64 +67,65 @@
 
 func (t *tracker) inForce(now time.Duration, p *Process, service string, version uint64) {
 	for _, c := range t.open[service] {
-		if _, waits := c.nodes[p]; !waits || c.version > version {
+		if _, pending := c.pending[p]; !pending || c.version > version {
 			continue
 		}
-		delete(c.nodes, p)
-		t.taken = append(t.taken, now-c.at)
-		t.longest = max(t.longest, now-c.made)
+		delete(c.pending, p)
+		t.latencies = append(t.latencies, now-c.measuredFrom)
+		t.maxLatency = max(t.maxLatency, now-c.createdAt)
 	}
-	t.close(service)
+	t.removeDone(service)
 }
 
-// close takes out changes that nobody waits for.
-func (t *tracker) close(service string) {
-	rest := slices.DeleteFunc(t.open[service], func(c *change) bool { return len(c.nodes) == 0 })
-	if len(rest) == 0 {
+// removeDone removes the changes that no node has pending.
+func (t *tracker) removeDone(service string) {
+	remaining := slices.DeleteFunc(t.open[service], func(c *change) bool { return len(c.pending) == 0 })
+	if len(remaining) == 0 {
 		delete(t.open, service)
 		return
 	}
-	t.open[service] = rest
+	t.open[service] = remaining
 }
 
-// left takes a node that ended out of what is waited for.
-func (t *tracker) left(p *Process) {
+// nodeStopped removes a stopped node from the pending nodes of all changes.
+func (t *tracker) nodeStopped(p *Process) {
 	if p.Role != RoleNode {
 		return
 	}
-	for _, service := range p.network.fleet.serves[p.Index] {
+	for _, service := range p.network.fleet.servicesByNode[p.Index] {
 		for _, c := range t.open[service] {
-			delete(c.nodes, p)
+			delete(c.pending, p)
 		}
 		if _, is := t.open[service]; is {
-			t.close(service)
+			t.removeDone(service)
 		}
 	}
 }
 
-// writerBack counts the time of changes from now on that their writer took and could tell nobody, or not all, as it ended.
-func (t *tracker) writerBack(n *Network, region int) {
+// writerRestarted restarts the latency of a region's open changes: their writer may have stopped before it sent them to
+// all.
+func (t *tracker) writerRestarted(n *Network, region int) {
 	for i := range n.fleet.services {
 		if s := &n.fleet.services[i]; s.region == region {
 			for _, c := range t.open[s.name] {
-				c.at = n.now
+				c.measuredFrom = n.now
 			}
 		}
 	}
 }
 
-// waiting is how many pairs of a change and a node are not in force yet, and how long the oldest has waited.
-func (t *tracker) waiting(now time.Duration) (pairs int, oldest time.Duration) {
+// pending returns the number of pairs of a change and a node at which it is not in force, and the age of the oldest change.
+func (t *tracker) pending(now time.Duration) (pairs int, oldest time.Duration) {
 	for _, service := range slices.Sorted(maps.Keys(t.open)) {
 		for _, c := range t.open[service] {
-			pairs += len(c.nodes)
-			oldest = max(oldest, now-c.at)
+			pairs += len(c.pending)
+			oldest = max(oldest, now-c.measuredFrom)
 		}
 	}
 	return pairs, oldest
 }
 
-// quantile is that of some times; 0 for none.
+// quantile returns a quantile of durations, or 0 if there are none.
 func quantile(all []time.Duration, q float64) time.Duration {
 	if len(all) == 0 {
 		return 0
--- a/internal/kit/scale/hierarchy/fault.go
+++ b/internal/kit/scale/hierarchy/fault.go
@@ -12,146 +12,146 @@
 )
 
 const (
-	beforeFault  = 10 * time.Second // of steady running
-	changesAfter = 20               // made right after a fault in which the hierarchy itself was at fault
+	steadyBeforeFault = 10 * time.Second
+	changesDuringHeal = 20 // created while all relays start again
 )
 
-// Fault plays a fault on the running fleet, and measures until all have the same after it. What does not hold is a failed
-// check of the result; an error ends the run.
+// Fault injects a fault into the running fleet, and measures until all processes have the same state after it. Conditions
+// that do not hold are failed checks of the result; an error ends the run.
 func (r *Run) Fault(ctx context.Context, f plan.Fault) (*result.Step, error) {
 	n := r.network
 	out := &result.Step{Part: "fault " + f.Kind, Size: n.step}
 	n.changes.reset()
-	times, nodeRestarts := 1.0, 0.0
+	rateFactor, nodeRestarts := 1.0, 0.0
 	if f.Kind == plan.FaultRestarts {
-		times = f.Times
-		nodeRestarts = times * n.plan.Rates.RestartsPerDay / dayLength.Seconds() * float64(n.step.Nodes) / float64(n.step.Nodes+n.step.Endpoints)
+		rateFactor = f.RateFactor
+		nodeRestarts = rateFactor * n.plan.Rates.RestartsPerDay / day.Seconds() * float64(n.step.Nodes) / float64(n.step.Nodes+n.step.Endpoints)
 	}
-	w := n.newWorkload(times)
-	w.nodes = nodeRestarts
+	w := n.newWorkload(rateFactor)
+	w.nodeRestartsPerSecond = nodeRestarts
 	w.start()
-	if err := n.Run(ctx, n.now+beforeFault); err != nil {
+	if err := n.Run(ctx, n.now+steadyBeforeFault); err != nil {
 		return nil, err
 	}
-	heal, err := r.begin(f, w)
+	heal, err := r.startFault(f, w)
 	if err != nil {
 		return nil, err
 	}
-	before := n.traffic()
-	if err := n.Run(ctx, n.now+f.Length.D()); err != nil {
+	before := n.trafficByProcess()
+	if err := n.Run(ctx, n.now+f.Duration.D()); err != nil {
 		return nil, err
 	}
 	w.stop()
-	during := n.changes.taken
-	n.changes.taken = nil
+	duringFault := n.changes.latencies
+	n.changes.latencies = nil
 	heal()
-	if err := r.healed(ctx, f, out, before); err != nil {
+	if err := r.measureHeal(ctx, f, out, before); err != nil {
 		return nil, err
 	}
-	n.changes.taken = append(n.changes.taken, during...)
+	n.changes.latencies = append(n.changes.latencies, duringFault...)
 	limit := inForceLimit
-	if f.Kind == plan.FaultRelays { // no node has a parent that knows anything: changes come with the healing
-		limit = f.Heal.D()
+	if f.Kind == plan.FaultRelays { // no node has a parent with state, so changes arrive only during the heal
+		limit = f.HealTimeout.D()
 	}
-	r.inForce(out, ", "+f.Kind, n.changes.made, limit)
-	out.Add(Mechanism, "change", "in force at the last node, the writer's absence included, "+f.Kind, "s", n.changes.longest.Seconds())
-	n.changes.exclude, n.changes.crossing = nil, nil
+	r.checkInForce(out, ", "+f.Kind, n.changes.created, limit)
+	out.Add(Mechanism, "change", "in force at the last node, the writer's absence included, "+f.Kind, "s", n.changes.maxLatency.Seconds())
+	n.changes.excluded, n.changes.partitioned = nil, nil
 	if w.err != nil {
 		return nil, w.err
 	}
 	return out, n.Run(ctx, n.now+n.plan.Rates.Settle.D())
 }
 
-// begin has a fault begin, and returns what ends it.
-func (r *Run) begin(f plan.Fault, w *workload) (heal func(), err error) {
+// startFault starts a fault, and returns the function that ends it.
+func (r *Run) startFault(f plan.Fault, w *workload) (heal func(), err error) {
 	switch f.Kind {
 	case plan.FaultZone:
 		return r.loseZone(0), nil
 	case plan.FaultRegion:
 		return r.cutRegion(0, f, w), nil
 	case plan.FaultStall:
-		return r.stall(f.Part), nil
+		return r.stall(f.Fraction), nil
 	case plan.FaultRestarts:
-		return r.restartsEnd(), nil
+		return r.startStoppedNodes(), nil
 	case plan.FaultWriter:
 		return r.killWriter(0)
 	case plan.FaultRelays:
 		return r.restartRelays(w), nil
 	}
-	return nil, fmt.Errorf("fault %q is not known", f.Kind)
+	return nil, fmt.Errorf("unknown fault %q", f.Kind)
 }
 
-// healed measures how long it takes after a fault until all have the same.
-func (r *Run) healed(ctx context.Context, f plan.Fault, out *result.Step, before []Traffic) error {
+// measureHeal measures how long it takes after a fault until all processes have the same state.
+func (r *Run) measureHeal(ctx context.Context, f plan.Fault, out *result.Step, before []Traffic) error {
 	n := r.network
-	began := n.now
-	took, err := n.converge(ctx, f.Heal.D(), RoleWriter, RoleRelay, RoleNode)
+	started := n.now
+	elapsed, err := n.converge(ctx, f.HealTimeout.D(), RoleWriter, RoleRelay, RoleNode)
 	var diverged *DivergedError
 	if err != nil && !errors.As(err, &diverged) {
 		return err
 	}
-	detail := fmt.Sprintf("after %.1f s", took.Seconds())
+	detail := fmt.Sprintf("after %.1f s", elapsed.Seconds())
 	if diverged != nil {
 		detail = diverged.Error()
 	}
-	out.Check("all have the writers' state, by position and digest, within "+f.Heal.String(), diverged == nil, "%s", detail)
-	out.Add(Mechanism, "change", "all equal after the heal, "+f.Kind, "s", took.Seconds())
-	after := n.traffic()
-	most := int64(0)
+	out.Check("all have the writers' state, by position and digest, within "+f.HealTimeout.String(), diverged == nil, "%s", detail)
+	out.Add(Mechanism, "change", "all equal after the heal, "+f.Kind, "s", elapsed.Seconds())
+	after := n.trafficByProcess()
+	maxBytes := int64(0)
 	for _, p := range n.byRole[RoleRelay] {
-		i := n.place(p)
-		most = max(most, after[i].BytesOut-before[i].BytesOut)
+		i := n.processIndex(p)
+		maxBytes = max(maxBytes, after[i].BytesOut-before[i].BytesOut)
 	}
-	out.Add(Mechanism, "relay", "bytes out from the fault to the heal's end, the most of any, "+f.Kind, "B", float64(most))
-	out.Add(Mechanism, "node", "bytes in from the fault to the heal's end, "+f.Kind, "B", perProcess(before, after, RoleNode, func(t Traffic) int64 { return t.BytesIn }, n))
-	if diverged != nil { // let it have its time, so that the next fault begins from a whole fleet
-		if _, err := n.converge(ctx, startWithin, RoleWriter, RoleRelay, RoleNode); err != nil {
+	out.Add(Mechanism, "relay", "bytes out from the fault to the heal's end, the most of any, "+f.Kind, "B", float64(maxBytes))
+	out.Add(Mechanism, "node", "bytes in from the fault to the heal's end, "+f.Kind, "B", meanPerProcess(before, after, RoleNode, func(t Traffic) int64 { return t.BytesIn }, n))
+	if diverged != nil { // wait longer, so that the next fault starts from a fleet that has recovered
+		if _, err := n.converge(ctx, startTimeout, RoleWriter, RoleRelay, RoleNode); err != nil {
 			return err
 		}
-		out.Add(Mechanism, "change", "all equal in the end, "+f.Kind, "s", (n.now - began).Seconds())
+		out.Add(Mechanism, "change", "all equal in the end, "+f.Kind, "s", (n.now - started).Seconds())
 	}
 	return nil
 }
 
-// loseZone ends all nodes and relays of a zone. Then they start within a second, with nothing.
+// loseZone kills all nodes and relays of a zone. To heal, they start empty within a second.
 func (r *Run) loseZone(zone int) (heal func()) {
 	n := r.network
-	var lost []*Process
+	var stopped []*Process
 	for _, p := range n.processes {
 		if p.Zone == zone && p.Role != RoleWriter {
-			lost = append(lost, p)
+			stopped = append(stopped, p)
 			p.Kill()
 		}
 	}
 	return func() {
-		for _, p := range lost {
-			n.At(n.now+time.Duration(n.random.Int64N(int64(startSpread))), p.Start)
+		for _, p := range stopped {
+			n.Schedule(n.now+time.Duration(n.random.Int64N(int64(startWindow))), p.Start)
 		}
 	}
 }
 
-// cutRegion cuts a region off from all others. Changes wait on both sides when it heals.
+// cutRegion partitions a region from all others. Changes are pending on both sides when it heals.
 func (r *Run) cutRegion(region int, f plan.Fault, w *workload) (heal func()) {
 	n := r.network
-	n.cut = func(a, b *Process) bool { return a.Region == region && b.Region != region }
-	// Changes of the one side can't be in force on the other: nobody there is waited for.
-	n.changes.crossing = func(s *service, p *Process) bool { return (s.region == region) != (p.Region == region) }
+	n.partition = func(a, b *Process) bool { return a.Region == region && b.Region != region }
+	// A change from one side can't be in force on the other, so it does not wait for nodes there.
+	n.changes.partitioned = func(s *service, p *Process) bool { return (s.region == region) != (p.Region == region) }
 	for i := range f.Changes {
-		n.At(n.now+time.Duration(int64(f.Length)*int64(i)/int64(f.Changes)), w.configuration)
+		n.Schedule(n.now+time.Duration(int64(f.Duration)*int64(i)/int64(f.Changes)), w.changeConfiguration)
 	}
-	return func() { n.cut = nil } // both sides are waited for again once all have the same
+	return func() { n.partition = nil } // changes wait for both sides again once all have the same state
 }
 
-// stall stops part of the nodes.
-func (r *Run) stall(part float64) (heal func()) {
+// stall suspends a fraction of the nodes.
+func (r *Run) stall(fraction float64) (heal func()) {
 	n := r.network
 	stalled := map[*Process]bool{}
-	for _, i := range n.random.Perm(n.step.Nodes)[:max(1, int(part*float64(n.step.Nodes)))] {
+	for _, i := range n.random.Perm(n.step.Nodes)[:max(1, int(fraction*float64(n.step.Nodes)))] {
 		p := n.byRole[RoleNode][i]
 		p.Stall()
 		stalled[p] = true
 	}
-	n.changes.exclude = func(p *Process) bool { return stalled[p] }
+	n.changes.excluded = func(p *Process) bool { return stalled[p] }
 	return func() {
 		for p := range stalled {
 			p.Wake()
@@ -159,8 +159,8 @@
 	}
 }
 
-// restartsEnd waits for nodes that are between two lives.
-func (r *Run) restartsEnd() (heal func()) {
+// startStoppedNodes returns a function that starts the nodes that are down at the end of the fault.
+func (r *Run) startStoppedNodes() (heal func()) {
 	n := r.network
 	return func() {
 		for _, p := range n.byRole[RoleNode] {
@@ -169,31 +169,32 @@
 	}
 }
 
-// killWriter ends a region's writer in the middle of a change: it is in the log, and half of the subscribers were sent it.
-// It starts again under a newer epoch, with its log. A change that it could tell nobody has its time from then on.
+// killWriter kills a region's writer during a change: the change is in the log, but was sent to only half of the
+// subscribers. The writer restarts under a newer epoch, with its log. The latencies of changes that are still open count
+// from the restart.
 func (r *Run) killWriter(region int) (heal func(), err error) {
 	n := r.network
 	writer := n.byRole[RoleWriter][region]
 	sent := 0
-	writer.drop = func(publisher.Outgoing) bool {
+	writer.dropped = func(publisher.Outgoing) bool {
 		sent++
 		return sent%2 == 0
 	}
-	s := n.serviceOf(region)
-	if err := n.Append(s, s.own(n.nextGeneration())); err != nil {
+	s := n.serviceInRegion(region)
+	if err := n.Append(s, s.serviceResource(n.nextGeneration())); err != nil {
 		return nil, err
 	}
 	writer.drive()
 	writer.Kill()
 	n.epochs[region]++
 	return func() {
-		n.changes.writerBack(n, region)
+		n.changes.writerRestarted(n, region)
 		writer.Start()
 	}, nil
 }
 
-// serviceOf is a service of a region.
-func (n *Network) serviceOf(region int) *service {
+// serviceInRegion returns a service of a region.
+func (n *Network) serviceInRegion(region int) *service {
 	for i := range n.fleet.services {
 		if n.fleet.services[i].region == region {
 			return &n.fleet.services[i]
@@ -202,7 +203,7 @@
 	return &n.fleet.services[0]
 }
 
-// restartRelays ends all relays at once, and starts them with nothing while changes are made.
+// restartRelays kills all relays at once. To heal, they start empty while changes are made.
 func (r *Run) restartRelays(w *workload) (heal func()) {
 	n := r.network
 	for _, p := range n.byRole[RoleRelay] {
@@ -212,8 +213,8 @@
 		for _, p := range n.byRole[RoleRelay] {
 			p.Start()
 		}
-		for range changesAfter {
-			w.configuration()
+		for range changesDuringHeal {
+			w.changeConfiguration()
 		}
 	}
 }
--- a/internal/kit/scale/hierarchy/link.go
+++ b/internal/kit/scale/hierarchy/link.go
@@ -14,16 +14,16 @@
 var firstPosition = resource.Position{Epoch: 1, Version: 1}
 
 func sortedLinks(all map[string]*link) []*link {
-	return slices.SortedFunc(maps.Values(all), compareLinks)
+	return slices.SortedFunc(maps.Values(all), compareSessions)
 }
 
 func sortedSessions(all map[publisher.SessionID]*link) []*link {
-	return slices.SortedFunc(maps.Values(all), compareLinks)
+	return slices.SortedFunc(maps.Values(all), compareSessions)
 }
 
-func compareLinks(a, b *link) int { return cmp.Compare(a.session, b.session) }
+func compareSessions(a, b *link) int { return cmp.Compare(a.session, b.session) }
 
-// drive carries out what the process's state machines want, and has them called again in time.
+// drive steps the process's state machines, carries out their actions, and schedules the next step.
 func (p *Process) drive() {
 	now := p.clock()
 	next := now + time.Hour
@@ -33,39 +33,39 @@
 	if p.publisher != nil {
 		next = min(next, p.drivePublisher(now))
 	}
-	at := max(next-processClockStart, p.network.now+minStep)
+	at := max(next-processClockStart, p.network.now+minWakeDelay)
 	if p.wakeAt > p.network.now && p.wakeAt <= at {
 		return
 	}
 	p.wakeAt = at
-	p.network.events.push(event{at: at, kind: eventWake, process: p, life: p.life})
+	p.network.events.push(event{at: at, kind: eventWake, process: p, incarnation: p.incarnation})
 }
 
-// begin returns when a call began, for a process that is measured.
-func (p *Process) begin() (began time.Time) {
+// startTiming returns the start of a timed call if the process is measured.
+func (p *Process) startTiming() (started time.Time) {
 	if p.Measured {
-		began = time.Now()
+		started = time.Now()
 	}
-	return began
+	return started
 }
 
-// spent counts the processor time of a call.
-func (p *Process) spent(began time.Time) {
+// addCPUTime adds the processor time of a timed call.
+func (p *Process) addCPUTime(started time.Time) {
 	if p.Measured {
-		p.Spent += time.Since(began)
+		p.CPUTime += time.Since(started)
 	}
 }
 
 func (p *Process) driveUplink(u *uplink, now time.Duration) (next time.Duration) {
 	n := p.network
-	began := p.begin()
+	started := p.startTiming()
 	actions := u.subscriber.Step(now)
 	next = u.subscriber.Next(now)
-	p.spent(began)
+	p.addCPUTime(started)
 	for _, name := range actions.Close {
 		if l := u.links[name]; l != nil {
 			delete(u.links, name)
-			n.hangUp(l)
+			n.closeLink(l)
 		}
 	}
 	for _, candidate := range actions.Connect {
@@ -73,10 +73,10 @@
 	}
 	for _, o := range actions.Send {
 		if l := u.links[o.Parent]; l != nil && l.open {
-			began := p.begin()
+			started := p.startTiming()
 			encoded := message.Encode(o.Message)
-			p.spent(began)
-			l.send(p, l.parent, l.parentLife, &l.toParent, o.Message, encoded)
+			p.addCPUTime(started)
+			l.send(p, l.parent, l.parentIncarnation, &l.lastToParent, o.Message, encoded)
 		}
 	}
 	for i := range actions.Applied {
@@ -87,60 +87,60 @@
 }
 
 func (p *Process) drivePublisher(now time.Duration) (next time.Duration) {
-	began := p.begin()
+	started := p.startTiming()
 	out := p.publisher.Step(now)
 	next = p.publisher.Next(now)
-	p.spent(began)
+	p.addCPUTime(started)
 	var last message.Message
 	var encoded []byte
 	for _, o := range out {
 		l := p.sessions[o.Session]
-		if l == nil || p.drop != nil && p.drop(o) {
+		if l == nil || p.dropped != nil && p.dropped(o) {
 			continue
 		}
-		if o.Message != last { // one that goes to many is encoded once
-			began := p.begin()
+		if o.Message != last { // a message to several sessions is encoded once
+			started := p.startTiming()
 			last, encoded = o.Message, message.Encode(o.Message)
-			p.spent(began)
+			p.addCPUTime(started)
 		}
-		l.send(p, l.child, l.childLife, &l.toChild, o.Message, encoded)
+		l.send(p, l.child, l.childIncarnation, &l.lastToChild, o.Message, encoded)
 	}
 	return next
 }
 
-// dial begins a connection.
+// dial opens a connection.
 func (n *Network) dial(p *Process, u *uplink, parent *Process) {
 	n.sessions++
-	l := &link{child: p, childLife: p.life, uplink: u, parent: parent, parentLife: parent.life, session: n.sessions}
+	l := &link{child: p, childIncarnation: p.incarnation, uplink: u, parent: parent, parentIncarnation: parent.incarnation, session: n.sessions}
 	u.links[parent.Name] = l
-	if parent.down || n.separated(p, parent) {
-		n.events.push(event{at: n.now + dialTimeout, kind: eventEnded, process: p, life: p.life, link: l})
+	if parent.down || n.isPartitioned(p, parent) {
+		n.events.push(event{at: n.now + dialTimeout, kind: eventDisconnected, process: p, incarnation: p.incarnation, link: l})
 		return
 	}
-	there := n.latency(p, parent)
-	l.toParent = n.now + there
-	n.events.push(event{at: l.toParent, kind: eventAccepted, process: parent, life: parent.life, link: l})
-	n.events.push(event{at: n.now + 2*there, kind: eventConnected, process: p, life: p.life, link: l})
+	latency := n.latency(p, parent)
+	l.lastToParent = n.now + latency
+	n.events.push(event{at: l.lastToParent, kind: eventAccepted, process: parent, incarnation: parent.incarnation, link: l})
+	n.events.push(event{at: n.now + 2*latency, kind: eventConnected, process: p, incarnation: p.incarnation, link: l})
 }
 
-// current reports whether the subscriber still means this connection.
-func (l *link) current() bool { return l.uplink.links[l.parent.Name] == l }
+// isCurrent reports whether the subscriber still uses this connection.
+func (l *link) isCurrent() bool { return l.uplink.links[l.parent.Name] == l }
 
-// connected tells the child that the connection stands.
+// connected notifies the child that the connection is established.
 func (l *link) connected() {
 	switch {
-	case !l.current():
-	case l.parent.life != l.parentLife || l.parent.down:
-		l.ended()
+	case !l.isCurrent():
+	case l.parent.incarnation != l.parentIncarnation || l.parent.down:
+		l.disconnected()
 	default:
 		l.open = true
 		l.uplink.subscriber.Connected(l.child.clock(), l.parent.Name)
 	}
 }
 
-// ended tells the child that the connection is no more.
-func (l *link) ended() {
-	if !l.current() {
+// disconnected notifies the child that the connection has ended.
+func (l *link) disconnected() {
+	if !l.isCurrent() {
 		return
 	}
 	delete(l.uplink.links, l.parent.Name)
@@ -148,56 +148,56 @@
 	l.uplink.subscriber.Disconnected(l.child.clock(), l.parent.Name)
 }
 
-// hangUp ends a connection from the child's side.
-func (n *Network) hangUp(l *link) {
-	l.open, l.hungUp = false, true
-	if !n.separated(l.child, l.parent) { // else the parent hears of it when it sends, after the cut
-		n.events.push(event{at: n.now + n.latency(l.child, l.parent), kind: eventHungUp, process: l.parent, life: l.parentLife, link: l})
+// closeLink closes a connection from the child's side.
+func (n *Network) closeLink(l *link) {
+	l.open, l.closed = false, true
+	if !n.isPartitioned(l.child, l.parent) { // otherwise the parent is notified when it sends after the partition
+		n.events.push(event{at: n.now + n.latency(l.child, l.parent), kind: eventClosed, process: l.parent, incarnation: l.parentIncarnation, link: l})
 	}
 }
 
-// send carries a message in one direction, in order. What is sent during a cut is lost, and the connection with it: the
-// other side gives up a parent that is silent, and a parent is told when it sends to a child that has hung up.
-func (l *link) send(from, to *Process, life int, last *time.Duration, m message.Message, encoded []byte) {
+// send delivers a message in one direction, in order. What is sent during a partition is lost, and so is the connection:
+// the child abandons a silent parent, and the parent is notified when it sends to a child that has closed the connection.
+func (l *link) send(from, to *Process, incarnation int, lastArrival *time.Duration, m message.Message, encoded []byte) {
 	n := from.network
 	size := len(encoded) + frameBytes
 	from.Traffic.MessagesOut++
 	from.Traffic.BytesOut += int64(size)
-	if n.separated(l.child, l.parent) {
+	if n.isPartitioned(l.child, l.parent) {
 		return
 	}
-	if from == l.parent && l.hungUp {
-		n.events.push(event{at: n.now + n.latency(l.child, l.parent), kind: eventHungUp, process: l.parent, life: l.parentLife, link: l})
+	if from == l.parent && l.closed {
+		n.events.push(event{at: n.now + n.latency(l.child, l.parent), kind: eventClosed, process: l.parent, incarnation: l.parentIncarnation, link: l})
 		return
 	}
-	*last = max(*last, n.now+n.latency(from, to))
-	e := event{at: *last, kind: eventMessage, process: to, life: life, link: l, message: m, size: size}
+	*lastArrival = max(*lastArrival, n.now+n.latency(from, to))
+	e := event{at: *lastArrival, kind: eventMessage, process: to, incarnation: incarnation, link: l, message: m, size: size}
 	if to.Measured {
 		e.encoded = encoded
 	}
 	n.events.push(e)
 }
 
-// receive takes a message from a link.
+// receive handles a message from a link.
 func (p *Process) receive(e *event) {
 	l := e.link
 	p.Traffic.MessagesIn++
 	p.Traffic.BytesIn += int64(e.size)
-	began := p.begin()
-	defer p.spent(began)
+	started := p.startTiming()
+	defer p.addCPUTime(started)
 	all := []message.Message{e.message}
 	if p.Measured {
 		decoded, _, err := message.Decode(e.encoded)
 		if err != nil {
-			panic(err) // it was written by this very program
+			panic(err) // encoded by the sender
 		}
 		all = decoded
 	}
 	for _, m := range all {
 		switch {
 		case p == l.parent && p.sessions[l.session] == l:
-			_ = p.publisher.Receive(p.clock(), l.session, m) // the publisher counts what it does not take
-		case p == l.child && l.open && l.current():
+			_ = p.publisher.Receive(p.clock(), l.session, m) // the publisher counts invalid messages
+		case p == l.child && l.open && l.isCurrent():
 			_ = l.uplink.subscriber.Receive(p.clock(), l.parent.Name, m) // so does the subscriber
 		}
 	}
--- a/internal/kit/scale/hierarchy/network.go
+++ b/internal/kit/scale/hierarchy/network.go
@@ -1,12 +1,12 @@
-// Package hierarchy plays the control plane at the size of a whole fleet, in virtual time: one writer for each region, relays
-// by zone and thousands of nodes, each with the state machines of a real process (packages publisher, subscriber and
-// changelog) and with messages of the size that they have on the wire. It counts what goes over each process's links and
-// how long each change takes until it is in force.
+// Package hierarchy simulates the control plane of a whole fleet in virtual time: one writer per region, relays by zone and
+// thousands of nodes. Each process has the state machines of a real one (packages publisher, subscriber and changelog), and
+// messages have the size that they have on the wire. It counts the traffic of each process and how long each change takes
+// until it is in force.
 //
-// Some processes of each role are measured: what they receive is decoded from its bytes, so that they share no memory with
-// others, and the processor time of their calls is taken. The others are handed the messages of the sender as they are.
+// Some processes of each role are measured: messages to them are decoded from bytes, so that they share no memory with
+// others, and the processor time of their calls is taken. All others are passed the sender's messages as they are.
 //
-// There is no I/O here, and no goroutine. The wall clock is read for processor time only; nothing in a run depends on it.
+// There is no I/O and no goroutine here. The wall clock is read for processor time only; no result depends on it otherwise.
 package hierarchy
 
 import (
@@ -24,20 +24,20 @@
 )
 
 const (
-	frameBytes        = 20              // around each message: its length and the seal's tag (internal/peers/frame)
-	dialTimeout       = 2 * time.Second // of a connection to who can't be reached
-	silentHeartbeats  = 3               // a parent is silent after so many heartbeats that did not come
-	burstSeconds      = 2               // of a publisher's bytes that may go at once, as in internal/controlnet
-	checkEvery        = 1 << 14         // events between two looks at the context
-	minStep           = time.Millisecond
-	seedStream        = 0x5ca1e
-	measuredNodes     = 32 // at most
-	measuredRelays    = 1
-	measuredWriters   = 1
-	processClockStart = time.Hour
+	frameBytes            = 20              // around each message: its length and the authentication tag (internal/peers/frame)
+	dialTimeout           = 2 * time.Second // of a connection to an unreachable process
+	maxMissedHeartbeats   = 3               // after so many missing heartbeats a parent counts as silent
+	burstSeconds          = 2               // seconds of a publisher's rate that it may send in a burst, as in internal/controlnet
+	eventsPerContextCheck = 1 << 14
+	minWakeDelay          = time.Millisecond
+	seedStream            = 0x5ca1e
+	maxMeasuredNodes      = 32
+	maxMeasuredRelays     = 1
+	maxMeasuredWriters    = 1
+	processClockStart     = time.Hour
 )
 
-// Role is what a process does.
+// Role is the role of a process.
 type Role uint8
 
 // The roles.
@@ -50,26 +50,26 @@
 
 func (r Role) String() string { return [...]string{"writer", "relay", "node"}[r] }
 
-// Traffic is what a process has sent and received.
+// Traffic counts what a process has sent and received.
 type Traffic struct{ BytesIn, BytesOut, MessagesIn, MessagesOut int64 }
 
-// Network is a fleet with a virtual clock.
+// Network is a simulated fleet with a virtual clock.
 type Network struct {
-	plan      *plan.Plan
-	step      plan.Step
-	fleet     *fleet
-	random    *rand.Rand
-	now       time.Duration
-	events    eventQueue
-	processes []*Process
-	byName    map[string]*Process
-	byRole    [roleCount][]*Process
-	logs      []*changelog.Store // by region, at their writers
-	epochs    []uint64
-	cut       func(a, b *Process) bool // nil for none
-	sessions  publisher.SessionID
-	changes   tracker
-	handled   int // events
+	plan          *plan.Plan
+	step          plan.Step
+	fleet         *fleet
+	random        *rand.Rand
+	now           time.Duration
+	events        eventQueue
+	processes     []*Process
+	byName        map[string]*Process
+	byRole        [roleCount][]*Process
+	logs          []*changelog.Store // by region, at their writers
+	epochs        []uint64
+	partition     func(a, b *Process) bool // pairs that can't communicate; nil for none
+	sessions      publisher.SessionID
+	changes       tracker
+	handledEvents int
 
 	generation int
 }
@@ -79,46 +79,46 @@
 	Name     string
 	Role     Role
 	Region   int
-	Zone     int // among all
-	Index    int // among those of its role
+	Zone     int // number among the zones of all regions
+	Index    int // number among the processes of its role
 	Traffic  Traffic
-	Spent    time.Duration // of processor time, where it is measured
+	CPUTime  time.Duration // of its calls, if it is measured
 	Measured bool
 
-	network   *Network
-	life      int
-	down      bool
-	stalled   bool
-	waiting   []event // while it is stalled
-	wakeAt    time.Duration
-	uplinks   []*uplink
-	publisher *publisher.Publisher // nil for nodes
-	sessions  map[publisher.SessionID]*link
-	drop      func(publisher.Outgoing) bool // set by faults: what is not sent any more
+	network     *Network
+	incarnation int
+	down        bool
+	stalled     bool
+	deferred    []event // received while stalled
+	wakeAt      time.Duration
+	uplinks     []*uplink
+	publisher   *publisher.Publisher // nil for nodes
+	sessions    map[publisher.SessionID]*link
+	dropped     func(publisher.Outgoing) bool // set by faults: reports messages that are not sent
 }
 
-// uplink is one subscriber of a process.
+// uplink is a subscriber of a process with its connections.
 type uplink struct {
 	subscriber *subscriber.Subscriber
 	regions    []int
 	links      map[string]*link // by the name of the parent
 }
 
-// link is one connection.
+// link is a connection between a child and a parent.
 type link struct {
-	child      *Process
-	childLife  int
-	uplink     *uplink
-	parent     *Process
-	parentLife int
-	session    publisher.SessionID
-	open       bool          // at the child
-	hungUp     bool          // by the child
-	toChild    time.Duration // when the last message arrives, as order is kept
-	toParent   time.Duration
+	child             *Process
+	childIncarnation  int
+	uplink            *uplink
+	parent            *Process
+	parentIncarnation int
+	session           publisher.SessionID
+	open              bool          // at the child
+	closed            bool          // by the child
+	lastToChild       time.Duration // arrival of the last message, to keep the order
+	lastToParent      time.Duration
 }
 
-// New makes a fleet. No process runs yet.
+// New creates a fleet. No process runs yet.
 func New(p *plan.Plan, step plan.Step) (*Network, error) {
 	random := rand.New(rand.NewPCG(p.Seed, seedStream))
 	n := &Network{plan: p, step: step, random: random, fleet: newFleet(p, step, random), byName: map[string]*Process{}}
@@ -126,7 +126,7 @@
 	for region := range p.Fleet.Regions {
 		store := changelog.NewStore(regionName(region), changelog.Limits{})
 		if err := store.Replace(firstPosition, n.fleet.log(region)); err != nil {
-			return nil, fmt.Errorf("first log of %s: %w", regionName(region), err)
+			return nil, fmt.Errorf("initial log of %s: %w", regionName(region), err)
 		}
 		n.logs, n.epochs = append(n.logs, store), append(n.epochs, firstPosition.Epoch)
 	}
@@ -137,16 +137,16 @@
 func (n *Network) addProcesses() {
 	f := &n.plan.Fleet
 	for region := range f.Regions {
-		n.add(RoleWriter, region, -1, fmt.Sprintf("writer-%d", region), measuredWriters)
+		n.add(RoleWriter, region, -1, fmt.Sprintf("writer-%d", region), maxMeasuredWriters)
 	}
 	for zone := range f.Zones {
 		for i := range f.RelaysPerZone {
-			n.add(RoleRelay, zone%f.Regions, zone, fmt.Sprintf("relay-%02d-%d", zone, i), measuredRelays)
+			n.add(RoleRelay, zone%f.Regions, zone, fmt.Sprintf("relay-%02d-%d", zone, i), maxMeasuredRelays)
 		}
 	}
 	for i := range n.step.Nodes {
 		zone := i % f.Zones
-		n.add(RoleNode, zone%f.Regions, zone, fmt.Sprintf("node-%05d", i), measuredNodes)
+		n.add(RoleNode, zone%f.Regions, zone, fmt.Sprintf("node-%05d", i), maxMeasuredNodes)
 	}
 }
 
@@ -158,7 +158,8 @@
 	n.byRole[role] = append(n.byRole[role], p)
 }
 
-// zoneName is what processes of a zone are ranked by. Writers stand for their region, whose relays prefer them.
+// zoneName returns the zone by which parents are ranked. For writers and relays it is their region, so that relays prefer
+// the writer of their own.
 func (p *Process) zoneName() string {
 	switch p.Role {
 	case RoleNode:
@@ -167,7 +168,7 @@
 	return regionName(p.Region)
 }
 
-// candidate is the process as a parent of a node or relay.
+// candidate returns the process as a possible parent of a child with the given role.
 func (p *Process) candidate(child Role) parents.Candidate {
 	zone := regionName(p.Region)
 	if child == RoleNode {
@@ -176,7 +177,7 @@
 	return parents.Candidate{Name: p.Name, Address: p.Name, Zone: zone}
 }
 
-// Start begins a life of the process with nothing; a writer has its log.
+// Start starts an incarnation of the process with no state. A writer has its log.
 func (p *Process) Start() {
 	if !p.down {
 		return
@@ -186,8 +187,8 @@
 	p.sessions = map[publisher.SessionID]*link{}
 	if p.Role != RoleNode {
 		p.publisher = publisher.New(publisher.Config{
-			BytesPerSecond:    float64(n.plan.Rates.RelayBytes),
-			BurstBytes:        burstSeconds * float64(n.plan.Rates.RelayBytes),
+			BytesPerSecond:    float64(n.plan.Rates.RelayBytesPerSecond),
+			BurstBytes:        burstSeconds * float64(n.plan.Rates.RelayBytesPerSecond),
 			HeartbeatInterval: n.plan.Rates.Heartbeat.D(),
 			Seed:              n.random.Uint64(),
 			Age:               p.age,
@@ -197,10 +198,10 @@
 	if p.Role == RoleWriter {
 		p.publisher.Publish(n.logs[p.Region])
 	}
-	n.events.push(event{at: n.now, kind: eventWake, process: p, life: p.life})
+	n.events.push(event{at: n.now, kind: eventWake, process: p, incarnation: p.incarnation})
 }
 
-// subscribe makes the process's subscribers.
+// subscribe creates the process's subscribers.
 func (p *Process) subscribe() {
 	n := p.network
 	var all []int
@@ -209,13 +210,13 @@
 	}
 	switch p.Role {
 	case RoleNode:
-		p.follow(all, changelog.Filter{Services: n.fleet.serves[p.Index]}, n.candidates(RoleRelay, RoleNode, func(c *Process) bool { return c.Region == p.Region }))
+		p.subscribeTo(all, changelog.Filter{Services: n.fleet.servicesByNode[p.Index]}, n.candidates(RoleRelay, RoleNode, func(c *Process) bool { return c.Region == p.Region }))
 	case RoleRelay:
-		p.follow(all, changelog.Filter{All: true}, n.candidates(RoleWriter, RoleRelay, func(*Process) bool { return true }))
+		p.subscribeTo(all, changelog.Filter{All: true}, n.candidates(RoleWriter, RoleRelay, func(*Process) bool { return true }))
 	case RoleWriter:
 		for _, region := range all {
 			if region != p.Region {
-				p.follow([]int{region}, changelog.Filter{All: true}, n.candidates(RoleWriter, RoleWriter, func(c *Process) bool { return c.Region == region }))
+				p.subscribeTo([]int{region}, changelog.Filter{All: true}, n.candidates(RoleWriter, RoleWriter, func(c *Process) bool { return c.Region == region }))
 			}
 		}
 	}
@@ -230,10 +231,10 @@
 	return out
 }
 
-// follow adds a subscriber.
-func (p *Process) follow(regions []int, filter changelog.Filter, candidates []parents.Candidate) {
+// subscribeTo adds a subscriber.
+func (p *Process) subscribeTo(regions []int, filter changelog.Filter, candidates []parents.Candidate) {
 	n := p.network
-	limits := controlnet.LimitsFor(silentHeartbeats * n.plan.Rates.Heartbeat.D())
+	limits := controlnet.LimitsFor(maxMissedHeartbeats * n.plan.Rates.Heartbeat.D())
 	var names []string
 	for _, region := range regions {
 		names = append(names, regionName(region))
@@ -249,10 +250,10 @@
 	p.uplinks = append(p.uplinks, u)
 }
 
-// clock is the process's monotonic clock.
+// clock returns the process's monotonic clock.
 func (p *Process) clock() time.Duration { return processClockStart + p.network.now }
 
-// age is how old the process's replica of a log is.
+// age returns the age of the process's replica of a log.
 func (p *Process) age(region string, now time.Duration) time.Duration {
 	for _, u := range p.uplinks {
 		if u.subscriber.Store(region) != nil {
@@ -262,7 +263,7 @@
 	return 0
 }
 
-// Store is the process's replica of a region's log.
+// Store returns the process's replica of a region's log.
 func (p *Process) Store(region int) *changelog.Store {
 	if p.Role == RoleWriter && p.Region == region {
 		return p.network.logs[region]
@@ -275,7 +276,7 @@
 	return nil
 }
 
-// Kill ends the process. Its peers hear of it as of a connection that ends.
+// Kill stops the process. Its peers see their connections end.
 func (p *Process) Kill() {
 	if p.down {
 		return
@@ -283,47 +284,47 @@
 	n := p.network
 	for _, u := range p.uplinks {
 		for _, l := range sortedLinks(u.links) {
-			n.hangUp(l)
+			n.closeLink(l)
 		}
 	}
 	for _, l := range sortedSessions(p.sessions) {
-		n.events.push(event{at: n.now + n.latency(p, l.child), kind: eventEnded, process: l.child, life: l.childLife, link: l})
+		n.events.push(event{at: n.now + n.latency(p, l.child), kind: eventDisconnected, process: l.child, incarnation: l.childIncarnation, link: l})
 	}
-	p.life++
-	p.down, p.stalled, p.waiting, p.drop = true, false, nil, nil
+	p.incarnation++
+	p.down, p.stalled, p.deferred, p.dropped = true, false, nil, nil
 	p.publisher, p.uplinks, p.sessions = nil, nil, nil
-	n.changes.left(p)
+	n.changes.nodeStopped(p)
 }
 
-// Stall stops the process; what is sent to it waits.
+// Stall suspends the process; events for it are deferred.
 func (p *Process) Stall() { p.stalled = !p.down }
 
-// Wake has a stalled process go on.
+// Wake resumes a stalled process.
 func (p *Process) Wake() {
 	if !p.stalled {
 		return
 	}
 	p.stalled = false
-	for _, e := range p.waiting {
+	for _, e := range p.deferred {
 		e.at = p.network.now
 		p.network.events.push(e)
 	}
-	p.waiting = nil
-	p.network.events.push(event{at: p.network.now, kind: eventWake, process: p, life: p.life})
+	p.deferred = nil
+	p.network.events.push(event{at: p.network.now, kind: eventWake, process: p, incarnation: p.incarnation})
 }
 
-// At has a function called at a time.
-func (n *Network) At(at time.Duration, run func()) {
+// Schedule calls a function at a time.
+func (n *Network) Schedule(at time.Duration, run func()) {
 	n.events.push(event{at: max(at, n.now), kind: eventCall, run: run})
 }
 
-// Run goes on until a time. An error is why ctx ended.
+// Run processes events up to a time. It returns an error if ctx ends.
 func (n *Network) Run(ctx context.Context, until time.Duration) error {
 	for len(n.events.items) > 0 && n.events.items[0].at <= until {
 		e := n.events.pop()
 		n.now = max(n.now, e.at)
 		n.handle(&e)
-		if n.handled++; n.handled%checkEvery == 0 && ctx.Err() != nil {
+		if n.handledEvents++; n.handledEvents%eventsPerContextCheck == 0 && ctx.Err() != nil {
 			return context.Cause(ctx)
 		}
 	}
@@ -331,17 +332,17 @@
 	return context.Cause(ctx)
 }
 
-// handle brings an event to its process.
+// handle delivers an event to its process.
 func (n *Network) handle(e *event) {
 	p := e.process
 	switch {
 	case p == nil:
 		e.run()
 		return
-	case e.life != p.life || p.down:
+	case e.incarnation != p.incarnation || p.down:
 		return
 	case p.stalled:
-		p.waiting = append(p.waiting, *e)
+		p.deferred = append(p.deferred, *e)
 		return
 	}
 	switch e.kind {
@@ -350,13 +351,13 @@
 	case eventConnected:
 		e.link.connected()
 	case eventAccepted:
-		if !e.link.hungUp {
+		if !e.link.closed {
 			p.sessions[e.link.session] = e.link
 			p.publisher.Connected(p.clock(), e.link.session)
 		}
-	case eventEnded:
-		e.link.ended()
-	case eventHungUp:
+	case eventDisconnected:
+		e.link.disconnected()
+	case eventClosed:
 		if p.sessions[e.link.session] == e.link {
 			delete(p.sessions, e.link.session)
 			p.publisher.Disconnected(p.clock(), e.link.session)
@@ -365,16 +366,18 @@
 	p.drive()
 }
 
-// latency is that of one message between two processes.
+// latency draws the one-way delay of a message between two processes.
 func (n *Network) latency(a, b *Process) time.Duration {
-	base := n.plan.Network.World.D()
+	base := n.plan.Network.BetweenRegions.D()
 	switch {
 	case a.Region == b.Region && a.Zone == b.Zone:
-		base = n.plan.Network.Zone.D()
+		base = n.plan.Network.WithinZone.D()
 	case a.Region == b.Region:
-		base = n.plan.Network.Region.D()
+		base = n.plan.Network.WithinRegion.D()
 	}
 	return time.Duration((0.5 + n.random.Float64()) * float64(base))
 }
 
-func (n *Network) separated(a, b *Process) bool { return n.cut != nil && (n.cut(a, b) || n.cut(b, a)) }
+func (n *Network) isPartitioned(a, b *Process) bool {
+	return n.partition != nil && (n.partition(a, b) || n.partition(b, a))
+}
--- a/internal/kit/scale/hierarchy/twin_test.go
+++ b/internal/kit/scale/hierarchy/twin_test.go
@@ -11,11 +11,12 @@
 	"craneglade/internal/tomlfile"
 )
 
-// flat is by how much a node's bytes and messages may differ between sizes of the fleet, as a part.
-const flat = 0.2
+// maxFlatDeviation is the relative deviation of a node's bytes and messages between sizes of the fleet that still counts as
+// flat.
+const maxFlatDeviation = 0.2
 
-// twinPlan is deploy/scale/short.toml with sizes and times that a test of every change can afford.
-func twinPlan(t *testing.T) *plan.Plan {
+// smallPlan returns deploy/scale/short.toml with smaller sizes and shorter times, for a test that runs with every change.
+func smallPlan(t *testing.T) *plan.Plan {
 	t.Helper()
 	p, err := plan.Load("../../../../deploy/scale/short.toml")
 	if err != nil {
@@ -30,7 +31,7 @@
 	return p
 }
 
-// figure finds one by role and name.
+// figure returns the value of a figure by role and name.
 func figure(t *testing.T, s *result.Step, role, name string) float64 {
 	t.Helper()
 	for _, f := range s.Figures {
@@ -38,14 +39,14 @@
 			return f.Value
 		}
 	}
-	t.Fatalf("%s: no figure %s of %s", s.Where(), name, role)
+	t.Fatalf("%s: no figure %s of role %s", s.Where(), name, role)
 	return 0
 }
 
-func checkAll(t *testing.T, s *result.Step) {
+func requireChecksPass(t *testing.T, s *result.Step) {
 	t.Helper()
 	if len(s.Checks) == 0 {
-		t.Errorf("%s: nothing was checked", s.Where())
+		t.Errorf("%s: no checks", s.Where())
 	}
 	for _, c := range s.Checks {
 		if !c.Passed {
@@ -54,10 +55,10 @@
 	}
 }
 
-// TestTwin is the scale run in small, by virtual time and counts alone: what a node is sent does not grow with the fleet, a
-// change is in force at the last healthy node in time, and after each fault all have the writers' state.
-func TestTwin(t *testing.T) {
-	p, ctx := twinPlan(t), context.Background()
+// A small scale run in virtual time, checked by counts alone. It fails if the traffic of a node grows with the fleet, if a
+// change is not in force at the last healthy node in time, or if a process does not have the writers' state after a fault.
+func TestSmallScaleRun(t *testing.T) {
+	p, ctx := smallPlan(t), context.Background()
 	var smallest *result.Step
 	var largest *Run
 	for _, size := range p.Steps {
@@ -65,19 +66,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		checkAll(t, out)
+		requireChecksPass(t, out)
 		if smallest == nil {
 			smallest = out
 		}
 		largest = r
 		for _, name := range []string{"bytes in", "bytes out", "messages in", "messages out"} {
 			small, now := figure(t, smallest, "node", name), figure(t, out, "node", name)
-			if math.Abs(now-small) > flat*small {
+			if math.Abs(now-small) > maxFlatDeviation*small {
 				t.Errorf("%s of a node: %.1f at %d nodes, %.1f at %d", name, small, smallest.Size.Nodes, now, size.Nodes)
 			}
 		}
-		if in := figure(t, out, "node", "bytes in"); in > float64(p.Rates.NodeBytes) {
-			t.Errorf("%d nodes: a node is sent %.0f B/s, and may be sent %d", size.Nodes, in, p.Rates.NodeBytes)
+		if in := figure(t, out, "node", "bytes in"); in > float64(p.Rates.NodeBytesPerSecond) {
+			t.Errorf("%d nodes: a node receives %.0f B/s, limit %d", size.Nodes, in, p.Rates.NodeBytesPerSecond)
 		}
 	}
 	kinds := map[string]bool{}
@@ -86,20 +87,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		checkAll(t, out)
+		requireChecksPass(t, out)
 		if figure(t, out, "change", "changes made, "+f.Kind) == 0 {
-			t.Errorf("no change was made in %s", out.Where())
+			t.Errorf("no changes in %s", out.Where())
 		}
 		kinds[f.Kind] = true
 	}
 	if len(kinds) != 6 {
-		t.Errorf("only the faults %v were played", kinds)
+		t.Errorf("only the faults %v were run", kinds)
 	}
 }
 
-// TestSameSeedSameCounts holds that a run follows from its plan alone.
-func TestSameSeedSameCounts(t *testing.T) {
-	p, ctx := twinPlan(t), context.Background()
+// Two runs of one plan must give the same figures, but for times of the wall clock.
+func TestRunIsDeterministic(t *testing.T) {
+	p, ctx := smallPlan(t), context.Background()
 	p.Rates.Measure = tomlfile.Duration(time.Second)
 	var first *result.Step
 	for range 2 {
@@ -112,33 +113,33 @@
 			continue
 		}
 		for i, f := range out.Figures {
-			if !f.Wall && f != first.Figures[i] {
-				t.Errorf("%+v, and before %+v", f, first.Figures[i])
+			if !f.WallClock && f != first.Figures[i] {
+				t.Errorf("%+v, in the first run %+v", f, first.Figures[i])
 			}
 		}
 	}
 }
 
-// TestALostChangeIsNamed has a node stand still that counts as healthy. The checks have to name what is not in force there.
-func TestALostChangeIsNamed(t *testing.T) {
-	p, ctx := twinPlan(t), context.Background()
+// A node that counts as healthy stalls and misses a change. The checks must report the replica and the change.
+func TestMissingChangeFailsCheck(t *testing.T) {
+	p, ctx := smallPlan(t), context.Background()
 	p.Rates.Measure = tomlfile.Duration(time.Second)
 	r, _, err := Measure(ctx, p, p.Steps[0])
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := r.network
-	s := n.serviceOf(0)
-	lost := n.byRole[RoleNode][s.nodes[0]]
-	if err := n.Append(s, s.own(n.nextGeneration())); err != nil {
+	s := n.serviceInRegion(0)
+	stalled := n.byRole[RoleNode][s.nodes[0]]
+	if err := n.Append(s, s.serviceResource(n.nextGeneration())); err != nil {
 		t.Fatal(err)
 	}
-	lost.Stall()
+	stalled.Stall()
 	if _, err := n.converge(ctx, 8*time.Second, RoleNode); err == nil {
-		t.Error("a node without the change counts as equal")
+		t.Error("a node without the change counts as converged")
 	}
-	r.inForce(r.out, ", lost", 1, inForceLimit)
+	r.checkInForce(r.out, ", lost", 1, inForceLimit)
 	if last := r.out.Checks[len(r.out.Checks)-1]; last.Passed {
-		t.Errorf("a change that is not in force passed: %+v", last)
+		t.Errorf("check passed with a change that is not in force: %+v", last)
 	}
 }
--- a/internal/kit/scale/hierarchy/workload.go
+++ b/internal/kit/scale/hierarchy/workload.go
@@ -9,43 +9,44 @@
 )
 
 const (
-	dayLength   = 24 * time.Hour
-	drainFor    = 5 * time.Second // between news that an endpoint drains and that it is back
-	nodeBackIn  = 5 * time.Second // between the end of a node's process and its next start
-	startStream = 0xc0de
+	day              = 24 * time.Hour
+	drainTime        = 5 * time.Second // between the change to draining and the change back to ready
+	nodeRestartDelay = 5 * time.Second // between the end of a node's process and its next start
+	workloadStream   = 0xc0de
 )
 
-// workload changes the logs at the plan's rates.
+// workload changes the logs, and restarts nodes, at random times with given mean rates.
 type workload struct {
-	network  *Network
-	random   *rand.Rand
-	changes  float64 // of configuration, a second
-	restarts float64 // of endpoints, a second
-	nodes    float64 // restarts of nodes, a second
-	running  bool
-	err      error // of the first change that was refused
+	network               *Network
+	random                *rand.Rand
+	changesPerSecond      float64 // of configuration
+	restartsPerSecond     float64 // of endpoints
+	nodeRestartsPerSecond float64
+	running               bool
+	err                   error // of the first change that was rejected
 }
 
-// newWorkload has the rates of a fleet of the network's size, several times as high.
-func (n *Network) newWorkload(times float64) *workload {
-	part := float64(n.step.Nodes) / float64(n.plan.Largest().Nodes)
-	perDay := func(rate float64) float64 { return rate * part / dayLength.Seconds() }
-	return &workload{network: n, random: rand.New(rand.NewPCG(n.plan.Seed, startStream+uint64(n.now))), changes: perDay(n.plan.Rates.ChangesPerDay),
-		restarts: times * perDay(n.plan.Rates.RestartsPerDay)}
+// newWorkload returns a workload with the plan's rates for a fleet of the network's size. Endpoint restarts are multiplied
+// by rateFactor.
+func (n *Network) newWorkload(rateFactor float64) *workload {
+	fraction := float64(n.step.Nodes) / float64(n.plan.Largest().Nodes)
+	perDay := func(rate float64) float64 { return rate * fraction / day.Seconds() }
+	return &workload{network: n, random: rand.New(rand.NewPCG(n.plan.Seed, workloadStream+uint64(n.now))), changesPerSecond: perDay(n.plan.Rates.ChangesPerDay),
+		restartsPerSecond: rateFactor * perDay(n.plan.Rates.RestartsPerDay)}
 }
 
-// start has changes happen until stop.
+// start starts the changes, which go on until stop.
 func (w *workload) start() {
 	w.running = true
-	w.every(w.changes, w.configuration)
-	w.every(w.restarts, w.restart)
-	w.every(w.nodes, w.restartNode)
+	w.repeat(w.changesPerSecond, w.changeConfiguration)
+	w.repeat(w.restartsPerSecond, w.restartEndpoint)
+	w.repeat(w.nodeRestartsPerSecond, w.restartNode)
 }
 
 func (w *workload) stop() { w.running = false }
 
-// every does something at a mean rate, at random moments.
-func (w *workload) every(rate float64, do func()) {
+// repeat calls a function at random times with a mean rate per second.
+func (w *workload) repeat(rate float64, do func()) {
 	if rate <= 0 {
 		return
 	}
@@ -56,45 +57,45 @@
 			return
 		}
 		do()
-		n.At(n.now+w.wait(rate), next)
+		n.Schedule(n.now+w.nextDelay(rate), next)
 	}
-	n.At(n.now+w.wait(rate), next)
+	n.Schedule(n.now+w.nextDelay(rate), next)
 }
 
-func (w *workload) wait(rate float64) time.Duration {
+func (w *workload) nextDelay(rate float64) time.Duration {
 	return time.Duration(w.random.ExpFloat64() / rate * float64(time.Second))
 }
 
-// configuration changes something other than an endpoint of a service.
-func (w *workload) configuration() {
+// changeConfiguration changes a random service's own resource, route or tenant.
+func (w *workload) changeConfiguration() {
 	s := &w.network.fleet.services[w.random.IntN(len(w.network.fleet.services))]
 	generation := w.network.nextGeneration()
-	r := s.own(generation)
+	r := s.serviceResource(generation)
 	switch kind := w.random.IntN(3); {
 	case kind == 0 && s.routes > 0:
 		r = s.route(w.random.IntN(s.routes), generation)
 	case kind == 1 && s.tenants > 0:
 		r = s.tenant(w.random.IntN(s.tenants), generation)
 	}
-	w.set(s, r)
+	w.change(s, r)
 }
 
-// restart has an endpoint drain and come back as another process. An endpoint is as likely to as any other.
-func (w *workload) restart() {
+// restartEndpoint lets a random endpoint drain and return as another process. All endpoints are equally likely.
+func (w *workload) restartEndpoint() {
 	n := w.network
 	services := n.fleet.services
-	at := w.random.IntN(n.step.Endpoints)
-	index := 0
-	for at >= services[index].endpoints {
-		at -= services[index].endpoints
-		index++
+	remaining := w.random.IntN(n.step.Endpoints)
+	home := 0
+	for remaining >= services[home].endpoints {
+		remaining -= services[home].endpoints
+		home++
 	}
-	s := &services[index]
-	w.set(s, s.endpoint(at, resource.EndpointDraining, n.nextGeneration()))
-	n.At(n.now+drainFor, func() { w.set(s, s.endpoint(at, resource.EndpointReady, n.nextGeneration())) })
+	s := &services[home]
+	w.change(s, s.endpoint(remaining, resource.EndpointDraining, n.nextGeneration()))
+	n.Schedule(n.now+drainTime, func() { w.change(s, s.endpoint(remaining, resource.EndpointReady, n.nextGeneration())) })
 }
 
-// restartNode has a node's process end and begin with nothing.
+// restartNode kills a random node, which starts again empty.
 func (w *workload) restartNode() {
 	n := w.network
 	p := n.byRole[RoleNode][w.random.IntN(n.step.Nodes)]
@@ -102,35 +103,36 @@
 		return
 	}
 	p.Kill()
-	n.At(n.now+nodeBackIn, p.Start)
+	n.Schedule(n.now+nodeRestartDelay, p.Start)
 }
 
-// nextGeneration tells states of resources apart, so that no change leaves one as it was.
+// nextGeneration returns a number that is used in only one state of a resource, so that every change makes a difference.
 func (n *Network) nextGeneration() int {
 	n.generation++
 	return n.generation
 }
 
-// set changes a resource at the writer of its region; one that is down changes nothing.
-func (w *workload) set(s *service, r resource.Resource) {
+// change changes a resource at the writer of its region, and keeps the first error.
+func (w *workload) change(s *service, r resource.Resource) {
 	if err := w.network.Append(s, r); err != nil && w.err == nil {
 		w.err = err
 	}
 }
 
-// Append changes a service's resource at its writer. A writer that is down changes nothing.
+// Append appends a changed resource to the log of its service's writer. It does nothing while the writer is down or
+// stalled.
 func (n *Network) Append(s *service, r resource.Resource) error {
 	writer := n.byRole[RoleWriter][s.region]
 	if writer.down || writer.stalled {
 		return nil
 	}
-	began := writer.begin()
+	started := writer.startTiming()
 	t, err := n.logs[s.region].Append(n.epochs[s.region], []resource.Change{{Resource: r}})
-	writer.spent(began)
+	writer.addCPUTime(started)
 	if err != nil {
-		return fmt.Errorf("a change at %s: %w", writer.Name, err)
+		return fmt.Errorf("append a change at %s: %w", writer.Name, err)
 	}
 	n.changes.appended(n, s, t.Position)
-	n.events.push(event{at: n.now, kind: eventWake, process: writer, life: writer.life})
+	n.events.push(event{at: n.now, kind: eventWake, process: writer, incarnation: writer.incarnation})
 	return nil
 }
--- a/internal/kit/scale/hollow/hollow.go
+++ b/internal/kit/scale/hollow/hollow.go
@@ -1,5 +1,6 @@
-// Package hollow runs many nodes of a fleet in one process: each has the subscriber and the sessions over TCP of a real
-// node's control part, and no requests. It tells on its output what comes into force, one JSON object a line.
+// Package hollow runs many hollow nodes in one process: each has the subscriber and the TCP sessions of a real node's
+// control part, and serves no requests. A host reports the changes that its nodes apply on its output, as one JSON object
+// per line.
 package hollow
 
 import (
@@ -23,28 +24,28 @@
 	"craneglade/internal/kit/scale/hierarchy"
 )
 
-// tellEvery is how often a host tells where its nodes stand.
-const tellEvery = 500 * time.Millisecond
+// statusInterval is the time between two status reports of a host.
+const statusInterval = 500 * time.Millisecond
 
-// HostConfig is what a process with hollow nodes is told.
+// HostConfig configures a process with hollow nodes.
 type HostConfig struct {
-	Region  string              `json:"region"`
-	Cluster string              `json:"cluster"`
-	Key     string              `json:"key"` // in hexadecimal
-	Silence time.Duration       `json:"silence"`
-	Bytes   int                 `json:"bytes"` // a second that a node sends at most
-	Parents []parents.Candidate `json:"parents"`
-	Nodes   []Node              `json:"nodes"`
+	Region         string              `json:"region"`
+	Cluster        string              `json:"cluster"`
+	Key            string              `json:"key"` // hexadecimal
+	SilenceTimeout time.Duration       `json:"silence"`
+	BytesPerSecond int                 `json:"bytes"` // limit of what a node sends
+	Parents        []parents.Candidate `json:"parents"`
+	Nodes          []NodeConfig        `json:"nodes"`
 }
 
-// Node is one hollow node.
-type Node struct {
+// NodeConfig configures one hollow node.
+type NodeConfig struct {
 	Name     string   `json:"name"`
 	Zone     string   `json:"zone"`
 	Services []string `json:"services"`
 }
 
-// InForce is news that a service's own resource is in force at a node.
+// InForce reports that a service's own resource is in force at a node.
 type InForce struct {
 	Node       string `json:"node"`
 	Service    string `json:"service"`
@@ -52,30 +53,30 @@
 	AtNS       int64  `json:"at_ns"` // Unix nanoseconds
 }
 
-// Status is where the nodes of a host stand.
+// Status sums up the nodes of a host.
 type Status struct {
-	Nodes    int               `json:"nodes"`
-	Least    resource.Position `json:"least"` // where the last of them stands
-	Most     resource.Position `json:"most"`
-	Counts   controlnet.Counts `json:"counts"`    // of all
-	CPUNS    int64             `json:"cpu_ns"`    // of the process, since its start
-	Heap     int64             `json:"heap"`      // bytes; in the last line only
-	Resource int               `json:"resources"` // of all nodes; in the last line only
+	Nodes       int               `json:"nodes"`
+	MinPosition resource.Position `json:"least"` // of the node that is furthest behind
+	MaxPosition resource.Position `json:"most"`
+	Counts      controlnet.Counts `json:"counts"`    // sums over all nodes
+	CPUNS       int64             `json:"cpu_ns"`    // processor time of the process since its start
+	HeapBytes   int64             `json:"heap"`      // in the final status only
+	Resources   int               `json:"resources"` // sum over all nodes; in the final status only
 }
 
-// Line is one line of a host's output. One field is set.
+// Line is one line of a host's output. Exactly one field is set.
 type Line struct {
 	InForce *InForce `json:"in_force,omitempty"`
 	Status  *Status  `json:"status,omitempty"`
-	Last    *Status  `json:"last,omitempty"`
+	Final   *Status  `json:"last,omitempty"`
 }
 
-// host is a running one.
+// host is a process with hollow nodes.
 type host struct {
 	cfg   *HostConfig
 	clock func() time.Duration
 
-	mu    sync.Mutex // of the output
+	mu    sync.Mutex // serializes writes to out
 	out   *json.Encoder
 	nodes []*node
 }
@@ -85,7 +86,7 @@
 	process    *controlnet.Process
 }
 
-// Run runs the nodes until ctx ends or in does, and tells a last time. Nothing is read from in.
+// Run runs the nodes until ctx is cancelled or in ends, then writes the final status. What is read from in is discarded.
 func Run(ctx context.Context, cfg *HostConfig, in io.Reader, out io.Writer, log *slog.Logger) error {
 	key, err := hex.DecodeString(cfg.Key)
 	if err != nil {
@@ -93,48 +94,48 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go func() { // ends with the process: a read of standard input can't be broken off
+	go func() { // runs until the process exits, as a read of standard input can't be cancelled
 		_, _ = io.Copy(io.Discard, in)
 		cancel()
 	}()
-	began := time.Now()
-	h := &host{cfg: cfg, clock: func() time.Duration { return time.Since(began) }, out: json.NewEncoder(out)}
-	before := heap.InUse()
-	living, end := context.WithCancel(context.WithoutCancel(ctx)) // the nodes end after the last look at them
-	defer end()
+	started := time.Now()
+	h := &host{cfg: cfg, clock: func() time.Duration { return time.Since(started) }, out: json.NewEncoder(out)}
+	heapBefore := heap.InUse()
+	nodesCtx, stopNodes := context.WithCancel(context.WithoutCancel(ctx)) // nodes run until their final status has been read
+	defer stopNodes()
 	var running sync.WaitGroup
 	for i := range cfg.Nodes {
 		n := h.newNode(&cfg.Nodes[i], uint64(i), key, log)
-		running.Go(func() { n.process.Run(living, nil) })
+		running.Go(func() { n.process.Run(nodesCtx, nil) })
 	}
-	h.tell(ctx)
+	h.reportStatus(ctx)
 	status := h.status()
-	status.Heap = heap.InUse() - before
+	status.HeapBytes = heap.InUse() - heapBefore
 	for _, n := range h.nodes {
-		n.process.Do(func() { status.Resource += n.subscriber.Store(cfg.Region).Len() })
+		n.process.Do(func() { status.Resources += n.subscriber.Store(cfg.Region).Len() })
 	}
-	end()
+	stopNodes()
 	running.Wait()
-	return h.write(Line{Last: status})
+	return h.write(Line{Final: status})
 }
 
-func (h *host) newNode(cfg *Node, number uint64, key []byte, log *slog.Logger) *node {
+func (h *host) newNode(cfg *NodeConfig, index uint64, key []byte, log *slog.Logger) *node {
 	n := &node{}
 	n.subscriber = subscriber.New(subscriber.Config{Name: cfg.Name, Zone: cfg.Zone, Regions: []string{h.cfg.Region}, Filter: changelog.Filter{Services: cfg.Services},
-		Candidates: h.cfg.Parents, Seed: uint64(os.Getpid())<<20 + number, Limits: controlnet.LimitsFor(h.cfg.Silence), Leaf: true}, h.clock())
-	n.process = controlnet.NewProcess(controlnet.Config{Name: cfg.Name, Keys: [][]byte{key}, Cluster: h.cfg.Cluster, BytesPerSecond: h.cfg.Bytes,
-		StaleAfter: h.cfg.Silence, Subscribers: []*subscriber.Subscriber{n.subscriber}, Clock: h.clock, Log: log,
-		Applied: func(news controlnet.Update) { h.applied(cfg.Name, news.Changes) }})
+		Candidates: h.cfg.Parents, Seed: uint64(os.Getpid())<<20 + index, Limits: controlnet.LimitsFor(h.cfg.SilenceTimeout), Leaf: true}, h.clock())
+	n.process = controlnet.NewProcess(controlnet.Config{Name: cfg.Name, Keys: [][]byte{key}, Cluster: h.cfg.Cluster, BytesPerSecond: h.cfg.BytesPerSecond,
+		StaleAfter: h.cfg.SilenceTimeout, Subscribers: []*subscriber.Subscriber{n.subscriber}, Clock: h.clock, Log: log,
+		Applied: func(update controlnet.Update) { h.reportApplied(cfg.Name, update.Changes) }})
 	h.nodes = append(h.nodes, n)
 	return n
 }
 
-// applied tells of services that a node has in a new state.
-func (h *host) applied(name string, changes []resource.Change) {
+// reportApplied reports the services of which a node has applied a new generation.
+func (h *host) reportApplied(name string, changes []resource.Change) {
 	at := time.Now().UnixNano()
 	for i := range changes {
 		if s := changes[i].Resource.Service; s != nil && hierarchy.Generation(s) > 0 {
-			_ = h.write(Line{InForce: &InForce{name, changes[i].Resource.Key.Service, hierarchy.Generation(s), at}}) // who reads it has gone
+			_ = h.write(Line{InForce: &InForce{name, changes[i].Resource.Key.Service, hierarchy.Generation(s), at}}) // fails only if the reader has exited
 		}
 	}
 }
@@ -145,16 +146,16 @@
 	return h.out.Encode(l)
 }
 
-// tell tells where all stand, until ctx ends.
-func (h *host) tell(ctx context.Context) {
-	tick := time.NewTicker(tellEvery)
+// reportStatus writes the status at intervals, until ctx is cancelled.
+func (h *host) reportStatus(ctx context.Context) {
+	tick := time.NewTicker(statusInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			_ = h.write(Line{Status: h.status()}) // who reads it has gone
+			_ = h.write(Line{Status: h.status()}) // fails only if the reader has exited
 		}
 	}
 }
@@ -164,11 +165,11 @@
 	for i, n := range h.nodes {
 		status := n.process.Status()
 		region, _ := status.Region(h.cfg.Region)
-		if i == 0 || region.Position.Compare(out.Least) < 0 {
-			out.Least = region.Position
+		if i == 0 || region.Position.Compare(out.MinPosition) < 0 {
+			out.MinPosition = region.Position
 		}
-		if region.Position.Compare(out.Most) > 0 {
-			out.Most = region.Position
+		if region.Position.Compare(out.MaxPosition) > 0 {
+			out.MaxPosition = region.Position
 		}
 		out.Counts.Sent += status.Counts.Sent
 		out.Counts.Received += status.Counts.Received
--- a/internal/kit/scale/hollow/hollow_test.go
+++ b/internal/kit/scale/hollow/hollow_test.go
@@ -20,8 +20,8 @@
 
 const testKey = "000102030405060708090a0b0c0d0e0f"
 
-// parent serves a log with one service in a state of generation 5, until the test ends.
-func parent(t *testing.T, region string) (candidate parents.Candidate) {
+// startParent serves, until the test ends, a log with one service of generation 5.
+func startParent(t *testing.T, region string) (candidate parents.Candidate) {
 	t.Helper()
 	store := changelog.NewStore(region, changelog.Limits{})
 	service := resource.Resource{Key: resource.Key{Service: "one", Kind: resource.KindService, Name: "one"},
@@ -32,15 +32,15 @@
 	if _, err := store.Append(1, []resource.Change{{Resource: service}}); err != nil {
 		t.Fatal(err)
 	}
-	served := publisher.New(publisher.Config{HeartbeatInterval: 50 * time.Millisecond})
-	served.Publish(store)
+	source := publisher.New(publisher.Config{HeartbeatInterval: 50 * time.Millisecond})
+	source.Publish(store)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
+	started := time.Now()
 	p := controlnet.NewProcess(controlnet.Config{Name: "parent", Keys: [][]byte{{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15}}, Cluster: "test", MaxSubscribers: 10,
-		Publisher: served, Clock: func() time.Duration { return time.Since(began) }, Log: slog.New(slog.DiscardHandler)})
+		Publisher: source, Clock: func() time.Duration { return time.Since(started) }, Log: slog.New(slog.DiscardHandler)})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); p.Run(ctx, ln) }()
@@ -48,9 +48,9 @@
 	return parents.Candidate{Name: "parent", Address: ln.Addr().String()}
 }
 
-func TestNodesTellWhatIsInForceAndEndWithTheirInput(t *testing.T) {
-	cfg := &HostConfig{Region: "north", Cluster: "test", Key: testKey, Silence: time.Second, Parents: []parents.Candidate{parent(t, "north")},
-		Nodes: []Node{{Name: "n0", Services: []string{"one"}}, {Name: "n1", Services: []string{"one"}}}}
+func TestHostReportsAppliedServicesUntilInputCloses(t *testing.T) {
+	cfg := &HostConfig{Region: "north", Cluster: "test", Key: testKey, SilenceTimeout: time.Second, Parents: []parents.Candidate{startParent(t, "north")},
+		Nodes: []NodeConfig{{Name: "n0", Services: []string{"one"}}, {Name: "n1", Services: []string{"one"}}}}
 	in, input := io.Pipe()
 	output, out := io.Pipe()
 	ended := make(chan error, 1)
@@ -59,33 +59,33 @@
 		out.Close()
 		ended <- err
 	}()
-	told := map[string]bool{}
-	var last *Status
+	reported := map[string]bool{}
+	var final *Status
 	for lines := json.NewDecoder(output); ; {
 		var line Line
 		if err := lines.Decode(&line); err != nil {
 			break
 		}
 		if f := line.InForce; f != nil && f.Service == "one" && f.Generation == 5 {
-			told[f.Node] = true
+			reported[f.Node] = true
 		}
-		if len(told) == len(cfg.Nodes) {
+		if len(reported) == len(cfg.Nodes) {
 			input.Close()
 		}
-		if line.Last != nil {
-			last = line.Last
+		if line.Final != nil {
+			final = line.Final
 		}
 	}
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
-	if last == nil || last.Nodes != 2 || last.Resource != 2 || last.Least != (resource.Position{Epoch: 1, Version: 1}) || last.Counts.Received == 0 {
-		t.Errorf("last words: %+v", last)
+	if final == nil || final.Nodes != 2 || final.Resources != 2 || final.MinPosition != (resource.Position{Epoch: 1, Version: 1}) || final.Counts.Received == 0 {
+		t.Errorf("final status: %+v", final)
 	}
 }
 
-func TestABadKeyIsRefused(t *testing.T) {
+func TestInvalidKey(t *testing.T) {
 	if err := Run(context.Background(), &HostConfig{Key: "no"}, strings.NewReader(""), io.Discard, slog.New(slog.DiscardHandler)); err == nil {
-		t.Error("a key that is no hexadecimal number was taken")
+		t.Error("a key that is not hexadecimal was accepted")
 	}
 }
--- a/internal/kit/scale/mesh/mesh.go
+++ b/internal/kit/scale/mesh/mesh.go
@@ -1,10 +1,10 @@
-// Package mesh measures what nodes share today: every node's counts go to every other node, within each node's bytes a
-// second. It plays the replicas of internal/shared in virtual time.
+// Package mesh measures what nodes share over the mesh: every node's counts go to every other node, within a limit of bytes
+// per second per node. It simulates the replicas of internal/shared in virtual time.
 //
-// One replica is played in full. Some others, which know the whole fleet and so keep the pace that its size asks for, are
-// the sources of what all nodes tell: their frames are read and written anew under the number of each node that a source
-// speaks for. The full replica is handed as many copies of each frame as its source sends. Each node sends every entry on as
-// often as its source does, so that this is how many copies each node is sent in the mean.
+// One replica is simulated in full. A few others, the sources, stand for the rest of the fleet. They know all members and
+// so pace their messages for the whole fleet. Each frame of a source is rewritten and delivered to the full replica once
+// for each node that the source stands for, as many times as the source sends it. Every node forwards each entry as often
+// as the source sends it, so this is the mean number of copies that a node receives.
 package mesh
 
 import (
@@ -22,220 +22,220 @@
 	"craneglade/internal/shared/packet"
 )
 
-// How a node speaks, as internal/peers sets it up.
+// Parameters of a node's messages, as in internal/peers.
 const (
-	datagram     = 1400                // bytes of the largest datagram
-	overhead     = 64                  // bytes of it that are not the replica's
-	perSecond    = 15                  // datagrams: three members, five times a second
-	stepsASecond = 4                   // calls of Step
-	tick         = time.Second         // of virtual time; the pace allows for no longer one
-	epoch        = 1000 * time.Hour    // the virtual clock's start
-	exchangeIn   = 10 * time.Second    // between two whole exchanges that a node begins
-	timedSteps   = 20                  // calls that the time of a Step is the mean of
-	quota        = 1000.0              // requests a second of a tenant, over all nodes
-	stepped      = 30_000              // counts in the full replica up to which it takes its own steps all the time
-	longest      = 60 * 24 * time.Hour // of virtual time that is played at most
-	sites        = 15                  // that the nodes are spread over
-	frameHead    = 3                   // bytes of a frame before an entry's, for the size of many in one
+	maxDatagramBytes     = 1400
+	overheadBytes        = 64               // of a datagram, not available to the replica
+	datagramsPerSecond   = 15               // to three members, five times a second
+	stepsPerSecond       = 4                // calls of Step
+	tick                 = time.Second      // of virtual time; the replica's pacing allows no longer step
+	clockStart           = 1000 * time.Hour // of the virtual clock
+	exchangeInterval     = 10 * time.Second // between full state exchanges that a node starts
+	timedSteps           = 20               // calls over which the time of a Step is averaged
+	tenantQuotaPerSecond = 1000.0           // requests of a tenant, over all nodes
+	maxSteppedCounts     = 30_000           // up to this many counts, the full replica is stepped on every tick
+	maxVirtualTime       = 60 * 24 * time.Hour
+	siteCount            = 15 // sites over which the nodes are spread
+	frameHeaderBytes     = 3  // of a frame, before its entries; not counted, as real frames hold many entries
 )
 
-// Part is the name of the part of a run with so many tenants.
-func Part(tenants int) string { return fmt.Sprintf("mesh %d tenants", tenants) }
+// PartName returns the name of the part of a run with the given number of tenants.
+func PartName(tenants int) string { return fmt.Sprintf("mesh %d tenants", tenants) }
 
-// Measure plays one size.
-func Measure(ctx context.Context, step plan.Step, tenants, bytesPS int) (*result.Step, error) {
-	m := newMesh(step.Nodes, tenants, bytesPS)
-	if err := m.fill(ctx, 1); err != nil {
+// Measure measures one size.
+func Measure(ctx context.Context, step plan.Step, tenants, bytesPerSecond int) (*result.Step, error) {
+	m := newMesh(step.Nodes, tenants, bytesPerSecond)
+	if err := m.runUntilSent(ctx, 1); err != nil {
 		return nil, err
 	}
-	out := &result.Step{Part: Part(tenants), Size: step}
+	out := &result.Step{Part: PartName(tenants), Size: step}
 	mechanism := fmt.Sprintf("mesh, %d tenants", tenants)
-	if err := m.steady(ctx, out, mechanism); err != nil {
+	if err := m.measureSteady(ctx, out, mechanism); err != nil {
 		return nil, err
 	}
-	out.Add(mechanism, "change", "a count is told to all every", "s", m.interval().Seconds())
-	state := len(m.full.State(m.now))
-	out.Add(mechanism, "node", "bytes of a whole exchange", "B", float64(state))
-	out.Add(mechanism, "node", "bytes out of whole exchanges, at one in 10 s", "B/s", float64(state)/exchangeIn.Seconds())
-	m.heap(out, mechanism)
+	out.Add(mechanism, "change", "a count is told to all every", "s", m.meanInterval().Seconds())
+	stateBytes := len(m.full.State(m.now))
+	out.Add(mechanism, "node", "bytes of a whole exchange", "B", float64(stateBytes))
+	out.Add(mechanism, "node", "bytes out of whole exchanges, at one in 10 s", "B/s", float64(stateBytes)/exchangeInterval.Seconds())
+	m.measureHeap(out, mechanism)
 	out.Notes = append(out.Notes, fmt.Sprintf("%s: one replica in full, %d sources speak for all others", mechanism, len(m.sources)))
 	return out, nil
 }
 
 // mesh is a fleet in virtual time.
 type mesh struct {
-	nodes   int
-	tenants []string
-	bytesPS int
-	now     time.Duration
-	full    *shared.Replica
-	sources []*source
-	in      traffic // of the full replica
-	out     traffic
-	spent   time.Duration // of the full replica's processor time, by the wall clock
+	nodes          int
+	tenants        []string
+	bytesPerSecond int
+	now            time.Duration
+	full           *shared.Replica
+	sources        []*source
+	received       traffic // by the full replica
+	sent           traffic
+	cpuTime        time.Duration // of the full replica, by the wall clock
 }
 
 type traffic struct{ bytes, messages int }
 
-// source is a replica that speaks for all nodes whose numbers leave its own rest.
+// source is a replica that stands for every node whose number has the same remainder, modulo the number of sources.
 type source struct {
-	number  int
-	replica *shared.Replica
-	told    map[string][]time.Duration // by key: when it was first sent, for each telling
-	epochs  map[string]uint64          // of the latest telling
+	number     int
+	replica    *shared.Replica
+	sentAt     map[string][]time.Duration // by key: when each new value was first sent
+	lastEpochs map[string]uint64          // by key: 1 + the epoch of the latest value sent
 }
 
-func newMesh(nodes, tenants, bytesPS int) *mesh {
-	m := &mesh{nodes: nodes, bytesPS: bytesPS, now: epoch}
+func newMesh(nodes, tenants, bytesPerSecond int) *mesh {
+	m := &mesh{nodes: nodes, bytesPerSecond: bytesPerSecond, now: clockStart}
 	quotas := map[string]float64{}
 	for i := range tenants {
 		name := fmt.Sprintf("tenant-%04d", i)
 		m.tenants = append(m.tenants, name)
-		quotas[name] = quota
+		quotas[name] = tenantQuotaPerSecond
 	}
 	replica := func(number int) *shared.Replica {
-		return shared.New(shared.Config{Name: name(number), Self: escrow.Node{Number: number, Incarnation: 1}, Nodes: nodes, Site: site(number),
-			Quotas: quotas, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: shared.Use{Quotas: true}, BytesPerSecond: bytesPS, DatagramBytes: datagram}, m.now)
+		return shared.New(shared.Config{Name: nodeName(number), Self: escrow.Node{Number: number, Incarnation: 1}, Nodes: nodes, Site: siteName(number),
+			Quotas: quotas, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: shared.Use{Quotas: true}, BytesPerSecond: bytesPerSecond, DatagramBytes: maxDatagramBytes}, m.now)
 	}
 	m.full = replica(0)
-	m.join(m.full, 0)
+	m.joinMembers(m.full, 0)
 	for number := 1; number <= min(plan.MeshSources, nodes-1); number++ {
-		s := &source{number: number, replica: replica(number), told: map[string][]time.Duration{}, epochs: map[string]uint64{}}
-		m.join(s.replica, number)
+		s := &source{number: number, replica: replica(number), sentAt: map[string][]time.Duration{}, lastEpochs: map[string]uint64{}}
+		m.joinMembers(s.replica, number)
 		m.sources = append(m.sources, s)
 	}
 	return m
 }
 
-func name(number int) string { return fmt.Sprintf("n%05d", number) }
-func site(number int) string { return fmt.Sprintf("site-%02d", number%sites) }
+func nodeName(number int) string { return fmt.Sprintf("n%05d", number) }
+func siteName(number int) string { return fmt.Sprintf("site-%02d", number%siteCount) }
 
-// join has a replica know all other nodes.
-func (m *mesh) join(r *shared.Replica, self int) {
+// joinMembers adds all other nodes as members of a replica.
+func (m *mesh) joinMembers(r *shared.Replica, self int) {
 	for number := range m.nodes {
 		if number == self {
 			continue
 		}
-		meta := packet.Meta{Node: escrow.Node{Number: number, Incarnation: 1}, Site: site(number)}.Encode()
-		if err := r.MemberJoined(m.now, name(number), meta); err != nil {
-			panic(err) // it was written by this very program
+		meta := packet.Meta{Node: escrow.Node{Number: number, Incarnation: 1}, Site: siteName(number)}.Encode()
+		if err := r.MemberJoined(m.now, nodeName(number), meta); err != nil {
+			panic(err) // encoded above
 		}
 	}
 	r.Notes()
 }
 
-// speak lets a second pass at the sources and returns the frames that they send, each as often as it is sent.
-func (m *mesh) speak(keep func(s *source, frame []byte)) {
+// stepSources advances the sources by one tick and calls deliver for each frame as often as it is sent.
+func (m *mesh) stepSources(deliver func(s *source, frame []byte)) {
 	m.now += tick
 	for _, s := range m.sources {
 		for _, tenant := range m.tenants {
 			s.replica.CountRequest(m.now, tenant)
 		}
 		s.replica.Step(m.now)
-		for range perSecond {
-			frames := s.replica.Broadcasts(m.now, overhead, datagram-overhead)
+		for range datagramsPerSecond {
+			frames := s.replica.Broadcasts(m.now, overheadBytes, maxDatagramBytes-overheadBytes)
 			if len(frames) == 0 {
 				break
 			}
 			for _, frame := range frames {
-				s.note(m.now, frame)
-				keep(s, frame)
+				s.recordSent(m.now, frame)
+				deliver(s, frame)
 			}
 		}
 	}
 }
 
-// note keeps when each count was told.
-func (s *source) note(now time.Duration, frame []byte) {
+// recordSent records when each count was first sent.
+func (s *source) recordSent(now time.Duration, frame []byte) {
 	entries, _, err := packet.Decode(frame)
 	if err != nil {
-		panic(err) // it was written by this very program
+		panic(err) // encoded by the replica
 	}
 	for _, e := range entries {
-		if e.Kind != packet.Window || s.epochs[e.Key] == e.Window.Epoch+1 {
-			continue // a further copy of the same telling
+		if e.Kind != packet.Window || s.lastEpochs[e.Key] == e.Window.Epoch+1 {
+			continue // another copy of the same value
 		}
-		s.epochs[e.Key] = e.Window.Epoch + 1
-		s.told[e.Key] = append(s.told[e.Key], now)
+		s.lastEpochs[e.Key] = e.Window.Epoch + 1
+		s.sentAt[e.Key] = append(s.sentAt[e.Key], now)
 	}
 }
 
-// hand gives the full replica a frame from each node that its source speaks for.
-func (m *mesh) hand(s *source, frame []byte) {
+// deliver passes a frame to the full replica once for each node that its source stands for.
+func (m *mesh) deliver(s *source, frame []byte) {
 	entries, _, err := packet.Decode(frame)
 	if err != nil {
-		panic(err) // it was written by this very program
+		panic(err) // encoded by the replica
 	}
 	for number := s.number; number < m.nodes; number += len(m.sources) {
 		for i := range entries {
 			entries[i].Node.Number = number
 		}
-		renamed := packet.Frame(entries...)
-		m.in.bytes += len(renamed) - frameHead
-		m.in.messages++
-		began := time.Now()
-		_, err := m.full.Receive(m.now, renamed)
-		m.spent += time.Since(began)
+		relabelled := packet.Frame(entries...)
+		m.received.bytes += len(relabelled) - frameHeaderBytes
+		m.received.messages++
+		started := time.Now()
+		_, err := m.full.Receive(m.now, relabelled)
+		m.cpuTime += time.Since(started)
 		if err != nil {
-			panic(err) // it was written by this very program
+			panic(err) // encoded above
 		}
 	}
 }
 
-// forward has the full replica send what it has to, for a second, within its bytes.
-func (m *mesh) forward() {
-	room := m.bytesPS
-	began := time.Now()
-	for range perSecond {
-		frames := m.full.Broadcasts(m.now, overhead, min(datagram, room)-overhead)
+// broadcast lets the full replica send its messages of one second, within its limit of bytes.
+func (m *mesh) broadcast() {
+	budget := m.bytesPerSecond
+	started := time.Now()
+	for range datagramsPerSecond {
+		frames := m.full.Broadcasts(m.now, overheadBytes, min(maxDatagramBytes, budget)-overheadBytes)
 		if len(frames) == 0 {
 			break
 		}
-		size := overhead
+		size := overheadBytes
 		for _, frame := range frames {
 			size += len(frame)
 		}
-		m.out.messages++
-		m.out.bytes += size
-		room -= size
+		m.sent.messages++
+		m.sent.bytes += size
+		budget -= size
 	}
-	m.spent += time.Since(began)
+	m.cpuTime += time.Since(started)
 }
 
-// fill plays until each source has told each count so often.
-func (m *mesh) fill(ctx context.Context, times int) error {
-	for !m.toldAll(times) {
-		if err := m.check(ctx); err != nil {
+// runUntilSent runs until each source has sent each count the given number of times.
+func (m *mesh) runUntilSent(ctx context.Context, times int) error {
+	for !m.allSent(times) {
+		if err := m.checkEnd(ctx); err != nil {
 			return err
 		}
-		m.speak(m.hand)
-		if m.nodes*len(m.tenants) <= stepped {
+		m.stepSources(m.deliver)
+		if m.nodes*len(m.tenants) <= maxSteppedCounts {
 			m.full.Step(m.now)
 		}
-		m.forward()
+		m.broadcast()
 	}
 	return nil
 }
 
-// check is an error where the run is to end.
-func (m *mesh) check(ctx context.Context) error {
+// checkEnd returns an error if the run has to end.
+func (m *mesh) checkEnd(ctx context.Context) error {
 	if err := context.Cause(ctx); err != nil {
 		return err
 	}
-	if m.now-epoch > longest {
-		return fmt.Errorf("mesh of %d nodes: not all was told within %v", m.nodes, longest)
+	if m.now-clockStart > maxVirtualTime {
+		return fmt.Errorf("mesh of %d nodes: not all counts were sent within %v of virtual time", m.nodes, maxVirtualTime)
 	}
 	return nil
 }
 
-// toldAll tells whether each source has told each count so often.
-func (m *mesh) toldAll(times int) bool {
+// allSent reports whether each source has sent each count the given number of times.
+func (m *mesh) allSent(times int) bool {
 	for _, s := range m.sources {
-		if len(s.told) < len(m.tenants) {
+		if len(s.sentAt) < len(m.tenants) {
 			return false
 		}
-		for _, told := range s.told {
-			if len(told) < times {
+		for _, sentAt := range s.sentAt {
+			if len(sentAt) < times {
 				return false
 			}
 		}
@@ -243,53 +243,53 @@
 	return true
 }
 
-// steady measures the full replica while all others tell each count once more. All began at the same moment and tell in
-// bursts, so that nothing shorter would do.
-func (m *mesh) steady(ctx context.Context, out *result.Step, mechanism string) error {
-	m.in, m.out, m.spent = traffic{}, traffic{}, 0
-	began := m.now
-	if err := m.fill(ctx, 2); err != nil {
+// measureSteady measures the full replica while all others send each count once more. Shorter measurements would not be
+// representative, as all started at the same moment and send in bursts.
+func (m *mesh) measureSteady(ctx context.Context, out *result.Step, mechanism string) error {
+	m.received, m.sent, m.cpuTime = traffic{}, traffic{}, 0
+	started := m.now
+	if err := m.runUntilSent(ctx, 2); err != nil {
 		return err
 	}
-	seconds := (m.now - began).Seconds()
-	out.Add(mechanism, "node", "bytes in", "B/s", float64(m.in.bytes)/seconds)
-	out.Add(mechanism, "node", "messages in", "1/s", float64(m.in.messages)/seconds)
-	out.Add(mechanism, "node", "bytes out", "B/s", float64(m.out.bytes)/seconds)
-	out.Add(mechanism, "node", "messages out", "1/s", float64(m.out.messages)/seconds)
-	step := m.timeStep()
-	out.AddWall(mechanism, "node", "one Step", "ms", float64(step)/float64(time.Millisecond))
-	out.AddWall(mechanism, "node", "processor time", "cores", m.spent.Seconds()/seconds+stepsASecond*step.Seconds())
+	seconds := (m.now - started).Seconds()
+	out.Add(mechanism, "node", "bytes in", "B/s", float64(m.received.bytes)/seconds)
+	out.Add(mechanism, "node", "messages in", "1/s", float64(m.received.messages)/seconds)
+	out.Add(mechanism, "node", "bytes out", "B/s", float64(m.sent.bytes)/seconds)
+	out.Add(mechanism, "node", "messages out", "1/s", float64(m.sent.messages)/seconds)
+	step := m.stepTime()
+	out.AddWallClock(mechanism, "node", "one Step", "ms", float64(step)/float64(time.Millisecond))
+	out.AddWallClock(mechanism, "node", "processor time", "cores", m.cpuTime.Seconds()/seconds+stepsPerSecond*step.Seconds())
 	return nil
 }
 
-// timeStep is the mean time of a Step of the full replica.
-func (m *mesh) timeStep() time.Duration {
+// stepTime returns the mean duration of a Step of the full replica.
+func (m *mesh) stepTime() time.Duration {
 	total := time.Duration(0)
 	for range timedSteps {
-		m.now += tick / stepsASecond
-		began := time.Now()
+		m.now += tick / stepsPerSecond
+		started := time.Now()
 		m.full.Step(m.now)
-		total += time.Since(began)
+		total += time.Since(started)
 	}
 	return total / timedSteps
 }
 
-// interval is the mean time between two tellings of one count.
-func (m *mesh) interval() time.Duration {
+// meanInterval returns the mean time between two values of one count.
+func (m *mesh) meanInterval() time.Duration {
 	total, count := time.Duration(0), 0
 	for _, s := range m.sources {
-		for _, told := range s.told {
-			total += told[len(told)-1] - told[0]
-			count += len(told) - 1
+		for _, sentAt := range s.sentAt {
+			total += sentAt[len(sentAt)-1] - sentAt[0]
+			count += len(sentAt) - 1
 		}
 	}
 	return total / time.Duration(count)
 }
 
-// heap measures what the full replica takes, by letting go of it.
-func (m *mesh) heap(out *result.Step, mechanism string) {
-	with := heap.InUse()
+// measureHeap measures the heap of the full replica by releasing it.
+func (m *mesh) measureHeap(out *result.Step, mechanism string) {
+	before := heap.InUse()
 	runtime.KeepAlive(m.full)
 	m.full = nil
-	out.Add(mechanism, "node", "heap", "MiB", float64(with-heap.InUse())/(1<<20))
+	out.Add(mechanism, "node", "heap", "MiB", float64(before-heap.InUse())/(1<<20))
 }
--- a/internal/kit/scale/mesh/mesh_test.go
+++ b/internal/kit/scale/mesh/mesh_test.go
@@ -18,7 +18,7 @@
 	return out
 }
 
-func TestLargerFleetsHearLessOften(t *testing.T) {
+func TestCountIntervalGrowsWithFleet(t *testing.T) {
 	small, err := Measure(context.Background(), plan.Step{Nodes: 12}, 4, 8<<10)
 	if err != nil {
 		t.Fatal(err)
@@ -28,9 +28,9 @@
 		t.Fatal(err)
 	}
 	a, b := figures(t, small), figures(t, large)
-	const told = "a count is told to all every"
-	if a[told] < 3 || b[told] < 3*a[told] { // five times the nodes, within the same bytes
-		t.Errorf("told every %v s at 12 nodes, every %v s at 60", a[told], b[told])
+	const intervalFigure = "a count is told to all every"
+	if a[intervalFigure] < 3 || b[intervalFigure] < 3*a[intervalFigure] { // five times the nodes, within the same bytes
+		t.Errorf("interval of a count: %v s at 12 nodes, %v s at 60", a[intervalFigure], b[intervalFigure])
 	}
 	for _, f := range []map[string]float64{a, b} {
 		if f["bytes in"] <= 0 || f["bytes out"] <= 0 || f["bytes out"] > 8<<10 || f["heap"] <= 0 {
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestEndsWithItsContext(t *testing.T) {
+func TestCancelledContext(t *testing.T) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	reason := errors.New("enough")
 	cancel(reason)
--- a/internal/kit/scale/plan/plan_test.go
+++ b/internal/kit/scale/plan/plan_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const good = `seed = 7
+const validPlan = `seed = 7
 [fleet]
 regions = 2
 zones = 4
@@ -29,20 +29,20 @@
 heal = "7s"
 `
 
-func TestTakesAPlan(t *testing.T) {
-	p, err := Parse("plan.toml", []byte(good))
+func TestParse(t *testing.T) {
+	p, err := Parse("plan.toml", []byte(validPlan))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Seed != 7 || len(p.Steps) != 2 || p.Largest().Nodes != 60 || p.Faults[0].Part != 0.01 {
-		t.Errorf("read as %+v", p)
+	if p.Seed != 7 || len(p.Steps) != 2 || p.Largest().Nodes != 60 || p.Faults[0].Fraction != 0.01 {
+		t.Errorf("parsed %+v", p)
 	}
 	if p.Limits.Memory != MaxMemory || p.Limits.Processes != MaxProcesses {
 		t.Errorf("limits without a section: %+v", p.Limits)
 	}
 }
 
-func TestRefusesWithFileLineAndKey(t *testing.T) {
+func TestErrorsNameFileLineAndKey(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
 		"unknown key":          {"zones = 4", "zoens = 4", `plan.toml:4: fleet.zoens: no such key; did you mean zones?`},
 		"zones to regions":     {"zones = 4", "zones = 5", `plan.toml:4: fleet.zones: 5 zones can't be dealt out evenly to 2 regions`},
@@ -58,22 +58,22 @@
 		"needs processes":      {"seed = 7", "seed = 7\n[processes]\nhosts = 120\nrelays = 50\ndaemons = 40", `plan.toml:2: processes: the run needs 212 processes, and limits.processes allows 200`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			text := strings.Replace(good, c.old, c.new, 1)
-			if text == good {
-				t.Fatal("the case changes nothing")
+			text := strings.Replace(validPlan, c.old, c.new, 1)
+			if text == validPlan {
+				t.Fatal("the replacement changes nothing")
 			}
 			p, err := Parse("plan.toml", []byte(text))
 			if err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("got %v, want one line that begins with %s", err, c.want)
+				t.Errorf("got %v, want one line with prefix %s", err, c.want)
 			}
 			if p != nil {
-				t.Error("a refused plan was handed on")
+				t.Error("an invalid plan was returned")
 			}
 		})
 	}
 }
 
-func TestShippedPlansAreGood(t *testing.T) {
+func TestShippedPlansLoad(t *testing.T) {
 	files, err := filepath.Glob("../../../../deploy/scale/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatal("no plans found", err)
--- a/internal/kit/scale/processes/child.go
+++ b/internal/kit/scale/processes/child.go
@@ -12,66 +12,66 @@
 	"time"
 )
 
-// endIn is how long a child may take to end after SIGTERM, before it is killed.
-const endIn = 6 * time.Second
+// stopTimeout is how long a child may run after SIGTERM before it is killed.
+const stopTimeout = 6 * time.Second
 
-// tailBytes is how much of a child's log is kept for errors.
-const tailBytes = 2 << 10
+// logTailBytes is the size of the end of a child's log that is kept for error messages.
+const logTailBytes = 2 << 10
 
-// children are all processes that a run has started.
+// children holds all processes that a run has started.
 type children struct {
 	mu  sync.Mutex
 	all []*child
 }
 
-// child is one process.
+// child is a started process.
 type child struct {
-	name   string
-	cmd    *exec.Cmd
-	tail   tail
-	ended  chan struct{}
-	err    error // read after ended
-	ending bool  // it is told to; guarded by children.mu
+	name     string
+	cmd      *exec.Cmd
+	log      logTail
+	ended    chan struct{}
+	err      error // of Wait; may be read once ended is closed
+	stopping bool  // its exit is expected; guarded by children.mu
 }
 
-// tail keeps the end of what is written to it.
-type tail struct {
+// logTail keeps the last logTailBytes that are written to it.
+type logTail struct {
 	mu   sync.Mutex
 	text []byte
 }
 
-func (t *tail) Write(p []byte) (int, error) {
+func (t *logTail) Write(p []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.text = append(t.text, p...)
-	if over := len(t.text) - tailBytes; over > 0 {
-		t.text = bytes.Clone(t.text[over:])
+	if excess := len(t.text) - logTailBytes; excess > 0 {
+		t.text = bytes.Clone(t.text[excess:])
 	}
 	return len(p), nil
 }
 
-func (t *tail) String() string {
+func (t *logTail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return string(t.text)
 }
 
-// EndedError tells that a process ended that was to run on.
-type EndedError struct {
+// ExitError reports that a process exited unexpectedly.
+type ExitError struct {
 	Name string
 	Err  error
 	Log  string
 }
 
-func (e *EndedError) Error() string {
-	return fmt.Sprintf("%s ended by itself: %v: %.300q", e.Name, e.Err, e.Log)
+func (e *ExitError) Error() string {
+	return fmt.Sprintf("%s exited unexpectedly: %v: %.300q", e.Name, e.Err, e.Log)
 }
 
-// start starts a process in a group of its own, so that an interruption from a terminal reaches this program alone, which
-// ends the process. failed is called if it ends by itself.
+// start starts a process in a process group of its own, so that an interrupt from a terminal reaches only this program,
+// which then stops the process. failed is called if the process exits unexpectedly.
 func (c *children) start(name string, cmd *exec.Cmd, failed context.CancelCauseFunc) (*child, error) {
 	p := &child{name: name, cmd: cmd, ended: make(chan struct{})}
-	cmd.Stderr = &p.tail
+	cmd.Stderr = &p.log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,40 +84,40 @@
 		p.err = cmd.Wait()
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if !p.ending {
-			failed(&EndedError{name, p.err, p.tail.String()})
+		if !p.stopping {
+			failed(&ExitError{name, p.err, p.log.String()})
 		}
 	}()
 	return p, nil
 }
 
-// end ends all processes, and returns once they have ended. Those that do not end in time are killed.
-func (c *children) end() error {
+// stopAll terminates all processes, and returns when they have exited. Those that do not exit in time are killed.
+func (c *children) stopAll() error {
 	c.mu.Lock()
 	all := c.all
 	for _, p := range all {
-		p.ending = true
+		p.stopping = true
 	}
 	c.mu.Unlock()
 	for _, p := range all {
 		p.signal(syscall.SIGTERM)
 	}
-	late := time.NewTimer(endIn)
-	defer late.Stop()
+	timeout := time.NewTimer(stopTimeout)
+	defer timeout.Stop()
 	var errs []error
 	for _, p := range all {
 		select {
 		case <-p.ended:
 			continue
-		case <-late.C:
-			late.Reset(0) // for those that follow
+		case <-timeout.C:
+			timeout.Reset(0) // the processes that follow are late too
 		}
 		p.signal(syscall.SIGKILL)
 		<-p.ended
-		errs = append(errs, fmt.Errorf("%s did not end within %v of SIGTERM, and was killed", p.name, endIn))
+		errs = append(errs, fmt.Errorf("%s did not exit within %v of SIGTERM and was killed", p.name, stopTimeout))
 	}
 	return errors.Join(errs...)
 }
 
-// signal sends a signal to a process that may have ended.
+// signal sends a signal to a process, which may have exited already.
 func (p *child) signal(s os.Signal) { _ = p.cmd.Process.Signal(s) }
--- a/internal/kit/scale/processes/child_test.go
+++ b/internal/kit/scale/processes/child_test.go
@@ -10,7 +10,7 @@
 	"craneglade/internal/controlplane/resource"
 )
 
-func TestEndsAllThatItStarted(t *testing.T) {
+func TestStopAllEndsEveryProcess(t *testing.T) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
 	var c children
@@ -19,49 +19,49 @@
 			t.Fatal(err)
 		}
 	}
-	if err := c.end(); err != nil {
+	if err := c.stopAll(); err != nil {
 		t.Error(err)
 	}
 	for _, p := range c.all {
 		if err := syscall.Kill(p.cmd.Process.Pid, 0); !errors.Is(err, syscall.ESRCH) {
-			t.Errorf("%s is there still: %v", p.name, err)
+			t.Errorf("%s still runs: %v", p.name, err)
 		}
 	}
 	if ctx.Err() != nil {
-		t.Errorf("their end counts as a failure: %v", context.Cause(ctx))
+		t.Errorf("expected exits cancelled the run: %v", context.Cause(ctx))
 	}
 }
 
-func TestAProcessThatEndsByItselfEndsTheRun(t *testing.T) {
+func TestUnexpectedExitCancelsRun(t *testing.T) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	var c children
 	if _, err := c.start("brief", exec.Command("sh", "-c", "echo no such thing >&2; exit 3"), cancel); err != nil {
 		t.Fatal(err)
 	}
 	<-ctx.Done()
-	var ended *EndedError
+	var ended *ExitError
 	if !errors.As(context.Cause(ctx), &ended) || ended.Name != "brief" || ended.Log != "no such thing\n" {
-		t.Errorf("ended by %v", context.Cause(ctx))
+		t.Errorf("run cancelled by %v", context.Cause(ctx))
 	}
-	if err := c.end(); err != nil {
+	if err := c.stopAll(); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestBatchesFitATransaction(t *testing.T) {
+func TestBatchesFitTransaction(t *testing.T) {
 	var all []resource.Resource
-	for range 3*batch + 1 {
+	for range 3*maxBatchResources + 1 {
 		all = append(all, resource.Resource{Key: resource.Key{Service: "s", Kind: resource.KindTenant, Name: "t"}, Tenant: &resource.Tenant{}})
 	}
 	sum := 0
-	for _, part := range batches(all) {
-		sum += len(part)
+	for _, batch := range batches(all) {
+		sum += len(batch)
 		bytes := 0
-		for i := range part {
-			bytes += (&resource.Change{Resource: part[i]}).Size()
+		for i := range batch {
+			bytes += (&resource.Change{Resource: batch[i]}).Size()
 		}
-		if len(part) == 0 || len(part) > batch || bytes > resource.MaxTransactionBytes {
-			t.Errorf("a batch of %d resources and %d bytes", len(part), bytes)
+		if len(batch) == 0 || len(batch) > maxBatchResources || bytes > resource.MaxTransactionBytes {
+			t.Errorf("a batch of %d resources and %d bytes", len(batch), bytes)
 		}
 	}
 	if sum != len(all) {
--- a/internal/kit/scale/processes/daemon.go
+++ b/internal/kit/scale/processes/daemon.go
@@ -16,12 +16,12 @@
 	"craneglade/internal/node"
 )
 
-// platform is the configuration of a daemon as the platform writes it.
-const platform = `{"seed":"8c1f30d27a5be964","discovery":"127.0.0.1:1","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},` +
+// platformConfig is a daemon's configuration in the platform's format.
+const platformConfig = `{"seed":"8c1f30d27a5be964","discovery":"127.0.0.1:1","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},` +
 	`"known":{"version":1,"full":true,"servers":[]},"settings":{"balancers":1,"zone":"n","discovery":"push","grades":[{"name":"a","aim_s":20,` +
 	`"deadline_s":60,"gain":1,"effect":"free","group":"all"}],"invariants":{"drain_grace_s":1.0},"policy_limits":{"max_attempts":2,"connect_timeout_s":5}}}`
 
-const askEvery = 20 * time.Millisecond // between two requests at one daemon
+const requestInterval = 20 * time.Millisecond // between two requests to one daemon
 
 // backend serves the requests of daemons.
 type backend struct {
@@ -50,14 +50,14 @@
 	return errors.Join(errs...)
 }
 
-// daemon is a real node with requests.
+// daemon is a real node that serves requests.
 type daemon struct {
 	name, address, socket string
-	asked, failed         atomic.Int64
-	firstFailure          atomic.Value // error
+	requested, failed     atomic.Int64
+	firstFailure          atomic.Value // of type error
 }
 
-// command is this program with other arguments.
+// command returns a command that runs this program with other arguments.
 func command(program string, args ...string) *exec.Cmd { return exec.Command(program, args...) }
 
 // startDaemon starts a real node.
@@ -67,9 +67,9 @@
 		return nil, err
 	}
 	d := &daemon{name: name, address: address, socket: r.path(name + ".sock")}
-	own := fmt.Sprintf("[fleet]\nsocket = %q\n[control]\nservices = [%q]\nregion = %q\ncluster = %q\nkey_file = %q\n%s",
+	config := fmt.Sprintf("[fleet]\nsocket = %q\n[control]\nservices = [%q]\nregion = %q\ncluster = %q\nkey_file = %q\n%s",
 		d.socket, realService, r.catalogue.Region(), cluster, r.path("key"), parentTables("control.parent", r.relays))
-	err = errors.Join(os.WriteFile(r.path(name+".toml"), []byte(own), 0o600), os.WriteFile(r.path(name+".json"), []byte(platform), 0o600))
+	err = errors.Join(os.WriteFile(r.path(name+".toml"), []byte(config), 0o600), os.WriteFile(r.path(name+".json"), []byte(platformConfig), 0o600))
 	if err != nil {
 		return nil, err
 	}
@@ -79,12 +79,12 @@
 	return d, err
 }
 
-// status is what the daemon says of its configuration.
+// status returns the daemon's control status.
 func (d *daemon) status() (*node.ControlStatus, error) {
 	return node.ReadControlStatus(d.socket)
 }
 
-// position is what the daemon has in force.
+// position returns the position of the configuration that the daemon has in force, or "" if it is unknown.
 func (d *daemon) position() string {
 	s, err := d.status()
 	if err != nil {
@@ -93,11 +93,11 @@
 	return s.Position().String()
 }
 
-var requests atomic.Int64
+var requestCount atomic.Int64
 
-// ask sends one request.
-func (d *daemon) ask(ctx context.Context, client *http.Client) error {
-	id := fmt.Sprint("r", requests.Add(1))
+// sendRequest sends one request and checks its answer.
+func (d *daemon) sendRequest(ctx context.Context, client *http.Client) error {
+	id := fmt.Sprint("r", requestCount.Add(1))
 	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+d.address+"/api", nil)
 	if err != nil {
 		return err
@@ -117,12 +117,12 @@
 	return nil
 }
 
-// clients ask the daemons all the time, until the returned function is called.
-func (r *run) clients(ctx context.Context) (stop func()) {
+// startClients sends requests to all daemons until the returned function is called.
+func (r *run) startClients(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var all sync.WaitGroup
 	for _, d := range r.daemons {
-		all.Go(func() { d.askOn(ctx) })
+		all.Go(func() { d.sendRequests(ctx) })
 	}
 	return func() {
 		cancel()
@@ -130,15 +130,15 @@
 	}
 }
 
-func (d *daemon) askOn(ctx context.Context) {
+func (d *daemon) sendRequests(ctx context.Context) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	for wait(ctx, askEvery) == nil {
-		err := d.ask(ctx, client)
+	for sleep(ctx, requestInterval) == nil {
+		err := d.sendRequest(ctx, client)
 		if ctx.Err() != nil {
-			return // this request was given up here
+			return // cancelled here, not a failure of the daemon
 		}
-		d.asked.Add(1)
+		d.requested.Add(1)
 		if err != nil && d.failed.Add(1) == 1 {
 			d.firstFailure.Store(err)
 		}
--- a/internal/kit/scale/processes/processes.go
+++ b/internal/kit/scale/processes/processes.go
@@ -1,6 +1,6 @@
-// Package processes plays a part of the fleet in real processes on loopback: a writer and relays of the control plane, some
-// processes that each host hundreds of hollow nodes, and real daemons with real requests among them. Everything that it
-// starts is ended, also when it is interrupted.
+// Package processes runs a small fleet in real processes on loopback: a writer and relays of the control plane, processes
+// that each host hundreds of hollow nodes, and real daemons that serve requests. All processes are stopped at the end, also
+// after an interrupt.
 package processes
 
 import (
@@ -21,31 +21,31 @@
 	"craneglade/internal/kit/scale/result"
 )
 
-// Mechanism is the name of the figures.
+// Mechanism is the mechanism of the figures of this package.
 const Mechanism = "control plane, real processes"
 
 const (
-	cluster     = "scale"
-	key         = "000102030405060708090a0b0c0d0e0f" // of processes on loopback that live for one run
-	realService = "real"                             // that the daemons serve
-	batch       = 4000                               // resources of one transaction
-	batchBytes  = 512 << 10
-	silence     = 3 * time.Second // the default of a node
-	startIn     = 3 * time.Minute
-	pollEvery   = 20 * time.Millisecond
-	changes     = 60
-	changeEvery = 250 * time.Millisecond
-	inForceIn   = 7 * time.Second
-	settle      = 3 * time.Second
-	endpoints   = 2 // of the real service
+	cluster           = "scale"
+	key               = "000102030405060708090a0b0c0d0e0f" // not secret: used on loopback for one run
+	realService       = "real"                             // served by the daemons
+	maxBatchResources = 4000                               // per transaction
+	maxBatchBytes     = 512 << 10
+	silenceTimeout    = 3 * time.Second // the default of a node
+	startTimeout      = 3 * time.Minute
+	pollInterval      = 20 * time.Millisecond
+	changeCount       = 60
+	changeInterval    = 250 * time.Millisecond
+	inForceLimit      = 7 * time.Second
+	settleTime        = 3 * time.Second
+	realEndpoints     = 2 // of the real service
 )
 
-// run is one run.
+// run is the state of a run.
 type run struct {
 	plan      *plan.Plan
 	step      plan.Step
-	program   string // this program's own file
-	folder    string
+	program   string // path of this program's executable
+	dir       string
 	catalogue *hierarchy.Catalogue
 	children  children
 	failed    context.CancelCauseFunc
@@ -54,17 +54,17 @@
 	hosts     []*host
 	daemons   []*daemon
 	backends  []*backend
-	made      []madeChange
+	changes   []appliedChange
 	out       *result.Step
 }
 
-// madeChange is a change of a service's own resource.
-type madeChange struct {
+// appliedChange is a change of a service's own resource that the writer has applied.
+type appliedChange struct {
 	service    string
 	generation int
-	at         time.Time
+	appliedAt  time.Time
 	position   string
-	nodes      map[string]bool // hollow ones that have to have it in force
+	nodes      map[string]bool // hollow nodes that have to apply it
 }
 
 // control is a process of the control plane.
@@ -73,20 +73,20 @@
 	child                 *child
 }
 
-// Measure plays the plan's processes. program is the file of craneglade itself.
+// Measure runs the plan's processes. program is the path of the craneglade executable.
 func Measure(ctx context.Context, p *plan.Plan, program string) (out *result.Step, err error) {
-	folder, err := os.MkdirTemp("", "craneglade-scale-")
+	dir, err := os.MkdirTemp("", "craneglade-scale-")
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(folder)
+	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	step := Size(p)
-	r := &run{plan: p, step: step, program: program, folder: folder, catalogue: hierarchy.NewCatalogue(p, step), failed: cancel,
+	r := &run{plan: p, step: step, program: program, dir: dir, catalogue: hierarchy.NewCatalogue(p, step), failed: cancel,
 		out: &result.Step{Part: "processes", Size: step}}
-	defer func() { err = errors.Join(err, r.children.end(), r.closeBackends()) }()
-	if err := r.play(ctx); err != nil {
+	defer func() { err = errors.Join(err, r.children.stopAll(), r.closeBackends()) }()
+	if err := r.runProcesses(ctx); err != nil {
 		if cause := context.Cause(ctx); cause != nil {
 			return nil, cause
 		}
@@ -95,15 +95,15 @@
 	return r.out, nil
 }
 
-// Size is the part of the largest step that the plan's hollow nodes serve.
+// Size returns the largest step, scaled down to the number of the plan's hollow nodes.
 func Size(p *plan.Plan) plan.Step {
 	nodes := p.Processes.Hosts * p.Processes.NodesPerHost
 	all := p.Largest()
-	part := func(n int) int { return max(1, n*nodes/all.Nodes) }
-	return plan.Step{Nodes: nodes, Endpoints: part(all.Endpoints), Services: part(all.Services), Routes: part(all.Routes), Tenants: part(all.Tenants)}
+	share := func(n int) int { return max(1, n*nodes/all.Nodes) }
+	return plan.Step{Nodes: nodes, Endpoints: share(all.Endpoints), Services: share(all.Services), Routes: share(all.Routes), Tenants: share(all.Tenants)}
 }
 
-func (r *run) play(ctx context.Context) error {
+func (r *run) runProcesses(ctx context.Context) error {
 	if err := os.WriteFile(r.path("key"), []byte(key+"\n"), 0o600); err != nil {
 		return err
 	}
@@ -113,16 +113,16 @@
 	if err := r.startNodes(ctx); err != nil {
 		return err
 	}
-	if err := wait(ctx, settle); err != nil {
+	if err := sleep(ctx, settleTime); err != nil {
 		return err
 	}
-	return r.measure(ctx)
+	return r.measureChanges(ctx)
 }
 
-func (r *run) path(name string) string { return filepath.Join(r.folder, name) }
+func (r *run) path(name string) string { return filepath.Join(r.dir, name) }
 
-// wait lets time pass.
-func wait(ctx context.Context, d time.Duration) error {
+// sleep waits for a duration or until ctx is cancelled.
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -133,20 +133,20 @@
 	}
 }
 
-// eventually waits until something holds.
-func eventually(ctx context.Context, what string, holds func() bool) error {
-	for end := time.Now().Add(startIn); !holds(); {
+// waitUntil polls until holds returns true, up to startTimeout.
+func waitUntil(ctx context.Context, what string, holds func() bool) error {
+	for end := time.Now().Add(startTimeout); !holds(); {
 		if time.Now().After(end) {
-			return fmt.Errorf("%s: not within %v", what, startIn)
+			return fmt.Errorf("waiting for %s: timed out after %v", what, startTimeout)
 		}
-		if err := wait(ctx, pollEvery); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// freeAddress is an address on loopback at which nobody listens now.
+// freeAddress returns a loopback address that is free at present.
 func freeAddress() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -155,7 +155,7 @@
 	return ln.Addr().String(), ln.Close()
 }
 
-// startControl starts the writer and the relays, with the whole log.
+// startControl starts the writer and the relays, and applies the whole log.
 func (r *run) startControl(ctx context.Context) error {
 	if err := os.Mkdir(r.path("state"), 0o700); err != nil {
 		return err
@@ -164,7 +164,7 @@
 	if r.writer, err = r.startProcess(ctx, "writer", "writer-0", fmt.Sprintf("state = %q\n", r.path("state")), nil); err != nil {
 		return err
 	}
-	for i := range endpoints {
+	for i := range realEndpoints {
 		b, err := newBackend(fmt.Sprintf("real-%d", i))
 		if err != nil {
 			return err
@@ -187,30 +187,30 @@
 		}
 		r.relays = append(r.relays, relay)
 	}
-	return eventually(ctx, "relays with the whole log", func() bool {
+	return waitUntil(ctx, "relays to apply the whole log", func() bool {
 		return !slices.ContainsFunc(r.relays, func(c *control) bool { return c.position() != position })
 	})
 }
 
-// startProcess starts a process of the control plane and waits until it answers.
-func (r *run) startProcess(ctx context.Context, role, name, special string, parents []*control) (*control, error) {
+// startProcess starts a process of the control plane and waits until it reports its status.
+func (r *run) startProcess(ctx context.Context, role, name, extra string, parents []*control) (*control, error) {
 	address, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
 	c := &control{name: name, address: address, socket: r.path(name + ".sock")}
 	text := fmt.Sprintf("role = %q\nname = %q\nregion = %q\nlisten = %q\nsocket = %q\ncluster = %q\nkey_file = %q\n%s[limits]\nbytes = \"%dB\"\nsubscribers = 10000\n%s",
-		role, name, r.catalogue.Region(), address, c.socket, cluster, r.path("key"), special, r.plan.Rates.RelayBytes, parentTables("parent", parents))
+		role, name, r.catalogue.Region(), address, c.socket, cluster, r.path("key"), extra, r.plan.Rates.RelayBytesPerSecond, parentTables("parent", parents))
 	if err := os.WriteFile(r.path(name+".toml"), []byte(text), 0o600); err != nil {
 		return nil, err
 	}
 	if c.child, err = r.children.start(name, command(r.program, "control", "--config", r.path(name+".toml")), r.failed); err != nil {
 		return nil, err
 	}
-	return c, eventually(ctx, name+" answers", func() bool { _, err := c.status(); return err == nil })
+	return c, waitUntil(ctx, name+" to report its status", func() bool { _, err := c.status(); return err == nil })
 }
 
-// parentTables are the tables that name parents in a file of settings.
+// parentTables returns the TOML tables that name parents.
 func parentTables(table string, parents []*control) (text string) {
 	for _, p := range parents {
 		text += fmt.Sprintf("[[%s]]\nname = %q\naddress = %q\n", table, p.name, p.address)
@@ -226,7 +226,7 @@
 	return r.Status, nil
 }
 
-// position is where the process has the log.
+// position returns the position of the process in the log, or "" if it is unknown.
 func (c *control) position() string {
 	s, err := c.status()
 	if err != nil || len(s.Logs) == 0 {
@@ -235,12 +235,12 @@
 	return s.Logs[0].Position
 }
 
-// batches divides resources into transactions. A service comes before what belongs to it.
+// batches divides resources into transactions, in their order. A service comes before the resources that belong to it.
 func batches(all []resource.Resource) (out [][]resource.Resource) {
 	bytes := 0
 	for i := range all {
 		size := (&resource.Change{Resource: all[i]}).Size()
-		if len(out) == 0 || len(out[len(out)-1]) >= batch || bytes+size > batchBytes {
+		if len(out) == 0 || len(out[len(out)-1]) >= maxBatchResources || bytes+size > maxBatchBytes {
 			out, bytes = append(out, nil), 0
 		}
 		out[len(out)-1] = append(out[len(out)-1], all[i])
@@ -249,20 +249,20 @@
 	return out
 }
 
-// apply has the writer take resources as one transaction.
+// apply submits resources to the writer as one transaction.
 func (r *run) apply(resources []resource.Resource) (position string, err error) {
 	text, err := changefile.Format(resources)
 	if err != nil {
 		return "", err
 	}
-	answer, err := controlnet.Call(r.writer.socket, controlnet.Request{Operation: controlnet.OperationApply, File: "changes.json", Text: string(text)})
+	response, err := controlnet.Call(r.writer.socket, controlnet.Request{Operation: controlnet.OperationApply, File: "changes.json", Text: string(text)})
 	if err != nil {
-		return "", fmt.Errorf("the writer refused: %w", err)
+		return "", fmt.Errorf("writer rejected the change: %w", err)
 	}
-	return answer.Position, nil
+	return response.Position, nil
 }
 
-// realResources are the service of the daemons, with its endpoints.
+// realResources returns the daemons' service in the given generation, with its endpoints.
 func (r *run) realResources(generation int) []resource.Resource {
 	all := []resource.Resource{{Key: resource.Key{Service: realService, Kind: resource.KindService, Name: realService},
 		Service: &resource.Service{Region: r.catalogue.Region(), DrainGrace: time.Second + time.Duration(generation)*time.Millisecond, MaxAttempts: 2}}}
--- a/internal/kit/scale/processes/use.go
+++ b/internal/kit/scale/processes/use.go
@@ -7,16 +7,16 @@
 	"strings"
 )
 
-// Places of fields in /proc/PID/stat, from 0 behind the name (proc(5)).
+// Indexes of fields in /proc/PID/stat, counted from 0 after the process name (proc(5)).
 const (
-	fieldUser     = 11
-	fieldSystem   = 12
-	fieldResident = 21
-	ticksASecond  = 100 // USER_HZ of Linux
+	fieldUser      = 11
+	fieldSystem    = 12
+	fieldResident  = 21
+	ticksPerSecond = 100 // USER_HZ of Linux
 )
 
-// processUse is the processor time in seconds that a process has used, and its resident bytes; zeros for one that is gone.
-func processUse(pid int) (cpu, resident float64) {
+// readProcessUsage returns the processor time in seconds and the resident bytes of a process, or zeros if it has exited.
+func readProcessUsage(pid int) (cpu, resident float64) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, 0
@@ -26,8 +26,8 @@
 		return 0, 0
 	}
 	number := func(field int) float64 {
-		n, _ := strconv.ParseFloat(fields[field], 64) // the kernel writes numbers
+		n, _ := strconv.ParseFloat(fields[field], 64) // the kernel writes valid numbers
 		return n
 	}
-	return (number(fieldUser) + number(fieldSystem)) / ticksASecond, number(fieldResident) * float64(os.Getpagesize())
+	return (number(fieldUser) + number(fieldSystem)) / ticksPerSecond, number(fieldResident) * float64(os.Getpagesize())
 }
--- a/internal/kit/scale/result/report.go
+++ b/internal/kit/scale/result/report.go
@@ -14,7 +14,7 @@
 	charts "github.com/wcharczuk/go-chart/v2"
 )
 
-// Report is a whole run.
+// Report is the result of a whole run.
 type Report struct {
 	Plan   string   `json:"plan"` // the plan's file
 	Seed   uint64   `json:"seed"`
@@ -22,23 +22,23 @@
 	Series []Series `json:"series"`
 }
 
-// NewReport is the report of the steps that were measured.
+// NewReport returns the report on steps. It sorts them in place.
 func NewReport(file string, seed uint64, steps []Step) *Report {
 	Sort(steps)
 	return &Report{Plan: file, Seed: seed, Steps: steps, Series: Collect(steps)}
 }
 
-// JSON writes the report.
+// JSON writes the report as JSON.
 func (r *Report) JSON(w io.Writer) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", " ")
 	return enc.Encode(r)
 }
 
-// Table writes the report for a terminal.
+// Table writes the report as text tables.
 func (r *Report) Table(w io.Writer) error {
 	for _, axis := range []string{ByNodes, ByEndpoints} {
-		if err := r.series(w, axis); err != nil {
+		if err := r.writeSeries(w, axis); err != nil {
 			return err
 		}
 	}
@@ -59,14 +59,14 @@
 	return nil
 }
 
-// Where names the step in a line.
+// Where names the step in messages.
 func (s *Step) Where() string {
 	axis, size := s.Axis()
 	return fmt.Sprintf("%s, %d %s", s.Part, size, axis)
 }
 
-// series writes the figures that are drawn against one axis.
-func (r *Report) series(out io.Writer, axis string) error {
+// writeSeries writes a table of the series of one axis.
+func (r *Report) writeSeries(out io.Writer, axis string) error {
 	sizes := r.sizes(axis)
 	if len(sizes) == 0 {
 		return nil
@@ -84,23 +84,23 @@
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s", s.Mechanism, s.Role, s.Name, s.Unit)
 		for _, n := range sizes {
-			fmt.Fprintf(w, "\t%s", s.at(n))
+			fmt.Fprintf(w, "\t%s", s.valueAt(n))
 		}
-		fmt.Fprintln(w, "\t"+s.Fit.text())
+		fmt.Fprintln(w, "\t"+s.Fit.columns())
 	}
 	fmt.Fprintln(w)
 	return w.Flush()
 }
 
-func (f *Fit) text() string {
+func (f *Fit) columns() string {
 	if f == nil {
 		return "-\t-\t-"
 	}
-	marked := ""
-	if f.Marked {
-		marked = " MISSED"
+	suffix := ""
+	if f.Flagged {
+		suffix = " MISSED"
 	}
-	return fmt.Sprintf("%s\t%s to %s\t%+.0f%%%s", short(1000*f.Slope), short(1000*f.SlopeLow), short(1000*f.SlopeHigh), 100*f.Missed, marked)
+	return fmt.Sprintf("%s\t%s to %s\t%+.0f%%%s", formatValue(1000*f.Slope), formatValue(1000*f.SlopeLow), formatValue(1000*f.SlopeHigh), 100*f.PredictionError, suffix)
 }
 
 func (r *Report) sizes(axis string) []int {
@@ -116,17 +116,17 @@
 	return sizes
 }
 
-func (s *Series) at(size int) string {
+func (s *Series) valueAt(size int) string {
 	for _, p := range s.Points {
 		if p.Size == size {
-			return short(p.Value)
+			return formatValue(p.Value)
 		}
 	}
 	return "-"
 }
 
-// short is a number with three digits that count, without an exponent where that is readable.
-func short(v float64) string {
+// formatValue formats a number with three significant digits, without an exponent unless it is very large or small.
+func formatValue(v float64) string {
 	switch size := math.Abs(v); {
 	case v == 0:
 		return "0"
@@ -138,12 +138,12 @@
 	return strconv.FormatFloat(v, 'f', max(0, 2-int(math.Floor(math.Log10(math.Abs(v))))), 64)
 }
 
-// Page writes the report as one page with a chart for each figure that was measured at several sizes: size from left to
-// right and the figure upwards, both by powers of ten, each mechanism a line.
+// Page writes the report as an HTML page with a chart for each figure that was measured at several sizes. Both axes are
+// logarithmic: size is horizontal, the figure vertical, and each mechanism is a line.
 func (r *Report) Page(w io.Writer) error {
 	var drawn []template.HTML
-	for _, group := range r.groups() {
-		svg, err := draw(group)
+	for _, group := range r.chartGroups() {
+		svg, err := drawChart(group)
 		if err != nil {
 			return err
 		}
@@ -156,8 +156,8 @@
 	return page.Execute(w, map[string]any{"Plan": r.Plan, "Seed": r.Seed, "Charts": drawn, "Table": table.String()})
 }
 
-// groups are the series that belong into one chart: of the same role and name.
-func (r *Report) groups() [][]Series {
+// chartGroups groups the series of the same axis, role and name, each group for one chart.
+func (r *Report) chartGroups() [][]Series {
 	var out [][]Series
 	at := map[string]int{}
 	for _, s := range r.Series {
@@ -177,13 +177,13 @@
 	return out
 }
 
-// draw is the chart of a group.
-func draw(group []Series) (template.HTML, error) {
-	power := func(v any) string { return short(math.Pow(10, v.(float64))) }
+// drawChart renders the chart of a group as SVG.
+func drawChart(group []Series) (template.HTML, error) {
+	formatPower := func(v any) string { return formatValue(math.Pow(10, v.(float64))) }
 	low, high := math.Inf(1), math.Inf(-1)
 	g := charts.Chart{Title: fmt.Sprintf("%s: %s (%s)", group[0].Role, group[0].Name, group[0].Unit), Width: 620, Height: 300,
 		Background: charts.Style{Padding: charts.Box{Top: 40, Left: 150, Right: 20, Bottom: 10}},
-		XAxis:      charts.XAxis{Name: group[0].Axis, ValueFormatter: power}}
+		XAxis:      charts.XAxis{Name: group[0].Axis, ValueFormatter: formatPower}}
 	for _, s := range group {
 		line := charts.ContinuousSeries{Name: s.Mechanism}
 		for _, p := range s.Points {
@@ -193,7 +193,7 @@
 		}
 		g.Series = append(g.Series, line)
 	}
-	g.YAxis = charts.YAxis{ValueFormatter: power, Range: &charts.ContinuousRange{Min: low - 0.2, Max: high + 0.2}}
+	g.YAxis = charts.YAxis{ValueFormatter: formatPower, Range: &charts.ContinuousRange{Min: low - 0.2, Max: high + 0.2}}
 	g.Elements = []charts.Renderable{charts.LegendLeft(&g)}
 	var svg strings.Builder
 	if err := g.Render(charts.SVG, &svg); err != nil {
--- a/internal/kit/scale/result/result.go
+++ b/internal/kit/scale/result/result.go
@@ -1,5 +1,5 @@
-// Package result is what a scale run measures: figures by mechanism, role and size, kept in one file for each step so that a
-// run that is interrupted loses none, and the slopes of the figures against the size of the fleet.
+// Package result holds the results of a scale run: figures by mechanism, role and size, saved in one file per step so that
+// an interrupted run loses none, and the slopes of the figures over the size of the fleet.
 package result
 
 import (
@@ -16,40 +16,40 @@
 	"craneglade/internal/kit/scale/plan"
 )
 
-// Figure is one thing measured in a step.
+// Figure is one measured value.
 type Figure struct {
 	Mechanism string  `json:"mechanism"` // such as "control plane", or "mesh, 4 tenants"
-	Role      string  `json:"role"`      // whose it is: "node", "relay", "writer", "change", "decision"
+	Role      string  `json:"role"`      // what the value belongs to: "node", "relay", "writer", "change", "decision"
 	Name      string  `json:"name"`      // what was measured
 	Unit      string  `json:"unit"`
 	Value     float64 `json:"value"`
-	Wall      bool    `json:"wall,omitempty"` // measured by the wall clock of a machine: comparable within one run only
+	WallClock bool    `json:"wall,omitempty"` // measured by the wall clock: comparable only within a run on one machine
 }
 
-// Check is something that had to hold, and whether it did.
+// Check is the outcome of a condition that had to hold.
 type Check struct {
 	Name   string `json:"name"`
 	Passed bool   `json:"passed"`
 	Detail string `json:"detail"`
 }
 
-// Step is what was measured at one size.
+// Step holds what was measured at one size.
 type Step struct {
-	Part    string    `json:"part"` // which part of the run: "mesh", "list", "control", "fault NAME", "processes"
-	Plan    string    `json:"plan"` // its digest
+	Part    string    `json:"part"` // of the run: "mesh", "list", "control", "fault NAME", "processes"
+	Plan    string    `json:"plan"` // digest of the plan
 	Size    plan.Step `json:"size"`
 	Figures []Figure  `json:"figures"`
 	Checks  []Check   `json:"checks,omitempty"`
-	Notes   []string  `json:"notes,omitempty"` // what is to be known to read the figures
+	Notes   []string  `json:"notes,omitempty"` // needed to interpret the figures
 }
 
-// The axes that figures are drawn against.
+// The axes of series.
 const (
 	ByNodes     = "nodes"
 	ByEndpoints = "endpoints"
 )
 
-// Axis is what the step's figures are drawn against, and its place there. A step without nodes is about endpoints.
+// Axis returns the axis of the step's figures and the step's position on it. Steps without nodes are measured by endpoints.
 func (s *Step) Axis() (name string, size int) {
 	if s.Size.Nodes == 0 {
 		return ByEndpoints, s.Size.Endpoints
@@ -62,17 +62,17 @@
 	s.Figures = append(s.Figures, Figure{Mechanism: mechanism, Role: role, Name: name, Unit: unit, Value: value})
 }
 
-// AddWall adds a figure by the wall clock.
-func (s *Step) AddWall(mechanism, role, name, unit string, value float64) {
-	s.Figures = append(s.Figures, Figure{Mechanism: mechanism, Role: role, Name: name, Unit: unit, Value: value, Wall: true})
+// AddWallClock adds a figure that was measured by the wall clock.
+func (s *Step) AddWallClock(mechanism, role, name, unit string, value float64) {
+	s.Figures = append(s.Figures, Figure{Mechanism: mechanism, Role: role, Name: name, Unit: unit, Value: value, WallClock: true})
 }
 
-// Check adds something that had to hold.
+// Check adds a check.
 func (s *Step) Check(name string, passed bool, format string, args ...any) {
 	s.Checks = append(s.Checks, Check{name, passed, fmt.Sprintf(format, args...)})
 }
 
-// Passed tells whether all checks of all steps passed.
+// Passed reports whether all checks of all steps passed.
 func Passed(steps []Step) bool {
 	for _, s := range steps {
 		for _, c := range s.Checks {
@@ -84,13 +84,13 @@
 	return true
 }
 
-// fileOf is the name of a step's file.
-func fileOf(s *Step) string {
+// fileName returns the name of a step's file.
+func fileName(s *Step) string {
 	_, size := s.Axis()
 	return fmt.Sprintf("step-%s-%06d.json", strings.ReplaceAll(s.Part, " ", "-"), size)
 }
 
-// Save writes a step to its file in a directory: the whole of it, or nothing.
+// Save writes a step to its file in a directory, atomically.
 func Save(dir string, s *Step) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -99,14 +99,14 @@
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(dir, fileOf(s))
+	path := filepath.Join(dir, fileName(s))
 	if err := os.WriteFile(path+".tmp", append(text, '\n'), 0o644); err != nil {
 		return err
 	}
 	return os.Rename(path+".tmp", path)
 }
 
-// Read reads the steps that a directory holds, by part and size. A directory that does not exist holds none.
+// Read reads the steps in a directory, sorted by part and size. A directory that does not exist holds none.
 func Read(dir string) ([]Step, error) {
 	entries, err := os.ReadDir(dir)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -135,7 +135,7 @@
 	return out, nil
 }
 
-// Sort orders steps by part and size.
+// Sort sorts steps by part and size.
 func Sort(steps []Step) {
 	slices.SortStableFunc(steps, func(a, b Step) int {
 		_, sizeA := a.Axis()
--- a/internal/kit/scale/result/result_test.go
+++ b/internal/kit/scale/result/result_test.go
@@ -20,31 +20,31 @@
 	return out
 }
 
-func TestSlopeOfALine(t *testing.T) {
-	f := Collect(steps(124, 220, 700, 3100, 11900))[0].Fit // 100 + 2 a node
-	if math.Abs(f.Slope-2) > 1e-9 || math.Abs(f.At0-100) > 1e-6 || f.SlopeHigh-f.SlopeLow > 1e-6 || f.Marked {
+func TestSlopeOfStraightLine(t *testing.T) {
+	f := Collect(steps(124, 220, 700, 3100, 11900))[0].Fit // 100 + 2 per node
+	if math.Abs(f.Slope-2) > 1e-9 || math.Abs(f.Intercept-100) > 1e-6 || f.SlopeHigh-f.SlopeLow > 1e-6 || f.Flagged {
 		t.Errorf("a straight line: %+v", f)
 	}
 }
 
-func TestIntervalHoldsTheSlope(t *testing.T) {
+func TestConfidenceIntervalContainsSlope(t *testing.T) {
 	f := Collect(steps(130, 214, 704, 3090, 11903))[0].Fit
 	if !(f.SlopeLow < 2 && 2 < f.SlopeHigh) || f.SlopeHigh-f.SlopeLow < 1e-6 || f.SlopeHigh-f.SlopeLow > 0.05 {
 		t.Errorf("a straight line with small errors: %+v", f)
 	}
 }
 
-func TestMarksAMissOfTheLargest(t *testing.T) {
+func TestPredictionErrorOfLargestIsFlagged(t *testing.T) {
 	f := Collect(steps(124, 220, 700, 3100, 15900))[0].Fit
-	if !f.Marked || math.Abs(f.Foretold-11900) > 1e-6 || math.Abs(f.Missed-4000.0/11900) > 1e-9 {
+	if !f.Flagged || math.Abs(f.Predicted-11900) > 1e-6 || math.Abs(f.PredictionError-4000.0/11900) > 1e-9 {
 		t.Errorf("the largest is a third above the line: %+v", f)
 	}
 }
 
-func TestStepsStayOnceSaved(t *testing.T) {
+func TestSavedStepsSurviveKilledRun(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "out")
 	if got, err := Read(dir); err != nil || got != nil {
-		t.Fatal("a directory that is not there", got, err)
+		t.Fatal("a directory that does not exist", got, err)
 	}
 	all := steps(1, 2, 3)
 	for i := len(all) - 1; i >= 0; i-- {
@@ -52,7 +52,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := os.WriteFile(filepath.Join(dir, "step-control-005900.json.tmp"), []byte("{"), 0o644); err != nil { // a run that was killed
+	if err := os.WriteFile(filepath.Join(dir, "step-control-005900.json.tmp"), []byte("{"), 0o644); err != nil { // left by a run that was killed
 		t.Fatal(err)
 	}
 	got, err := Read(dir)
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestTableAndPage(t *testing.T) {
+func TestTableAndPageShowFailures(t *testing.T) {
 	all := steps(124, 220, 700, 3100, 15900)
 	all[4].Check("all nodes are equal", false, "2 of 5900 differ")
 	r := NewReport("p.toml", 1, all)
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestFlat(t *testing.T) {
+func TestCheckFlat(t *testing.T) {
 	for _, c := range []struct {
 		small, large float64
 		want         bool
@@ -95,6 +95,6 @@
 	}
 	all := steps(1, 1)
 	if CheckFlat(&all[0], &all[1], "node", "heap"); all[1].Checks[0].Passed {
-		t.Error("a figure that was not measured is flat")
+		t.Error("a figure that was not measured counts as flat")
 	}
 }
--- a/internal/kit/scale/result/slope.go
+++ b/internal/kit/scale/result/slope.go
@@ -7,39 +7,40 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Miss is how far the largest step may be from what the smaller ones foretold, as a part of that.
-const Miss = 0.25
+// MaxPredictionError is the relative error up to which the value at the largest size counts as predicted by the smaller
+// ones.
+const MaxPredictionError = 0.25
 
-// Point is one figure at one size.
+// Point is the value of a figure at one size.
 type Point struct {
-	Size  int     `json:"size"` // nodes or endpoints, as the series' axis says
+	Size  int     `json:"size"` // nodes or endpoints, by the series' axis
 	Value float64 `json:"value"`
 }
 
-// Series is one figure at all sizes.
+// Series is a figure at all sizes.
 type Series struct {
 	Mechanism string  `json:"mechanism"`
 	Role      string  `json:"role"`
 	Name      string  `json:"name"`
 	Unit      string  `json:"unit"`
 	Axis      string  `json:"axis"`
-	Wall      bool    `json:"wall,omitempty"`
+	WallClock bool    `json:"wall,omitempty"`
 	Points    []Point `json:"points"`
 	Fit       *Fit    `json:"fit,omitempty"` // nil for fewer than three sizes
 }
 
-// Fit is the straight line through a series.
+// Fit is the linear regression of a series.
 type Fit struct {
-	Slope     float64 `json:"slope"`      // in the figure's unit, for each further node or endpoint
-	SlopeLow  float64 `json:"slope_low"`  // 95% interval; equal to Slope where the line has as many points as figures
-	SlopeHigh float64 `json:"slope_high"` //
-	At0       float64 `json:"at_0"`
-	Foretold  float64 `json:"foretold"` // the largest size, by the line through the smaller ones
-	Missed    float64 `json:"missed"`   // how far the largest is from that, as a part of it
-	Marked    bool    `json:"marked"`   // it missed by more than Miss
+	Slope           float64 `json:"slope"`     // in the figure's unit, per node or endpoint
+	SlopeLow        float64 `json:"slope_low"` // bounds of the 95% confidence interval
+	SlopeHigh       float64 `json:"slope_high"`
+	Intercept       float64 `json:"at_0"`
+	Predicted       float64 `json:"foretold"` // value at the largest size, by the line through the smaller ones
+	PredictionError float64 `json:"missed"`   // deviation of the measured value, relative to Predicted
+	Flagged         bool    `json:"marked"`   // the error exceeds MaxPredictionError
 }
 
-// Collect gathers the figures of steps into series, in the order of their first appearance.
+// Collect groups the figures of steps into series, in the order of their first appearance.
 func Collect(steps []Step) []Series {
 	type key struct{ axis, mechanism, role, name string }
 	var out []Series
@@ -52,7 +53,7 @@
 			if !ok {
 				i = len(out)
 				at[k] = i
-				out = append(out, Series{Mechanism: f.Mechanism, Role: f.Role, Name: f.Name, Unit: f.Unit, Axis: axis, Wall: f.Wall})
+				out = append(out, Series{Mechanism: f.Mechanism, Role: f.Role, Name: f.Name, Unit: f.Unit, Axis: axis, WallClock: f.WallClock})
 			}
 			out[i].Points = append(out[i].Points, Point{size, f.Value})
 		}
@@ -63,44 +64,44 @@
 	return out
 }
 
-// fit is the line through points in the order of their sizes; nil where there are too few.
+// fit returns the regression line through points in the order of their sizes, or nil if there are too few.
 func fit(points []Point) *Fit {
 	if len(points) < 3 {
 		return nil
 	}
 	x, y := split(points)
 	f := &Fit{}
-	f.At0, f.Slope = stat.LinearRegression(x, y, nil, false)
-	half := interval(x, y, f.At0, f.Slope)
-	f.SlopeLow, f.SlopeHigh = f.Slope-half, f.Slope+half
+	f.Intercept, f.Slope = stat.LinearRegression(x, y, nil, false)
+	halfWidth := slopeHalfWidth(x, y, f.Intercept, f.Slope)
+	f.SlopeLow, f.SlopeHigh = f.Slope-halfWidth, f.Slope+halfWidth
 
 	last := len(points) - 1
-	at0, slope := stat.LinearRegression(x[:last], y[:last], nil, false)
-	f.Foretold = at0 + slope*x[last]
-	if f.Foretold != 0 {
-		f.Missed = (y[last] - f.Foretold) / math.Abs(f.Foretold)
+	intercept, slope := stat.LinearRegression(x[:last], y[:last], nil, false)
+	f.Predicted = intercept + slope*x[last]
+	if f.Predicted != 0 {
+		f.PredictionError = (y[last] - f.Predicted) / math.Abs(f.Predicted)
 	}
-	f.Marked = math.Abs(y[last]-f.Foretold) > Miss*math.Abs(f.Foretold)
+	f.Flagged = math.Abs(y[last]-f.Predicted) > MaxPredictionError*math.Abs(f.Predicted)
 	return f
 }
 
-// interval is half the width of the 95% interval of a line's slope, by Student's distribution.
-func interval(x, y []float64, at0, slope float64) float64 {
-	freedom := float64(len(x) - 2)
-	if freedom < 1 {
+// slopeHalfWidth returns half the width of the 95% confidence interval of a slope, by Student's t-distribution.
+func slopeHalfWidth(x, y []float64, intercept, slope float64) float64 {
+	degreesOfFreedom := float64(len(x) - 2)
+	if degreesOfFreedom < 1 {
 		return 0
 	}
-	residual, spread, mean := 0.0, 0.0, stat.Mean(x, nil)
+	residual, variation, mean := 0.0, 0.0, stat.Mean(x, nil)
 	for i := range x {
-		off := y[i] - at0 - slope*x[i]
-		residual += off * off
-		spread += (x[i] - mean) * (x[i] - mean)
+		deviation := y[i] - intercept - slope*x[i]
+		residual += deviation * deviation
+		variation += (x[i] - mean) * (x[i] - mean)
 	}
-	if spread == 0 {
+	if variation == 0 {
 		return 0
 	}
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: freedom}.Quantile(0.975)
-	return t * math.Sqrt(residual/freedom/spread)
+	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: degreesOfFreedom}.Quantile(0.975)
+	return t * math.Sqrt(residual/degreesOfFreedom/variation)
 }
 
 func split(points []Point) (x, y []float64) {
--- a/internal/kit/scale/scale.go
+++ b/internal/kit/scale/scale.go
@@ -1,6 +1,6 @@
-// Package scale plays a fleet at several sizes, and measures what each of its processes and each change costs: what nodes
-// share today (package mesh), what a list of endpoints costs today (endpointlist), and the control plane, with faults
-// (hierarchy). Each step is saved as soon as it is measured.
+// Package scale measures fleets of several sizes: what nodes share over the mesh (package mesh), what a list of endpoints
+// costs a node (endpointlist), and the control plane, also under faults (hierarchy). It reports the cost by process and by
+// change, and saves each step as soon as it has been measured.
 package scale
 
 import (
@@ -26,49 +26,49 @@
 	PartControl = "control"
 	PartFaults  = "faults" // after PartControl, at the largest size
 
-	// PartProcesses plays real processes. It is played only where it is asked for.
+	// PartProcesses runs real processes. It runs only if it is selected explicitly.
 	PartProcesses = "processes"
 )
 
-// flatNodes is the size from which on a node is to cost the same.
-const flatNodes = 300
+// flatBaselineNodes is the smallest fleet size at which the cost of a node is compared with that at the largest size.
+const flatBaselineNodes = 300
 
-// Parts are those that are played where none is asked for, in their order.
+// Parts returns the parts that run by default, in their order.
 func Parts() []string { return []string{PartList, PartMesh, PartControl, PartFaults} }
 
-// Options say what is played.
+// Options configures a run.
 type Options struct {
-	File     string // of the plan, for the report
+	File     string // name of the plan's file, for the report
 	Plan     *plan.Plan
-	Parts    []string // none for Parts()
+	Parts    []string // Parts() if empty
 	Dir      string   // where steps are saved
-	Resume   bool     // steps that Dir holds are not played again
+	Resume   bool     // keep the steps in Dir and measure only the others
 	Progress func(line string)
 
-	Program string // the file of craneglade itself, for PartProcesses
+	Program string // path of the craneglade executable, for PartProcesses
 }
 
-// InUseError tells that a directory holds steps already.
+// InUseError reports that a directory already holds steps.
 type InUseError struct{ Dir string }
 
 func (e *InUseError) Error() string {
-	return fmt.Sprintf("%s holds steps of an earlier run: go on with --resume, or give another directory", e.Dir)
+	return fmt.Sprintf("%s holds steps of an earlier run: continue it with --resume, or use another directory", e.Dir)
 }
 
-// OtherPlanError tells that a directory holds steps of another plan.
-type OtherPlanError struct{ Dir string }
+// PlanMismatchError reports that a directory holds steps of another plan.
+type PlanMismatchError struct{ Dir string }
 
-func (e *OtherPlanError) Error() string {
-	return fmt.Sprintf("%s holds steps of another plan, or of this one before it was changed: give another directory", e.Dir)
+func (e *PlanMismatchError) Error() string {
+	return fmt.Sprintf("%s holds steps of another plan, or of this one before it was changed: use another directory", e.Dir)
 }
 
-// run is one run.
+// run is the state of a run.
 type run struct {
 	Options
 	steps []result.Step
 }
 
-// Run plays a plan. Where it ends early, by an error or with ctx, the report has what was measured until then.
+// Run executes a plan. If it ends early, by an error or with ctx, the report holds what was measured until then.
 func Run(ctx context.Context, o Options) (*result.Report, error) {
 	steps, err := result.Read(o.Dir)
 	if err != nil {
@@ -79,56 +79,58 @@
 	}
 	for _, step := range steps {
 		if step.Plan != o.Plan.Digest {
-			return nil, &OtherPlanError{o.Dir}
+			return nil, &PlanMismatchError{o.Dir}
 		}
 	}
 	if len(o.Parts) == 0 {
 		o.Parts = Parts()
 	}
-	watched, g := guard.Watch(ctx, guard.Limits{Memory: int64(o.Plan.Limits.Memory), Processes: o.Plan.Limits.Processes})
+	guarded, g := guard.Watch(ctx, guard.Limits{Memory: int64(o.Plan.Limits.Memory), Processes: o.Plan.Limits.Processes})
 	r := &run{Options: o, steps: steps}
-	err = r.play(watched)
-	most := g.Stop()
-	r.Progress(fmt.Sprintf("at most %d MiB resident, %d processes", most.Memory>>20, most.Processes))
+	err = r.runParts(guarded)
+	peak := g.Stop()
+	r.Progress(fmt.Sprintf("peak: %d MiB resident, %d processes", peak.Memory>>20, peak.Processes))
 	return result.NewReport(o.File, o.Plan.Seed, r.steps), err
 }
 
-func (r *run) play(ctx context.Context) error {
-	if r.wants(PartList) {
+func (r *run) runParts(ctx context.Context) error {
+	if r.selected(PartList) {
 		for _, n := range r.Plan.List.Sizes {
-			if err := r.step(PartList, plan.Step{Endpoints: n}, func() (*result.Step, error) { return endpointlist.Measure(ctx, n) }); err != nil {
+			if err := r.runStep(PartList, plan.Step{Endpoints: n}, func() (*result.Step, error) { return endpointlist.Measure(ctx, n) }); err != nil {
 				return err
 			}
 		}
 	}
-	if r.wants(PartMesh) {
-		if err := r.mesh(ctx); err != nil {
+	if r.selected(PartMesh) {
+		if err := r.runMesh(ctx); err != nil {
 			return err
 		}
 	}
-	if r.wants(PartControl) || r.wants(PartFaults) {
-		if err := r.control(ctx); err != nil {
+	if r.selected(PartControl) || r.selected(PartFaults) {
+		if err := r.runControl(ctx); err != nil {
 			return err
 		}
 	}
-	if r.wants(PartProcesses) {
-		r.Progress("starting " + processes.Names(&r.Plan.Processes))
+	if r.selected(PartProcesses) {
+		r.Progress("starting " + processes.Summary(&r.Plan.Processes))
 		size := processes.Size(r.Plan)
-		return r.step(PartProcesses, size, func() (*result.Step, error) { return processes.Measure(ctx, r.Plan, r.Program) })
+		return r.runStep(PartProcesses, size, func() (*result.Step, error) { return processes.Measure(ctx, r.Plan, r.Program) })
 	}
 	return nil
 }
 
-func (r *run) wants(part string) bool { return slices.Contains(r.Parts, part) }
+func (r *run) selected(part string) bool { return slices.Contains(r.Parts, part) }
 
-func (r *run) mesh(ctx context.Context) error {
+func (r *run) runMesh(ctx context.Context) error {
 	for _, tenants := range r.Plan.Mesh.Tenants {
 		for _, size := range r.Plan.Steps {
 			if r.Plan.Mesh.Skips(size.Nodes, tenants) {
 				continue
 			}
-			play := func() (*result.Step, error) { return mesh.Measure(ctx, size, tenants, int(r.Plan.Mesh.NodeBytes)) }
-			if err := r.step(mesh.Part(tenants), size, play); err != nil {
+			measure := func() (*result.Step, error) {
+				return mesh.Measure(ctx, size, tenants, int(r.Plan.Mesh.NodeBytesPerSecond))
+			}
+			if err := r.runStep(mesh.PartName(tenants), size, measure); err != nil {
 				return err
 			}
 		}
@@ -136,94 +138,95 @@
 	return nil
 }
 
-// control plays the control plane at each size. The largest goes on with the faults.
-func (r *run) control(ctx context.Context) error {
+// runControl measures the control plane at each size, and at the largest one under faults.
+func (r *run) runControl(ctx context.Context) error {
 	for i, size := range r.Plan.Steps {
 		faults := r.Plan.Faults
-		if i < len(r.Plan.Steps)-1 || !r.wants(PartFaults) {
+		if i < len(r.Plan.Steps)-1 || !r.selected(PartFaults) {
 			faults = nil
 		}
-		if len(faults) == 0 && (!r.wants(PartControl) || r.has(PartControl, size)) {
+		if len(faults) == 0 && (!r.selected(PartControl) || r.hasStep(PartControl, size)) {
 			continue
 		}
-		if err := r.hierarchy(ctx, size, faults); err != nil {
+		if err := r.runHierarchy(ctx, size, faults); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// hierarchy plays one size of the control plane, with faults.
-func (r *run) hierarchy(ctx context.Context, size plan.Step, faults []plan.Fault) error {
-	began := time.Now()
-	played, out, err := hierarchy.Measure(ctx, r.Plan, size)
+// runHierarchy measures the control plane at one size, with faults.
+func (r *run) runHierarchy(ctx context.Context, size plan.Step, faults []plan.Fault) error {
+	started := time.Now()
+	fleet, out, err := hierarchy.Measure(ctx, r.Plan, size)
 	if err != nil {
-		return r.failed(PartControl, size, err)
+		return r.stepError(PartControl, size, err)
 	}
-	if err := r.keep(out, began); err != nil {
+	if err := r.record(out, started); err != nil {
 		return err
 	}
 	for _, f := range faults {
-		began := time.Now()
-		out, err := played.Fault(ctx, f)
+		started := time.Now()
+		out, err := fleet.Fault(ctx, f)
 		if err != nil {
-			return r.failed(f.Kind, size, err)
+			return r.stepError(f.Kind, size, err)
 		}
-		if err := r.keep(out, began); err != nil {
+		if err := r.record(out, started); err != nil {
 			return err
 		}
 	}
-	out = played.Finish()
-	if small := r.flatFrom(); small != nil && size == r.Plan.Largest() {
-		result.CheckFlat(small, out, "node", "bytes in", "bytes out", "messages in", "messages out", "heap")
+	out = fleet.Finish()
+	if baseline := r.flatBaseline(); baseline != nil && size == r.Plan.Largest() {
+		result.CheckFlat(baseline, out, "node", "bytes in", "bytes out", "messages in", "messages out", "heap")
 	}
-	return r.keep(out, began)
+	return r.record(out, started)
 }
 
-// flatFrom is the smallest step of the control plane from which on a node is to cost the same, or nil where none was played.
-func (r *run) flatFrom() *result.Step {
-	var from *result.Step
+// flatBaseline returns the smallest step of the control plane with at least flatBaselineNodes nodes, other than the
+// largest, or nil.
+func (r *run) flatBaseline() *result.Step {
+	var baseline *result.Step
 	for i := range r.steps {
 		s := &r.steps[i]
-		if s.Part == PartControl && s.Size.Nodes >= flatNodes && s.Size != r.Plan.Largest() && (from == nil || s.Size.Nodes < from.Size.Nodes) {
-			from = s
+		if s.Part == PartControl && s.Size.Nodes >= flatBaselineNodes && s.Size != r.Plan.Largest() && (baseline == nil || s.Size.Nodes < baseline.Size.Nodes) {
+			baseline = s
 		}
 	}
-	return from
+	return baseline
 }
 
-// step plays a step, unless it is there already.
-func (r *run) step(part string, size plan.Step, play func() (*result.Step, error)) error {
-	if r.has(part, size) {
+// runStep measures a step unless it has been measured already.
+func (r *run) runStep(part string, size plan.Step, measure func() (*result.Step, error)) error {
+	if r.hasStep(part, size) {
 		return nil
 	}
-	began := time.Now()
-	out, err := play()
+	started := time.Now()
+	out, err := measure()
 	if err != nil {
-		return r.failed(part, size, err)
+		return r.stepError(part, size, err)
 	}
-	return r.keep(out, began)
+	return r.record(out, started)
 }
 
-func (r *run) failed(part string, size plan.Step, err error) error {
+func (r *run) stepError(part string, size plan.Step, err error) error {
 	if errors.Is(err, context.Canceled) {
 		return err
 	}
 	return fmt.Errorf("%s: %w", (&result.Step{Part: part, Size: size}).Where(), err)
 }
 
-// keep saves a step, in place of one of the same part and size.
-func (r *run) keep(s *result.Step, began time.Time) error {
+// record saves a step, replacing one of the same part and size.
+func (r *run) record(s *result.Step, started time.Time) error {
 	s.Plan = r.Plan.Digest
 	r.steps = slices.DeleteFunc(r.steps, func(old result.Step) bool { return old.Part == s.Part && old.Size == s.Size })
 	r.steps = append(r.steps, *s)
-	r.Progress(fmt.Sprintf("%s: measured in %.0f s", s.Where(), time.Since(began).Seconds()))
+	r.Progress(fmt.Sprintf("%s: measured in %.0f s", s.Where(), time.Since(started).Seconds()))
 	if err := result.Save(r.Dir, s); err != nil {
 		return fmt.Errorf("save: %w", err)
 	}
 	return nil
 }
 
-func (r *run) has(part string, size plan.Step) bool {
+func (r *run) hasStep(part string, size plan.Step) bool {
 	return slices.ContainsFunc(r.steps, func(s result.Step) bool { return s.Part == part && s.Size == size })
 }
--- a/internal/kit/scale/scale_test.go
+++ b/internal/kit/scale/scale_test.go
@@ -12,7 +12,7 @@
 	"craneglade/internal/kit/scale/result"
 )
 
-const tiny = `seed = 3
+const smallPlan = `seed = 3
 [fleet]
 regions = 2
 zones = 2
@@ -48,14 +48,14 @@
 
 func options(t *testing.T, dir string) Options {
 	t.Helper()
-	p, err := plan.Parse("tiny.toml", []byte(tiny))
+	p, err := plan.Parse("tiny.toml", []byte(smallPlan))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return Options{File: "tiny.toml", Plan: p, Dir: dir, Progress: func(string) {}}
 }
 
-func TestPlaysAllPartsAndSavesEachStep(t *testing.T) {
+func TestAllPartsRunAndStepsAreSaved(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "steps")
 	r, err := Run(context.Background(), options(t, dir))
 	if err != nil {
@@ -70,13 +70,13 @@
 	}
 }
 
-func TestAnInterruptionKeepsWhatIsMeasured(t *testing.T) {
+func TestInterruptedRunResumes(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "steps")
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	o, told := options(t, dir), 0
+	o, progressLines := options(t, dir), 0
 	o.Progress = func(string) {
-		if told++; told == 3 {
+		if progressLines++; progressLines == 3 {
 			cancel()
 		}
 	}
@@ -92,19 +92,19 @@
 	if _, err := Run(context.Background(), o); !errors.As(err, &inUse) {
 		t.Errorf("a directory in use: %v", err)
 	}
-	before := modified(t, dir)
+	before := modificationTimes(t, dir)
 	o.Resume = true
 	if r, err = Run(context.Background(), o); err != nil || len(r.Steps) != 6 {
 		t.Fatalf("resumed: %d steps, %v", len(r.Steps), err)
 	}
 	for name, at := range before {
-		if modified(t, dir)[name] != at {
-			t.Errorf("%s was measured anew", name)
+		if modificationTimes(t, dir)[name] != at {
+			t.Errorf("%s was measured again", name)
 		}
 	}
 }
 
-func modified(t *testing.T, dir string) map[string]int64 {
+func modificationTimes(t *testing.T, dir string) map[string]int64 {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -121,17 +121,17 @@
 	return out
 }
 
-func TestEndsWhereMemoryPassesTheLimit(t *testing.T) {
+func TestMemoryLimitEndsRun(t *testing.T) {
 	o := options(t, filepath.Join(t.TempDir(), "steps"))
-	o.Plan.Limits.Memory = 1 << 20 // less than any program takes; the plan's estimate was looked at before
+	o.Plan.Limits.Memory = 1 << 20 // less than any program takes; the plan's estimate has been checked before
 	_, err := Run(context.Background(), o)
-	var over *guard.Over
+	var over *guard.LimitError
 	if !errors.As(err, &over) {
-		t.Fatalf("ended with %v", err)
+		t.Fatalf("got %v, want a LimitError", err)
 	}
 }
 
-func TestStepsOfAnotherPlanAreNotMixedIn(t *testing.T) {
+func TestResumeRejectsStepsOfAnotherPlan(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "steps")
 	if _, err := Run(context.Background(), options(t, dir)); err != nil {
 		t.Fatal(err)
@@ -139,8 +139,8 @@
 	o := options(t, dir)
 	o.Resume = true
 	o.Plan.Digest = "another"
-	var other *OtherPlanError
-	if _, err := Run(context.Background(), o); !errors.As(err, &other) {
+	var mismatch *PlanMismatchError
+	if _, err := Run(context.Background(), o); !errors.As(err, &mismatch) {
 		t.Errorf("resumed with another plan: %v", err)
 	}
 }
