--- a/internal/kit/capacity/capacity_test.go
+++ b/internal/kit/capacity/capacity_test.go
@@ -26,8 +26,8 @@
 	return d
 }
 
-// Each derived table of the page is what the figures of docs/capacity/measured.toml give. After a change of these:
-// go test ./internal/kit/capacity -run TestThePageFollowsFromTheFigures -update
+// Each derived table of the page must be what the figures of docs/capacity/measured.toml give. To update the page: go test
+// ./internal/kit/capacity -run TestThePageFollowsFromTheFigures -update
 func TestThePageFollowsFromTheFigures(t *testing.T) {
 	d := load(t)
 	text, err := os.ReadFile(pagePath)
@@ -37,8 +37,8 @@
 	page := string(text)
 	for name, table := range d.Tables() {
 		begin, end := "<!-- derived: "+name+" -->\n", "<!-- end -->"
-		_, rest, found := strings.Cut(page, begin)
-		old, _, closed := strings.Cut(rest, end)
+		_, after, found := strings.Cut(page, begin)
+		old, _, closed := strings.Cut(after, end)
 		if !found || !closed {
 			t.Errorf("the page has no table %s", name)
 			continue
@@ -46,7 +46,7 @@
 		if old != table && *update {
 			page = strings.Replace(page, begin+old, begin+table, 1)
 		} else if old != table {
-			t.Errorf("table %s of the page is not what the figures give: %s", name, difference(old, table))
+			t.Errorf("table %s of the page differs from the derived one: %s", name, difference(old, table))
 		}
 	}
 	if *update {
@@ -56,19 +56,19 @@
 	}
 }
 
-// difference is the first line in which a table of the page differs from the one that the figures give.
+// difference describes the first line in which a table of the page differs from the derived one.
 func difference(page, figures string) string {
 	old, fresh := strings.Split(page, "\n"), strings.Split(figures, "\n")
 	for i := range min(len(old), len(fresh)) {
 		if old[i] != fresh[i] {
-			return fmt.Sprintf("row %d is\n%s\nand they give\n%s", i, old[i], fresh[i])
+			return fmt.Sprintf("row %d is\n%s\nwant\n%s", i, old[i], fresh[i])
 		}
 	}
-	return fmt.Sprintf("it has %d rows and not %d", len(old), len(fresh))
+	return fmt.Sprintf("it has %d rows, want %d", len(old), len(fresh))
 }
 
-// The files that figures were measured by are there.
-func TestFiguresNameTheirFiles(t *testing.T) {
+// The files from which the figures were measured must exist.
+func TestSeriesFilesExist(t *testing.T) {
 	for _, s := range load(t).Series {
 		if _, err := os.Stat(filepath.Join("../../..", s.File)); err != nil {
 			t.Errorf("series %s: %v", s.Name, err)
@@ -76,77 +76,77 @@
 	}
 }
 
-func TestPartsOfServicesAddUp(t *testing.T) {
+func TestServiceSharesSumToOne(t *testing.T) {
 	for _, c := range []struct {
 		services      int
 		skew, largest float64
 	}{{1, 0.8, 0.01}, {2, 0.8, 0.01}, {50, 0.8, 0.01}, {9300, 0.8, 0.01}, {9300, 1.2, 0.01}, {9300, 0, 0.5}} {
 		sum, last := 0.0, math.Inf(1)
-		for _, part := range ServiceParts(c.services, c.skew, c.largest) {
-			if part > last+1e-12 {
-				t.Errorf("%+v: a service is larger than one before it", c)
+		for _, share := range ServiceShares(c.services, c.skew, c.largest) {
+			if share > last+1e-12 {
+				t.Errorf("%+v: shares are not in descending order", c)
 			}
-			sum, last = sum+part, part
+			sum, last = sum+share, share
 		}
 		if math.Abs(sum-1) > 1e-9 {
-			t.Errorf("%+v: the parts add up to %v", c, sum)
+			t.Errorf("%+v: the shares add up to %v", c, sum)
 		}
 	}
-	if parts := ServiceParts(9300, 1.2, 0.01); math.Abs(parts[0]-0.01) > 1e-12 {
-		t.Errorf("the largest has %v", parts[0])
+	if shares := ServiceShares(9300, 1.2, 0.01); math.Abs(shares[0]-0.01) > 1e-12 {
+		t.Errorf("largest share is %v", shares[0])
 	}
 }
 
-func TestTheLineGoesFromStartToTarget(t *testing.T) {
+func TestFleetAtEndsOfLine(t *testing.T) {
 	d := load(t)
-	if f := d.FleetOf(d.Start.Nodes); f.Backends != d.Start.Backends || f.Services != d.Start.Services {
-		t.Errorf("it starts at %+v", f)
+	if f := d.FleetWithNodes(d.Start.Nodes); f.Backends != d.Start.Backends || f.Services != d.Start.Services {
+		t.Errorf("fleet at the start: %+v", f)
 	}
-	if f := d.FleetOf(d.Target.Nodes); f.Backends != d.Target.Backends || f.Tenants != d.Target.Tenants || f.RequestsPerSecond != d.Target.RequestsPerSecond {
-		t.Errorf("it ends at %+v", f)
+	if f := d.FleetWithNodes(d.Target.Nodes); f.Backends != d.Target.Backends || f.Tenants != d.Target.Tenants || f.RequestsPerSecond != d.Target.RequestsPerSecond {
+		t.Errorf("fleet at the target: %+v", f)
 	}
 }
 
-func TestEstimates(t *testing.T) {
+func TestEstimate(t *testing.T) {
 	line := &Series{By: "x", Sizes: []float64{10, 100}, Runs: [][]float64{{1, 1, 1}, {10, 12, 8}}}
 	for size, want := range map[float64]float64{1: 0.1, 10: 1, 50: 5, 100: 10, 1000: 100} {
 		if got := line.Estimate(size); math.Abs(got-want) > 1e-9 {
 			t.Errorf("at %v: %v, want %v", size, got, want)
 		}
 	}
-	if got := line.Reaches(20); math.Abs(got-200) > 1e-6 {
-		t.Errorf("20 is reached at %v", got)
+	if got := line.SizeReaching(20); math.Abs(got-200) > 1e-6 {
+		t.Errorf("20 reached at %v, want 200", got)
 	}
 	if _, exponent := line.Power(); math.Abs(exponent-1) > 1e-9 {
-		t.Errorf("it grows with the power %v", exponent)
+		t.Errorf("exponent %v, want 1", exponent)
 	}
-	each := &Series{By: "x", Sizes: []float64{4}, Runs: [][]float64{{8, 8, 8}}}
-	if got := each.Estimate(10); got != 20 {
-		t.Errorf("by each: %v", got)
+	proportional := &Series{By: "x", Sizes: []float64{4}, Runs: [][]float64{{8, 8, 8}}}
+	if got := proportional.Estimate(10); got != 20 {
+		t.Errorf("proportional: %v, want 20", got)
 	}
 }
 
-// What passes its limit first stands first, and a crossing is where its value passes the limit.
-func TestBreaksAreInTheirOrder(t *testing.T) {
+// Breaks must be sorted by where they occur, and a value must exceed its limit at its crossing but not clearly before it.
+func TestBreaksAreOrdered(t *testing.T) {
 	d := load(t)
 	all := d.Breaks()
 	for i := 1; i < len(all); i++ {
-		if rank(all[i]) < rank(all[i-1]) || rank(all[i]) == rank(all[i-1]) && (all[i].Below < all[i-1].Below || all[i].Fleet.Part < all[i-1].Fleet.Part) {
-			t.Errorf("%q stands behind %q", all[i].Mechanism, all[i-1].Mechanism)
+		if breakRank(all[i]) < breakRank(all[i-1]) || breakRank(all[i]) == breakRank(all[i-1]) && (all[i].ExceededAtNodes < all[i-1].ExceededAtNodes || all[i].Fleet.Fraction < all[i-1].Fleet.Fraction) {
+			t.Errorf("%q is listed after %q", all[i].Mechanism, all[i-1].Mechanism)
 		}
 	}
 	for _, m := range d.mechanisms() {
-		if m.value(d.Along(0)) > m.limitAt || m.value(d.Along(1)) <= m.limitAt {
+		if m.value(d.FleetAt(0)) > m.threshold || m.value(d.FleetAt(1)) <= m.threshold {
 			continue
 		}
-		f := d.crossing(m)
-		if m.value(f) < m.limitAt*(1-1e-6) || f.Part > 1e-4 && m.value(d.Along(f.Part*0.98)) > m.limitAt*1.05 {
-			t.Errorf("%s: %v at %+v, limit %v", m.name, m.value(f), f, m.limitAt)
+		f := d.limitCrossing(m)
+		if m.value(f) < m.threshold*(1-1e-6) || f.Fraction > 1e-4 && m.value(d.FleetAt(f.Fraction*0.98)) > m.threshold*1.05 {
+			t.Errorf("%s: %v at %+v, limit %v", m.name, m.value(f), f, m.threshold)
 		}
 	}
 }
 
-func TestBadFiguresAreRefused(t *testing.T) {
+func TestInvalidDataErrors(t *testing.T) {
 	good, err := os.ReadFile(measuredPath)
 	if err != nil {
 		t.Fatal(err)
@@ -155,7 +155,7 @@
 		{string(good) + "\nnodse = 1\n", "nodse"},
 		{"[[assumption]]\nname = \"a\"\nvalue = 0\n", `assumption "a"`},
 		{"[[series]]\nname = \"s\"\nunit = \"s\"\ncommand = \"c\"\nfile = \"f\"\nsizes = [1]\nruns = [[1, 2]]\n", "2 runs at 1"},
-		{"[[series]]\nname = \"s\"\nunit = \"s\"\ncommand = \"c\"\nfile = \"f\"\nsizes = [2, 1]\nruns = [[1, 2, 3], [1, 2, 3]]\n", "sizes have to grow"},
+		{"[[series]]\nname = \"s\"\nunit = \"s\"\ncommand = \"c\"\nfile = \"f\"\nsizes = [2, 1]\nruns = [[1, 2, 3], [1, 2, 3]]\n", "sizes must be ascending"},
 		{"[target\n", "toml"},
 	} {
 		path := filepath.Join(t.TempDir(), "measured.toml")
@@ -164,27 +164,27 @@
 		}
 		_, err := Load(path)
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.HasPrefix(err.Error(), path) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q gives %v, want one line that names the file and %s", c.text[max(0, len(c.text)-40):], err, c.want)
+			t.Errorf("%q: got %v, want one line with the file and %s", c.text[max(0, len(c.text)-40):], err, c.want)
 		}
 	}
 }
 
-// Another value of an assumption changes what follows from it, and not the data itself.
+// Another value of an assumption must change what depends on it, but not the data itself.
 func TestSensitivity(t *testing.T) {
 	d := load(t)
 	before := d.Assumed("nodes_per_service")
 	if all := d.sensitivity("nodes_per_service"); len(all) < 3 || !strings.HasPrefix(all[0], "services a node ") {
-		t.Errorf("nodes_per_service moves %q", all)
+		t.Errorf("results that depend on nodes_per_service: %q", all)
 	}
 	if d.Assumed("nodes_per_service") != before {
-		t.Error("the data has changed")
+		t.Error("withAssumption changed the data")
 	}
-	if twice := d.with("nodes_per_service", 2*before); math.Abs(twice.Shuffled(d.Along(1)).Services/d.Shuffled(d.Along(1)).Services-2) > 0.1 {
-		t.Error("twice the nodes of each service are not twice the services of each node")
+	if doubled := d.withAssumption("nodes_per_service", 2*before); math.Abs(doubled.ShuffleSharded(d.FleetAt(1)).Services/d.ShuffleSharded(d.FleetAt(1)).Services-2) > 0.1 {
+		t.Error("doubling the nodes of a service does not double the services of a node")
 	}
 }
 
-func TestIntervalIsTheMedian(t *testing.T) {
+func TestIntervalOfRuns(t *testing.T) {
 	for _, c := range []struct {
 		runs []float64
 		want Interval
--- a/internal/kit/capacity/data.go
+++ b/internal/kit/capacity/data.go
@@ -1,5 +1,6 @@
-// Package capacity works out what the target fleet asks of each role from measured figures and stated assumptions: the
-// derived tables of docs/CAPACITY.md. The figures are in one file, docs/capacity/measured.toml; nothing is measured here.
+// Package capacity derives what the target fleet needs of each role from measured figures and stated assumptions: the
+// derived tables of docs/CAPACITY.md. The figures are read from one file, docs/capacity/measured.toml; nothing is measured
+// here.
 //
 // There is no clock or goroutine here, and no I/O but reading that file.
 package capacity
@@ -16,7 +17,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Data is what is measured and assumed. It is not safe for concurrent use.
+// Data holds the measured figures and the assumptions. It is not safe for concurrent use.
 type Data struct {
 	Target      Target       `toml:"target"`
 	Start       Start        `toml:"start"`
@@ -24,10 +25,10 @@
 	Assumptions []Assumption `toml:"assumption"`
 	Series      []Series     `toml:"series"`
 
-	known map[partsKey][]float64 // parts of services that were worked out
+	sharesCache map[sharesKey][]float64 // results of ServiceShares
 }
 
-// Target is the fleet that the system has to carry.
+// Target is the fleet that the system has to support.
 type Target struct {
 	Nodes             float64 `toml:"nodes"`
 	Backends          float64 `toml:"backends"`
@@ -41,7 +42,7 @@
 	RestartsPerDay    float64 `toml:"restarts_per_day"` // of machines
 }
 
-// Start is the fleet at the other end of the line, which is played today.
+// Start is the fleet at the start of the line to the target: the present size.
 type Start struct {
 	Nodes    float64 `toml:"nodes"`
 	Backends float64 `toml:"backends"`
@@ -50,18 +51,18 @@
 	Tenants  float64 `toml:"tenants"`
 }
 
-// Limits are what the target allows.
+// Limits holds the limits that the target sets.
 type Limits struct {
-	AddedSeconds    float64 `toml:"added_seconds"`    // to a request, for 99 in 100
-	InForceSeconds  float64 `toml:"in_force_seconds"` // for a change, everywhere
-	ControlCore     float64 `toml:"control_core"`     // part of a core of a node
-	ControlBytes    float64 `toml:"control_bytes"`    // of a node's memory
-	ControlPerS     float64 `toml:"control_bytes_per_second"`
-	ControlMachines float64 `toml:"control_machines"`
-	LockSeconds     float64 `toml:"lock_seconds"`     // for which a change may hold the request path
-	ListBytes       float64 `toml:"list_bytes"`       // of a whole list (internal/discovery)
-	ExchangeEntries float64 `toml:"exchange_entries"` // of a whole exchange (internal/shared/packet)
-	Descriptors     float64 `toml:"descriptors"`      // of a node's process
+	AddedSeconds          float64 `toml:"added_seconds"`    // to a request, at the 99th percentile
+	InForceSeconds        float64 `toml:"in_force_seconds"` // for a change, everywhere
+	ControlCore           float64 `toml:"control_core"`     // fraction of a core of a node
+	ControlBytes          float64 `toml:"control_bytes"`    // of a node's memory
+	ControlBytesPerSecond float64 `toml:"control_bytes_per_second"`
+	ControlMachines       float64 `toml:"control_machines"`
+	LockSeconds           float64 `toml:"lock_seconds"`     // for which a change may block the request path
+	ListBytes             float64 `toml:"list_bytes"`       // of a full list (internal/discovery)
+	ExchangeEntries       float64 `toml:"exchange_entries"` // of a full state exchange (internal/shared/packet)
+	Descriptors           float64 `toml:"descriptors"`      // of a node's process
 }
 
 // Assumption is a number that the target leaves open.
@@ -80,12 +81,12 @@
 	Unit    string      `toml:"unit"` // seconds, bytes or a count
 	Sizes   []float64   `toml:"sizes"`
 	Runs    [][]float64 `toml:"runs"` // by size
-	Note    string      `toml:"note"` // what is to be known to read the figures
+	Note    string      `toml:"note"` // needed to interpret the figures
 	Command string      `toml:"command"`
 	File    string      `toml:"file"`
 }
 
-// Load reads and checks a file of figures.
+// Load reads and validates a file of figures.
 func Load(path string) (*Data, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -96,7 +97,7 @@
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
 		row, _ := strict.Errors[0].Position()
-		return nil, fmt.Errorf("%s:%d: %s is no key of this file", path, row, strict.Errors[0].Key())
+		return nil, fmt.Errorf("%s:%d: unknown key %s", path, row, strict.Errors[0].Key())
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -111,49 +112,49 @@
 	seen := map[string]bool{}
 	for _, a := range d.Assumptions {
 		if a.Name == "" || seen[a.Name] || a.Value <= 0 || a.What == "" || a.IfTwice == "" {
-			return fmt.Errorf("assumption %q: it needs a name of its own, a value over 0, what it is and its effect if wrong by two", a.Name)
+			return fmt.Errorf("assumption %q needs a unique name, a positive value, a description and its effect if it is wrong by a factor of two", a.Name)
 		}
 		seen[a.Name] = true
 	}
 	for _, s := range d.Series {
 		if s.Name == "" || seen[s.Name] || s.Command == "" || s.File == "" || s.Unit == "" {
-			return fmt.Errorf("series %q: it needs a name of its own, a unit, a command and a file", s.Name)
+			return fmt.Errorf("series %q needs a unique name, a unit, a command and a file", s.Name)
 		}
 		seen[s.Name] = true
 		if len(s.Sizes) == 0 || len(s.Sizes) != len(s.Runs) || !slices.IsSorted(s.Sizes) {
-			return fmt.Errorf("series %q: sizes have to grow, with runs for each", s.Name)
+			return fmt.Errorf("series %q: sizes must be ascending, with runs for each", s.Name)
 		}
 		for i, runs := range s.Runs {
 			if len(runs) < 3 || slices.Min(runs) <= 0 {
-				return fmt.Errorf("series %q: %d runs at %v, at least 3 over 0 are needed", s.Name, len(runs), s.Sizes[i])
+				return fmt.Errorf("series %q: %d runs at %v, need at least 3 with positive values", s.Name, len(runs), s.Sizes[i])
 			}
 		}
 	}
 	return nil
 }
 
-// Assumed is the value of an assumption.
+// Assumed returns the value of an assumption.
 func (d *Data) Assumed(name string) float64 {
 	for _, a := range d.Assumptions {
 		if a.Name == name {
 			return a.Value
 		}
 	}
-	panic("no assumption is called " + name)
+	panic("unknown assumption " + name)
 }
 
-// Measured is a series by its name.
+// Measured returns the series of a name.
 func (d *Data) Measured(name string) *Series {
 	for i := range d.Series {
 		if d.Series[i].Name == name {
 			return &d.Series[i]
 		}
 	}
-	panic("no series is called " + name)
+	panic("unknown series " + name)
 }
 
-// Interval is the median of runs, and the least and the largest of them.
-type Interval struct{ Median, Least, Most float64 }
+// Interval is the median, minimum and maximum of several runs.
+type Interval struct{ Median, Min, Max float64 }
 
 func intervalOf(runs []float64) Interval {
 	sorted := slices.Sorted(slices.Values(runs))
@@ -161,7 +162,7 @@
 	return Interval{(sorted[(n-1)/2] + sorted[n/2]) / 2, sorted[0], sorted[n-1]}
 }
 
-// At is the series at a size that was measured.
+// At returns the interval at a size that was measured.
 func (s *Series) At(size float64) Interval {
 	i := slices.Index(s.Sizes, size)
 	if i < 0 {
@@ -170,11 +171,11 @@
 	return intervalOf(s.Runs[i])
 }
 
-// Value is the median of a series of one size.
+// Value returns the median of a series of one size.
 func (s *Series) Value() float64 { return intervalOf(s.Runs[0]).Median }
 
-// Power fits value = c * size^exponent through the medians by least squares of the logarithms. The exponent tells how a
-// cost grows: 0 for flat, 1 for linear.
+// Power fits value = c * size^exponent to the medians by least squares of the logarithms. The exponent is the growth of a
+// cost: 0 for constant, 1 for linear.
 func (s *Series) Power() (c, exponent float64) {
 	x, y := make([]float64, len(s.Sizes)), make([]float64, len(s.Sizes))
 	for i, size := range s.Sizes {
@@ -184,8 +185,8 @@
 	return math.Exp(alpha), beta
 }
 
-// Estimate is the series at any size: between and beyond what was measured along the straight line, in logarithms, through
-// the two nearest sizes. A series of one size is taken as proportional to the size where By is set.
+// Estimate returns the value at any size, by interpolation or extrapolation along the straight line, in logarithms, through
+// the two nearest sizes. A series of one size is proportional to the size if By is set, and constant otherwise.
 func (s *Series) Estimate(size float64) float64 {
 	n := len(s.Sizes)
 	if n == 1 {
@@ -204,16 +205,16 @@
 	return y0 * math.Pow(size/x0, slope)
 }
 
-// Reaches is the size at which a growing series comes to a value.
-func (s *Series) Reaches(value float64) float64 {
-	least, most := 1e-3, 1e12
+// SizeReaching returns the size at which a growing series reaches a value.
+func (s *Series) SizeReaching(value float64) float64 {
+	low, high := 1e-3, 1e12
 	for range 200 {
-		middle := math.Sqrt(least * most)
+		middle := math.Sqrt(low * high)
 		if s.Estimate(middle) < value {
-			least = middle
+			low = middle
 		} else {
-			most = middle
+			high = middle
 		}
 	}
-	return most
+	return high
 }
--- a/internal/kit/capacity/model.go
+++ b/internal/kit/capacity/model.go
@@ -8,21 +8,22 @@
 
 // Fleet is a fleet on the line from the start (0) to the target (1).
 type Fleet struct {
-	Part                                       float64
+	Fraction                                   float64
 	Nodes, Backends, Services, Routes, Tenants float64
 	RequestsPerSecond                          float64
 	ChangesPerDay, RestartsPerDay              float64
 }
 
-// FleetOf is the fleet on the line that has so many nodes.
-func (d *Data) FleetOf(nodes float64) Fleet {
-	return d.Along((nodes - d.Start.Nodes) / (d.Target.Nodes - d.Start.Nodes))
+// FleetWithNodes returns the fleet on the line that has the given number of nodes.
+func (d *Data) FleetWithNodes(nodes float64) Fleet {
+	return d.FleetAt((nodes - d.Start.Nodes) / (d.Target.Nodes - d.Start.Nodes))
 }
 
-// Along is the fleet at a part of the line. Requests and restarts go by nodes, changes by services.
-func (d *Data) Along(part float64) Fleet {
-	between := func(start, target float64) float64 { return start + part*(target-start) }
-	f := Fleet{Part: part, Nodes: between(d.Start.Nodes, d.Target.Nodes), Backends: between(d.Start.Backends, d.Target.Backends),
+// FleetAt returns the fleet at a fraction of the line. Requests and restarts are proportional to nodes, changes to
+// services.
+func (d *Data) FleetAt(fraction float64) Fleet {
+	between := func(start, target float64) float64 { return start + fraction*(target-start) }
+	f := Fleet{Fraction: fraction, Nodes: between(d.Start.Nodes, d.Target.Nodes), Backends: between(d.Start.Backends, d.Target.Backends),
 		Services: between(d.Start.Services, d.Target.Services), Routes: between(d.Start.Routes, d.Target.Routes),
 		Tenants: between(d.Start.Tenants, d.Target.Tenants)}
 	f.RequestsPerSecond = d.Target.RequestsPerSecond * f.Nodes / d.Target.Nodes
@@ -31,132 +32,134 @@
 	return f
 }
 
-// ServiceParts are the parts of all backends, tenants and requests that services have, the largest first: by rank to the
-// power of the skew, no service above the largest part, unless there are too few to hold everything so.
-func ServiceParts(services int, skew, largest float64) []float64 {
-	parts := make([]float64, services)
-	rest := make([]float64, services+1) // sums of the powers from each rank on
+// ServiceShares returns the shares of all backends, tenants and requests that services have, largest first. They are
+// proportional to rank to the power of -skew, and capped at the largest share unless there are too few services for that.
+func ServiceShares(services int, skew, largest float64) []float64 {
+	shares := make([]float64, services)
+	remainder := make([]float64, services+1) // sums of the powers from each rank on
 	for i := services - 1; i >= 0; i-- {
-		parts[i] = math.Pow(float64(i+1), -skew)
-		rest[i] = rest[i+1] + parts[i]
+		shares[i] = math.Pow(float64(i+1), -skew)
+		remainder[i] = remainder[i+1] + shares[i]
 	}
 	largest = max(largest, 1/float64(services))
-	capped := 0 // services that stand at the largest part
-	for capped < services-1 && parts[capped]*(1-float64(capped)*largest)/rest[capped] > largest {
+	capped := 0 // number of services at the largest share
+	for capped < services-1 && shares[capped]*(1-float64(capped)*largest)/remainder[capped] > largest {
 		capped++
 	}
-	scale := (1 - float64(capped)*largest) / rest[capped]
-	for i := range parts {
+	scale := (1 - float64(capped)*largest) / remainder[capped]
+	for i := range shares {
 		if i < capped {
-			parts[i] = largest
+			shares[i] = largest
 		} else {
-			parts[i] *= scale
+			shares[i] *= scale
 		}
 	}
-	return parts
+	return shares
 }
 
-// partsKey is what the parts of services follow from.
-type partsKey struct {
+// sharesKey holds the arguments of ServiceShares.
+type sharesKey struct {
 	services      int
 	skew, largest float64
 }
 
-// parts are the parts of a fleet's services, as assumed.
-func (d *Data) parts(f Fleet) []float64 {
-	key := partsKey{int(f.Services + 0.5), d.Assumed("service_skew"), d.Assumed("largest_service")}
-	known, is := d.known[key]
-	if !is {
-		known = ServiceParts(key.services, key.skew, key.largest)
-		if d.known == nil {
-			d.known = map[partsKey][]float64{}
+// serviceShares returns the shares of a fleet's services under the assumptions.
+func (d *Data) serviceShares(f Fleet) []float64 {
+	key := sharesKey{int(f.Services + 0.5), d.Assumed("service_skew"), d.Assumed("largest_service")}
+	shares, cached := d.sharesCache[key]
+	if !cached {
+		shares = ServiceShares(key.services, key.skew, key.largest)
+		if d.sharesCache == nil {
+			d.sharesCache = map[sharesKey][]float64{}
 		}
-		d.known[key] = known
+		d.sharesCache[key] = shares
 	}
-	return known
+	return shares
 }
 
-// Serving is what it means for a node which nodes serve which services.
+// Serving is the effect of an assignment of services to nodes on a node.
 type Serving struct {
-	Name             string
-	Services         float64 // of a node, by the mean
-	Endpoints        float64 // that a node knows, by the mean,
-	EndpointsMost    float64 // and at the nodes that serve most
-	Tenants          float64
-	TenantsMost      float64
-	Connections      float64 // to backends that a node keeps
-	Memory           float64 // bytes of what it knows and of its replica, at the nodes that serve most
-	SnapshotBytes    float64 // by the mean
-	SnapshotMost     float64
-	NodesOfService   float64 // that a service's own fault can reach, for the median service
-	ServicesTogether float64 // chance that another service of the region has all of its nodes among them
+	Name               string
+	Services           float64 // mean of a node
+	Endpoints          float64 // that a node knows, mean
+	MaxEndpoints       float64 // the same for a node that also serves the largest service
+	Tenants            float64
+	MaxTenants         float64
+	Connections        float64 // to backends, mean of a node
+	MemoryBytes        float64 // backends, tenants and replica of a node that also serves the largest service
+	SnapshotBytes      float64 // mean of a node
+	MaxSnapshotBytes   float64
+	NodesOfService     float64 // nodes that a fault of the median service can affect
+	OverlapProbability float64 // that another service of the region has all of its nodes among these
 }
 
-// connectionsOf is how many backends of a service a node keeps connections to, with so many nodes that serve it: what
-// internal/subset gives it in its own zone and in the region's others.
-func (d *Data) connectionsOf(backends, nodes float64) float64 {
+// connections returns how many backends of a service a node keeps connections to, if the given number of nodes serve it:
+// the size of the subset (internal/subset) in its own zone and in the region's others.
+func (d *Data) connections(backends, nodes float64) float64 {
 	zones := int(d.Target.Zones / d.Target.Regions)
 	inZone := int(math.Ceil(backends / float64(zones)))
 	node := subset.Node{Nodes: int(nodes), Zone: "home"}
 	return min(backends, float64(node.Size("home", inZone, zones)+(zones-1)*node.Size("other", inZone, zones)))
 }
 
-// serving sums up a plan that gives each service so many nodes.
-func (d *Data) serving(name string, f Fleet, nodesOf func(part float64) float64) Serving {
-	parts := d.parts(f)
+// serving evaluates an assignment that gives each service a number of nodes.
+func (d *Data) serving(name string, f Fleet, nodesOf func(share float64) float64) Serving {
+	shares := d.serviceShares(f)
 	endpoint, tenant := d.Measured("memory-by-backend").Value(), d.Measured("memory-by-tenant").Value()
 	s := Serving{Name: name}
-	for i, part := range parts {
-		k := nodesOf(part)
-		backends, tenants := part*f.Backends, part*f.Tenants
+	for i, share := range shares {
+		k := nodesOf(share)
+		backends, tenants := share*f.Backends, share*f.Tenants
 		s.Services += k / f.Nodes
 		s.Endpoints += k * backends / f.Nodes
 		s.Tenants += k * tenants / f.Nodes
-		s.Connections += k * d.connectionsOf(backends, k) / f.Nodes
-		if i == len(parts)/2 {
+		s.Connections += k * d.connections(backends, k) / f.Nodes
+		if i == len(shares)/2 {
 			s.NodesOfService = k
 		}
 	}
-	s.EndpointsMost = min(f.Backends, s.Endpoints+parts[0]*f.Backends)
-	s.TenantsMost = min(f.Tenants, s.Tenants+parts[0]*f.Tenants)
-	stored := s.Services + s.EndpointsMost + f.Routes/f.Services*s.Services + s.TenantsMost
-	s.Memory = s.EndpointsMost*endpoint + s.TenantsMost*tenant + stored*d.Measured("store-heap").Value()
-	s.SnapshotBytes = d.snapshot(s.Services, s.Endpoints, f.Routes/f.Services*s.Services, s.Tenants)
-	s.SnapshotMost = d.snapshot(s.Services, s.EndpointsMost, f.Routes/f.Services*s.Services, s.TenantsMost)
+	s.MaxEndpoints = min(f.Backends, s.Endpoints+shares[0]*f.Backends)
+	s.MaxTenants = min(f.Tenants, s.Tenants+shares[0]*f.Tenants)
+	stored := s.Services + s.MaxEndpoints + f.Routes/f.Services*s.Services + s.MaxTenants
+	s.MemoryBytes = s.MaxEndpoints*endpoint + s.MaxTenants*tenant + stored*d.Measured("store-heap").Value()
+	s.SnapshotBytes = d.snapshotBytes(s.Services, s.Endpoints, f.Routes/f.Services*s.Services, s.Tenants)
+	s.MaxSnapshotBytes = d.snapshotBytes(s.Services, s.MaxEndpoints, f.Routes/f.Services*s.Services, s.MaxTenants)
 	return s
 }
 
-// snapshot is the bytes of a snapshot of so many resources, compressed.
-func (d *Data) snapshot(services, endpoints, routes, tenants float64) float64 {
-	const measured, perEndpoint, perRoute, perTenant = 200, 18, 4, 161 // of the snapshots that were measured
+// snapshotBytes returns the compressed size of a snapshot of the given resources.
+func (d *Data) snapshotBytes(services, endpoints, routes, tenants float64) float64 {
+	const measured, perEndpoint, perRoute, perTenant = 200, 18, 4, 161 // of the measured snapshots
 	bare, routed, full := d.Measured("snapshot-endpoints").Value(), d.Measured("snapshot-routes").Value(), d.Measured("snapshot-tenants").Value()
 	return bare/(measured*perEndpoint)*endpoints + (routed-bare)/(measured*perRoute)*routes + (full-routed)/(measured*perTenant)*tenants + services
 }
 
-// Everywhere has each node serve all services.
-func (d *Data) Everywhere(f Fleet) Serving {
+// AllServices evaluates nodes that each serve all services.
+func (d *Data) AllServices(f Fleet) Serving {
 	s := d.serving("each node all services", f, func(float64) float64 { return f.Nodes })
-	s.ServicesTogether = 1
+	s.OverlapProbability = 1
 	return s
 }
 
-// Shuffled gives each service nodes of its own choice, at least so many and more by its part of the requests.
-func (d *Data) Shuffled(f Fleet) Serving {
-	least := min(f.Nodes, d.Assumed("nodes_per_service"))
-	s := d.serving("shuffle sharding", f, func(part float64) float64 {
-		return min(f.Nodes, max(least, math.Ceil(d.Assumed("headroom")*part*f.Nodes)))
+// ShuffleSharded evaluates shuffle sharding: each service has a minimum number of nodes, chosen independently of other
+// services, and more by its share of the requests.
+func (d *Data) ShuffleSharded(f Fleet) Serving {
+	minNodes := min(f.Nodes, d.Assumed("nodes_per_service"))
+	s := d.serving("shuffle sharding", f, func(share float64) float64 {
+		return min(f.Nodes, max(minNodes, math.Ceil(d.Assumed("headroom")*share*f.Nodes)))
 	})
-	s.ServicesTogether = math.Exp(-logChoose(f.Nodes/d.Target.Regions, least))
+	s.OverlapProbability = math.Exp(-logChoose(f.Nodes/d.Target.Regions, minNodes))
 	return s
 }
 
-// Celled divides a region's nodes into cells, each of which serves its services at all of its nodes.
-func (d *Data) Celled(f Fleet) Serving {
+// CellSharded evaluates cells: a region's nodes are divided into cells, and each service is served by all nodes of its
+// cells.
+func (d *Data) CellSharded(f Fleet) Serving {
 	cell := min(f.Nodes, d.Assumed("nodes_per_cell"))
-	s := d.serving("cells", f, func(part float64) float64 {
-		return min(f.Nodes, math.Ceil(max(1, d.Assumed("headroom")*part*f.Nodes/cell))*cell)
+	s := d.serving("cells", f, func(share float64) float64 {
+		return min(f.Nodes, math.Ceil(max(1, d.Assumed("headroom")*share*f.Nodes/cell))*cell)
 	})
-	s.ServicesTogether = cell / (f.Nodes / d.Target.Regions)
+	s.OverlapProbability = cell / (f.Nodes / d.Target.Regions)
 	return s
 }
 
--- a/internal/kit/capacity/roles.go
+++ b/internal/kit/capacity/roles.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// Condition is a state of the fleet for which a role's needs are worked out.
+// Condition is a state of the fleet for which the needs of roles are derived.
 type Condition struct {
-	Name        string
-	Requests    float64 // times the steady requests of a node
-	Restarts    float64 // times the day's mean of restarts
-	Changes     float64 // times the day's mean of changes
-	NodesAnew   float64 // part of all nodes that start with nothing in one second
-	EndpointsAt float64 // part of all endpoints that change at once
+	Name             string
+	Requests         float64 // as a multiple of a node's steady requests
+	Restarts         float64 // as a multiple of the daily mean
+	Changes          float64 // as a multiple of the daily mean
+	StartingNodes    float64 // fraction of all nodes that start empty within one second
+	ChangedEndpoints float64 // fraction of all endpoints that change at once
 }
 
-// Conditions are the columns of the page, in their order.
+// Conditions returns the conditions of the page, in their order.
 func (d *Data) Conditions() []Condition {
 	zones, regions := d.Target.Zones, d.Target.Regions
 	perRegion := zones / regions
@@ -20,19 +20,19 @@
 	return []Condition{
 		{Name: "steady", Requests: 1, Restarts: 1, Changes: 1},
 		{Name: "release day", Requests: 1, Restarts: peak, Changes: peak},
-		{Name: "zone lost, and back", Requests: perRegion / (perRegion - 1), Restarts: 1, Changes: 1, NodesAnew: 1 / zones, EndpointsAt: 1 / zones},
+		{Name: "zone lost, and back", Requests: perRegion / (perRegion - 1), Restarts: 1, Changes: 1, StartingNodes: 1 / zones, ChangedEndpoints: 1 / zones},
 		{Name: "region cut 5 min, healed", Requests: regions / (regions - 1), Restarts: 1, Changes: 1},
 	}
 }
 
-// Need is what a role needs of one thing, under one condition, at one size of the fleet.
+// Need is what a role needs of one resource, by condition and size of the fleet.
 type Need struct {
 	Role, What, Unit string
-	From             string  // the measured series, or "assumed"
+	Source           string  // names of the measured series, or "assumed"
 	Carrier          string  // the package, or "missing"
 	Limit            float64 // 0 for none
 	LimitOf          string
-	Of               func(Fleet, Condition) float64
+	Value            func(Fleet, Condition) float64
 }
 
 const (
@@ -45,45 +45,45 @@
 	roleTools     = "operator's tools"
 )
 
-const day = 86400.0
+const secondsPerDay = 86400.0
 
-// transactions are how many changes a second all logs together take: of configuration, and of endpoints that machines which
-// restart make, whose drain, end and start are three.
-func (d *Data) transactions(f Fleet, c Condition) float64 {
-	return (f.ChangesPerDay*c.Changes + f.RestartsPerDay*c.Restarts*d.Assumed("changes_per_restart")) / day
+// transactionsPerSecond returns the rate of changes in all logs: changes of configuration, and those of endpoints on
+// machines that restart, which are three: drain, end and start.
+func (d *Data) transactionsPerSecond(f Fleet, c Condition) float64 {
+	return (f.ChangesPerDay*c.Changes + f.RestartsPerDay*c.Restarts*d.Assumed("changes_per_restart")) / secondsPerDay
 }
 
-// relays are how many relays there are, and children are the nodes of one.
-func (d *Data) relays() float64 { return d.Assumed("relays_per_zone") * d.Target.Zones }
+// relayCount returns the number of relays.
+func (d *Data) relayCount() float64 { return d.Assumed("relays_per_zone") * d.Target.Zones }
 
-// heartbeats are the bytes a second of the heartbeats that a node gets from its parents, as frames on the wire.
-func (d *Data) heartbeats() float64 {
+// heartbeatBytesPerSecond returns the rate of heartbeats that a node receives from its parents, as frames on the wire.
+func (d *Data) heartbeatBytesPerSecond() float64 {
 	const parents = 2
 	return (d.Measured("heartbeat-bytes").Value() + d.Measured("frame-overhead").Value()) * d.Target.Regions * parents / d.Assumed("heartbeat_seconds")
 }
 
-// requestsOfNode are the requests a second of one node.
+// requestsOfNode returns the requests per second of one node.
 func requestsOfNode(f Fleet, c Condition) float64 { return f.RequestsPerSecond / f.Nodes * c.Requests }
 
-// largest is the largest service, in backends.
-func (d *Data) largest(f Fleet) float64 {
-	return d.parts(f)[0] * f.Backends
+// largestService returns the number of backends of the largest service.
+func (d *Data) largestService(f Fleet) float64 {
+	return d.serviceShares(f)[0] * f.Backends
 }
 
-// Needs are the lines of the page's table of roles.
+// Needs returns the rows of the page's table of roles.
 func (d *Data) Needs() []Need {
-	delta := d.Measured("delta-bytes").Value()
-	beats := func() float64 { return d.heartbeats() }
-	deltas := func(f Fleet, c Condition) float64 { // bytes a second of a node
-		return d.transactions(f, c) * d.Shuffled(f).Services / f.Services * delta
+	deltaBytes := d.Measured("delta-bytes").Value()
+	heartbeats := func() float64 { return d.heartbeatBytesPerSecond() }
+	deltas := func(f Fleet, c Condition) float64 { // bytes per second of a node
+		return d.transactionsPerSecond(f, c) * d.ShuffleSharded(f).Services / f.Services * deltaBytes
 	}
 	burst := func(f Fleet, c Condition) float64 { // bytes for a node when endpoints change together
-		return c.EndpointsAt * d.Shuffled(f).Endpoints * delta
+		return c.ChangedEndpoints * d.ShuffleSharded(f).Endpoints * deltaBytes
 	}
-	start := func(f Fleet) float64 { return d.Shuffled(f).SnapshotBytes }
-	children := func(f Fleet) float64 { return f.Nodes / d.relays() }
+	startBytes := func(f Fleet) float64 { return d.ShuffleSharded(f).SnapshotBytes }
+	children := func(f Fleet) float64 { return f.Nodes / d.relayCount() }
 	resources := func(f Fleet) float64 { return f.Services + f.Backends + f.Routes + f.Tenants }
-	list := d.Measured("list-json").Value() / d.Measured("list-json").Sizes[0]
+	listBytesPerBackend := d.Measured("list-json").Value() / d.Measured("list-json").Sizes[0]
 	return []Need{
 		{roleRequest, "requests a second", "/s", "the target's numbers", "internal/engine", 0, "", requestsOfNode},
 		{roleRequest, "processor, HTTP", "cores", "request-processor", "internal/httpfront, httpcarrier, policy", 0, "",
@@ -95,32 +95,38 @@
 				return requestsOfNode(f, c) * d.Measured("request-allocations").Value()
 			}},
 		{roleRequest, "a decision in the largest service", "s", "decision-80", "policy", d.Limits.AddedSeconds, "added to a request",
-			func(f Fleet, _ Condition) float64 { return d.Measured("decision-80").Estimate(d.largest(f)) }},
+			func(f Fleet, _ Condition) float64 { return d.Measured("decision-80").Estimate(d.largestService(f)) }},
 		{roleRequest, "engine's lock taken by decisions, were all requests the largest service's", "of 1", "decision-80", "internal/engine, policy", 0.5, "half, assumed",
 			func(f Fleet, c Condition) float64 {
-				return requestsOfNode(f, c) * d.Measured("decision").Estimate(d.largest(f))
+				return requestsOfNode(f, c) * d.Measured("decision").Estimate(d.largestService(f))
 			}},
 		{roleRequest, "news of one backend of the largest service, lock held", "s", "list-delta", "internal/engine, policy", d.Limits.LockSeconds, "request path held",
-			func(f Fleet, _ Condition) float64 { return d.Measured("list-delta").Estimate(d.largest(f)) }},
+			func(f Fleet, _ Condition) float64 { return d.Measured("list-delta").Estimate(d.largestService(f)) }},
 		{roleRequest, "one gone and one new of them, state shared by [fleet]", "s", "list-delta-sharing", "internal/engine, shared", d.Limits.LockSeconds, "request path held",
-			func(f Fleet, _ Condition) float64 { return d.Measured("list-delta-sharing").Estimate(d.largest(f)) }},
+			func(f Fleet, _ Condition) float64 {
+				return d.Measured("list-delta-sharing").Estimate(d.largestService(f))
+			}},
 		{roleRequest, "whole list of the largest service, lock held", "s", "list-full", "internal/engine, policy", d.Limits.LockSeconds, "request path held",
-			func(f Fleet, _ Condition) float64 { return d.Measured("list-full").Estimate(d.largest(f)) }},
+			func(f Fleet, _ Condition) float64 { return d.Measured("list-full").Estimate(d.largestService(f)) }},
 		{roleRequest, "the same by [control], in pieces: longest hold", "s", "control-hold-list", "internal/node, engine, policy", d.Limits.LockSeconds, "request path held",
-			func(f Fleet, _ Condition) float64 { return d.Measured("control-hold-list").Estimate(d.largest(f)) }},
+			func(f Fleet, _ Condition) float64 {
+				return d.Measured("control-hold-list").Estimate(d.largestService(f))
+			}},
 		{roleRequest, "a change of one of them by [control]: longest hold", "s", "control-hold-change", "internal/node, engine, policy", d.Limits.LockSeconds, "request path held",
-			func(f Fleet, _ Condition) float64 { return d.Measured("control-hold-change").Estimate(d.largest(f)) }},
+			func(f Fleet, _ Condition) float64 {
+				return d.Measured("control-hold-change").Estimate(d.largestService(f))
+			}},
 		{roleRequest, "services of a node (one process has one today)", "", "assumed (nodes_per_service)", "missing: several services in one process", 1, "services of a process",
-			func(f Fleet, _ Condition) float64 { return d.Shuffled(f).Services }},
+			func(f Fleet, _ Condition) float64 { return d.ShuffleSharded(f).Services }},
 		{roleRequest, "heap of backends, tenants and replica, nodes that serve most", "B", "memory-by-backend, memory-by-tenant, store-heap", "internal/engine, policy, internal/admission", d.Limits.ControlBytes, "control's memory",
-			func(f Fleet, _ Condition) float64 { return d.Shuffled(f).Memory }},
+			func(f Fleet, _ Condition) float64 { return d.ShuffleSharded(f).MemoryBytes }},
 		{roleRequest, "connections to backends", "", "internal/subset by its formula", "internal/subset, httpcarrier", d.Limits.Descriptors, "descriptors",
-			func(f Fleet, _ Condition) float64 { return d.Shuffled(f).Connections }},
-		{roleControl, "bytes in: deltas and heartbeats", "B/s", "delta-bytes, heartbeat-bytes, frame-overhead", "internal/controlplane/publisher, subscriber", d.Limits.ControlPerS, "control's bytes",
+			func(f Fleet, _ Condition) float64 { return d.ShuffleSharded(f).Connections }},
+		{roleControl, "bytes in: deltas and heartbeats", "B/s", "delta-bytes, heartbeat-bytes, frame-overhead", "internal/controlplane/publisher, subscriber", d.Limits.ControlBytesPerSecond, "control's bytes",
 			func(f Fleet, c Condition) float64 {
-				return deltas(f, c) + beats() + burst(f, c)/d.Limits.InForceSeconds
+				return deltas(f, c) + heartbeats() + burst(f, c)/d.Limits.InForceSeconds
 			}},
-		{roleControl, "bytes in, running hierarchy", "B/s", "scale-node-in", "internal/controlplane, controlnet", d.Limits.ControlPerS, "control's bytes",
+		{roleControl, "bytes in, running hierarchy", "B/s", "scale-node-in", "internal/controlplane, controlnet", d.Limits.ControlBytesPerSecond, "control's bytes",
 			func(f Fleet, _ Condition) float64 { return d.Measured("scale-node-in").Estimate(f.Nodes) }},
 		{roleControl, "processor, running hierarchy", "cores", "scale-node-processor", "internal/controlplane/subscriber", d.Limits.ControlCore, "control's processor",
 			func(f Fleet, _ Condition) float64 { return d.Measured("scale-node-processor").Estimate(f.Nodes) }},
@@ -129,11 +135,13 @@
 		{roleControl, "a change in force at the last node", "s", "scale-in-force-last", "internal/controlplane, controlnet", d.Limits.InForceSeconds, "in force",
 			func(f Fleet, _ Condition) float64 { return d.Measured("scale-in-force-last").Estimate(f.Nodes) }},
 		{roleControl, "bytes of its start: all that it serves", "B", "snapshot-*", "internal/controlplane/publisher, subscriber", 0, "",
-			func(f Fleet, _ Condition) float64 { return start(f) }},
+			func(f Fleet, _ Condition) float64 { return startBytes(f) }},
 		{roleControl, "its start at the allowed bytes a second, mean node", "s", "snapshot-*", "internal/controlplane/subscriber", 0, "",
-			func(f Fleet, _ Condition) float64 { return start(f) / d.Limits.ControlPerS }},
+			func(f Fleet, _ Condition) float64 { return startBytes(f) / d.Limits.ControlBytesPerSecond }},
 		{roleControl, "the same, nodes that serve the largest service", "s", "snapshot-*", "internal/controlplane/subscriber", 0, "",
-			func(f Fleet, _ Condition) float64 { return d.Shuffled(f).SnapshotMost / d.Limits.ControlPerS }},
+			func(f Fleet, _ Condition) float64 {
+				return d.ShuffleSharded(f).MaxSnapshotBytes / d.Limits.ControlBytesPerSecond
+			}},
 		{roleFlat, "others' counts are told every (4 tenants)", "s", "flat-interval-4", "internal/shared, peers", d.Limits.InForceSeconds, "in force",
 			func(f Fleet, _ Condition) float64 { return d.Measured("flat-interval-4").Estimate(f.Nodes) }},
 		{roleFlat, "the same with 100 tenants", "s", "flat-interval-100", "internal/shared, peers", d.Limits.InForceSeconds, "in force",
@@ -144,19 +152,21 @@
 			func(f Fleet, _ Condition) float64 { return 4 * d.Measured("flat-step-100").Estimate(f.Nodes) }},
 		{roleFlat, "a view, engine's lock held, 100 tenants", "s", "flat-view-100", "internal/shared, engine", d.Limits.LockSeconds, "request path held",
 			func(f Fleet, _ Condition) float64 { return d.Measured("flat-view-100").Estimate(f.Nodes) }},
-		{roleFlat, "bytes of whole exchanges, members alone", "B/s", "member-exchange", "internal/peers (memberlist)", d.Limits.ControlPerS, "control's bytes",
-			func(f Fleet, _ Condition) float64 { return d.exchange(f.Nodes, 0) }},
-		{roleFlat, "the same with the counts of 4 tenants", "B/s", "member-exchange, whole-state-4", "internal/peers, shared", d.Limits.ControlPerS, "control's bytes",
-			func(f Fleet, _ Condition) float64 { return d.exchange(f.Nodes, d.wholeState(4, f.Nodes)) }},
+		{roleFlat, "bytes of whole exchanges, members alone", "B/s", "member-exchange", "internal/peers (memberlist)", d.Limits.ControlBytesPerSecond, "control's bytes",
+			func(f Fleet, _ Condition) float64 { return d.exchangeBytesPerSecond(f.Nodes, 0) }},
+		{roleFlat, "the same with the counts of 4 tenants", "B/s", "member-exchange, whole-state-4", "internal/peers, shared", d.Limits.ControlBytesPerSecond, "control's bytes",
+			func(f Fleet, _ Condition) float64 {
+				return d.exchangeBytesPerSecond(f.Nodes, d.fullStateBytes(4, f.Nodes))
+			}},
 		{roleRelay, "nodes of a relay", "", "assumed (relays_per_zone)", "internal/controlplane/parents", 0, "",
 			func(f Fleet, c Condition) float64 { return children(f) }},
 		{roleRelay, "replica of all logs, heap", "B", "store-heap", "internal/controlplane/changelog", 0, "",
 			func(f Fleet, _ Condition) float64 { return resources(f) * d.Measured("store-heap").Value() }},
 		{roleRelay, "bytes out", "B/s", "delta-bytes, heartbeat-bytes, snapshot-*", "internal/controlplane/publisher", d.Assumed("relay_bytes_per_second"), "of a relay, assumed",
 			func(f Fleet, c Condition) float64 {
-				starts := f.RestartsPerDay * c.Restarts / day * f.Nodes / (f.Nodes + f.Backends)
-				anew := c.NodesAnew * f.Nodes / d.Assumed("relays_per_zone") * start(f) / d.Limits.InForceSeconds
-				return children(f)*(deltas(f, c)+beats()+burst(f, c)/d.Limits.InForceSeconds) + starts/d.relays()*start(f) + anew
+				restartsPerSecond := f.RestartsPerDay * c.Restarts / secondsPerDay * f.Nodes / (f.Nodes + f.Backends)
+				startingBytesPerSecond := c.StartingNodes * f.Nodes / d.Assumed("relays_per_zone") * startBytes(f) / d.Limits.InForceSeconds
+				return children(f)*(deltas(f, c)+heartbeats()+burst(f, c)/d.Limits.InForceSeconds) + restartsPerSecond/d.relayCount()*startBytes(f) + startingBytesPerSecond
 			}},
 		{roleRelay, "bytes out, running hierarchy", "B/s", "scale-relay-out", "internal/controlplane/publisher", d.Assumed("relay_bytes_per_second"), "of a relay, assumed",
 			func(f Fleet, _ Condition) float64 { return d.Measured("scale-relay-out").Estimate(f.Nodes) }},
@@ -170,48 +180,51 @@
 			func(f Fleet, _ Condition) float64 { return 2 * children(f) }},
 		{roleWriter, "transactions a second, all regions", "/s", "assumed (changes_per_restart, release_peak)", "internal/controlplane/changelog, quorum", 0, "",
 			func(f Fleet, c Condition) float64 {
-				return d.transactions(f, c) + c.EndpointsAt*f.Backends/d.Limits.InForceSeconds
+				return d.transactionsPerSecond(f, c) + c.ChangedEndpoints*f.Backends/d.Limits.InForceSeconds
 			}},
 		{roleWriter, "processor to append them", "cores", "append", "internal/controlplane/changelog", 1, "a core",
 			func(f Fleet, c Condition) float64 {
-				return (d.transactions(f, c) + c.EndpointsAt*f.Backends/d.Limits.InForceSeconds) * d.Measured("append").Estimate(resources(f))
+				return (d.transactionsPerSecond(f, c) + c.ChangedEndpoints*f.Backends/d.Limits.InForceSeconds) * d.Measured("append").Estimate(resources(f))
 			}},
 		{roleWriter, "bytes that wait for a region that was cut off", "B", "delta-bytes", "internal/controlplane/publisher", 0, "",
 			func(f Fleet, c Condition) float64 {
 				if c.Name != "region cut 5 min, healed" {
 					return 0
 				}
-				return d.transactions(f, c) * 300 * delta
+				return d.transactionsPerSecond(f, c) * 300 * deltaBytes
 			}},
 		{roleDiscovery, "a whole list of all backends", "B", "list-json", "internal/discovery", d.Limits.ListBytes, "of a list",
-			func(f Fleet, _ Condition) float64 { return list * f.Backends }},
+			func(f Fleet, _ Condition) float64 { return listBytesPerBackend * f.Backends }},
 		{roleDiscovery, "lists for nodes that start together, whole", "B", "list-json", "the platform's agent", 0, "",
-			func(f Fleet, c Condition) float64 { return c.NodesAnew * f.Nodes * list * d.Shuffled(f).Endpoints }},
+			func(f Fleet, c Condition) float64 {
+				return c.StartingNodes * f.Nodes * listBytesPerBackend * d.ShuffleSharded(f).Endpoints
+			}},
 		{roleTools, "who has which version, all nodes asked", "B", "assumed (report_bytes)", "missing: a summary by zone", 0, "",
 			func(f Fleet, _ Condition) float64 { return f.Nodes * d.Assumed("report_bytes") }},
 	}
 }
 
-// wholeState is the bytes of a node's own state in a whole exchange, with the counts of so many tenants that were measured.
-// It has at most so many entries as a packet takes; what is beyond that is never told in this way.
-func (d *Data) wholeState(tenants, nodes float64) float64 {
+// fullStateBytes returns the size of a node's state in a full exchange, with the counts of the given number of tenants. It
+// is limited to the entries that a packet can hold; further entries are never sent this way.
+func (d *Data) fullStateBytes(tenants, nodes float64) float64 {
 	const measured = 300 // nodes
 	s := d.Measured("whole-state-4")
-	each := s.At(measured).Median / (measured * 4)
-	return each * min(d.Limits.ExchangeEntries, tenants*nodes)
+	bytesPerEntry := s.At(measured).Median / (measured * 4)
+	return bytesPerEntry * min(d.Limits.ExchangeEntries, tenants*nodes)
 }
 
-// exchange is the bytes a second that a node sends for whole exchanges: it begins one at each interval and answers one, by
-// the mean.
-func (d *Data) exchange(nodes, state float64) float64 {
-	return 2 * (d.Measured("member-exchange").Estimate(nodes) + state) / exchangeSeconds(nodes)
+// exchangeBytesPerSecond returns the mean rate that a node sends for full exchanges: in each interval it starts one and
+// answers one.
+func (d *Data) exchangeBytesPerSecond(nodes, state float64) float64 {
+	return 2 * (d.Measured("member-exchange").Estimate(nodes) + state) / exchangeIntervalSeconds(nodes)
 }
 
-// exchangeSeconds is how often memberlist begins a whole exchange, which is set to 10 s and scaled above 32 members.
-func exchangeSeconds(nodes float64) float64 {
-	const set, threshold = 10, 32
+// exchangeIntervalSeconds returns the interval at which memberlist starts a full exchange: 10 s, scaled up above 32
+// members.
+func exchangeIntervalSeconds(nodes float64) float64 {
+	const configured, threshold = 10, 32
 	if nodes <= threshold {
-		return set
+		return configured
 	}
-	return set * (math.Ceil(math.Log2(nodes)-math.Log2(threshold)) + 1)
+	return configured * (math.Ceil(math.Log2(nodes)-math.Log2(threshold)) + 1)
 }
--- a/internal/kit/capacity/tables.go
+++ b/internal/kit/capacity/tables.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// Sizes are the fleets that the tables show, in nodes.
+// Sizes holds the fleet sizes that the tables show, in nodes.
 var Sizes = []float64{300, 1500, 5900}
 
-// Tables are the page's tables by name, in Markdown.
+// Tables returns the page's tables by name, in Markdown.
 func (d *Data) Tables() map[string]string {
 	return map[string]string{
 		"assumptions": d.assumptionTable(),
@@ -25,7 +25,7 @@
 	}
 }
 
-// table writes Markdown.
+// table builds a Markdown table.
 type table struct{ strings.Builder }
 
 func newTable(head ...string) *table {
@@ -45,8 +45,8 @@
 	return t.String()
 }
 
-// with is the data with another value of an assumption.
-func (d *Data) with(name string, value float64) *Data {
+// withAssumption returns a copy of the data with another value of an assumption.
+func (d *Data) withAssumption(name string, value float64) *Data {
 	other := *d
 	other.Assumptions = slices.Clone(d.Assumptions)
 	for i := range other.Assumptions {
@@ -57,26 +57,26 @@
 	return &other
 }
 
-// sensitivity is what an assumption moves by over a twentieth, at the target.
+// sensitivity lists the results at the target that change by more than 5% if an assumption is halved or doubled.
 func (d *Data) sensitivity(name string) (all []string) {
 	type result struct {
 		what, unit string
 		value      float64
 	}
 	results := func(d *Data) []result {
-		f, conditions := d.Along(1), d.Conditions()
-		s := d.Shuffled(f)
+		f, conditions := d.FleetAt(1), d.Conditions()
+		s := d.ShuffleSharded(f)
 		return []result{{"services a node", "", s.Services}, {"endpoints a node knows", "", s.Endpoints}, {"start of a mean node", "B", s.SnapshotBytes},
-			{"largest service", "backends", d.largest(f)}, {"transactions on a release day", "/s", d.transactions(f, conditions[1])},
-			{"nodes of a relay", "", f.Nodes / d.relays()}, {"a zone's starts at a relay", "s", f.Nodes / d.Target.Zones / d.Assumed("relays_per_zone") * s.SnapshotBytes / d.Assumed("relay_bytes_per_second")},
-			{"a change by restarts", "s", d.restartAll(f)}, {"endpoints that a node of a cell knows", "", d.Celled(f).Endpoints},
-			{"heartbeats of a node", "B/s", d.heartbeats()}}
+			{"largest service", "backends", d.largestService(f)}, {"transactions on a release day", "/s", d.transactionsPerSecond(f, conditions[1])},
+			{"nodes of a relay", "", f.Nodes / d.relayCount()}, {"a zone's starts at a relay", "s", f.Nodes / d.Target.Zones / d.Assumed("relays_per_zone") * s.SnapshotBytes / d.Assumed("relay_bytes_per_second")},
+			{"a change by restarts", "s", d.restartAllSeconds(f)}, {"endpoints that a node of a cell knows", "", d.CellSharded(f).Endpoints},
+			{"heartbeats of a node", "B/s", d.heartbeatBytesPerSecond()}}
 	}
 	value := d.Assumed(name)
-	half, now, twice := results(d.with(name, value/2)), results(d), results(d.with(name, 2*value))
+	halved, now, doubled := results(d.withAssumption(name, value/2)), results(d), results(d.withAssumption(name, 2*value))
 	for i := range now {
-		if math.Abs(half[i].value/now[i].value-1) > 0.05 || math.Abs(twice[i].value/now[i].value-1) > 0.05 {
-			all = append(all, now[i].what+" "+format(half[i].value, now[i].unit)+", "+format(now[i].value, now[i].unit)+", "+format(twice[i].value, now[i].unit))
+		if math.Abs(halved[i].value/now[i].value-1) > 0.05 || math.Abs(doubled[i].value/now[i].value-1) > 0.05 {
+			all = append(all, now[i].what+" "+format(halved[i].value, now[i].unit)+", "+format(now[i].value, now[i].unit)+", "+format(doubled[i].value, now[i].unit))
 		}
 	}
 	return all
@@ -85,7 +85,7 @@
 func (d *Data) lineTable() string {
 	t := newTable("nodes", "backends", "services", "routes", "tenants", "requests a second", "changes a day", "restarts a day")
 	for _, n := range Sizes {
-		f := d.FleetOf(n)
+		f := d.FleetWithNodes(n)
 		t.row(formatCount(f.Nodes), formatCount(f.Backends), formatCount(f.Services), formatCount(f.Routes), formatCount(f.Tenants),
 			formatCount(f.RequestsPerSecond), formatCount(f.ChangesPerDay), formatCount(f.RestartsPerDay))
 	}
@@ -99,8 +99,8 @@
 		for i, size := range s.Sizes {
 			v := intervalOf(s.Runs[i])
 			text := format(v.Median, s.Unit)
-			if v.Least != v.Most {
-				text += " (" + format(v.Least, s.Unit) + " to " + format(v.Most, s.Unit) + ")"
+			if v.Min != v.Max {
+				text += " (" + format(v.Min, s.Unit) + " to " + format(v.Max, s.Unit) + ")"
 			}
 			if s.By != "" {
 				text = formatCount(size) + ": " + text
@@ -124,22 +124,22 @@
 func (d *Data) servingTable() string {
 	t := newTable("at 5,900 nodes", "services a node", "endpoints known, mean and most", "tenants, mean and most", "connections", "memory, most",
 		"bytes of a start, mean and most", "seconds of it at 8 KiB/s", "nodes that the median service's own fault can reach", "chance that another of the region has all of its nodes there")
-	f := d.Along(1)
-	for _, s := range []Serving{d.Everywhere(f), d.Celled(f), d.Shuffled(f)} {
-		together := fmt.Sprintf("%.2g", s.ServicesTogether)
-		t.row(s.Name, formatCount(s.Services), formatCount(s.Endpoints)+", "+formatCount(s.EndpointsMost), formatCount(s.Tenants)+", "+formatCount(s.TenantsMost),
-			formatCount(s.Connections), format(s.Memory, "B"), format(s.SnapshotBytes, "B")+", "+format(s.SnapshotMost, "B"),
-			format(s.SnapshotBytes/d.Limits.ControlPerS, "s")+", "+format(s.SnapshotMost/d.Limits.ControlPerS, "s"), formatCount(s.NodesOfService), together)
+	f := d.FleetAt(1)
+	for _, s := range []Serving{d.AllServices(f), d.CellSharded(f), d.ShuffleSharded(f)} {
+		overlap := fmt.Sprintf("%.2g", s.OverlapProbability)
+		t.row(s.Name, formatCount(s.Services), formatCount(s.Endpoints)+", "+formatCount(s.MaxEndpoints), formatCount(s.Tenants)+", "+formatCount(s.MaxTenants),
+			formatCount(s.Connections), format(s.MemoryBytes, "B"), format(s.SnapshotBytes, "B")+", "+format(s.MaxSnapshotBytes, "B"),
+			format(s.SnapshotBytes/d.Limits.ControlBytesPerSecond, "s")+", "+format(s.MaxSnapshotBytes/d.Limits.ControlBytesPerSecond, "s"), formatCount(s.NodesOfService), overlap)
 	}
 	return t.String()
 }
 
-// zoneTable is what follows from 15 zones in all, or in each region.
+// zoneTable compares 15 zones in all with 15 in each region.
 func (d *Data) zoneTable() string {
 	t := newTable("", "nodes of a zone", "backends of a zone", "requests of a node with one zone lost, to its steady ones", "relays, two in each zone",
 		"machines that are set aside", "nodes of a relay", "bytes of a lost zone's starts, a relay")
-	f := d.Along(1)
-	start := d.Shuffled(f).SnapshotBytes
+	f := d.FleetAt(1)
+	start := d.ShuffleSharded(f).SnapshotBytes
 	for _, c := range []struct {
 		name  string
 		zones float64
@@ -153,25 +153,25 @@
 	return t.String()
 }
 
-// peakTable is what starts and changes together cost the control plane at the target.
+// peakTable shows what simultaneous starts and changes cost the control plane at the target.
 func (d *Data) peakTable() string {
 	t := newTable("peak, at the target", "bytes of a relay", "time at its bytes a second", "what it is made of")
-	f := d.Along(1)
-	relay := func(name string, bytes float64, of string) {
-		t.row(name, format(bytes, "B"), format(bytes/d.Assumed("relay_bytes_per_second"), "s"), of)
+	f := d.FleetAt(1)
+	addRow := func(name string, bytes float64, madeOf string) {
+		t.row(name, format(bytes, "B"), format(bytes/d.Assumed("relay_bytes_per_second"), "s"), madeOf)
 	}
-	start, delta := d.Shuffled(f).SnapshotBytes, d.Measured("delta-bytes").Value()
+	start, delta := d.ShuffleSharded(f).SnapshotBytes, d.Measured("delta-bytes").Value()
 	zoneNodes, zoneBackends := f.Nodes/d.Target.Zones, f.Backends/d.Target.Zones
-	relay("a zone comes back: its nodes", zoneNodes/d.Assumed("relays_per_zone")*start,
+	addRow("a zone comes back: its nodes", zoneNodes/d.Assumed("relays_per_zone")*start,
 		formatCount(zoneNodes)+" nodes, a snapshot of "+format(start, "B")+" each")
-	relay("a zone comes back: its backends, told to the nodes of a relay", f.Nodes/d.relays()*d.Shuffled(f).Endpoints/d.Target.Zones*delta,
+	addRow("a zone comes back: its backends, told to the nodes of a relay", f.Nodes/d.relayCount()*d.ShuffleSharded(f).Endpoints/d.Target.Zones*delta,
 		formatCount(zoneBackends)+" endpoints; a node hears of those of its services")
-	relay("all relays start with nothing: their nodes", f.Nodes/d.relays()*start, "where no node can resume by version")
-	all := d.snapshot(f.Services, f.Backends, f.Routes, f.Tenants)
-	relay("the same: a relay's own replica, in", all, formatCount(f.Services+f.Backends+f.Routes+f.Tenants)+" resources")
+	addRow("all relays start with nothing: their nodes", f.Nodes/d.relayCount()*start, "where no node can resume by version")
+	all := d.snapshotBytes(f.Services, f.Backends, f.Routes, f.Tenants)
+	addRow("the same: a relay's own replica, in", all, formatCount(f.Services+f.Backends+f.Routes+f.Tenants)+" resources")
 	release := d.Conditions()[1]
-	relay("ten seconds of a release day", 10*d.transactions(f, release)*d.Shuffled(f).Services/f.Services*delta*f.Nodes/d.relays(),
-		formatCount(10*d.transactions(f, release))+" transactions in all regions; a node hears of one in "+formatCount(f.Services/d.Shuffled(f).Services))
+	addRow("ten seconds of a release day", 10*d.transactionsPerSecond(f, release)*d.ShuffleSharded(f).Services/f.Services*delta*f.Nodes/d.relayCount(),
+		formatCount(10*d.transactionsPerSecond(f, release))+" transactions in all regions; a node hears of one in "+formatCount(f.Services/d.ShuffleSharded(f).Services))
 	return t.String()
 }
 
@@ -179,40 +179,40 @@
 	t := newTable("role, what", "condition", "300", "1,500", "5,900", "slope: nodes to the power, 1,500 to 5,900", "limit, margin at 5,900", "measured by", "carried by")
 	conditions := d.Conditions()
 	for _, n := range d.Needs() {
-		last := ""
+		previous := ""
 		for _, c := range conditions {
 			var cells []string
 			for _, size := range Sizes {
-				cells = append(cells, format(n.Of(d.FleetOf(size), c), n.Unit))
+				cells = append(cells, format(n.Value(d.FleetWithNodes(size), c), n.Unit))
 			}
 			shown := strings.Join(cells, "|")
-			if shown == last || c.Name != conditions[0].Name && shown == "0|0|0" {
-				continue // the same under this condition
+			if shown == previous || c.Name != conditions[0].Name && shown == "0|0|0" {
+				continue // same values as under the first condition
 			}
-			role, margin, carrier, from := "", "", "", ""
+			role, margin, carrier, source := "", "", "", ""
 			if c.Name == conditions[0].Name {
-				role, carrier, from = n.Role+": "+n.What, n.Carrier, n.From
+				role, carrier, source = n.Role+": "+n.What, n.Carrier, n.Source
 			}
 			if n.Limit > 0 {
-				at := n.Of(d.FleetOf(Sizes[2]), c)
+				at := n.Value(d.FleetWithNodes(Sizes[2]), c)
 				margin = format(n.Limit, n.Unit) + " (" + n.LimitOf + "), " + formatMargin(n.Limit/at)
 			}
-			slope := slopeOf(n.Of(d.FleetOf(Sizes[1]), c), n.Of(d.FleetOf(Sizes[2]), c))
-			t.row(append(append([]string{role, c.Name}, cells...), slope, margin, from, carrier)...)
-			if last == "" {
-				last = shown
+			slope := growthExponent(n.Value(d.FleetWithNodes(Sizes[1]), c), n.Value(d.FleetWithNodes(Sizes[2]), c))
+			t.row(append(append([]string{role, c.Name}, cells...), slope, margin, source, carrier)...)
+			if previous == "" {
+				previous = shown
 			}
 		}
 	}
 	return t.String()
 }
 
-// slopeOf is the power of the nodes with which a need grows between the two larger sizes.
-func slopeOf(middle, most float64) string {
-	if middle <= 0 || most <= 0 {
+// growthExponent returns the absolute exponent with which a need grows with the nodes, between the two larger sizes.
+func growthExponent(smaller, largest float64) string {
+	if smaller <= 0 || largest <= 0 {
 		return ""
 	}
-	return fmt.Sprintf("%.2f", math.Abs(math.Log(most/middle)/math.Log(Sizes[2]/Sizes[1])))
+	return fmt.Sprintf("%.2f", math.Abs(math.Log(largest/smaller)/math.Log(Sizes[2]/Sizes[1])))
 }
 
 func formatMargin(margin float64) string {
@@ -227,19 +227,19 @@
 	for i, b := range d.Breaks() {
 		at := fmt.Sprintf("%s nodes, %s backends, %s services", formatCount(b.Fleet.Nodes), formatCount(b.Fleet.Backends), formatCount(b.Fleet.Services))
 		switch {
-		case b.Before && b.Below < 1:
+		case b.AtStart && b.ExceededAtNodes < 1:
 			at = "**before the line begins**: any size"
-		case b.Before:
-			at = "**before the line begins**: " + formatCount(b.Below) + " nodes"
-		case b.Never:
+		case b.AtStart:
+			at = "**before the line begins**: " + formatCount(b.ExceededAtNodes) + " nodes"
+		case b.NotReached:
 			at = "not up to the target"
 		}
-		t.row(strconv.Itoa(i+1), b.Mechanism, b.Limit, at, formatCount(b.Times), b.Carrier)
+		t.row(strconv.Itoa(i+1), b.Mechanism, b.Limit, at, formatCount(b.TargetToLimit), b.Carrier)
 	}
 	return t.String()
 }
 
-// format writes a value with its unit, to three digits.
+// format formats a value with its unit, to three significant digits.
 func format(v float64, unit string) string {
 	switch unit {
 	case "s":
@@ -280,7 +280,7 @@
 	return formatCount(v/1e9) + " GB"
 }
 
-// formatCount writes three digits, with commas from 1,000 on.
+// formatCount formats three significant digits, with thousands separators.
 func formatCount(v float64) string {
 	if v == 0 {
 		return "0"
