--- a/internal/cli/rehearse.go
+++ b/internal/cli/rehearse.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	if s.List.Calls > 0 {
+	if s.List.MaxCalls > 0 {
 		return usage("list.calls: only the laboratory plays a list of fixed capacity: use lab, or leave it out")
 	}
 	seed := c.Seed
@@ -106,7 +106,7 @@
 	defer file.Close()
 	name := strings.TrimSuffix(filepath.Base(c.Scenario), ".toml")
 	show := &view{out: a.out, quiet: c.Quiet, live: isTerminal(a.out)}
-	show.line("%s, seed %d: %d nodes, %d boxes, %v", name, seed, s.Nodes.Count, s.Boxes(), s.Length)
+	show.line("%s, seed %d: %d nodes, %d boxes, %v", name, seed, s.Nodes.Count, s.Backends(), s.Length)
 	cost, err := run.Play(ctx, run.Options{Name: name, Plan: p, Command: command, Dir: dir, Trace: file, Progress: show.status, Note: show.note})
 	show.end()
 	if err != nil {
--- a/internal/kit/chart/chart.go
+++ b/internal/kit/chart/chart.go
@@ -24,12 +24,12 @@
 // New begins a chart. Label is what it shows, for those who can't see it; the caller closes it with </svg>.
 func New(height, end float64, label string) *Chart {
 	s := &Chart{Height: height, End: end}
-	s.F(`<svg viewBox="0 0 %.0f %.0f" role="img" aria-label="%s">`, Width, height, label)
+	s.Printf(`<svg viewBox="0 0 %.0f %.0f" role="img" aria-label="%s">`, Width, height, label)
 	return s
 }
 
-// F adds markup.
-func (s *Chart) F(format string, args ...any) { fmt.Fprintf(&s.Builder, format, args...) }
+// Printf adds markup.
+func (s *Chart) Printf(format string, args ...any) { fmt.Fprintf(&s.Builder, format, args...) }
 
 // X is the place of a time in seconds, inside the plot.
 func (s *Chart) X(t float64) float64 { return Left + PlotW*min(max(t, 0), s.End)/s.End }
@@ -38,10 +38,10 @@
 func (s *Chart) Axis(y, top float64) {
 	step := nice(s.End / 12)
 	for t := 0.0; t <= s.End+1e-9; t += step {
-		s.F(`<line class="grid" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/><text class="tick" x="%.1f" y="%.1f" text-anchor="middle">%g s</text>`,
+		s.Printf(`<line class="grid" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/><text class="tick" x="%.1f" y="%.1f" text-anchor="middle">%g s</text>`,
 			s.X(t), s.X(t), top, y, s.X(t), y+15, t)
 	}
-	s.F(`<line class="axis" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/>`, Left, Left+PlotW, y, y)
+	s.Printf(`<line class="axis" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/>`, Left, Left+PlotW, y, y)
 }
 
 // Scale draws the left axis from 0 to high and returns the place of a value.
@@ -49,10 +49,10 @@
 	y := func(v float64) float64 { return bottom - (bottom-top)*min(v, high)/high }
 	step := nice(high / 4)
 	for v := 0.0; v <= high+1e-9; v += step {
-		s.F(`<line class="grid" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/><text class="tick" x="%.1f" y="%.1f" text-anchor="end">%g</text>`,
+		s.Printf(`<line class="grid" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/><text class="tick" x="%.1f" y="%.1f" text-anchor="end">%g</text>`,
 			Left, Left+PlotW, y(v), y(v), Left-6, y(v)+4, v)
 	}
-	s.F(`<text class="tick" x="%.1f" y="%.1f">%s</text>`, 4.0, top-8, unit)
+	s.Printf(`<text class="tick" x="%.1f" y="%.1f">%s</text>`, 4.0, top-8, unit)
 	return y
 }
 
--- a/internal/kit/deployment/deployment.go
+++ b/internal/kit/deployment/deployment.go
@@ -24,7 +24,7 @@
 	groups := map[string]string{"all": "all", "site": "zone", "cell": "cell"}
 	var grades, projects []m
 	for _, c := range s.Classes {
-		g := m{"name": c.Name, "aim_s": c.Aim.S(), "deadline_s": c.Deadline.S(), "gain": c.Worth, "late_worth": 0.0,
+		g := m{"name": c.Name, "aim_s": c.LatencyTarget.S(), "deadline_s": c.Deadline.S(), "gain": c.Utility, "late_worth": 0.0,
 			"effect": effects[c.Effect], "group": groups[c.Group], "streaming": false}
 		if c.Effect == "keyed" {
 			g["repeat_window_s"] = c.Window.S()
@@ -39,37 +39,37 @@
 		projects = append(projects, m{"name": t.Name, "share": t.Share / share, "quota_per_s": p.Quota(i)})
 	}
 	cold, coldShare := 0.0, 1.0
-	for _, k := range s.Kinds {
-		cold, coldShare = max(cold, k.Cold.S()), min(coldShare, k.ColdFrom)
+	for _, k := range s.MachineKinds {
+		cold, coldShare = max(cold, k.WarmUp.S()), min(coldShare, k.ColdFraction)
 	}
 	var zones []string
 	for _, x := range s.Sites {
 		zones = append(zones, x.Name)
 	}
 	return m{"balancers": s.Nodes.Count, "ordinal": ordinal, "zone": site, "zones": zones, "discovery": s.List.Mode,
-		"grades": grades, "projects": projects, "over_share_worth": s.Traffic.OverShare, "weights": "silent", "worth_by": "request",
+		"grades": grades, "projects": projects, "over_share_worth": s.Traffic.OverQuotaUtility, "weights": "silent", "worth_by": "request",
 		"tariffs": m{"cross_zone": s.Prices.CrossSite},
 		"clients": m{"marks_retry": false},
-		"policy_limits": m{"cancel": true, "conn_idle_s": s.Conn.Idle.S(), "connect_timeout_s": s.Conn.Timeout.S(),
-			"max_attempts": s.Rules.Attempts, "max_open": 20000, "max_retry_after_s": s.Clients.MaxWait.S(), "parallel_tries": true,
+		"policy_limits": m{"cancel": true, "conn_idle_s": s.Conn.IdleTimeout.S(), "connect_timeout_s": s.Conn.ConnectTimeout.S(),
+			"max_attempts": s.Rules.Attempts, "max_open": 20000, "max_retry_after_s": s.Clients.MaxRetryAfter.S(), "parallel_tries": true,
 			"peers": false, "probes": false, "retry_after": true, "streams_per_conn": 1},
 		"report": m{"how": "piggyback", "names": []string{"concurrent", "depth"}},
 		"invariants": m{"answer_slack_s": AnswerSlack.Seconds(), "cold_s": cold, "cold_share": coldShare,
-			"drain_grace_s": s.Rules.DrainGrace.S(), "fall_s": s.Rules.FallFor.S(), "overload_factor": s.Rules.FallFactor,
+			"drain_grace_s": s.Rules.DrainGrace.S(), "fall_s": s.Rules.OverloadDuration.S(), "overload_factor": s.Rules.OverloadFactor,
 			"must_ask_in_s": 10.0}}
 }
 
 // Head is a trace's first line. started is a time as RFC 3339 writes it.
 func Head(p *plan.Plan, name, started string, nodes []trace.Node) trace.Head {
 	s := p.Scenario
-	h := trace.Head{Scenario: name, Seed: p.Seed, Length: trace.US(s.Length.D()), Started: started, Nodes: nodes,
-		OverShare: s.Traffic.OverShare,
-		Rules: trace.Rules{AnswerSlack: trace.US(AnswerSlack), DrainGrace: trace.US(s.Rules.DrainGrace.D()),
-			FallFactor: s.Rules.FallFactor, FallFor: trace.US(s.Rules.FallFor.D()), Slack: trace.US(LimitSlack)}}
+	h := trace.Head{Scenario: name, Seed: p.Seed, Length: trace.Microseconds(s.Length.D()), Started: started, Nodes: nodes,
+		OverQuotaUtility: s.Traffic.OverQuotaUtility,
+		Rules: trace.Rules{AnswerSlack: trace.Microseconds(AnswerSlack), DrainGrace: trace.Microseconds(s.Rules.DrainGrace.D()),
+			OverloadFactor: s.Rules.OverloadFactor, OverloadDuration: trace.Microseconds(s.Rules.OverloadDuration.D()), Slack: trace.Microseconds(LimitSlack)}}
 	for _, c := range s.Classes {
-		k := trace.Class{Name: c.Name, Effect: c.Effect, Aim: trace.US(c.Aim.D()), Worth: c.Worth}
+		k := trace.Class{Name: c.Name, Effect: c.Effect, LatencyTarget: trace.Microseconds(c.LatencyTarget.D()), Utility: c.Utility}
 		if c.Effect == "keyed" {
-			k.Group, k.Window = c.Group, trace.US(c.Window.D())
+			k.Group, k.Window = c.Group, trace.Microseconds(c.Window.D())
 		}
 		h.Classes = append(h.Classes, k)
 	}
--- a/internal/kit/judge/answers.go
+++ b/internal/kit/judge/answers.go
@@ -56,7 +56,7 @@
 // checkBody checks that a served answer was made for its request. before is the last answer on the same connection.
 func (j *Judge) checkBody(r lineRecord, q *request, s *send, before *answer) {
 	begunAt := cmp.Or(r.T0, r.T)
-	made := j.bodies[r.Sum]
+	made := j.bodies[r.Digest]
 	switch {
 	case made != nil && made.id == r.ID:
 		return
@@ -89,7 +89,7 @@
 		return
 	}
 	evidence := []int{s.line, r.line}
-	taken := r.How == trace.Taken
+	taken := r.How == trace.RequestRead
 	for _, a := range q.attempts {
 		if a.node == r.Node && a.firstByte >= s.at-maxDisorder {
 			taken = true
@@ -137,7 +137,7 @@
 	if r.How != trace.Served {
 		return
 	}
-	j.addViolation(Violation{Rule: OneAnswer, Name: ServedBad, At: r.T, Node: r.Node, Request: r.ID, Lines: []int{r.line},
+	j.addViolation(Violation{Rule: OneAnswer, Name: ServedInvalid, At: r.T, Node: r.Node, Request: r.ID, Lines: []int{r.line},
 		Text: "what is no request was answered 200: " + r.Why})
 }
 
@@ -151,7 +151,7 @@
 	if q.clientLeft {
 		what = "its client had left"
 	}
-	j.addViolation(Violation{Rule: OneAnswer, Name: SentAfterEnd, At: a.firstByte, Node: r.Node, Request: r.ID, Box: r.Box,
+	j.addViolation(Violation{Rule: OneAnswer, Name: SentAfterEnd, At: a.firstByte, Node: r.Node, Request: r.ID, Box: r.Backend,
 		Lines: []int{q.finalLine, r.line}, margin: a.firstByte - limit, from: q.finalAt, to: a.firstByte,
-		Text: fmt.Sprintf("sent to box %s %v after %s", r.Box, rounded(a.firstByte-q.finalAt), what)})
+		Text: fmt.Sprintf("sent to box %s %v after %s", r.Backend, rounded(a.firstByte-q.finalAt), what)})
 }
--- a/internal/kit/judge/cold.go
+++ b/internal/kit/judge/cold.go
@@ -27,13 +27,13 @@
 	switch r.State {
 	case trace.Ready:
 		b := &backend{site: r.Site, cell: r.Cell, start: r.T, line: r.line}
-		if r.Cores < r.Full && j.head.Rules.FallFactor > 0 {
-			b.budget = boxmodel.NewBudget(j.head.Rules.FallFactor, duration(j.head.Rules.FallFor))
+		if r.Cores < r.FullCores && j.head.Rules.OverloadFactor > 0 {
+			b.budget = boxmodel.NewBudget(j.head.Rules.OverloadFactor, duration(j.head.Rules.OverloadDuration))
 			b.budget.Capacity(r.At(), r.Cores)
 		}
-		j.backends[r.Box] = b
-	case trace.Warm, trace.Gone:
-		if b := j.backends[r.Box]; b != nil {
+		j.backends[r.Backend] = b
+	case trace.Warm, trace.Removed:
+		if b := j.backends[r.Backend]; b != nil {
 			b.budget = nil
 		}
 	}
@@ -41,7 +41,7 @@
 
 // capacityChanged records the cores that a cold backend has now.
 func (j *Judge) capacityChanged(r lineRecord) {
-	if b := j.backends[r.Box]; b != nil && b.budget != nil {
+	if b := j.backends[r.Backend]; b != nil && b.budget != nil {
 		b.budget.Capacity(r.At(), r.Cores)
 	}
 }
@@ -49,19 +49,19 @@
 // checkCold holds the work that a cold backend is sent against its budget. There is one violation for each start: what
 // follows is the same flood.
 func (j *Judge) checkCold(r lineRecord) {
-	b := j.backends[r.Box]
+	b := j.backends[r.Backend]
 	if b == nil || b.budget == nil {
 		return
 	}
-	listed, isListed := j.node(r.Node).listed[r.Box]
+	listed, isListed := j.node(r.Node).listed[r.Backend]
 	knowsStart := isListed && listed.at >= b.start
 	excess := b.budget.Tagged(r.At(), duration(r.Work).Seconds(), knowsStart, r.line)
 	if excess == nil || excess.Told < minToldShare || b.flooded {
 		return
 	}
 	b.flooded = true
-	j.addViolation(Violation{Rule: ColdKept, Name: Flooded, At: r.T, Node: r.Node, Request: r.ID, Box: r.Box,
+	j.addViolation(Violation{Rule: ColdProtected, Name: ColdOverload, At: r.T, Node: r.Node, Request: r.ID, Box: r.Backend,
 		Lines: append([]int{b.line}, excess.Tags...),
-		Text: fmt.Sprintf("cold box %s was sent %.2f core-seconds within %v, with a budget of %.2f", r.Box, excess.Sent,
+		Text: fmt.Sprintf("cold box %s was sent %.2f core-seconds within %v, with a budget of %.2f", r.Backend, excess.Sent,
 			excess.To-excess.From, excess.Budget)})
 }
--- a/internal/kit/judge/drains.go
+++ b/internal/kit/judge/drains.go
@@ -11,19 +11,19 @@
 // nodeTold records what a node was told of a backend, by the list or by DNS.
 func (j *Judge) nodeTold(r lineRecord) {
 	n := j.node(r.Node)
-	if r.How != trace.ByNames {
-		n.listed[r.Box] = notice{r.State, r.T, r.line}
+	if r.How != trace.ByDNS {
+		n.listed[r.Backend] = notice{r.State, r.T, r.line}
 		if r.State == trace.Ready { // a new process, which DNS has not withdrawn
-			delete(n.withdrawn, r.Box)
+			delete(n.withdrawn, r.Backend)
 		}
 		return
 	}
 	if r.State == trace.Ready {
-		delete(n.withdrawn, r.Box)
+		delete(n.withdrawn, r.Backend)
 		return
 	}
-	if _, known := n.withdrawn[r.Box]; !known {
-		n.withdrawn[r.Box] = notice{r.State, r.T, r.line}
+	if _, known := n.withdrawn[r.Backend]; !known {
+		n.withdrawn[r.Backend] = notice{r.State, r.T, r.line}
 	}
 }
 
@@ -40,7 +40,7 @@
 
 // checkDrain holds the first byte that came to a backend against what its node was told.
 func (j *Judge) checkDrain(r lineRecord, firstByte int64) {
-	told, ok := j.node(r.Node).leaving(r.Box)
+	told, ok := j.node(r.Node).leaving(r.Backend)
 	if !ok {
 		return
 	}
@@ -48,7 +48,7 @@
 	if over <= 0 {
 		return
 	}
-	j.addViolation(Violation{Rule: DrainsKept, Name: Drained, At: firstByte, Node: r.Node, Request: r.ID, Box: r.Box,
+	j.addViolation(Violation{Rule: DrainsHonoured, Name: SentToDraining, At: firstByte, Node: r.Node, Request: r.ID, Box: r.Backend,
 		Lines: []int{told.line, r.line}, margin: over, from: told.at, to: firstByte,
-		Text: fmt.Sprintf("sent to box %s %v after the node was told that it is %s", r.Box, rounded(firstByte-told.at), told.state)})
+		Text: fmt.Sprintf("sent to box %s %v after the node was told that it is %s", r.Backend, rounded(firstByte-told.at), told.state)})
 }
--- a/internal/kit/judge/effects.go
+++ b/internal/kit/judge/effects.go
@@ -13,9 +13,9 @@
 // attemptReceived checks a request that came to a backend. It is held against rules 1, 3 and 4 too.
 func (j *Judge) attemptReceived(r lineRecord) {
 	j.verdict.Attempts++
-	a := &attempt{id: r.ID, backend: r.Box, node: r.Node, firstByte: cmp.Or(r.T0, r.T), lastByte: r.T, line: r.line,
-		badClient: r.How == trace.BadClient, turnedAt: -1}
-	j.attempts[r.Att] = a
+	a := &attempt{id: r.ID, backend: r.Backend, node: r.Node, firstByte: cmp.Or(r.T0, r.T), lastByte: r.T, line: r.line,
+		badClient: r.How == trace.FromInvalidClient, turnedAt: -1}
+	j.attempts[r.Attempt] = a
 	j.checkDrain(r, a.firstByte)
 	j.checkCold(r)
 	q := j.requests[r.ID]
@@ -23,7 +23,7 @@
 		return // the id of another client's request, which may have been over by then: no attempt of that request
 	}
 	if q == nil {
-		j.addViolation(Violation{Rule: NoEffect2, Name: Unasked, At: a.firstByte, Node: r.Node, Request: r.ID, Box: r.Box,
+		j.addViolation(Violation{Rule: NoDoubleEffect, Name: UnsentRequest, At: a.firstByte, Node: r.Node, Request: r.ID, Box: r.Backend,
 			Lines: []int{r.line}, Text: "a box got a request that no client sent"})
 		return
 	}
@@ -51,7 +51,7 @@
 
 // judgeRepeat returns the violation, if it is one, of a second attempt after an earlier one that may have run.
 func (j *Judge) judgeRepeat(q *request, earlier, a *attempt) (v Violation, broken bool) {
-	v = Violation{Rule: NoEffect2, At: a.firstByte, Node: a.node, Request: a.id, Box: a.backend, Lines: []int{earlier.line, a.line}}
+	v = Violation{Rule: NoDoubleEffect, At: a.firstByte, Node: a.node, Request: a.id, Box: a.backend, Lines: []int{earlier.line, a.line}}
 	if earlier.turnedAt >= 0 {
 		v.Lines = append(v.Lines, earlier.turnedLine)
 	}
@@ -66,18 +66,18 @@
 	overWindow := a.firstByte - earlier.firstByte - q.class.Window - j.head.Rules.Slack
 	switch {
 	case q.class.Effect == effectUnsafe:
-		v.Name = UnsafeTwice
+		v.Name = UnsafeRepeat
 		v.Text = fmt.Sprintf("unsafe, and sent to box %s though box %s may have run it", a.backend, earlier.backend)
 	case grouped && (before == nil || now == nil):
 		v.Text = "sent again to a box whose start is not in the trace"
 		j.addUndecided(v)
 		return v, false
 	case grouped && !sameGroup(q.class.Group, before, now):
-		v.Name = OutsideGroup
+		v.Name = RepeatOutsideGroup
 		v.Text = fmt.Sprintf("keyed, and sent to box %s of %s though box %s of %s may have run it",
 			a.backend, now.site, earlier.backend, before.site)
 	case overWindow > 0:
-		v.Name, v.margin, v.from, v.to = AfterWindow, overWindow, earlier.firstByte, a.firstByte
+		v.Name, v.margin, v.from, v.to = RepeatAfterWindow, overWindow, earlier.firstByte, a.firstByte
 		v.Text = fmt.Sprintf("keyed, and sent again %v after box %s may have run it, where repeats are dropped for %v",
 			rounded(a.firstByte-earlier.firstByte), earlier.backend, duration(q.class.Window))
 	default:
@@ -102,7 +102,7 @@
 		if !a.mayHaveRun(begunAt) || j.wasKilled(a.node, a.firstByte, begunAt) {
 			continue
 		}
-		v := Violation{Rule: NoEffect2, Name: FalseRefusal, At: begunAt, Node: r.Node, Request: r.ID, Box: a.backend,
+		v := Violation{Rule: NoDoubleEffect, Name: FalseRefusal, At: begunAt, Node: r.Node, Request: r.ID, Box: a.backend,
 			Lines: []int{s.line, a.line, r.line}, Text: fmt.Sprintf("refused (%d) though box %s may have run it", r.Status, a.backend)}
 		if a.node != r.Node { // its client came here only because that node had let it go
 			v.Node, v.earlierNode = a.node, a.node
--- a/internal/kit/judge/judge.go
+++ b/internal/kit/judge/judge.go
@@ -100,30 +100,30 @@
 		j.clientGaveUp(r)
 	case trace.Extra:
 		j.extraBytes(r)
-	case trace.Bad:
+	case trace.InvalidClient:
 		j.badInputAnswered(r)
-	case trace.Recv:
+	case trace.Received:
 		j.attemptReceived(r)
-	case trace.Part:
+	case trace.Partial:
 		j.checkDrain(r, r.T0)
 	case trace.Reply:
 		j.backendReplied(r)
-	case trace.Told:
+	case trace.Notified:
 		j.nodeTold(r)
-	case trace.Box:
+	case trace.Backend:
 		j.backendChanged(r)
-	case trace.Cap:
+	case trace.Capacity:
 		j.capacityChanged(r)
-	case trace.Proc:
+	case trace.Process:
 		j.processChanged(r)
 		j.sharerChanged(r)
 	case trace.Spend:
 		j.spend(r)
 	case trace.View:
 		j.view(r)
-	case trace.Net:
+	case trace.NetworkFault:
 		j.networkChanged(r)
-	case trace.Lag:
+	case trace.Stall:
 		j.lateness.addLag(r.Record)
 	case trace.End:
 		j.verdict.Whole = true
@@ -165,7 +165,7 @@
 		return
 	}
 	if len(j.found) >= maxListed {
-		j.verdict.More++
+		j.verdict.Unlisted++
 		return
 	}
 	j.found = append(j.found, v)
--- a/internal/kit/judge/requests.go
+++ b/internal/kit/judge/requests.go
@@ -77,9 +77,9 @@
 	}
 	q.lastRecord = r.T
 	j.countAsked(r)
-	q.sends = append(q.sends, &send{at: r.T, wait: r.Wait, node: r.Node, conn: r.Conn, reused: r.Reused, line: r.line})
-	if r.Plan > 0 && !r.Again {
-		j.lateness.addSend(r.T - r.Plan)
+	q.sends = append(q.sends, &send{at: r.T, wait: r.Timeout, node: r.Node, conn: r.Conn, reused: r.Reused, line: r.line})
+	if r.PlannedAt > 0 && !r.Resent {
+		j.lateness.addSend(r.T - r.PlannedAt)
 	}
 }
 
@@ -100,19 +100,19 @@
 
 // backendReplied records how a backend answered an attempt.
 func (j *Judge) backendReplied(r lineRecord) {
-	a := j.attempts[r.Att]
-	if a != nil && r.How == trace.Turned {
+	a := j.attempts[r.Attempt]
+	if a != nil && r.How == trace.Rejected {
 		a.turnedAt, a.turnedLine = r.T, r.line
 	}
 	if a != nil && !a.badClient && r.How == trace.Refused && r.Status == 400 {
-		j.addViolation(Violation{Rule: NoEffect2, Name: Unasked, At: a.firstByte, Node: a.node, Request: r.ID, Box: r.Box,
+		j.addViolation(Violation{Rule: NoDoubleEffect, Name: UnsentRequest, At: a.firstByte, Node: a.node, Request: r.ID, Box: r.Backend,
 			Lines: []int{a.line, r.line}, Text: "a box got a request in a form that no client sent: " + r.Why})
 	}
-	if r.How == trace.Served && r.Sum != "" {
+	if r.How == trace.Served && r.Digest != "" {
 		if q := j.requests[r.ID]; q != nil {
 			q.served = true
 		}
-		j.bodies[r.Sum] = &answer{r.ID, r.T, r.line}
+		j.bodies[r.Digest] = &answer{r.ID, r.T, r.line}
 	}
 }
 
--- a/internal/kit/judge/shared.go
+++ b/internal/kit/judge/shared.go
@@ -65,7 +65,7 @@
 
 // excused tells whether a violation is of a node whose process was stopped then: it could not act in time.
 func (j *Judge) excused(v *Violation) bool {
-	if v.Name != NoAnswer && v.Name != LateAnswer && v.Name != Drained && v.Name != SentAfterEnd {
+	if v.Name != NoAnswer && v.Name != LateAnswer && v.Name != SentToDraining && v.Name != SentAfterEnd {
 		return false
 	}
 	return slices.ContainsFunc(j.node(v.Node).stops, func(s span) bool {
@@ -79,14 +79,14 @@
 	switch r.State {
 	case trace.Stopped:
 		n.stops = append(n.stops, span{r.T, 0})
-	case trace.Goes:
+	case trace.Resumed:
 		if k := len(n.stops); k > 0 && n.stops[k-1].to == 0 {
 			n.stops[k-1].to = r.T
 			for budget := range j.shared.budgets {
 				j.add(r, budget)
 			}
 		}
-	case trace.Up:
+	case trace.NodeReady:
 		n.up = true
 	case trace.Started, trace.Kill, trace.Crashed, trace.Exited, trace.Term:
 		n.up = false
@@ -113,7 +113,7 @@
 }
 
 func (j *Judge) spend(r lineRecord) {
-	j.verdict.Shares++
+	j.verdict.SharingRecords++
 	nodes := j.shared.budgets[r.Text]
 	if nodes == nil {
 		nodes = map[string]spending{}
@@ -145,14 +145,14 @@
 	}
 	over := sum > escrow.BudgetGrains+tolerant*int64(len(nodes))
 	if over && !j.shared.over[budget] {
-		j.addViolation(Violation{Rule: SharedKept, Name: Overspent, At: r.T, Node: r.Node, Lines: lines,
+		j.addViolation(Violation{Rule: SharedInBounds, Name: Overspent, At: r.T, Node: r.Node, Lines: lines,
 			Text: fmt.Sprintf("%.2f%% of %s can be spent at once: %s", 100*float64(sum)/float64(escrow.BudgetGrains), budget, text[2:])})
 	}
 	j.shared.over[budget] = over
 }
 
 func (j *Judge) view(r lineRecord) {
-	j.verdict.Shares++
+	j.verdict.SharingRecords++
 	j.apart(r)
 	j.members(r)
 	for _, c := range r.Counts {
@@ -162,20 +162,20 @@
 	old := j.shared.views[r.Node]
 	j.shared.views[r.Node] = r.Record
 	l := judgement.DefaultLimits()
-	if most := int(math.Floor(l.MaxFleetFraction * float64(r.Listed))); r.Out > most && old.Out <= most {
-		j.addViolation(Violation{Rule: SharedKept, Name: OverCeiling, At: r.T, Node: r.Node, Lines: []int{r.line},
-			Text: fmt.Sprintf("%d of %d boxes are out by hearsay, and %d are the most", r.Out, r.Listed, most)})
+	if most := int(math.Floor(l.MaxFleetFraction * float64(r.Listed))); r.Ejected > most && old.Ejected <= most {
+		j.addViolation(Violation{Rule: SharedInBounds, Name: OverEjectionCeiling, At: r.T, Node: r.Node, Lines: []int{r.line},
+			Text: fmt.Sprintf("%d of %d boxes are out by hearsay, and %d are the most", r.Ejected, r.Listed, most)})
 	}
-	if r.Out > 0 && r.Votes < l.Quorum && (old.Out == 0 || old.Votes >= l.Quorum) {
-		j.addViolation(Violation{Rule: SharedKept, Name: NoQuorum, At: r.T, Node: r.Node, Lines: []int{r.line},
-			Text: fmt.Sprintf("a box is out by the word of %d nodes, and %d are the least", r.Votes, l.Quorum)})
+	if r.Ejected > 0 && r.MinVotes < l.Quorum && (old.Ejected == 0 || old.MinVotes >= l.Quorum) {
+		j.addViolation(Violation{Rule: SharedInBounds, Name: EjectedWithoutQuorum, At: r.T, Node: r.Node, Lines: []int{r.line},
+			Text: fmt.Sprintf("a box is out by the word of %d nodes, and %d are the least", r.MinVotes, l.Quorum)})
 	}
 }
 
 // apart looks whether a node knows of the others, once nothing has stood between them for long.
 func (j *Judge) apart(r lineRecord) {
 	// What is older than three turns tells nothing of now, and a seed is asked again after 3 s.
-	if bound := max(together, 3*r.Every+again); len(j.shared.trouble) > 0 || r.T-j.shared.calm < bound || !j.node(r.Node).up {
+	if bound := max(together, 3*r.RefreshInterval+again); len(j.shared.trouble) > 0 || r.T-j.shared.calm < bound || !j.node(r.Node).up {
 		return
 	}
 	up := 0
@@ -184,14 +184,14 @@
 			up++
 		}
 	}
-	if r.Surely == up {
+	if r.ConfirmedAlive == up {
 		delete(j.shared.apart, r.Node)
 		return
 	}
 	if !j.shared.apart[r.Node] {
 		j.shared.apart[r.Node] = true
-		j.addViolation(Violation{Rule: SharedKept, Name: Apart, At: r.T, Node: r.Node, Lines: []int{r.line},
-			Text: fmt.Sprintf("it is sure of %d nodes, and %d are up, %v after the last trouble between them", r.Surely, up, rounded(r.T-j.shared.calm))})
+		j.addViolation(Violation{Rule: SharedInBounds, Name: NodesUnaware, At: r.T, Node: r.Node, Lines: []int{r.line},
+			Text: fmt.Sprintf("it is sure of %d nodes, and %d are up, %v after the last trouble between them", r.ConfirmedAlive, up, rounded(r.T-j.shared.calm))})
 	}
 }
 
@@ -206,9 +206,9 @@
 			may++
 		}
 	}
-	if r.AtMost > 0 && (up > r.AtMost || r.Surely > may) {
-		j.addViolation(Violation{Rule: SharedKept, Name: OutOfBounds, At: r.T, Node: r.Node, Lines: []int{r.line},
-			Text: fmt.Sprintf("it holds %d to %d nodes possible, and %d are up, %d were lately", r.Surely, r.AtMost, up, may)})
+	if r.MaxAlive > 0 && (up > r.MaxAlive || r.ConfirmedAlive > may) {
+		j.addViolation(Violation{Rule: SharedInBounds, Name: MembershipOutOfBounds, At: r.T, Node: r.Node, Lines: []int{r.line},
+			Text: fmt.Sprintf("it holds %d to %d nodes possible, and %d are up, %d were lately", r.ConfirmedAlive, r.MaxAlive, up, may)})
 	}
 }
 
@@ -233,10 +233,10 @@
 
 // count holds what a node has heard of another's count against the word before and against what that one was asked.
 func (j *Judge) count(r lineRecord, c trace.Count) {
-	if c.Of < 0 || c.Of >= len(j.head.Nodes) {
+	if c.Node < 0 || c.Node >= len(j.head.Nodes) {
 		return
 	}
-	of := j.head.Nodes[c.Of].Name
+	of := j.head.Nodes[c.Node].Name
 	_, tenant, _ := strings.Cut(c.Key, "/")
 	k := asker{of, tenant}
 	known := j.shared.heard[r.Node]
@@ -245,10 +245,10 @@
 		j.shared.heard[r.Node] = known
 	}
 	old := known[k]
-	known[k] = word{c.Life, c.Epoch, r.T}
-	if c.Life < old.life || c.Life == old.life && c.Epoch < old.epoch {
-		j.addViolation(Violation{Rule: SharedKept, Name: TurnedBack, At: r.T, Node: r.Node, Lines: []int{r.line},
-			Text: fmt.Sprintf("of node %s it knew life %d, epoch %d of %s, and now life %d, epoch %d", of, old.life, old.epoch, c.Key, c.Life, c.Epoch)})
+	known[k] = word{c.Incarnation, c.Epoch, r.T}
+	if c.Incarnation < old.life || c.Incarnation == old.life && c.Epoch < old.epoch {
+		j.addViolation(Violation{Rule: SharedInBounds, Name: CountRegressed, At: r.T, Node: r.Node, Lines: []int{r.line},
+			Text: fmt.Sprintf("of node %s it knew life %d, epoch %d of %s, and now life %d, epoch %d", of, old.life, old.epoch, c.Key, c.Incarnation, c.Epoch)})
 		return
 	}
 	late := slices.ContainsFunc(j.node(of).stops, func(s span) bool { return s.from <= c.To && (s.to == 0 || s.to >= c.From-settled) })
@@ -257,7 +257,7 @@
 	}
 	least, most := j.between(k, c.From+slop, c.To-slop), j.between(k, c.From-slop, c.To+slop)
 	if c.Sum > most+1 || c.Sum < least*3/4-2 {
-		j.addViolation(Violation{Rule: SharedKept, Name: Miscounted, At: r.T, Node: r.Node, Lines: []int{r.line},
+		j.addViolation(Violation{Rule: SharedInBounds, Name: Miscounted, At: r.T, Node: r.Node, Lines: []int{r.line},
 			Text: fmt.Sprintf("node %s is said to have been asked %d times for %s within %v before %v, and was %d to %d times", of, c.Sum, tenant,
 				rounded(c.To-c.From), duration(c.To).Round(time.Millisecond), least, most)})
 	}
@@ -265,17 +265,17 @@
 
 // behind looks whether a node goes by old counts of others, once nothing has stood between them for long.
 func (j *Judge) behind(r lineRecord) {
-	if len(j.shared.trouble) > 0 || r.T-j.shared.calm < together || !j.node(r.Node).up || r.Every == 0 {
+	if len(j.shared.trouble) > 0 || r.T-j.shared.calm < together || !j.node(r.Node).up || r.RefreshInterval == 0 {
 		return
 	}
 	known := j.shared.heard[r.Node]
 	for _, k := range slices.SortedFunc(maps.Keys(known), func(a, b asker) int { return cmp.Or(cmp.Compare(a.node, b.node), cmp.Compare(a.tenant, b.tenant)) }) {
 		h := known[k]
-		if n := j.node(k.node); !n.up || h.at == 0 || r.T-h.at < max(together, 4*r.Every) {
+		if n := j.node(k.node); !n.up || h.at == 0 || r.T-h.at < max(together, 4*r.RefreshInterval) {
 			continue
 		}
 		known[k] = word{h.life, h.epoch, r.T} // once for each time
-		j.addViolation(Violation{Rule: SharedKept, Name: Behind, At: r.T, Node: r.Node, Lines: []int{r.line},
+		j.addViolation(Violation{Rule: SharedInBounds, Name: StaleCount, At: r.T, Node: r.Node, Lines: []int{r.line},
 			Text: fmt.Sprintf("its latest word of node %s's count of %s is %v old", k.node, k.tenant, rounded(r.T-h.at))})
 	}
 }
@@ -283,7 +283,7 @@
 // networkChanged follows what stands between nodes.
 func (j *Judge) networkChanged(r lineRecord) {
 	j.shared.calm = r.T
-	if r.How == trace.Over {
+	if r.How == trace.Ended {
 		delete(j.shared.trouble, r.Text)
 	} else {
 		j.shared.trouble[r.Text] = true
--- a/internal/kit/lab/box.go
+++ b/internal/kit/lab/box.go
@@ -50,26 +50,26 @@
 	b.up, b.draining, b.silent, b.slow, b.loses, b.fails, b.conns = true, false, false, false, 0, "", 0
 	b.open = map[uint64]*attempt{}
 	b.model = boxmodel.New(spec, p.Seed+uint64(b.runs), w.now)
-	b.reports = boxmodel.NewReports(r.Late.D(), r.Noise, rng)
+	b.reports = boxmodel.NewReports(r.Delay.D(), r.Noise, rng)
 	if !warm {
 		b.started = max(w.now, 1)
 	}
 	b.budget = nil
 	if !warm {
-		b.budget = boxmodel.NewBudget(w.plan.Scenario.Rules.FallFactor, w.plan.Scenario.Rules.FallFor.D())
+		b.budget = boxmodel.NewBudget(w.plan.Scenario.Rules.OverloadFactor, w.plan.Scenario.Rules.OverloadDuration.D())
 		b.budget.Capacity(w.now, b.model.Capacity())
 	}
 	b.state(trace.Ready)
-	first := time.Duration(rng.Float64() * float64(r.Every.D()))
-	b.every(first, r.Every.D(), func() bool { b.reports.Take(w.now, b.model); return true })
+	first := time.Duration(rng.Float64() * float64(r.Interval.D()))
+	b.every(first, r.Interval.D(), func() bool { b.reports.Take(w.now, b.model); return true })
 	b.every(0, loadEvery, func() bool {
-		w.note(trace.Record{Kind: trace.Load, Box: p.ID, Held: b.model.Held(), Queue: b.model.Waiting(), Conns: b.conns,
+		w.note(trace.Record{Kind: trace.Load, Backend: p.ID, InFlight: b.model.Held(), Queue: b.model.Waiting(), Conns: b.conns,
 			Cores: b.model.Capacity()})
 		return true
 	})
 	b.every(0, capEvery, func() bool {
 		if b.budget != nil && !b.model.Warm() {
-			w.note(trace.Record{Kind: trace.Cap, Box: p.ID, Cores: b.model.Capacity()})
+			w.note(trace.Record{Kind: trace.Capacity, Backend: p.ID, Cores: b.model.Capacity()})
 			b.budget.Capacity(w.now, b.model.Capacity())
 		}
 		return !b.model.Warm()
@@ -97,8 +97,8 @@
 }
 
 func (b *box) state(s string) {
-	b.w.note(trace.Record{Kind: trace.Box, Box: b.plan.ID, Site: b.plan.Site, Cell: b.plan.Cell, Kit: b.plan.Kind, State: s,
-		Cores: b.model.Capacity(), Full: b.model.Full()})
+	b.w.note(trace.Record{Kind: trace.Backend, Backend: b.plan.ID, Site: b.plan.Site, Cell: b.plan.Cell, MachineKind: b.plan.Kind, State: s,
+		Cores: b.model.Capacity(), FullCores: b.model.Full()})
 }
 
 // drive brings the model up to the time, carries out what it has done, and sets when to do so again.
@@ -118,7 +118,7 @@
 			b.budget = nil
 			b.state(trace.Warm)
 		case boxmodel.FellOver:
-			b.state(trace.Fallen)
+			b.state(trace.Collapsed)
 			b.up, fell = false, true
 		}
 	}
@@ -162,7 +162,7 @@
 	b.model.Advance(b.w.now)
 	b.model.Stop(b.w.now)
 	b.up = false
-	b.state(trace.Gone)
+	b.state(trace.Removed)
 	b.drive()
 	b.reset()
 }
@@ -202,7 +202,7 @@
 	}
 	extra := time.Duration(0)
 	if a.fresh {
-		extra = b.w.plan.Scenario.Conn.Handshake.D()
+		extra = b.w.plan.Scenario.Conn.HandshakeWork.D()
 	}
 	if b.draining || a.extra {
 		b.reply(a, policy.Full)
@@ -237,14 +237,14 @@
 		if a.over || b.w.cut(b.plan.Site, a.node.Site) {
 			return // it is lost on the way
 		}
-		rec := trace.Record{Kind: trace.Reply, Box: b.plan.ID, Att: int64(a.att), ID: a.req.id}
+		rec := trace.Record{Kind: trace.Reply, Backend: b.plan.ID, Attempt: int64(a.att), ID: a.req.id}
 		switch o {
 		case policy.OK:
-			rec.Status, rec.How, rec.Sum = 200, trace.Served, a.sum()
+			rec.Status, rec.How, rec.Digest = 200, trace.Served, a.sum()
 		case policy.Failed:
 			rec.Status, rec.How = 500, trace.Failed
 		default:
-			rec.Status, rec.How = 503, trace.Turned
+			rec.Status, rec.How = 503, trace.Rejected
 		}
 		b.w.note(rec)
 		a.load = load
--- a/internal/kit/lab/class_test.go
+++ b/internal/kit/lab/class_test.go
@@ -34,16 +34,16 @@
 		line++
 		j.Add(line, *r)
 		switch r.Kind {
-		case trace.Recv:
-			class[r.Att] = r.Class
+		case trace.Received:
+			class[r.Attempt] = r.Class
 		case trace.Reply:
-			if !sick[r.Box] || r.T < trace.US(8e9) || r.T > trace.US(16e9) {
+			if !sick[r.Backend] || r.T < trace.Microseconds(8e9) || r.T > trace.Microseconds(16e9) {
 				break // before the nodes could know, and after it is over
 			}
-			if r.How == trace.Failed && class[r.Att] == "save-config" {
+			if r.How == trace.Failed && class[r.Attempt] == "save-config" {
 				failed++
 			}
-			if r.How == trace.Served && class[r.Att] == "send-quote" {
+			if r.How == trace.Served && class[r.Attempt] == "send-quote" {
 				quotes++
 			}
 		}
--- a/internal/kit/lab/client.go
+++ b/internal/kit/lab/client.go
@@ -14,7 +14,7 @@
 func (w *world) want(need plan.Need) {
 	first := w.id()
 	rec := w.rec(&need)
-	rec.Kind, rec.ID = trace.Want, first
+	rec.Kind, rec.ID = trace.Planned, first
 	w.note(rec)
 	w.try(&request{id: first, need: &need, first: first})
 }
@@ -22,7 +22,7 @@
 func (w *world) rec(need *plan.Need) trace.Record {
 	s := w.plan.Scenario
 	return trace.Record{Class: s.Classes[need.Class].Name, Tenant: s.Tenants[need.Tenant].Name, Site: s.Sites[need.Site].Name,
-		Over: need.Over}
+		OverQuota: need.Over}
 }
 
 // front deals out a node for a client of a site.
@@ -56,7 +56,7 @@
 	}
 	r.life = n.life
 	rec := w.rec(r.need)
-	rec.Kind, rec.ID, rec.Of, rec.Try, rec.Wait, rec.Node = trace.Sent, r.id, r.first, r.try, trace.US(r.wait), n.Name
+	rec.Kind, rec.ID, rec.FirstID, rec.Try, rec.Timeout, rec.Node = trace.Sent, r.id, r.first, r.try, trace.Microseconds(r.wait), n.Name
 	if last := len(n.idle) - 1; last >= 0 {
 		r.conn, n.idle, rec.Reused = n.idle[last], n.idle[:last], true
 	} else {
@@ -105,7 +105,7 @@
 // answered is a final answer that has come to its client.
 func (w *world) answered(n *node, r *request, status int, sum string, retryAfter time.Duration) {
 	rec := w.rec(r.need)
-	rec.Kind, rec.ID, rec.Node, rec.Conn, rec.Status, rec.Sum = trace.Got, r.id, n.Name, r.conn, status, sum
+	rec.Kind, rec.ID, rec.Node, rec.Conn, rec.Status, rec.Digest = trace.Got, r.id, n.Name, r.conn, status, sum
 	w.note(rec)
 	if n.life == r.life {
 		n.idle = append(n.idle, r.conn)
@@ -130,6 +130,6 @@
 // done is the end of a need.
 func (w *world) done(r *request, how string) {
 	rec := w.rec(r.need)
-	rec.Kind, rec.ID, rec.How, rec.Took = trace.Done, r.first, how, trace.US(w.now-r.need.At)
+	rec.Kind, rec.ID, rec.How, rec.Took = trace.Done, r.first, how, trace.Microseconds(w.now-r.need.At)
 	w.note(rec)
 }
--- a/internal/kit/lab/counts.go
+++ b/internal/kit/lab/counts.go
@@ -79,7 +79,7 @@
 	}
 	work := a.req.need.Work
 	if a.fresh {
-		shake := w.plan.Scenario.Conn.Handshake.D()
+		shake := w.plan.Scenario.Conn.HandshakeWork.D()
 		s.NewConns++
 		s.Shaken += shake.Seconds()
 		c.shaken += shake
--- a/internal/kit/lab/fleet_test.go
+++ b/internal/kit/lab/fleet_test.go
@@ -13,7 +13,7 @@
 func twin(t *testing.T, name string, change ...func(*scenario.Scenario)) *scenario.Scenario {
 	return load(t, name, append([]func(*scenario.Scenario){func(s *scenario.Scenario) {
 		s.Length = scenario.Duration(10 * time.Second)
-		s.Nodes.Count, s.Traffic.Rate, s.List.Calls = 40, s.Traffic.Rate/2, s.List.Calls/2
+		s.Nodes.Count, s.Traffic.Rate, s.List.MaxCalls = 40, s.Traffic.Rate/2, s.List.MaxCalls/2
 		s.Fleet = []scenario.Fleet{{Kind: "gen-a", Count: 17}, {Kind: "gen-b", Count: 13}}
 		var events []scenario.Event
 		for _, e := range s.Events {
@@ -21,8 +21,8 @@
 			if e.Over > 0 {
 				e.Over = scenario.Duration(4 * time.Second)
 			}
-			if e.Do == "slow" || e.Do == "lose" || e.Do == "fail-class" {
-				e.For, e.Boxes = scenario.Duration(6*time.Second), (e.Boxes+1)/2
+			if e.Action == "slow" || e.Action == "lose" || e.Action == "fail-class" {
+				e.Lasts, e.Backends = scenario.Duration(6*time.Second), (e.Backends+1)/2
 			}
 			events = append(events, e)
 		}
@@ -95,7 +95,7 @@
 func TestAListTurnedAwayAfterAStart(t *testing.T) {
 	s := twin(t, "fleet-herd", func(s *scenario.Scenario) {
 		s.Length = scenario.Duration(14 * time.Second)
-		s.List.Calls = 1e-3 // one call in all
+		s.List.MaxCalls = 1e-3 // one call in all
 	})
 	c := play(t, s, 3, nil)
 	if c.ListAway == 0 || c.ListCalls > 10 {
--- a/internal/kit/lab/lab_test.go
+++ b/internal/kit/lab/lab_test.go
@@ -96,11 +96,11 @@
 		tell   func(*policy.Settings)
 		hide   func(policy.Entry) bool
 	}{
-		{"rolling-deploy", judge.DrainsKept, func(s *scenario.Scenario) { s.Events[0].Drain = 8 * scenario.Duration(time.Second) }, nil,
+		{"rolling-deploy", judge.DrainsHonoured, func(s *scenario.Scenario) { s.Events[0].Drain = 8 * scenario.Duration(time.Second) }, nil,
 			func(e policy.Entry) bool { return e.State == policy.Draining }},
-		{"half-cold", judge.ColdKept, func(s *scenario.Scenario) { s.Rules.FallFactor = 0.3 },
+		{"half-cold", judge.ColdProtected, func(s *scenario.Scenario) { s.Rules.OverloadFactor = 0.3 },
 			func(p *policy.Settings) { p.ColdShare, p.FallFactor = 1, 40 }, nil},
-		{"lost-requests", judge.NoEffect2, short, func(p *policy.Settings) {
+		{"lost-requests", judge.NoDoubleEffect, short, func(p *policy.Settings) {
 			for i := range p.Classes {
 				p.Classes[i].Effect = policy.Safe
 			}
@@ -140,7 +140,7 @@
 	if err := Play(o); err != nil {
 		t.Fatal(err)
 	}
-	if want := s.Nodes.Count * s.Boxes() * 12; seen < want || off/float64(seen) > 3 {
+	if want := s.Nodes.Count * s.Backends() * 12; seen < want || off/float64(seen) > 3 {
 		t.Errorf("%d beliefs, want %d at least; off by %.1f requests on average", seen, want, off/float64(seen))
 	}
 }
--- a/internal/kit/lab/list.go
+++ b/internal/kit/lab/list.go
@@ -63,7 +63,7 @@
 
 // arrive takes in a call.
 func (l *listd) arrive(c *listCall) {
-	if most := l.w.plan.Scenario.List.Calls; most > 0 {
+	if most := l.w.plan.Scenario.List.MaxCalls; most > 0 {
 		l.tokens = min(most, l.tokens+most*(l.w.now-l.filled).Seconds())
 		if l.filled == 0 {
 			l.tokens = most
@@ -182,7 +182,7 @@
 		for id := range n.known {
 			if !slices.ContainsFunc(news, func(e policy.Entry) bool { return e.ID == id }) {
 				delete(n.known, id)
-				n.w.note(trace.Record{Kind: trace.Told, Node: n.Name, Box: n.w.plan.Boxes[id-1].ID, State: trace.Gone})
+				n.w.note(trace.Record{Kind: trace.Notified, Node: n.Name, Backend: n.w.plan.Boxes[id-1].ID, State: trace.Removed})
 			}
 		}
 		n.take(kind, news)
--- a/internal/kit/lab/node.go
+++ b/internal/kit/lab/node.go
@@ -90,7 +90,7 @@
 	w.nodes = append(w.nodes, n)
 	for i := range w.plan.Initial {
 		n.known[uint32(i+1)] = w.entry(i, policy.Active)
-		w.note(trace.Record{Kind: trace.Told, Node: t.Name, Box: w.plan.Boxes[i].ID, State: trace.Ready})
+		w.note(trace.Record{Kind: trace.Notified, Node: t.Name, Backend: w.plan.Boxes[i].ID, State: trace.Ready})
 	}
 	return n.begin()
 }
@@ -117,9 +117,9 @@
 	}
 	n.up, n.out, n.watching, n.timeout = true, false, false, set.ConnectTimeout
 	n.requests, n.pool, n.heard = map[string]*request{}, map[*box]*pool{}, map[*box]time.Duration{}
-	n.ages = admission.NewIdleEstimator(w.plan.Scenario.Conn.Idle.D(), nil)
-	w.note(trace.Record{Kind: trace.Proc, Node: n.Name, State: trace.Started})
-	w.note(trace.Record{Kind: trace.Proc, Node: n.Name, State: trace.Up})
+	n.ages = admission.NewIdleEstimator(w.plan.Scenario.Conn.IdleTimeout.D(), nil)
+	w.note(trace.Record{Kind: trace.Process, Node: n.Name, State: trace.Started})
+	w.note(trace.Record{Kind: trace.Process, Node: n.Name, State: trace.NodeReady})
 	var known []policy.Entry
 	for _, id := range slices.Sorted(maps.Keys(n.known)) {
 		known = append(known, n.known[id])
@@ -137,12 +137,12 @@
 		return
 	}
 	w := n.w
-	w.note(trace.Record{Kind: trace.Proc, Node: n.Name, State: trace.Kill})
+	w.note(trace.Record{Kind: trace.Process, Node: n.Name, State: trace.Kill})
 	n.died()
 	n.up, n.idle = false, nil
 	n.life++
 	life := n.life
-	w.after(w.plan.Scenario.Clients.Notice.D(), func() { n.out = n.out || !n.up && n.life == life })
+	w.after(w.plan.Scenario.Clients.FrontNotice.D(), func() { n.out = n.out || !n.up && n.life == life })
 	for _, a := range n.flying {
 		a.over = true
 		if a.begun {
@@ -195,7 +195,7 @@
 		n.known[e.ID] = e
 		for name, s := range states {
 			if s == e.State {
-				n.w.note(trace.Record{Kind: trace.Told, Node: n.Name, Box: n.w.plan.Boxes[e.ID-1].ID, State: name})
+				n.w.note(trace.Record{Kind: trace.Notified, Node: n.Name, Backend: n.w.plan.Boxes[e.ID-1].ID, State: name})
 			}
 		}
 		if e.State == policy.Removed {
@@ -306,7 +306,7 @@
 func (n *node) reuse(a *attempt) bool {
 	p := n.pool[a.box]
 	if p == nil || p.life != a.box.life {
-		p = &pool{life: a.box.life, ages: admission.NewIdleEstimator(n.w.plan.Scenario.Conn.Idle.D(), n.ages)}
+		p = &pool{life: a.box.life, ages: admission.NewIdleEstimator(n.w.plan.Scenario.Conn.IdleTimeout.D(), n.ages)}
 		n.pool[a.box] = p
 	}
 	a.box.trim(p)
@@ -324,7 +324,7 @@
 
 // trim closes the connections that a node has kept for as long as its pool does: a tenth before boxes close them.
 func (b *box) trim(p *pool) {
-	keep := b.w.plan.Scenario.Conn.Idle.D() * 9 / 10
+	keep := b.w.plan.Scenario.Conn.IdleTimeout.D() * 9 / 10
 	for p.life == b.life && len(p.idle) > 0 && b.w.now-p.idle[0] >= keep {
 		p.idle = p.idle[1:]
 		b.conns--
@@ -348,14 +348,14 @@
 	if b.up && b.life == a.life && !b.silent && !lost {
 		work := a.req.need.Work
 		if a.fresh {
-			work += w.plan.Scenario.Conn.Handshake.D()
+			work += w.plan.Scenario.Conn.HandshakeWork.D()
 		}
 		if b.budget != nil {
 			b.budget.Send(w.now, work.Seconds(), true)
 			w.counts.cold(b, work)
 		}
-		w.note(trace.Record{Kind: trace.Recv, Box: b.plan.ID, Node: a.node.Name, ID: a.req.id, Att: int64(a.att), T0: trace.US(w.now),
-			Class: w.plan.Scenario.Classes[a.req.need.Class].Name, Work: trace.US(work)})
+		w.note(trace.Record{Kind: trace.Received, Backend: b.plan.ID, Node: a.node.Name, ID: a.req.id, Attempt: int64(a.att), T0: trace.Microseconds(w.now),
+			Class: w.plan.Scenario.Classes[a.req.need.Class].Name, Work: trace.Microseconds(work)})
 	}
 	w.after(w.delay(a.node.Site, b.plan.Site), func() {
 		switch {
@@ -385,7 +385,7 @@
 // hangUp closes the connection under a request that the box has been sent.
 func (a *attempt) hangUp() {
 	w, b := a.node.w, a.box
-	w.note(trace.Record{Kind: trace.Drop, Box: b.plan.ID, Node: a.node.Name, Att: int64(a.att), ID: a.req.id})
+	w.note(trace.Record{Kind: trace.Dropped, Backend: b.plan.ID, Node: a.node.Name, Attempt: int64(a.att), ID: a.req.id})
 	a.drop()
 	w.after(w.delay(a.node.Site, b.plan.Site), func() {
 		if b.up && b.life == a.life && !b.silent && !w.cut(a.node.Site, b.plan.Site) {
--- a/internal/kit/lab/page.go
+++ b/internal/kit/lab/page.go
@@ -66,12 +66,12 @@
 		for i, x := range v {
 			at = append(at, fmt.Sprintf("%.1f,%.1f", c.X(float64(i)+0.5), y(x)))
 		}
-		c.F(`<polyline fill="none" %s points="%s"/>`, style, strings.Join(at, " "))
+		c.Printf(`<polyline fill="none" %s points="%s"/>`, style, strings.Join(at, " "))
 	}
 	line(asked, `stroke="#1b1f24" stroke-dasharray="4 3"`)
 	for i := range out[:min(drawn, len(out))] {
 		line(mean(&out[i], func(d *Day) []float64 { return d.Served }), fmt.Sprintf(`stroke="%s" stroke-width="2"`, colours[i]))
 	}
-	c.F(`</svg>`)
+	c.Printf(`</svg>`)
 	return c.String()
 }
--- a/internal/kit/lab/share_test.go
+++ b/internal/kit/lab/share_test.go
@@ -15,9 +15,9 @@
 	s := load(t, "calm", func(s *scenario.Scenario) {
 		s.Length = scenario.Duration(14 * time.Second)
 		s.Nodes.Count = 6
-		s.Traffic.QuotaShare, s.Traffic.OverShare, s.Traffic.Rate = 1, 0.2, 300
-		s.Events = []scenario.Event{{Do: "greedy", At: scenario.Duration(3 * time.Second), For: scenario.Duration(10 * time.Second), Rate: 200},
-			{Do: "kill", At: scenario.Duration(6 * time.Second), Node: 2, Down: scenario.Duration(time.Second)}}
+		s.Traffic.QuotaFactor, s.Traffic.OverQuotaUtility, s.Traffic.Rate = 1, 0.2, 300
+		s.Events = []scenario.Event{{Action: "greedy", At: scenario.Duration(3 * time.Second), Lasts: scenario.Duration(10 * time.Second), Rate: 200},
+			{Action: "kill", At: scenario.Duration(6 * time.Second), Node: 2, Down: scenario.Duration(time.Second)}}
 	})
 	alone, together := 0.0, 0.0
 	for seed := range uint64(3) {
--- a/internal/kit/lab/site_test.go
+++ b/internal/kit/lab/site_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	own, err := config.Parse("nodes.own", []byte(s.Nodes.Own))
+	own, err := config.Parse("nodes.own", []byte(s.Nodes.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/kit/lab/sweep.go
+++ b/internal/kit/lab/sweep.go
@@ -202,7 +202,7 @@
 		j.Add(line, *r)
 		switch {
 		case r.Kind == trace.Sent:
-			of[r.ID] = r.Of
+			of[r.ID] = r.FirstID
 		case r.Kind == trace.Got && r.Status == 503:
 			tries[of[r.ID]]++
 		}
@@ -215,7 +215,7 @@
 	for _, w := range rep.Windows {
 		p.Windows = append(p.Windows, w.Share)
 	}
-	for _, x := range rep.PerS {
+	for _, x := range rep.PerSecond {
 		p.Asked = append(p.Asked, float64(x.Asked))
 		p.Served = append(p.Served, float64(x.InTime))
 	}
--- a/internal/kit/lab/world.go
+++ b/internal/kit/lab/world.go
@@ -138,7 +138,7 @@
 func (w *world) after(d time.Duration, do func()) { w.at(w.now+d, do) }
 
 func (w *world) note(r trace.Record) {
-	r.T = trace.US(w.now)
+	r.T = trace.Microseconds(w.now)
 	w.opt.Record(&r)
 }
 
@@ -151,9 +151,9 @@
 // delay is a one-way delay between two sites.
 func (w *world) delay(from, to string) time.Duration {
 	n := &w.plan.Scenario.Net
-	d := n.Cross
+	d := n.CrossSite
 	if from == to {
-		d = n.Same
+		d = n.SameSite
 	}
 	return time.Duration(float64(d) * max(0.1, 1+n.Jitter*w.rng.NormFloat64()))
 }
@@ -237,23 +237,23 @@
 		w.note(trace.Record{Kind: trace.Event, Text: st.Text})
 	case plan.Start, plan.Restart:
 		w.start(i, false)
-		w.publish(i, trace.Ready, list.Add.D())
+		w.publish(i, trace.Ready, list.AddLag.D())
 	case plan.Drain:
 		runs := b.runs
 		w.after(time.Duration(st.By*float64(time.Second)), func() { b.draining = b.draining || b.runs == runs })
 		w.publish(i, trace.Terminating, list.Lag.D())
 	case plan.Exit, plan.Crash:
 		b.stop()
-		w.publish(i, trace.Gone, list.Lag.D())
+		w.publish(i, trace.Removed, list.Lag.D())
 	case plan.Slow:
 		b.model.Slowed(w.now, st.By)
 		b.drive()
 	case plan.Silence:
 		b.silent = true
-		b.state(trace.Silent)
+		b.state(trace.Unresponsive)
 	case plan.Return:
 		b.silent = false
-		b.state(trace.Back)
+		b.state(trace.Responsive)
 		b.reset()
 	case plan.Lose:
 		b.loses = st.By
@@ -331,7 +331,7 @@
 	return time.Duration(w.rng.Float64() * float64(w.plan.Scenario.List.Spread.D()))
 }
 
-var states = map[string]policy.State{trace.Ready: policy.Active, trace.Terminating: policy.Draining, trace.Gone: policy.Removed}
+var states = map[string]policy.State{trace.Ready: policy.Active, trace.Terminating: policy.Draining, trace.Removed: policy.Removed}
 
 // beliefs notes once a second what every node believes of every box.
 func (w *world) beliefs() {
--- a/internal/kit/plan/plan.go
+++ b/internal/kit/plan/plan.go
@@ -136,21 +136,21 @@
 // add makes a box of a kind.
 func (p *Plan) add(rng *rand.Rand, kind, site string) *Box {
 	s := p.Scenario
-	k := s.Kind(kind)
+	k := s.MachineKind(kind)
 	speed := k.Speed * math.Exp(rng.NormFloat64()*k.Spread)
 	noise := 0.0
 	for _, c := range s.Classes {
-		noise = max(noise, c.Noise)
+		noise = max(noise, c.AttemptNoise)
 	}
 	cell := slices.IndexFunc(s.Sites, func(x scenario.Site) bool { return x.Name == site })
 	p.Boxes = append(p.Boxes, Box{ID: fmt.Sprintf("s-%08x", rng.Uint32()), Site: site, Kind: kind, Cell: cell, Seed: rng.Uint64(),
 		Speed: speed, Spec: boxmodel.Spec{Cores: k.Cores, Speed: speed, Slots: k.Slots, Queue: k.Queue, Thrash: k.Thrash,
-			ThrashAt: k.ThrashAt, ColdFrom: k.ColdFrom, Cold: k.Cold.D(), WarmByWork: k.WarmBy == "requests",
-			PauseEvery: k.PauseEvery.D(), Pause: k.Pause.D(), ErrorRate: k.Errors, Noise: noise,
-			CancelQueued: k.Cancel != "none", CancelRuns: k.Cancel == "all", DropsExpired: k.DropsLate,
-			Choke: boxmodel.Choke{At: s.Choke.At, Over: s.Choke.Over.D(), Slower: s.Choke.Slower, Below: s.Choke.Below,
-				Rest: s.Choke.Rest.D(), Most: s.Choke.Most.D()},
-			Fall: boxmodel.Fall{Factor: s.Rules.FallFactor, For: s.Rules.FallFor.D()}}})
+			ThrashAt: k.ThrashAt, ColdFrom: k.ColdFraction, Cold: k.WarmUp.D(), WarmByWork: k.WarmBy == "requests",
+			PauseEvery: k.PauseEvery.D(), Pause: k.Pause.D(), ErrorRate: k.ErrorFraction, Noise: noise,
+			CancelQueued: k.Cancel != "none", CancelRuns: k.Cancel == "all", DropsExpired: k.DropsExpired,
+			Choke: boxmodel.Choke{At: s.Congestion.At, Over: s.Congestion.Window.D(), Slower: s.Congestion.SlowFactor, Below: s.Congestion.Below,
+				Rest: s.Congestion.RecoveryWindow.D(), Most: s.Congestion.MaxDuration.D()},
+			Fall: boxmodel.Fall{Factor: s.Rules.OverloadFactor, For: s.Rules.OverloadDuration.D()}}})
 	return &p.Boxes[len(p.Boxes)-1]
 }
 
@@ -188,13 +188,13 @@
 	}
 	for _, e := range s.Events {
 		at := e.At.D()
-		switch e.Do {
+		switch e.Action {
 		case "deploy":
-			step(Step{At: at, Do: Announce, Text: fmt.Sprintf("deploy of %.0f%% over %v", 100*e.Part, e.Over)})
+			step(Step{At: at, Do: Announce, Text: fmt.Sprintf("deploy of %.0f%% over %v", 100*e.Fraction, e.Over)})
 			old := there(at, at)
 			rng.Shuffle(len(old), func(a, b int) { old[a], old[b] = old[b], old[a] })
-			old = old[:min(len(old), int(math.Round(e.Part*float64(len(old)))))]
-			batch := max(1, int(math.Round(e.Batch*float64(s.Boxes()))))
+			old = old[:min(len(old), int(math.Round(e.Fraction*float64(len(old)))))]
+			batch := max(1, int(math.Round(e.Batch*float64(s.Backends()))))
 			rounds := (len(old) + batch - 1) / batch
 			gap := time.Duration(0)
 			if rounds > 1 {
@@ -206,7 +206,7 @@
 				n := p.add(rng, kind, site)
 				exit := t + e.Drain.D()
 				begin := t
-				if e.Reuse && i%2 == 0 { // the successor needs the address
+				if e.SameAddress && i%2 == 0 { // the successor needs the address
 					n.After, begin = id, exit+20*time.Millisecond
 				}
 				lives[id] = life{lives[id].from, t}
@@ -216,9 +216,9 @@
 				step(Step{At: begin, Do: Start, Box: n.ID})
 			}
 		case "grow":
-			step(Step{At: at, Do: Announce, Text: fmt.Sprintf("the fleet grows %.1f times over %v", e.By, e.Over)})
+			step(Step{At: at, Do: Announce, Text: fmt.Sprintf("the fleet grows %.1f times over %v", e.Factor, e.Over)})
 			now := there(at, at)
-			more := int(math.Round((e.By - 1) * float64(len(now))))
+			more := int(math.Round((e.Factor - 1) * float64(len(now))))
 			for i := range more {
 				like := p.Boxes[now[i%len(now)]]
 				n := p.add(rng, like.Kind, s.Sites[i%len(s.Sites)].Name)
@@ -226,7 +226,7 @@
 				lives[n.ID] = life{t, forever}
 				step(Step{At: t, Do: Start, Box: n.ID})
 			}
-			grown := (e.By - 1) * e.Follow
+			grown := (e.Factor - 1) * e.TrafficFollows
 			p.levels = append(p.levels, level{at, forever, func(t time.Duration) float64 {
 				return 1 + grown*min(1, (t-at).Seconds()/e.Over.S())
 			}})
@@ -243,55 +243,55 @@
 	cuts := 0.0
 	lost := map[string][]life{} // by site, when it is lost
 	for _, e := range s.Events {
-		at, end := e.At.D(), e.At.D()+e.For.D()
+		at, end := e.At.D(), e.At.D()+e.Lasts.D()
 		announce := func(format string, args ...any) {
 			step(Step{At: at, Do: Announce, Text: fmt.Sprintf(format, args...)})
 		}
-		switch e.Do {
+		switch e.Action {
 		case "slow":
-			announce("%d boxes %.1f times slower for %v", e.Boxes, e.By, e.For)
-			for _, i := range some(at, end, e.Boxes) {
-				step(Step{At: at, Do: Slow, Box: p.Boxes[i].ID, By: e.By})
+			announce("%d boxes %.1f times slower for %v", e.Backends, e.Factor, e.Lasts)
+			for _, i := range some(at, end, e.Backends) {
+				step(Step{At: at, Do: Slow, Box: p.Boxes[i].ID, By: e.Factor})
 				step(Step{At: end, Do: Slow, Box: p.Boxes[i].ID, By: 1})
 			}
 		case "vanish":
-			announce("%d boxes cut off for %v", e.Boxes, e.For)
-			for _, i := range some(at, end, e.Boxes) {
+			announce("%d boxes cut off for %v", e.Backends, e.Lasts)
+			for _, i := range some(at, end, e.Backends) {
 				step(Step{At: at, Do: Silence, Box: p.Boxes[i].ID})
 				step(Step{At: end, Do: Return, Box: p.Boxes[i].ID})
 			}
 		case "crash":
-			announce("%d boxes crash", e.Boxes)
-			for _, i := range some(at, at+e.Down.D(), e.Boxes) {
+			announce("%d boxes crash", e.Backends)
+			for _, i := range some(at, at+e.Down.D(), e.Backends) {
 				step(Step{At: at, Do: Crash, Box: p.Boxes[i].ID})
 				step(Step{At: at + e.Down.D(), Do: Restart, Box: p.Boxes[i].ID})
 			}
 		case "lose":
-			n := cmp.Or(e.Boxes, len(p.Boxes))
-			announce("boxes lose %.0f%% of their requests for %v", 100*e.Part, e.For)
+			n := cmp.Or(e.Backends, len(p.Boxes))
+			announce("boxes lose %.0f%% of their requests for %v", 100*e.Fraction, e.Lasts)
 			for _, i := range some(at, end, n) {
-				step(Step{At: at, Do: Lose, Box: p.Boxes[i].ID, By: e.Part})
+				step(Step{At: at, Do: Lose, Box: p.Boxes[i].ID, By: e.Fraction})
 				step(Step{At: end, Do: Lose, Box: p.Boxes[i].ID})
 			}
 		case "fail-class":
-			announce("%d boxes fail %s for %v", e.Boxes, e.Class, e.For)
-			for _, i := range some(at, end, e.Boxes) {
+			announce("%d boxes fail %s for %v", e.Backends, e.Class, e.Lasts)
+			for _, i := range some(at, end, e.Backends) {
 				step(Step{At: at, Do: Fail, Box: p.Boxes[i].ID, Text: e.Class, By: 1})
 				step(Step{At: end, Do: Fail, Box: p.Boxes[i].ID, Text: e.Class})
 			}
 		case "reset", "spoil":
-			do := map[string]string{"reset": Reset, "spoil": Spoil}[e.Do]
-			announce("boxes %s %.0f%% for %v", e.Do, 100*e.Part, e.For)
-			step(Step{At: at, Do: do, By: e.Part})
+			do := map[string]string{"reset": Reset, "spoil": Spoil}[e.Action]
+			announce("boxes %s %.0f%% for %v", e.Action, 100*e.Fraction, e.Lasts)
+			step(Step{At: at, Do: do, By: e.Fraction})
 			step(Step{At: end, Do: do})
 		case "kill", "term", "stall":
-			do := map[string]string{"kill": Kill, "term": Term, "stall": Stall}[e.Do]
+			do := map[string]string{"kill": Kill, "term": Term, "stall": Stall}[e.Action]
 			nodes := []int{e.Node}
-			if e.Part > 0 {
-				nodes = part(e.Part)
-				announce("%s %d nodes", e.Do, len(nodes))
+			if e.Fraction > 0 {
+				nodes = part(e.Fraction)
+				announce("%s %d nodes", e.Action, len(nodes))
 			} else {
-				announce("%s node %d", e.Do, e.Node)
+				announce("%s node %d", e.Action, e.Node)
 			}
 			for _, n := range nodes {
 				step(Step{At: at, Do: do, Node: n})
@@ -304,30 +304,30 @@
 		case "cut-nodes":
 			var nodes []int
 			if e.Site == "" {
-				nodes = part(e.Part)
+				nodes = part(e.Fraction)
 			}
 			for n := range s.Nodes.Count {
 				if e.Site != "" && s.Sites[n%len(s.Sites)].Name == e.Site {
 					nodes = append(nodes, n+1)
 				}
 			}
-			announce("%d nodes are cut off from the others, %s, for %v", len(nodes), e.Way, e.For)
+			announce("%d nodes are cut off from the others, %s, for %v", len(nodes), e.Direction, e.Lasts)
 			cuts++
 			for _, n := range nodes {
-				step(Step{At: at, Do: CutNode, Node: n, Text: e.Way, By: cuts})
+				step(Step{At: at, Do: CutNode, Node: n, Text: e.Direction, By: cuts})
 			}
 			step(Step{At: end, Do: Mend, By: cuts})
 		case "drop-words", "double-words", "spoil-words", "late-words":
-			announce("%s, %v, for %v", e.Do, cmp.Or(e.Part, e.By), e.For)
-			step(Step{At: at, Do: Words, Text: e.Do, By: cmp.Or(e.Part, e.By)})
-			step(Step{At: end, Do: Words, Text: e.Do})
+			announce("%s, %v, for %v", e.Action, cmp.Or(e.Fraction, e.Factor), e.Lasts)
+			step(Step{At: at, Do: Words, Text: e.Action, By: cmp.Or(e.Fraction, e.Factor)})
+			step(Step{At: end, Do: Words, Text: e.Action})
 		case "lose-site":
-			announce("site %s is lost for %v", e.Site, e.For)
+			announce("site %s is lost for %v", e.Site, e.Lasts)
 			lost[e.Site] = append(lost[e.Site], life{at, end})
 			for _, i := range there(at, at) {
 				if id := p.Boxes[i].ID; p.Boxes[i].Site == e.Site {
 					step(Step{At: at, Do: Silence, Box: id})
-					step(Step{At: at + scenario.LostKnown, Do: Crash, Box: id})
+					step(Step{At: at + scenario.LostSiteListDelay, Do: Crash, Box: id})
 					step(Step{At: end, Do: Restart, Box: id})
 				}
 			}
@@ -345,30 +345,30 @@
 				}
 			}
 		case "list-outage":
-			announce("the list is silent for %v, to %s", e.For, cmp.Or(e.Site, "all"))
+			announce("the list is silent for %v, to %s", e.Lasts, cmp.Or(e.Site, "all"))
 			step(Step{At: at, Do: Hush, Text: e.Site})
 			step(Step{At: end, Do: Speak, Text: e.Site})
 		case "cut-links":
-			announce("links of %s to %s are cut, %s, for %v", cmp.Or(e.Site, "each site"), cmp.Or(e.To, "all others"), e.Way, e.For)
+			announce("links of %s to %s are cut, %s, for %v", cmp.Or(e.Site, "each site"), cmp.Or(e.To, "all others"), e.Direction, e.Lasts)
 			for _, way := range p.dark(e) {
 				step(Step{At: at, Do: Dark, Text: way, By: 1})
 				step(Step{At: end, Do: Dark, Text: way})
 			}
 		case "list-stale":
-			announce("the list is %.1f s further behind for %v", e.By, e.For)
-			step(Step{At: at, Do: Lag, By: e.By})
+			announce("the list is %.1f s further behind for %v", e.Factor, e.Lasts)
+			step(Step{At: at, Do: Lag, By: e.Factor})
 			step(Step{At: end, Do: Lag})
 		case "surge":
-			announce("traffic times %.1f for %v", e.By, e.For)
-			p.levels = append(p.levels, level{at, end, func(time.Duration) float64 { return e.By }})
+			announce("traffic times %.1f for %v", e.Factor, e.Lasts)
+			p.levels = append(p.levels, level{at, end, func(time.Duration) float64 { return e.Factor }})
 		case "greedy":
-			announce("the first tenant asks for %.0f more a second, for %v", e.Rate, e.For)
+			announce("the first tenant asks for %.0f more a second, for %v", e.Rate, e.Lasts)
 			p.greedy = append(p.greedy, level{at, end, func(time.Duration) float64 { return e.Rate }})
 		case "bad-clients":
-			announce("%.0f bad clients a second for %v", e.Rate, e.For)
+			announce("%.0f bad clients a second for %v", e.Rate, e.Lasts)
 			kinds := e.Kinds
 			if len(kinds) == 0 {
-				kinds = scenario.BadKinds
+				kinds = scenario.InvalidClientKinds
 			}
 			for t := at; ; {
 				t += time.Duration(rng.ExpFloat64() / e.Rate * 1e9)
@@ -394,7 +394,7 @@
 		for _, b := range p.Scenario.Sites {
 			out := (e.Site == "" || a.Name == e.Site) && (e.To == "" || b.Name == e.To)
 			in := (e.Site == "" || b.Name == e.Site) && (e.To == "" || a.Name == e.To)
-			if a.Name != b.Name && (out && e.Way != "in" || in && e.Way != "out") {
+			if a.Name != b.Name && (out && e.Direction != "in" || in && e.Direction != "out") {
 				ways = append(ways, a.Name+">"+b.Name)
 			}
 		}
@@ -470,7 +470,7 @@
 	for _, t := range s.Tenants {
 		sum += t.Share
 	}
-	return s.Traffic.Rate * s.Traffic.QuotaShare * s.Tenants[tenant].Share / sum
+	return s.Traffic.Rate * s.Traffic.QuotaFactor * s.Tenants[tenant].Share / sum
 }
 
 // Next returns the next need; false after the last.
@@ -493,7 +493,7 @@
 		work *= math.Exp(n.rng.NormFloat64()*math.Sqrt(s2) - s2/2)
 	}
 	d := Need{N: n.n, At: n.t, Class: class, Tenant: pick(n.rng, n.tenant), Site: pick(n.rng, n.site),
-		Work: time.Duration(work * 1e9).Round(time.Microsecond), Honours: n.rng.Float64() < s.Clients.Honour, Seed: n.rng.Uint64()}
+		Work: time.Duration(work * 1e9).Round(time.Microsecond), Honours: n.rng.Float64() < s.Clients.HonourRetryAfter, Seed: n.rng.Uint64()}
 	if n.rng.Float64() < s.Clients.Impatient {
 		d.Impatient = time.Duration(n.rng.Float64() * 0.3 * float64(c.Deadline.D()))
 	}
@@ -505,7 +505,7 @@
 	if g := n.p.Greed(n.t); g > 0 && n.rng.Float64()*n.p.Rate(n.t) < g {
 		d.Tenant = 0
 	}
-	d.Once = n.rng.Float64() < s.Clients.Once
+	d.Once = n.rng.Float64() < s.Clients.SingleUse
 	if n.credits[d.Tenant] >= 1 {
 		n.credits[d.Tenant]--
 	} else {
@@ -528,7 +528,7 @@
 // now is on the clock that Need.At is on.
 func (p *Plan) Patience(n *Need, now time.Duration) time.Duration {
 	deadline := p.Scenario.Classes[n.Class].Deadline.D()
-	wait := min(time.Duration(float64(deadline)*p.Scenario.Clients.TryShare), n.At+deadline-now)
+	wait := min(time.Duration(float64(deadline)*p.Scenario.Clients.TryFraction), n.At+deadline-now)
 	if wait < 5*time.Millisecond {
 		return 0
 	}
@@ -545,12 +545,12 @@
 	}
 	switch c.Backoff {
 	case "fixed":
-		pause = c.Wait.D()
+		pause = c.RetryWait.D()
 	case "exponential":
-		pause = c.Wait.D() << try
+		pause = c.RetryWait.D() << try
 	}
 	if n.Honours && retryAfter > 0 {
-		pause = min(retryAfter, c.MaxWait.D())
+		pause = min(retryAfter, c.MaxRetryAfter.D())
 	}
 	return pause, true
 }
--- a/internal/kit/proof/proof_test.go
+++ b/internal/kit/proof/proof_test.go
@@ -58,12 +58,12 @@
 	{name: "twice", names: []string{judge.SecondAnswer}},
 	{name: "after", names: []string{judge.SentAfterEnd}},
 	{name: "crash", names: []string{judge.NodeCrashed}},
-	{name: "unsafe", names: []string{judge.UnsafeTwice}},
-	{name: "group", names: []string{judge.OutsideGroup}},
-	{name: "window", names: []string{judge.AfterWindow}},
+	{name: "unsafe", names: []string{judge.UnsafeRepeat}},
+	{name: "group", names: []string{judge.RepeatOutsideGroup}},
+	{name: "window", names: []string{judge.RepeatAfterWindow}},
 	{name: "refuse", names: []string{judge.FalseRefusal}},
-	{name: "drain", names: []string{judge.Drained}},
-	{name: "cold", names: []string{judge.Flooded}},
+	{name: "drain", names: []string{judge.SentToDraining}},
+	{name: "cold", names: []string{judge.ColdOverload}},
 }
 
 const (
@@ -72,10 +72,10 @@
 )
 
 var daemonFaults = []fault{
-	{name: "drains not taken in", names: []string{judge.Drained}, file: "internal/engine/list.go",
+	{name: "drains not taken in", names: []string{judge.SentToDraining}, file: "internal/engine/list.go",
 		old: `			x.State = policy.Draining`,
 		new: `			x.State = policy.Active; ` + engineLogged + `"-", "box", s.ID)`},
-	{name: "a reset counts as never run", names: []string{judge.UnsafeTwice, judge.FalseRefusal, judge.OutsideGroup, judge.AfterWindow},
+	{name: "a reset counts as never run", names: []string{judge.UnsafeRepeat, judge.FalseRefusal, judge.RepeatOutsideGroup, judge.RepeatAfterWindow},
 		file: "internal/httpcarrier/carrier.go",
 		old:  `		outcome := policy.Reset // unless shown otherwise it may have run`,
 		new:  `		outcome := policy.ConnectFailed; ` + logged + `r.ID)`},
@@ -85,10 +85,10 @@
 	{name: "the deadline read too long", names: []string{judge.LateAnswer, judge.NoAnswer}, file: "internal/engine/engine.go",
 		old: `	remaining := r.ClientTimeout - time.Since(r.Arrived) - Transit`,
 		new: `	remaining := r.ClientTimeout + 150*time.Millisecond; time.AfterFunc(r.ClientTimeout, func() { ` + engineLogged + `r.ID) })`},
-	{name: "groups not looked at", names: []string{judge.OutsideGroup}, file: "policy/policy.go",
+	{name: "groups not looked at", names: []string{judge.RepeatOutsideGroup}, file: "policy/policy.go",
 		old: `		(group != GroupZone || s.Zone == m.Zone) && (group != GroupCell || s.Cell == m.Cell)`,
 		new: `		(group != GroupZone || s.Zone == m.Zone || b.planted(r.id)) && (group != GroupCell || s.Cell == m.Cell)`},
-	{name: "the window not looked at", names: []string{judge.AfterWindow}, file: "policy/policy.go",
+	{name: "the window not looked at", names: []string{judge.RepeatAfterWindow}, file: "policy/policy.go",
 		old: `		c.Effect == Safe || c.Effect == Keyed && now < r.retryBefore)`,
 		new: `		c.Effect == Safe || c.Effect == Keyed && (now < r.retryBefore || b.planted(r.id) && func() bool { r.retryBefore = 0; return true }()))`},
 	{name: "a reset ends the node", names: []string{judge.NodeCrashed}, file: "internal/httpcarrier/carrier.go",
@@ -97,13 +97,13 @@
 	{name: "a reset under a streamed body counts as never run", names: []string{judge.FalseRefusal}, file: "internal/httpcarrier/carrier.go", day: "limits.toml",
 		old: `		outcome := policy.Reset // unless shown otherwise it may have run`,
 		new: `		outcome := policy.Reset; if p != nil && p.Drained != nil { outcome = policy.ConnectFailed; ` + logged + `r.ID) }`},
-	{name: "a body read back with a wrong byte", names: []string{judge.Unasked}, file: "internal/httpcarrier/carrier.go", day: "limits.toml",
+	{name: "a body read back with a wrong byte", names: []string{judge.UnsentRequest}, file: "internal/httpcarrier/carrier.go", day: "limits.toml",
 		old: `		err = p.Send(ctx, c)`,
 		new: `		if p.Tier == bodies.Disk { ` + logged + `r.ID); c.Conn = &plantedFlip{Conn: c.Conn} }; err = p.Send(ctx, c)`},
 	{name: "no room for a body, and no word of it", names: []string{judge.CutOff}, file: "internal/httpfront/read.go", day: "limits.toml",
 		old: `	if rej := s.readBody(c, r, end); rej != nil {`,
 		new: `	if rej := s.readBody(c, r, end); rej != nil && rej.Status == 503 { r.Release(); s.log.Info("planted", "id", r.ID); return nil, nil } else if rej != nil {`},
-	{name: "a drain that DNS tells not taken in", names: []string{judge.Drained}, file: "internal/engine/members.go", day: "dns.toml",
+	{name: "a drain that DNS tells not taken in", names: []string{judge.SentToDraining}, file: "internal/engine/members.go", day: "dns.toml",
 		old: `	changed, requery := e.members.UpdateNames(e.clock.Now(), source, backends)`,
 		new: `	changed, requery := e.members.UpdateNames(e.clock.Now(), source, backends); for i := range changed { if !changed[i].Use { ` + engineLogged + `"-", "box", changed[i].Backend.ID) } }; changed = nil`},
 	{name: "an answer for the request before", names: []string{judge.WrongAnswer}, file: "internal/engine/engine.go",
@@ -113,11 +113,11 @@
 
 // rpcFaults are lines of the JSON-RPC side, played on its own day.
 var rpcFaults = []fault{
-	{name: "a connection that broke counts as never run", names: []string{judge.UnsafeTwice, judge.FalseRefusal, judge.OutsideGroup, judge.AfterWindow},
+	{name: "a connection that broke counts as never run", names: []string{judge.UnsafeRepeat, judge.FalseRefusal, judge.RepeatOutsideGroup, judge.RepeatAfterWindow},
 		file: "internal/rpccarrier/carrier.go", day: "jsonrpc.toml",
 		old: `			return engine.Result{Outcome: policy.Reset} // its last byte was written: it may have run`,
 		new: `			n.cfg.Log.Info("planted", "id", "-"); return engine.Result{Outcome: policy.ConnectFailed}`},
-	{name: "drains not taken in where a box speaks JSON-RPC", names: []string{judge.Drained}, file: "internal/engine/list.go", day: "jsonrpc.toml",
+	{name: "drains not taken in where a box speaks JSON-RPC", names: []string{judge.SentToDraining}, file: "internal/engine/list.go", day: "jsonrpc.toml",
 		old: `			x.State = policy.Draining`,
 		new: `			x.State = policy.Draining; if s.RPC != "" { x.State = policy.Active; ` + engineLogged + `"-", "box", s.ID) }`},
 	// Where the request whose answer is given away has a second attempt out, that one's answer comes to it as well: the same
@@ -348,7 +348,7 @@
 		for _, m := range p.truth {
 			if (m.id == "-" || m.id == x.Request) && (m.box == "-" || x.Box == "" || m.box == x.Box || m.id != "-") {
 				d := at.Sub(m.at).Abs()
-				if f.names[0] == judge.Drained && m.id == "-" && at.After(m.at) {
+				if f.names[0] == judge.SentToDraining && m.id == "-" && at.After(m.at) {
 					d = 0 // from when the drain is not taken in on, every send to that box is the fault
 				}
 				off = min(off, d)
--- a/internal/kit/proof/scripts_test.go
+++ b/internal/kit/proof/scripts_test.go
@@ -153,7 +153,7 @@
 			}
 			p := rehearse(t, craneglade, file, int(seed), nil)
 			unblamed(t, p)
-			if p.rep.Verdict.Shares == 0 {
+			if p.rep.Verdict.SharingRecords == 0 {
 				t.Error("the nodes shared nothing")
 			}
 			t.Logf("| script %d | %d requests | %d rehearsals | failed: %v |", seed, p.rep.Whole.Asked, p.runs, t.Failed())
@@ -190,7 +190,7 @@
 	for seed := 1; seed <= *seeds; seed++ {
 		p := rehearse(t, now, day, seed, nil, some, "serve")
 		unblamed(t, p)
-		if p.rep.Verdict.Shares == 0 {
+		if p.rep.Verdict.SharingRecords == 0 {
 			t.Errorf("seed %d: the nodes shared nothing", seed)
 		}
 	}
--- a/internal/kit/proof/shared_test.go
+++ b/internal/kit/proof/shared_test.go
@@ -43,24 +43,24 @@
 	{fault{name: "a loan that is out at its owner for half its term", names: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
 		old: `	d.loans = append(d.loans, loan{a.Nonce, grains, now + l.terms.lenderTerm()})`,
 		new: `	d.loans = append(d.loans, loan{a.Nonce, grains, now + l.terms.Term/2})`}, false},
-	{fault{name: "a quorum of one", names: []string{judge.NoQuorum}, file: "internal/shared/judgement/judgement.go", day: "quorum.toml",
+	{fault{name: "a quorum of one", names: []string{judge.EjectedWithoutQuorum}, file: "internal/shared/judgement/judgement.go", day: "quorum.toml",
 		old: `		if !succeededLately(k) && t.Unhealthy >= p.limits.Quorum && t.Unhealthy > t.Healthy {`,
 		new: `		if !succeededLately(k) && t.Unhealthy >= 1 && t.Unhealthy > t.Healthy {`}, false},
-	{fault{name: "no ceiling", names: []string{judge.OverCeiling}, file: "internal/shared/judgement/judgement.go", day: "ceiling.toml",
+	{fault{name: "no ceiling", names: []string{judge.OverEjectionCeiling}, file: "internal/shared/judgement/judgement.go", day: "ceiling.toml",
 		old: `	return float64(ejected) <= p.limits.MaxFleetFraction*float64(len(p.siteOf)) && float64(ejectedInSite) <= p.limits.MaxSiteFraction*float64(p.siteSizes[site])`,
 		new: `	return float64(ejectedInSite) <= 2*float64(p.siteSizes[site])`}, false},
-	{fault{name: "the last word counts, and not the newest", names: []string{judge.TurnedBack, judge.Behind}, file: "internal/shared/counts/counts.go", day: "counts.toml",
+	{fault{name: "the last word counts, and not the newest", names: []string{judge.CountRegressed, judge.StaleCount}, file: "internal/shared/counts/counts.go", day: "counts.toml",
 		old: `	joined := Join(old.Window, window)`, new: `	joined := window`}, false},
-	{fault{name: "an earlier life believed", names: []string{judge.Behind, judge.TurnedBack}, file: "internal/shared/counts/counts.go", day: "counts.toml",
+	{fault{name: "an earlier life believed", names: []string{judge.StaleCount, judge.CountRegressed}, file: "internal/shared/counts/counts.go", day: "counts.toml",
 		old: `		if a.Incarnation > b.Incarnation {`, new: `		if a.Incarnation < b.Incarnation {`}, false},
-	{fault{name: "a life that begins its counts anew under the name of the one before", names: []string{judge.Behind, judge.TurnedBack}, file: "internal/peers/peers.go", day: "counts.toml",
+	{fault{name: "a life that begins its counts anew under the name of the one before", names: []string{judge.StaleCount, judge.CountRegressed}, file: "internal/peers/peers.go", day: "counts.toml",
 		old: `	p.replica = shared.New(shared.Config{Name: cfg.Name, Self: escrow.Node{Number: cfg.Policy.Number, Incarnation: uint64(time.Now().UnixMilli())},`,
 		new: `	p.replica = shared.New(shared.Config{Name: cfg.Name, Self: escrow.Node{Number: cfg.Policy.Number, Incarnation: uint64(time.Now().Unix() / 3600 * 3600000)},`}, false},
 	{fault{name: "requests counted twice", names: []string{judge.Miscounted}, file: "internal/shared/counts/counts.go", day: "counts.toml",
 		old: `	w.Counts[0] += n`, new: `	w.Counts[0] += 2 * n`}, false},
-	{fault{name: "a bound that leaves silent members out", names: []string{judge.OutOfBounds}, file: "internal/shared/roster/roster.go", day: "counts.toml",
+	{fault{name: "a bound that leaves silent members out", names: []string{judge.MembershipOutOfBounds}, file: "internal/shared/roster/roster.go", day: "counts.toml",
 		old: `	c := Count{Lower: 1, Upper: max(r.configured, 1)}`, new: `	c := Count{Lower: 1, Upper: 1}`}, false},
-	{fault{name: "a seed is asked once", names: []string{judge.Apart}, file: "internal/peers/peers.go", day: "apart.toml",
+	{fault{name: "a seed is asked once", names: []string{judge.NodesUnaware}, file: "internal/peers/peers.go", day: "apart.toml",
 		old: `		case <-time.After(rejoinEvery):`, new: `		case <-time.After(time.Hour):`}, false},
 }
 
@@ -124,7 +124,7 @@
 			for seed := 1; seed <= *seeds; seed++ {
 				p := play(t, day, seed)
 				unblamed(t, p)
-				if p.rep.Verdict.Shares == 0 {
+				if p.rep.Verdict.SharingRecords == 0 {
 					t.Errorf("seed %d: the nodes shared nothing", seed)
 				}
 			}
--- a/internal/kit/report/html.go
+++ b/internal/kit/report/html.go
@@ -62,8 +62,8 @@
 
 // drawing is a chart as long as the run.
 func (r *Report) drawing(height float64, label string) *chart.Chart {
-	end := max(r.Seconds, float64(len(r.PerS)), 1)
-	for _, b := range r.Boxes {
+	end := max(r.Seconds, float64(len(r.PerSecond)), 1)
+	for _, b := range r.Backends {
 		if n := len(b.Spans); n > 0 {
 			end = max(end, b.Spans[n-1].To)
 		}
@@ -83,12 +83,12 @@
 			row = 0
 		}
 		last = x
-		s.F(`<g><title>%.1f s: %s</title><line class="event" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/><circle class="dot" cx="%.1f" cy="%.1f" r="7"/><text class="num" x="%.1f" y="%.1f" text-anchor="middle">%d</text></g>`,
+		s.Printf(`<g><title>%.1f s: %s</title><line class="event" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/><circle class="dot" cx="%.1f" cy="%.1f" r="7"/><text class="num" x="%.1f" y="%.1f" text-anchor="middle">%d</text></g>`,
 			e.At, template.HTMLEscapeString(e.Text), x, x, top, bottom, x, top+7+row*15, x, top+10.5+row*15, i+1)
 	}
 	for _, v := range r.Verdict.Violations {
 		x := s.X(r.sec(v.At))
-		s.F(`<g><title>%s</title><line class="broken" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/></g>`, template.HTMLEscapeString(r.Line(v)), x, x, top, bottom)
+		s.Printf(`<g><title>%s</title><line class="broken" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/></g>`, template.HTMLEscapeString(r.Line(v)), x, x, top, bottom)
 	}
 }
 
@@ -107,30 +107,30 @@
 	s := r.drawing(280, "requests a second by what became of them")
 	const top, bottom = 44.0, 250.0
 	high := 1.0
-	for _, p := range r.PerS {
+	for _, p := range r.PerSecond {
 		high = max(high, float64(p.Asked))
 	}
 	s.Axis(bottom, top)
 	y := s.Scale(bottom, top, math.Ceil(high*1.05), "requests a second")
 	bar := plotW / s.End
-	for i, p := range r.PerS {
+	for i, p := range r.PerSecond {
 		sum := 0.0
 		for _, k := range kinds {
 			n := float64(k.of(p))
 			if n == 0 {
 				continue
 			}
-			s.F(`<rect class="%s" x="%.1f" y="%.1f" width="%.1f" height="%.1f"><title>%d s: %d %s of %d</title></rect>`, k.class, s.X(float64(i))+0.5,
+			s.Printf(`<rect class="%s" x="%.1f" y="%.1f" width="%.1f" height="%.1f"><title>%d s: %d %s of %d</title></rect>`, k.class, s.X(float64(i))+0.5,
 				y(sum+n), max(bar-1, 0.5), y(sum)-y(sum+n), i, int(n), k.name, p.Asked)
 			sum += n
 		}
 	}
 	r.marks(s, top, bottom)
 	for i, k := range kinds {
-		s.F(`<rect class="%s" x="%.1f" y="8" width="12" height="12"/><text class="tick" x="%.1f" y="18">%s</text>`, k.class, left+240+float64(i)*130,
+		s.Printf(`<rect class="%s" x="%.1f" y="8" width="12" height="12"/><text class="tick" x="%.1f" y="18">%s</text>`, k.class, left+240+float64(i)*130,
 			left+257+float64(i)*130, k.name)
 	}
-	s.F(`</svg>`)
+	s.Printf(`</svg>`)
 	return s.String()
 }
 
@@ -139,36 +139,36 @@
 	s := r.drawing(220, "latency of served requests by second")
 	const top, bottom = 30.0, 190.0
 	high := 50.0
-	for _, p := range r.PerS {
+	for _, p := range r.PerSecond {
 		high = max(high, p.P95)
 	}
 	s.Axis(bottom, top)
 	y := s.Scale(bottom, top, math.Ceil(high*1.05), "ms")
 	line := func(class string, of func(Second) float64) {
 		var at []string
-		for i, p := range r.PerS {
+		for i, p := range r.PerSecond {
 			if v := of(p); v > 0 {
 				at = append(at, fmt.Sprintf("%.1f,%.1f", s.X(float64(i)+0.5), y(v)))
 			}
 		}
-		s.F(`<polyline class="%s" points="%s"/>`, class, strings.Join(at, " "))
+		s.Printf(`<polyline class="%s" points="%s"/>`, class, strings.Join(at, " "))
 	}
 	line("p95", func(p Second) float64 { return p.P95 })
 	line("p50", func(p Second) float64 { return p.P50 })
-	s.F(`<line class="p50" x1="%.0f" x2="%.0f" y1="14" y2="14"/><text class="tick" x="%.0f" y="18">median</text><line class="p95" x1="%.0f" x2="%.0f" y1="14" y2="14"/><text class="tick" x="%.0f" y="18">95th percentile</text>`,
+	s.Printf(`<line class="p50" x1="%.0f" x2="%.0f" y1="14" y2="14"/><text class="tick" x="%.0f" y="18">median</text><line class="p95" x1="%.0f" x2="%.0f" y1="14" y2="14"/><text class="tick" x="%.0f" y="18">95th percentile</text>`,
 		left+240, left+264, left+270, left+370, left+394, left+400)
 	for _, v := range r.Verdict.Violations {
-		s.F(`<line class="broken" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/>`, s.X(r.sec(v.At)), s.X(r.sec(v.At)), top, bottom)
+		s.Printf(`<line class="broken" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/>`, s.X(r.sec(v.At)), s.X(r.sec(v.At)), top, bottom)
 	}
-	s.F(`</svg>`)
+	s.Printf(`</svg>`)
 	return s.String()
 }
 
 // lanes are the boxes, one below the other.
 func (r *Report) lanes() string {
 	const lane, siteH, top = 24.0, 18.0, 28.0
-	boxes := slices.Clone(r.Boxes)
-	slices.SortStableFunc(boxes, func(a, b Box) int { return cmp.Compare(a.Site, b.Site) })
+	boxes := slices.Clone(r.Backends)
+	slices.SortStableFunc(boxes, func(a, b Backend) int { return cmp.Compare(a.Site, b.Site) })
 	sites := 0
 	for i := range boxes {
 		if i == 0 || boxes[i].Site != boxes[i-1].Site {
@@ -179,7 +179,7 @@
 	most := 8
 	for _, b := range boxes {
 		for _, p := range b.Load {
-			most = max(most, p.Held)
+			most = max(most, p.InFlight)
 		}
 	}
 	bottom := top + lane*float64(len(boxes)) + siteH*float64(sites)
@@ -188,36 +188,36 @@
 	for _, b := range boxes {
 		if b.Site != site {
 			site = b.Site
-			s.F(`<text class="site" x="4" y="%.1f">%s</text>`, next+13, template.HTMLEscapeString(site))
+			s.Printf(`<text class="site" x="4" y="%.1f">%s</text>`, next+13, template.HTMLEscapeString(site))
 			next += siteH
 		}
 		y := next
 		next += lane
-		s.F(`<text class="lane" x="%.1f" y="%.1f" text-anchor="end">%s</text><g><title>%s, %s, %s: %d attempts, %d served, %d turned away, %d failed, spoilt or reset</title>`,
-			left-4, y+16, strings.TrimPrefix(b.ID, "s-")[:min(8, len(b.ID)-2)], b.ID, b.Kind, b.Site, b.Got, b.Served, b.Turned, b.Broken)
+		s.Printf(`<text class="lane" x="%.1f" y="%.1f" text-anchor="end">%s</text><g><title>%s, %s, %s: %d attempts, %d served, %d turned away, %d failed, spoilt or reset</title>`,
+			left-4, y+16, strings.TrimPrefix(b.ID, "s-")[:min(8, len(b.ID)-2)], b.ID, b.Kind, b.Site, b.Attempts, b.Served, b.Rejected, b.Failed)
 		for _, p := range b.Spans {
-			s.F(`<rect class="st-%s" x="%.1f" y="%.1f" width="%.1f" height="%.1f"/>`, p.State, s.X(p.From), y+2, max(s.X(p.To)-s.X(p.From), 0.5), lane-4)
+			s.Printf(`<rect class="st-%s" x="%.1f" y="%.1f" width="%.1f" height="%.1f"/>`, p.State, s.X(p.From), y+2, max(s.X(p.To)-s.X(p.From), 0.5), lane-4)
 		}
-		s.F(`</g>`)
+		s.Printf(`</g>`)
 		if len(b.Load) > 1 {
 			var at []string
 			for _, p := range b.Load {
-				at = append(at, fmt.Sprintf("%.1f,%.1f", s.X(p.At), y+lane-3-(lane-6)*float64(p.Held)/float64(most)))
+				at = append(at, fmt.Sprintf("%.1f,%.1f", s.X(p.At), y+lane-3-(lane-6)*float64(p.InFlight)/float64(most)))
 			}
-			s.F(`<polyline class="held" points="%s"/>`, strings.Join(at, " "))
+			s.Printf(`<polyline class="held" points="%s"/>`, strings.Join(at, " "))
 		}
 		for _, v := range r.Verdict.Violations {
 			if v.Box == b.ID {
-				s.F(`<circle class="hit" cx="%.1f" cy="%.1f" r="5"><title>%s</title></circle>`, s.X(r.sec(v.At)), y+lane/2, template.HTMLEscapeString(r.Line(v)))
+				s.Printf(`<circle class="hit" cx="%.1f" cy="%.1f" r="5"><title>%s</title></circle>`, s.X(r.sec(v.At)), y+lane/2, template.HTMLEscapeString(r.Line(v)))
 			}
 		}
 	}
 	x := left
 	for _, k := range []string{"normal", "cold", "slow", "Terminating", "silent", "fallen"} {
 		name := strings.ToLower(strings.Replace(k, "Terminating", "leaving", 1))
-		s.F(`<rect class="st-%s" x="%.1f" y="4" width="14" height="14"/><text class="tick" x="%.1f" y="15">%s</text>`, k, x, x+18, name)
+		s.Printf(`<rect class="st-%s" x="%.1f" y="4" width="14" height="14"/><text class="tick" x="%.1f" y="15">%s</text>`, k, x, x+18, name)
 		x += 90
 	}
-	s.F(`<line class="held" x1="%.1f" x2="%.1f" y1="11" y2="11"/><text class="tick" x="%.1f" y="15">requests held (full height: %d)</text></svg>`, x, x+24, x+30, most)
+	s.Printf(`<line class="held" x1="%.1f" x2="%.1f" y1="11" y2="11"/><text class="tick" x="%.1f" y="15">requests held (full height: %d)</text></svg>`, x, x+24, x+30, most)
 	return s.String()
 }
--- a/internal/kit/report/report.go
+++ b/internal/kit/report/report.go
@@ -25,25 +25,25 @@
 
 // Report is what a trace shows in figures. Shares are parts of 1, times milliseconds unless named otherwise.
 type Report struct {
-	Scenario string         `json:"scenario"`
-	Seed     uint64         `json:"seed"`
-	Started  string         `json:"started_at"`
-	Begin    int64          `json:"begin_us"` // when the traffic began, in the trace's time
-	Seconds  float64        `json:"seconds"`
-	Whole    Service        `json:"whole"`
-	Figure   float64        `json:"figure"` // the weighted share, before prices
-	Classes  []Service      `json:"classes"`
-	Tenants  []Service      `json:"tenants"`
-	Windows  []Service      `json:"windows"`
-	PerS     []Second       `json:"per_second"`
-	Boxes    []Box          `json:"boxes"`
-	Nodes    []Node         `json:"nodes"`
-	Events   []Mark         `json:"events"`
-	Bad      []Bad          `json:"bad_clients,omitempty"`
-	Attempts Attempts       `json:"attempts"`
-	Broken   []Group        `json:"broken"`
-	Verdict  *judge.Verdict `json:"verdict"`
-	Kit      any            `json:"kit,omitempty"` // what the kit used itself
+	Scenario  string         `json:"scenario"`
+	Seed      uint64         `json:"seed"`
+	Started   string         `json:"started_at"`
+	Begin     int64          `json:"begin_us"` // when the traffic began, in the trace's time
+	Seconds   float64        `json:"seconds"`
+	Whole     Service        `json:"whole"`
+	Figure    float64        `json:"figure"` // the weighted share, before prices
+	Classes   []Service      `json:"classes"`
+	Tenants   []Service      `json:"tenants"`
+	Windows   []Service      `json:"windows"`
+	PerSecond []Second       `json:"per_second"`
+	Backends  []Backend      `json:"boxes"`
+	Nodes     []Node         `json:"nodes"`
+	Events    []Event        `json:"events"`
+	Bad       []Bad          `json:"bad_clients,omitempty"`
+	Attempts  Attempts       `json:"attempts"`
+	Broken    []Group        `json:"broken"`
+	Verdict   *judge.Verdict `json:"verdict"`
+	Kit       any            `json:"kit,omitempty"` // what the kit used itself
 }
 
 // Service is how some of the needs were served.
@@ -72,17 +72,17 @@
 	took                                 []float64
 }
 
-// Box is one box's lane.
-type Box struct {
-	ID     string  `json:"id"`
-	Site   string  `json:"site"`
-	Kind   string  `json:"kind"`
-	Spans  []Span  `json:"spans"`
-	Load   []Point `json:"load"`
-	Got    int     `json:"attempts"`
-	Served int     `json:"served"`
-	Turned int     `json:"turned_away"`
-	Broken int     `json:"failed_spoilt_or_reset"`
+// Backend is one box's lane.
+type Backend struct {
+	ID       string  `json:"id"`
+	Site     string  `json:"site"`
+	Kind     string  `json:"kind"`
+	Spans    []Span  `json:"spans"`
+	Load     []Point `json:"load"`
+	Attempts int     `json:"attempts"`
+	Served   int     `json:"served"`
+	Rejected int     `json:"turned_away"`
+	Failed   int     `json:"failed_spoilt_or_reset"`
 }
 
 // Span is a time in one state; times are seconds since the traffic began.
@@ -94,8 +94,8 @@
 
 // Point is what a box holds at one moment.
 type Point struct {
-	At   float64 `json:"at"`
-	Held int     `json:"held"`
+	At       float64 `json:"at"`
+	InFlight int     `json:"held"`
 }
 
 // Node is one node.
@@ -111,8 +111,8 @@
 	Lives     int     `json:"lives"`
 }
 
-// Mark is something that happened.
-type Mark struct {
+// Event is something that happened.
+type Event struct {
 	At   float64 `json:"at"`
 	Text string  `json:"text"`
 }
@@ -183,7 +183,7 @@
 }
 
 type lane struct {
-	Box
+	Backend
 	state map[string]bool
 	since float64
 	now   string
@@ -209,7 +209,7 @@
 
 // Add takes in one record.
 func (c *Collector) Add(r trace.Record) {
-	if r.Kind != trace.Told { // a told record may lie ahead
+	if r.Kind != trace.Notified { // a told record may lie ahead
 		c.last = max(c.last, r.T)
 	}
 	switch r.Kind {
@@ -218,8 +218,8 @@
 			c.begin, c.rep.Begin = r.T, r.T
 			return
 		}
-		c.rep.Events = append(c.rep.Events, Mark{c.s(r.T), r.Text})
-	case trace.Want:
+		c.rep.Events = append(c.rep.Events, Event{c.s(r.T), r.Text})
+	case trace.Planned:
 		c.wants[r.ID] = r
 	case trace.Done:
 		c.done(r)
@@ -232,17 +232,17 @@
 		if n := c.nodes[r.Node]; n != nil {
 			n.Answers++
 		}
-	case trace.Recv:
+	case trace.Received:
 		c.recv(r)
 	case trace.Reply:
 		c.reply(r)
-	case trace.Box:
+	case trace.Backend:
 		c.box(r)
 	case trace.Load:
-		if b := c.boxes[r.Box]; b != nil && c.s(r.T) >= 0 {
-			b.Load = append(b.Load, Point{c.s(r.T), r.Held})
+		if b := c.boxes[r.Backend]; b != nil && c.s(r.T) >= 0 {
+			b.Load = append(b.Load, Point{c.s(r.T), r.InFlight})
 		}
-	case trace.Proc:
+	case trace.Process:
 		n := c.nodes[r.Node]
 		if n == nil {
 			return
@@ -250,16 +250,16 @@
 		switch r.State {
 		case trace.Started:
 			n.Lives++
-		case trace.Kill, trace.Term, trace.Hup, trace.Crashed, trace.Up:
+		case trace.Kill, trace.Term, trace.Hup, trace.Crashed, trace.NodeReady:
 			if c.begin >= 0 && r.T < c.begin+c.head.Length { // the end of all nodes is none
-				c.rep.Events = append(c.rep.Events, Mark{c.s(r.T), r.Node + " " + r.State})
+				c.rep.Events = append(c.rep.Events, Event{c.s(r.T), r.Node + " " + r.State})
 			}
 		}
-	case trace.Use:
+	case trace.Usage:
 		if n := c.nodes[r.Node]; n != nil {
 			n.PeakMB, n.PeakFiles = max(n.PeakMB, float64(r.Bytes)/(1<<20)), max(n.PeakFiles, r.Conns)
 		}
-	case trace.Bad:
+	case trace.InvalidClient:
 		b := c.bad[r.Why]
 		if b == nil {
 			b = &Bad{Kind: r.Why}
@@ -299,15 +299,15 @@
 	if class == nil {
 		return
 	}
-	worth := class.Worth
-	if w.Over {
-		worth *= c.head.OverShare
+	worth := class.Utility
+	if w.OverQuota {
+		worth *= c.head.OverQuotaUtility
 	}
 	second := int(c.s(w.T))
 	sec := get(c.perS, second, func() *Second { return &Second{} })
 	sec.Asked++
 	took := float64(r.Took) / 1e3
-	in := r.How == "served" && r.Took <= class.Aim
+	in := r.How == "served" && r.Took <= class.LatencyTarget
 	switch {
 	case in:
 		sec.InTime++
@@ -327,7 +327,7 @@
 	for _, s := range append(parts, tenant) {
 		s.Asked++
 		value := worth
-		if s == tenant && w.Over { // a tenant is judged within its share
+		if s == tenant && w.OverQuota { // a tenant is judged within its share
 			value = 0
 		}
 		s.worth += value
@@ -358,8 +358,8 @@
 	if n != nil {
 		n.Attempts++
 	}
-	if b := c.boxes[r.Box]; b != nil {
-		b.Got++
+	if b := c.boxes[r.Backend]; b != nil {
+		b.Attempts++
 		if n != nil && b.Site != n.Site {
 			n.Crossing++
 		}
@@ -367,51 +367,51 @@
 }
 
 func (c *Collector) reply(r trace.Record) {
-	a, b := &c.rep.Attempts, c.boxes[r.Box]
+	a, b := &c.rep.Attempts, c.boxes[r.Backend]
 	if b == nil {
 		b = &lane{}
 	}
 	switch r.How {
 	case trace.Served:
 		b.Served++
-	case trace.Turned:
+	case trace.Rejected:
 		a.Turned++
-		b.Turned++
+		b.Rejected++
 	case trace.Reset:
 		a.Reset++
-		b.Broken++
-	case trace.Spoilt:
+		b.Failed++
+	case trace.Malformed:
 		a.Spoilt++
-		b.Broken++
+		b.Failed++
 	case trace.Failed:
 		a.Failed++
-		b.Broken++
+		b.Failed++
 	}
 }
 
 // shown are the states of a lane, the one that goes before all others first.
-var shown = []string{trace.Gone, trace.Fallen, trace.Silent, trace.Terminating, trace.Slow, "cold"}
+var shown = []string{trace.Removed, trace.Collapsed, trace.Unresponsive, trace.Terminating, trace.Slow, "cold"}
 
 func (c *Collector) box(r trace.Record) {
-	b := c.boxes[r.Box]
+	b := c.boxes[r.Backend]
 	at := max(c.s(r.T), 0)
 	if c.begin < 0 {
 		at = 0
 	}
 	if b == nil {
-		b = &lane{Box: Box{ID: r.Box, Site: r.Site, Kind: r.Kit}, state: map[string]bool{}, now: trace.Gone, since: at}
-		c.boxes[r.Box] = b
-		c.order = append(c.order, r.Box)
+		b = &lane{Backend: Backend{ID: r.Backend, Site: r.Site, Kind: r.MachineKind}, state: map[string]bool{}, now: trace.Removed, since: at}
+		c.boxes[r.Backend] = b
+		c.order = append(c.order, r.Backend)
 	}
 	switch r.State {
 	case trace.Ready:
-		b.state = map[string]bool{"cold": r.Cores < r.Full*0.999}
+		b.state = map[string]bool{"cold": r.Cores < r.FullCores*0.999}
 	case trace.Warm:
 		b.state["cold"] = false
 	case trace.Normal:
 		b.state[trace.Slow] = false
-	case trace.Back:
-		b.state[trace.Silent] = false
+	case trace.Responsive:
+		b.state[trace.Unresponsive] = false
 	default:
 		b.state[r.State] = true
 	}
@@ -434,7 +434,7 @@
 }
 
 func (b *lane) span(at float64) {
-	if b.now != trace.Gone && at > b.since {
+	if b.now != trace.Removed && at > b.since {
 		b.Spans = append(b.Spans, Span{State: b.now, From: b.since, To: at})
 	}
 }
@@ -473,20 +473,20 @@
 	for k := range c.perS {
 		end = max(end, k+1)
 	}
-	rep.PerS = make([]Second, end)
+	rep.PerSecond = make([]Second, end)
 	for k, s := range c.perS {
 		if k >= 0 {
 			s.P50, s.P95 = quantile(s.took, 0.5), quantile(s.took, 0.95)
-			rep.PerS[k] = *s
+			rep.PerSecond[k] = *s
 		}
 	}
 	stop := c.s(c.last)
 	for _, id := range c.order {
 		b := c.boxes[id]
 		b.span(stop)
-		rep.Boxes = append(rep.Boxes, b.Box)
+		rep.Backends = append(rep.Backends, b.Backend)
 	}
-	slices.SortStableFunc(rep.Boxes, func(a, b Box) int {
+	slices.SortStableFunc(rep.Backends, func(a, b Backend) int {
 		return cmp.Or(cmp.Compare(first(a), first(b)), cmp.Compare(a.Site, b.Site), cmp.Compare(a.ID, b.ID))
 	})
 	for _, n := range c.head.Nodes {
@@ -495,14 +495,14 @@
 	for _, k := range keys(c.bad) {
 		rep.Bad = append(rep.Bad, *c.bad[k])
 	}
-	slices.SortStableFunc(rep.Events, func(a, b Mark) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(rep.Events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	if c.sent > 0 {
 		rep.Attempts.Per = float64(rep.Attempts.All) / float64(c.sent)
 	}
 	return rep
 }
 
-func first(b Box) float64 {
+func first(b Backend) float64 {
 	if len(b.Spans) == 0 {
 		return math.Inf(1)
 	}
@@ -614,8 +614,8 @@
 			fmt.Fprintf(&b, "    and %d more like it until %.3f s\n", g.Count-1, r.sec(g.Last))
 		}
 	}
-	if v.More > 0 {
-		fmt.Fprintf(&b, "  %d violations past the first %d are not listed\n", v.More, len(v.Violations))
+	if v.Unlisted > 0 {
+		fmt.Fprintf(&b, "  %d violations past the first %d are not listed\n", v.Unlisted, len(v.Violations))
 	}
 	for i, x := range v.Undecided {
 		if i == most {
--- a/internal/kit/report/report_test.go
+++ b/internal/kit/report/report_test.go
@@ -14,36 +14,36 @@
 func sample(t *testing.T) []byte {
 	t.Helper()
 	var b bytes.Buffer
-	w := trace.NewWriter(&b, trace.Head{Scenario: "sample<x>", Seed: 4, Length: 2e6, OverShare: 0.5,
-		Rules: trace.Rules{AnswerSlack: 20e3, DrainGrace: 2e6, FallFactor: 4, FallFor: 15e5, Slack: 50e3},
-		Classes: []trace.Class{{Name: "save", Effect: "keyed", Group: "site", Window: 6e5, Aim: 4e5, Worth: 10},
-			{Name: "quote", Effect: "unsafe", Aim: 5e5, Worth: 2}},
+	w := trace.NewWriter(&b, trace.Head{Scenario: "sample<x>", Seed: 4, Length: 2e6, OverQuotaUtility: 0.5,
+		Rules: trace.Rules{AnswerSlack: 20e3, DrainGrace: 2e6, OverloadFactor: 4, OverloadDuration: 15e5, Slack: 50e3},
+		Classes: []trace.Class{{Name: "save", Effect: "keyed", Group: "site", Window: 6e5, LatencyTarget: 4e5, Utility: 10},
+			{Name: "quote", Effect: "unsafe", LatencyTarget: 5e5, Utility: 2}},
 		Nodes: []trace.Node{{Name: "n1", Site: "a"}}})
 	for _, r := range []trace.Record{
-		{Kind: trace.Proc, T: 10, Node: "n1", State: trace.Started},
-		{Kind: trace.Box, T: 20, Box: "s-00000001", Site: "a", Kit: "gen", State: trace.Ready, Cores: 4, Full: 4},
+		{Kind: trace.Process, T: 10, Node: "n1", State: trace.Started},
+		{Kind: trace.Backend, T: 20, Backend: "s-00000001", Site: "a", MachineKind: "gen", State: trace.Ready, Cores: 4, FullCores: 4},
 		{Kind: trace.Event, T: 1e6, How: trace.Begin, Text: "traffic begins"},
 		{Kind: trace.Event, T: 15e5, Text: "a deploy & more"},
-		{Kind: trace.Box, T: 15e5, Box: "s-00000002", Site: "b", Kit: "gen", State: trace.Ready, Cores: 1, Full: 4},
-		{Kind: trace.Load, T: 16e5, Box: "s-00000002", Held: 3},
-		{Kind: trace.Load, T: 18e5, Box: "s-00000002", Held: 5},
-		{Kind: trace.Box, T: 2e6, Box: "s-00000002", State: trace.Warm},
-		{Kind: trace.Use, T: 2e6, Node: "n1", Bytes: 30 << 20, Conns: 40},
+		{Kind: trace.Backend, T: 15e5, Backend: "s-00000002", Site: "b", MachineKind: "gen", State: trace.Ready, Cores: 1, FullCores: 4},
+		{Kind: trace.Load, T: 16e5, Backend: "s-00000002", InFlight: 3},
+		{Kind: trace.Load, T: 18e5, Backend: "s-00000002", InFlight: 5},
+		{Kind: trace.Backend, T: 2e6, Backend: "s-00000002", State: trace.Warm},
+		{Kind: trace.Usage, T: 2e6, Node: "n1", Bytes: 30 << 20, Conns: 40},
 		// In time, late, refused and failed; the failed one breaks the second rule.
-		{Kind: trace.Want, T: 11e5, ID: "r1", Class: "save", Tenant: "t1"}, {Kind: trace.Sent, T: 11e5, ID: "r1", Class: "save", Node: "n1", Conn: 1, Wait: 1e6},
-		{Kind: trace.Recv, T: 12e5, ID: "r1", Box: "s-00000001", Node: "n1", Att: 1}, {Kind: trace.Reply, T: 13e5, Box: "s-00000001", ID: "r1", Att: 1, How: trace.Served, Sum: "x"},
-		{Kind: trace.Got, T: 131e4, ID: "r1", Node: "n1", Conn: 1, Status: 200, Sum: "x"}, {Kind: trace.Done, T: 131e4, ID: "r1", How: "served", Took: 21e4},
-		{Kind: trace.Want, T: 11e5, ID: "r2", Class: "save", Tenant: "t1", Over: true}, {Kind: trace.Sent, T: 11e5, ID: "r2", Class: "save", Node: "n1", Conn: 2, Wait: 1e6},
-		{Kind: trace.Recv, T: 12e5, ID: "r2", Box: "s-00000001", Node: "n1", Att: 2}, {Kind: trace.Reply, T: 16e5, Box: "s-00000001", ID: "r2", Att: 2, How: trace.Served, Sum: "y"},
-		{Kind: trace.Got, T: 161e4, ID: "r2", Node: "n1", Conn: 2, Status: 200, Sum: "y"}, {Kind: trace.Done, T: 161e4, ID: "r2", How: "served", Took: 51e4},
-		{Kind: trace.Want, T: 21e5, ID: "r3", Class: "quote", Tenant: "t2"}, {Kind: trace.Sent, T: 21e5, ID: "r3", Class: "quote", Node: "n1", Conn: 1, Reused: true, Wait: 1e6},
+		{Kind: trace.Planned, T: 11e5, ID: "r1", Class: "save", Tenant: "t1"}, {Kind: trace.Sent, T: 11e5, ID: "r1", Class: "save", Node: "n1", Conn: 1, Timeout: 1e6},
+		{Kind: trace.Received, T: 12e5, ID: "r1", Backend: "s-00000001", Node: "n1", Attempt: 1}, {Kind: trace.Reply, T: 13e5, Backend: "s-00000001", ID: "r1", Attempt: 1, How: trace.Served, Digest: "x"},
+		{Kind: trace.Got, T: 131e4, ID: "r1", Node: "n1", Conn: 1, Status: 200, Digest: "x"}, {Kind: trace.Done, T: 131e4, ID: "r1", How: "served", Took: 21e4},
+		{Kind: trace.Planned, T: 11e5, ID: "r2", Class: "save", Tenant: "t1", OverQuota: true}, {Kind: trace.Sent, T: 11e5, ID: "r2", Class: "save", Node: "n1", Conn: 2, Timeout: 1e6},
+		{Kind: trace.Received, T: 12e5, ID: "r2", Backend: "s-00000001", Node: "n1", Attempt: 2}, {Kind: trace.Reply, T: 16e5, Backend: "s-00000001", ID: "r2", Attempt: 2, How: trace.Served, Digest: "y"},
+		{Kind: trace.Got, T: 161e4, ID: "r2", Node: "n1", Conn: 2, Status: 200, Digest: "y"}, {Kind: trace.Done, T: 161e4, ID: "r2", How: "served", Took: 51e4},
+		{Kind: trace.Planned, T: 21e5, ID: "r3", Class: "quote", Tenant: "t2"}, {Kind: trace.Sent, T: 21e5, ID: "r3", Class: "quote", Node: "n1", Conn: 1, Reused: true, Timeout: 1e6},
 		{Kind: trace.Got, T: 211e4, ID: "r3", Node: "n1", Conn: 1, Status: 503}, {Kind: trace.Done, T: 211e4, ID: "r3", How: "refused", Took: 1e4},
-		{Kind: trace.Want, T: 22e5, ID: "r4", Class: "quote", Tenant: "t2"}, {Kind: trace.Sent, T: 22e5, ID: "r4", Class: "quote", Node: "n1", Conn: 3, Wait: 1e6},
-		{Kind: trace.Recv, T: 221e4, ID: "r4", Box: "s-00000002", Node: "n1", Att: 3}, {Kind: trace.Reply, T: 222e4, Box: "s-00000002", ID: "r4", Att: 3, How: trace.Reset},
-		{Kind: trace.Recv, T: 223e4, ID: "r4", Box: "s-00000001", Node: "n1", Att: 4}, {Kind: trace.Reply, T: 23e5, Box: "s-00000001", ID: "r4", Att: 4, How: trace.Failed},
+		{Kind: trace.Planned, T: 22e5, ID: "r4", Class: "quote", Tenant: "t2"}, {Kind: trace.Sent, T: 22e5, ID: "r4", Class: "quote", Node: "n1", Conn: 3, Timeout: 1e6},
+		{Kind: trace.Received, T: 221e4, ID: "r4", Backend: "s-00000002", Node: "n1", Attempt: 3}, {Kind: trace.Reply, T: 222e4, Backend: "s-00000002", ID: "r4", Attempt: 3, How: trace.Reset},
+		{Kind: trace.Received, T: 223e4, ID: "r4", Backend: "s-00000001", Node: "n1", Attempt: 4}, {Kind: trace.Reply, T: 23e5, Backend: "s-00000001", ID: "r4", Attempt: 4, How: trace.Failed},
 		{Kind: trace.Got, T: 231e4, ID: "r4", Node: "n1", Conn: 3, Status: 500}, {Kind: trace.Done, T: 231e4, ID: "r4", How: "failed", Took: 11e4},
-		{Kind: trace.Bad, T: 24e5, Node: "n1", How: "error", Why: "garbage"},
-		{Kind: trace.Proc, T: 31e5, Node: "n1", State: trace.Term},
+		{Kind: trace.InvalidClient, T: 24e5, Node: "n1", How: "error", Why: "garbage"},
+		{Kind: trace.Process, T: 31e5, Node: "n1", State: trace.Term},
 		{Kind: trace.End, T: 32e5},
 	} {
 		w.Add(&r)
@@ -72,7 +72,7 @@
 	near("whole", w.Share, 10.0/(10+5+2+2)) // the second is past its share
 	near("p50", w.P50, 210)
 	near("p99", w.P99, 510)
-	if len(r.Classes) != 2 || len(r.Tenants) != 2 || len(r.Windows) != 1 || len(r.PerS) != 2 || len(r.Boxes) != 2 {
+	if len(r.Classes) != 2 || len(r.Tenants) != 2 || len(r.Windows) != 1 || len(r.PerSecond) != 2 || len(r.Backends) != 2 {
 		t.Fatalf("%+v", r)
 	}
 	near("the tenant within its share", r.Tenants[0].Share, 1)
@@ -86,7 +86,7 @@
 	if len(r.Events) != 1 || r.Events[0].At != 0.5 { // the end of the node is none
 		t.Errorf("%+v", r.Events)
 	}
-	cold := r.Boxes[1]
+	cold := r.Backends[1]
 	if cold.ID != "s-00000002" || len(cold.Spans) != 2 || cold.Spans[0] != (Span{"cold", 0.5, 1}) || cold.Spans[1].State != "normal" || len(cold.Load) != 2 {
 		t.Errorf("%+v", cold)
 	}
--- a/internal/kit/run/fleet.go
+++ b/internal/kit/run/fleet.go
@@ -37,7 +37,7 @@
 
 // connect makes the network between the nodes, where they talk to each other.
 func (r *Rehearsal) connect() (err error) {
-	own := r.plan.Scenario.Nodes.Own
+	own := r.plan.Scenario.Nodes.Settings
 	if !strings.Contains(own, "{peer}") {
 		return nil
 	}
@@ -49,7 +49,7 @@
 		if e.From >= 0 {
 			by = r.nodes[e.From].Name
 		}
-		rec := trace.Record{Kind: trace.Peer, T: trace.US(r.clock().Now()), Node: r.nodes[e.To].Name, Text: by, How: e.How, Bytes: int64(e.Bytes)}
+		rec := trace.Record{Kind: trace.PeerMessage, T: trace.Microseconds(r.clock().Now()), Node: r.nodes[e.To].Name, Text: by, How: e.How, Bytes: int64(e.Bytes)}
 		if e.Stream {
 			rec.Why = "stream"
 		}
@@ -77,12 +77,12 @@
 func (r *Rehearsal) trouble(s *plan.Step) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec := trace.Record{Kind: trace.Net, T: trace.US(r.clock().Now()), Text: s.Text, How: trace.Begin}
+	rec := trace.Record{Kind: trace.NetworkFault, T: trace.Microseconds(r.clock().Now()), Text: s.Text, How: trace.Begin}
 	if s.Do != plan.Words {
 		rec.Text = fmt.Sprintf("cut %.0f", s.By)
 	}
 	if s.Do == plan.Mend || s.Do == plan.Words && s.By == 0 {
-		rec.How = trace.Over
+		rec.How = trace.Ended
 	}
 	r.out.Add(&rec)
 	switch s.Do {
@@ -126,10 +126,10 @@
 func (r *Rehearsal) darken(s *plan.Step) {
 	from, to, _ := strings.Cut(s.Text, ">")
 	r.mu.Lock()
-	rec := trace.Record{Kind: trace.Net, T: trace.US(r.clock().Now()), Text: "dark " + s.Text, How: trace.Begin}
+	rec := trace.Record{Kind: trace.NetworkFault, T: trace.Microseconds(r.clock().Now()), Text: "dark " + s.Text, How: trace.Begin}
 	mend := r.dark[s.Text]
 	if s.By == 0 {
-		rec.How = trace.Over
+		rec.How = trace.Ended
 	}
 	r.out.Add(&rec)
 	switch {
@@ -197,16 +197,16 @@
 		if json.Unmarshal(line, &a) != nil {
 			continue // another program's file
 		}
-		rec := trace.Record{Kind: trace.View, T: us(a.At), Node: n.Name, Surely: a.MinNodes, AtMost: a.MaxNodes, Every: a.RepeatInterval / 1000, Listed: a.Backends, Out: a.Ejected, Votes: a.MinVotes}
+		rec := trace.Record{Kind: trace.View, T: us(a.At), Node: n.Name, ConfirmedAlive: a.MinNodes, MaxAlive: a.MaxNodes, RefreshInterval: a.RepeatInterval / 1000, Listed: a.Backends, Ejected: a.Ejected, MinVotes: a.MinVotes}
 		for _, h := range a.Counts {
 			epoch := counts.EpochDuration.Nanoseconds()
 			to := int64(h.Incarnation)*1e6 + int64(h.Epoch)*epoch // a life is named by the Unix milliseconds of its start
-			rec.Counts = append(rec.Counts, trace.Count{Key: h.Key, Of: h.Node, Life: h.Incarnation, Epoch: h.Epoch, Sum: int64(h.Sum), From: us(to - int64(h.ClosedEpochs)*epoch), To: us(to)})
+			rec.Counts = append(rec.Counts, trace.Count{Key: h.Key, Node: h.Node, Incarnation: h.Incarnation, Epoch: h.Epoch, Sum: int64(h.Sum), From: us(to - int64(h.ClosedEpochs)*epoch), To: us(to)})
 		}
 		if a.Budget != "" {
 			rec = trace.Record{Kind: trace.Spend, T: us(a.At), Node: n.Name, Text: a.Budget, Own: a.Own}
 			for _, h := range a.Borrowed {
-				rec.Loans = append(rec.Loans, trace.Loan{Of: h.Owner, Grains: h.Grains, Until: us(h.Until)})
+				rec.Loans = append(rec.Loans, trace.Loan{Lender: h.Owner, Grains: h.Grains, Until: us(h.Until)})
 			}
 		}
 		r.out.Add(&rec)
--- a/internal/kit/run/names.go
+++ b/internal/kit/run/names.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &names{server: server, node: n, clock: r.clock(), out: r.out, ttl: int64(r.plan.Scenario.Names.TTL.D() / time.Second),
+	s := &names{server: server, node: n, clock: r.clock(), out: r.out, ttl: int64(r.plan.Scenario.SRV.TTL.D() / time.Second),
 		boxes: map[string]namedBox{}, ids: map[string]string{}, told: map[string]bool{}}
 	server.OnAnswer(s.answered)
 	return s, nil
@@ -86,7 +86,7 @@
 	for id, had := range s.told {
 		if had && !there[id] && s.of(id, q.Name) {
 			s.told[id] = false
-			s.tell(id, trace.Gone)
+			s.tell(id, trace.Removed)
 		}
 	}
 }
@@ -98,18 +98,18 @@
 }
 
 func (s *names) tell(id, state string) {
-	s.out.Add(&trace.Record{Kind: trace.Told, T: trace.US(s.clock.Now()), Node: s.node.Name, Box: id, State: state, How: trace.ByNames})
+	s.out.Add(&trace.Record{Kind: trace.Notified, T: trace.Microseconds(s.clock.Now()), Node: s.node.Name, Backend: id, State: state, How: trace.ByDNS})
 }
 
 // rename has DNS name a box, or take it back, for every node after the names' lag.
 func (r *Rehearsal) rename(id string, there bool) {
-	if r.plan.Scenario.Names.TTL == 0 {
+	if r.plan.Scenario.SRV.TTL == 0 {
 		return
 	}
 	r.mu.Lock()
 	seat := r.boxes[id]
 	r.mu.Unlock()
-	r.after(r.plan.Scenario.Names.Lag.D(), func() {
+	r.after(r.plan.Scenario.SRV.Lag.D(), func() {
 		for i, n := range r.nodes {
 			if err := n.names.set(id, seat.plan.Site, seat.addrs[i], there); err != nil {
 				r.mu.Lock()
--- a/internal/kit/run/node.go
+++ b/internal/kit/run/node.go
@@ -61,7 +61,7 @@
 				return err
 			}
 		}
-		if n.rpc == "" && n.r.plan.Scenario.Clients.RPC > 0 {
+		if n.rpc == "" && n.r.plan.Scenario.Clients.JSONRPC > 0 {
 			if n.rpc, err = n.r.nodeAddr(); err != nil {
 				return err
 			}
@@ -90,7 +90,7 @@
 		return err
 	}
 	args := n.r.opt.Command[1:]
-	if own := n.r.plan.Scenario.Nodes.Own; own != "" {
+	if own := n.r.plan.Scenario.Nodes.Settings; own != "" {
 		file, err := n.own(own)
 		if err != nil {
 			n.mu.Unlock()
@@ -137,7 +137,7 @@
 	if err := n.ready(ctx, ended); err != nil {
 		return err
 	}
-	n.note(trace.Up, "")
+	n.note(trace.NodeReady, "")
 	n.r.clients.Node(n.index, n.addr, stand.Reachable)
 	return nil
 }
@@ -182,7 +182,7 @@
 }
 
 func (n *node) note(state, text string) {
-	n.r.out.Add(&trace.Record{Kind: trace.Proc, T: n.r.clock().Now().Microseconds(), Node: n.Name, State: state, Text: text})
+	n.r.out.Add(&trace.Record{Kind: trace.Process, T: n.r.clock().Now().Microseconds(), Node: n.Name, State: state, Text: text})
 }
 
 // ready asks until the node says that it is.
@@ -236,7 +236,7 @@
 	if ok {
 		<-ended
 	}
-	n.r.after(n.r.plan.Scenario.Clients.Notice.D(), func() { n.takeOut(ended, stand.Unreachable) })
+	n.r.after(n.r.plan.Scenario.Clients.FrontNotice.D(), func() { n.takeOut(ended, stand.Unreachable) })
 }
 
 // earliestKill is how long after SIGTERM a process may be killed.
@@ -314,7 +314,7 @@
 		return
 	}
 	pages, _ := strconv.ParseInt(string(fields[1]), 10, 64)
-	n.r.out.Add(&trace.Record{Kind: trace.Use, T: n.r.clock().Now().Microseconds(), Node: n.Name, Bytes: pages * int64(os.Getpagesize()),
+	n.r.out.Add(&trace.Record{Kind: trace.Usage, T: n.r.clock().Now().Microseconds(), Node: n.Name, Bytes: pages * int64(os.Getpagesize()),
 		Conns: len(fds)})
 }
 
--- a/internal/kit/run/run.go
+++ b/internal/kit/run/run.go
@@ -208,7 +208,7 @@
 			return err
 		}
 		n.agentAt = stand.ServeAgent(n.agent, ln)
-		if r.plan.Scenario.Names.TTL > 0 {
+		if r.plan.Scenario.SRV.TTL > 0 {
 			if n.names, err = r.newNames(n); err != nil {
 				return err
 			}
@@ -237,7 +237,7 @@
 	// The clock of the plan begins now; that of the trace keeps running from the start of the first box.
 	begin := r.clock().Now()
 	r.clients.Begin(begin)
-	r.out.Add(&trace.Record{Kind: trace.Event, T: trace.US(begin), How: trace.Begin, Text: "traffic begins"})
+	r.out.Add(&trace.Record{Kind: trace.Event, T: trace.Microseconds(begin), How: trace.Begin, Text: "traffic begins"})
 	r.background(ctx, r.beat)
 	r.background(ctx, r.watch)
 	r.background(ctx, r.audits)
@@ -298,7 +298,7 @@
 			return
 		}
 		if late := time.Since(due); late > lagFrom {
-			r.out.Add(&trace.Record{Kind: trace.Lag, T: trace.US(r.clock().Now()), Late: late.Microseconds()})
+			r.out.Add(&trace.Record{Kind: trace.Stall, T: trace.Microseconds(r.clock().Now()), Late: late.Microseconds()})
 		}
 	}
 }
@@ -379,7 +379,7 @@
 	}
 	switch s.Do {
 	case plan.Announce:
-		r.out.Add(&trace.Record{Kind: trace.Event, T: trace.US(r.clock().Now()), Text: s.Text})
+		r.out.Add(&trace.Record{Kind: trace.Event, T: trace.Microseconds(r.clock().Now()), Text: s.Text})
 		if r.opt.Note != nil {
 			r.opt.Note(s.Text)
 		}
@@ -394,7 +394,7 @@
 		if err := r.startBox(b, false, addrs); err != nil {
 			return err
 		}
-		r.publish(s.Box, trace.Ready, r.plan.Scenario.List.Add.D())
+		r.publish(s.Box, trace.Ready, r.plan.Scenario.List.AddLag.D())
 		r.rename(s.Box, true)
 	case plan.Drain:
 		r.rename(s.Box, false)
@@ -410,13 +410,13 @@
 		r.mu.Unlock()
 		seat.box.Crash()
 		r.rename(s.Box, false)
-		r.publish(s.Box, trace.Gone, r.plan.Scenario.List.Lag.D())
+		r.publish(s.Box, trace.Removed, r.plan.Scenario.List.Lag.D())
 	case plan.Restart:
 		seat.box.Stop()
 		if err := r.startBox(seat.plan, false, seat.addrs); err != nil {
 			return err
 		}
-		r.publish(s.Box, trace.Ready, r.plan.Scenario.List.Add.D())
+		r.publish(s.Box, trace.Ready, r.plan.Scenario.List.AddLag.D())
 		r.rename(s.Box, true)
 	case plan.Slow:
 		seat.box.Slow(s.By)
@@ -450,7 +450,7 @@
 	case plan.Stall:
 		n.signal(syscall.SIGSTOP, trace.Stopped, false)
 	case plan.Resume:
-		n.signal(syscall.SIGCONT, trace.Goes, false)
+		n.signal(syscall.SIGCONT, trace.Resumed, false)
 	case plan.CutNode, plan.Mend, plan.Words:
 		r.trouble(&s)
 	case plan.Dark:
@@ -521,9 +521,9 @@
 	if warm {
 		spec.ColdFrom = 1
 	}
-	cfg := stand.BoxConfig{ID: b.ID, Site: b.Site, Kind: b.Kind, Cell: b.Cell, Seed: b.Seed, Spec: spec, Handshake: s.Conn.Handshake.D(),
-		MaxConns: s.Conn.Max, Idle: s.Conn.Idle.D(), Noise: s.Report.Noise, Delay: r.delay(b)}
-	cfg.Report.Every, cfg.Report.Late = s.Report.Every.D(), s.Report.Late.D()
+	cfg := stand.BoxConfig{ID: b.ID, Site: b.Site, Kind: b.Kind, Cell: b.Cell, Seed: b.Seed, Spec: spec, Handshake: s.Conn.HandshakeWork.D(),
+		MaxConns: s.Conn.Max, Idle: s.Conn.IdleTimeout.D(), Noise: s.Report.Noise, Delay: r.delay(b)}
+	cfg.Report.Every, cfg.Report.Late = s.Report.Interval.D(), s.Report.Delay.D()
 	var lns []net.Listener
 	for i := range r.nodes {
 		want := ""
@@ -565,9 +565,9 @@
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(b.Seed, 7))
 	return func(from string) time.Duration {
-		d := net.Cross.D()
+		d := net.CrossSite.D()
 		if from == b.Site {
-			d = net.Same.D()
+			d = net.SameSite.D()
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -578,7 +578,7 @@
 func (r *Rehearsal) entry(b *boxSeat, node int, state string) stand.Entry {
 	e := stand.Entry{ID: b.plan.ID, Addr: b.addrs[node], Zone: b.plan.Site, Kind: b.plan.Kind, Cell: b.plan.Cell, State: state, Weight: 1,
 		Started: b.begun}
-	if r.plan.Scenario.Clients.RPC > 0 {
+	if r.plan.Scenario.Clients.JSONRPC > 0 {
 		e.RPC = e.Addr // boxes tell the protocol by a connection's first byte
 	}
 	return e
@@ -611,7 +611,7 @@
 	r.wg.Wait()
 	for _, n := range r.nodes {
 		if n.cmd != nil {
-			n.signal(syscall.SIGCONT, trace.Goes, false) // one that is stopped can't end
+			n.signal(syscall.SIGCONT, trace.Resumed, false) // one that is stopped can't end
 			r.procs.Go(n.term)
 		}
 	}
@@ -634,7 +634,7 @@
 			}
 		}
 	}
-	r.out.Add(&trace.Record{Kind: trace.End, T: trace.US(r.clock().Now())})
+	r.out.Add(&trace.Record{Kind: trace.End, T: trace.Microseconds(r.clock().Now())})
 	if err := r.out.Close(); err != nil {
 		r.errs = append(r.errs, fmt.Errorf("trace: %w", err))
 	}
--- a/internal/kit/scenario/default.go
+++ b/internal/kit/scenario/default.go
@@ -16,27 +16,27 @@
 	return &Scenario{
 		Length: 30 * sec,
 		Nodes:  Nodes{Count: 3, Cores: 1, MemoryMB: 128, Sockets: 512},
-		Traffic: Traffic{Rate: 300, Shape: "steady", Peak: 1, Swing: 0.25, Period: 12 * sec, OverShare: 0.2,
-			QuotaShare: 1.2},
-		Net:  Net{Same: 250 * Duration(time.Microsecond), Cross: 2 * ms, Jitter: 0.2},
-		List: List{Mode: "push", Lag: 2 * sec, Add: sec, Spread: 80 * ms},
-		Clients: Clients{Retries: 1, Backoff: "fixed", Wait: 80 * ms, Honour: 0.6, MaxWait: 2 * sec, TryShare: 0.7,
-			Impatient: 0.01, Notice: 2500 * ms, Chunked: 0.1},
-		Rules:  Rules{DrainGrace: 2 * sec, FallFactor: 4, FallFor: 1500 * ms, Attempts: 3},
-		Report: Report{Every: 700 * ms, Late: 250 * ms, Noise: 0.02},
-		Choke:  Choke{At: 5.5, Over: 2 * sec, Slower: 2.5, Below: 0.33, Rest: 3500 * ms, Most: 24 * sec},
-		Conn:   Conn{Max: 76, Handshake: 27 * ms, Idle: 60 * sec, Timeout: 200 * ms},
-		Sites:  []Site{{"tacoma", 0.45}, {"everett", 0.3}, {"olympia", 0.25}},
-		Kinds: []Kind{
-			{Name: "gen-a", Cores: 4, Speed: 0.97, Spread: 0.1, Slots: 4, Queue: 1600, Thrash: 0.42, ThrashAt: 11, ColdFrom: 0.48,
-				Cold: 6 * sec, WarmBy: "requests", PauseEvery: 7 * sec, Pause: 25 * ms, Errors: 0.001, Cancel: "queued"},
-			{Name: "gen-b", Cores: 4, Speed: 0.6, Spread: 0.1, Slots: 4, Queue: 1400, Thrash: 0.42, ThrashAt: 11, ColdFrom: 0.4,
-				Cold: 5 * sec, WarmBy: "requests", PauseEvery: 5 * sec, Pause: 30 * ms, Errors: 0.001, Cancel: "all"}},
+		Traffic: Traffic{Rate: 300, Shape: "steady", Peak: 1, Swing: 0.25, Period: 12 * sec, OverQuotaUtility: 0.2,
+			QuotaFactor: 1.2},
+		Net:  Net{SameSite: 250 * Duration(time.Microsecond), CrossSite: 2 * ms, Jitter: 0.2},
+		List: List{Mode: "push", Lag: 2 * sec, AddLag: sec, Spread: 80 * ms},
+		Clients: Clients{Retries: 1, Backoff: "fixed", RetryWait: 80 * ms, HonourRetryAfter: 0.6, MaxRetryAfter: 2 * sec, TryFraction: 0.7,
+			Impatient: 0.01, FrontNotice: 2500 * ms, Chunked: 0.1},
+		Rules:      Rules{DrainGrace: 2 * sec, OverloadFactor: 4, OverloadDuration: 1500 * ms, Attempts: 3},
+		Report:     Report{Interval: 700 * ms, Delay: 250 * ms, Noise: 0.02},
+		Congestion: Congestion{At: 5.5, Window: 2 * sec, SlowFactor: 2.5, Below: 0.33, RecoveryWindow: 3500 * ms, MaxDuration: 24 * sec},
+		Conn:       Conn{Max: 76, HandshakeWork: 27 * ms, IdleTimeout: 60 * sec, ConnectTimeout: 200 * ms},
+		Sites:      []Site{{"tacoma", 0.45}, {"everett", 0.3}, {"olympia", 0.25}},
+		MachineKinds: []MachineKind{
+			{Name: "gen-a", Cores: 4, Speed: 0.97, Spread: 0.1, Slots: 4, Queue: 1600, Thrash: 0.42, ThrashAt: 11, ColdFraction: 0.48,
+				WarmUp: 6 * sec, WarmBy: "requests", PauseEvery: 7 * sec, Pause: 25 * ms, ErrorFraction: 0.001, Cancel: "queued"},
+			{Name: "gen-b", Cores: 4, Speed: 0.6, Spread: 0.1, Slots: 4, Queue: 1400, Thrash: 0.42, ThrashAt: 11, ColdFraction: 0.4,
+				WarmUp: 5 * sec, WarmBy: "requests", PauseEvery: 5 * sec, Pause: 30 * ms, ErrorFraction: 0.001, Cancel: "all"}},
 		Fleet: []Fleet{{"gen-a", 6}, {"gen-b", 5}},
 		Classes: []Class{
-			{Name: "save-config", Share: 0.68, Work: 70 * ms, Spread: 0.4, Noise: 0.3, Aim: 400 * ms, Deadline: sec, Worth: 10,
+			{Name: "save-config", Share: 0.68, Work: 70 * ms, Spread: 0.4, AttemptNoise: 0.3, LatencyTarget: 400 * ms, Deadline: sec, Utility: 10,
 				Effect: "keyed", Group: "site", Window: 600 * ms, Bytes: 600},
-			{Name: "send-quote", Share: 0.32, Work: 70 * ms, Spread: 0.5, Noise: 0.3, Aim: 500 * ms, Deadline: 2500 * ms, Worth: 2,
+			{Name: "send-quote", Share: 0.32, Work: 70 * ms, Spread: 0.5, AttemptNoise: 0.3, LatencyTarget: 500 * ms, Deadline: 2500 * ms, Utility: 2,
 				Effect: "unsafe", Group: "all", Bytes: 300}},
 		Tenants: []Tenant{{"cascade-lumber", 0.26, 0.9}, {"sound-supply", 0.19, 1}, {"ridgeline-build", 0.18, 1},
 			{"tidewater-doors", 0.12, 0.9}, {"fircrest-yard", 0.1, 0.9}, {"bayside-millwork", 0.08, 0.9}, {"northfork-home", 0.04, 1},
@@ -48,15 +48,15 @@
 // whole array; its entries' own defaults are those of the default's first entry, but for names.
 func (s *Scenario) fill() {
 	def := Default()
-	kinds, classes, tenants, sites := s.Kinds, s.Classes, s.Tenants, s.Sites // those that the file has
+	kinds, classes, tenants, sites := s.MachineKinds, s.Classes, s.Tenants, s.Sites // those that the file has
 	merge(reflect.ValueOf(s).Elem(), reflect.ValueOf(def).Elem(), "", s.keys)
 	for i := range kinds {
-		d := def.Kinds[0]
-		d.Slots = max(s.Kinds[i].Cores, 1)
-		if s.Kinds[i].Cores == 0 {
+		d := def.MachineKinds[0]
+		d.Slots = max(s.MachineKinds[i].Cores, 1)
+		if s.MachineKinds[i].Cores == 0 {
 			d.Slots = d.Cores
 		}
-		mergeEntry(&s.Kinds[i], &d, indexed("kind", i), s.keys)
+		mergeEntry(&s.MachineKinds[i], &d, indexed("kind", i), s.keys)
 	}
 	for i := range classes {
 		d := def.Classes[0]
@@ -76,15 +76,15 @@
 	}
 	for i := range s.Events {
 		d := Event{}
-		switch s.Events[i].Do {
+		switch s.Events[i].Action {
 		case "deploy":
 			d = Event{Batch: 0.15, Drain: 4 * sec}
 		case "slow", "vanish", "crash":
-			d = Event{Boxes: 1}
+			d = Event{Backends: 1}
 		case "cut-nodes", "cut-links":
-			d = Event{Way: "both"}
+			d = Event{Direction: "both"}
 		case "kill", "term", "stall":
-			if s.Events[i].Part == 0 {
+			if s.Events[i].Fraction == 0 {
 				d = Event{Node: 1}
 			}
 		}
--- a/internal/kit/scenario/scenario.go
+++ b/internal/kit/scenario/scenario.go
@@ -31,24 +31,24 @@
 	Length Duration `toml:"length"` // from the first request planned to the last
 	Seed   uint64   `toml:"seed"`   // used where the command line names none; 0 draws one
 
-	Nodes   Nodes   `toml:"nodes"`
-	Traffic Traffic `toml:"traffic"`
-	Net     Net     `toml:"net"`
-	List    List    `toml:"list"`
-	Names   SRV     `toml:"names"`
-	Clients Clients `toml:"clients"`
-	Rules   Rules   `toml:"rules"`
-	Report  Report  `toml:"report"`
-	Choke   Choke   `toml:"choke"`
-	Conn    Conn    `toml:"connections"`
-	Prices  Prices  `toml:"prices"`
-
-	Sites   []Site   `toml:"site"`
-	Kinds   []Kind   `toml:"kind"`
-	Fleet   []Fleet  `toml:"fleet"`
-	Classes []Class  `toml:"class"`
-	Tenants []Tenant `toml:"tenant"`
-	Events  []Event  `toml:"event"`
+	Nodes      Nodes      `toml:"nodes"`
+	Traffic    Traffic    `toml:"traffic"`
+	Net        Net        `toml:"net"`
+	List       List       `toml:"list"`
+	SRV        SRV        `toml:"names"`
+	Clients    Clients    `toml:"clients"`
+	Rules      Rules      `toml:"rules"`
+	Report     Report     `toml:"report"`
+	Congestion Congestion `toml:"choke"`
+	Conn       Conn       `toml:"connections"`
+	Prices     Prices     `toml:"prices"`
+
+	Sites        []Site        `toml:"site"`
+	MachineKinds []MachineKind `toml:"kind"`
+	Fleet        []Fleet       `toml:"fleet"`
+	Classes      []Class       `toml:"class"`
+	Tenants      []Tenant      `toml:"tenant"`
+	Events       []Event       `toml:"event"`
 
 	keys *tomlfile.Keys // that the file names
 }
@@ -59,34 +59,34 @@
 	Cores    float64 `toml:"cores"`
 	MemoryMB int     `toml:"memory_mb"`
 	Sockets  int     `toml:"sockets"` // descriptors a node may hold
-	Own      string  `toml:"own"`     // settings of the node's own, as serve --config reads them; {dir} is a folder, {rpc} an address of its own, {dns} its DNS server; {peer}, {advertise}, {seeds}, {key} and {audit} are for [fleet]
+	Settings string  `toml:"own"`     // settings of the node's own, as serve --config reads them; {dir} is a folder, {rpc} an address of its own, {dns} its DNS server; {peer}, {advertise}, {seeds}, {key} and {audit} are for [fleet]
 }
 
 // Traffic is the load. Rates are first tries a second, over all sites.
 type Traffic struct {
-	Rate       float64  `toml:"rate"`
-	Shape      string   `toml:"shape"` // steady, ramp (from Rate to Rate x Peak), wave (about Rate by Swing), bursty
-	Peak       float64  `toml:"peak"`
-	Swing      float64  `toml:"swing"`
-	Period     Duration `toml:"period"`
-	OverShare  float64  `toml:"over_share_worth"` // worth of a request past its tenant's share, as a part of the usual
-	QuotaShare float64  `toml:"quota_of_rate"`    // what all tenants' shares together are, as a multiple of Rate
+	Rate             float64  `toml:"rate"`
+	Shape            string   `toml:"shape"` // steady, ramp (from Rate to Rate x Peak), wave (about Rate by Swing), bursty
+	Peak             float64  `toml:"peak"`
+	Swing            float64  `toml:"swing"`
+	Period           Duration `toml:"period"`
+	OverQuotaUtility float64  `toml:"over_share_worth"` // worth of a request past its tenant's share, as a part of the usual
+	QuotaFactor      float64  `toml:"quota_of_rate"`    // what all tenants' shares together are, as a multiple of Rate
 }
 
 // Net are one-way delays.
 type Net struct {
-	Same   Duration `toml:"same_site"`
-	Cross  Duration `toml:"cross_site"`
-	Jitter float64  `toml:"jitter"` // spread as a part of the delay
+	SameSite  Duration `toml:"same_site"`
+	CrossSite Duration `toml:"cross_site"`
+	Jitter    float64  `toml:"jitter"` // spread as a part of the delay
 }
 
 // List is the box list.
 type List struct {
-	Mode   string   `toml:"mode"`   // push or ask
-	Lag    Duration `toml:"lag"`    // from a change to the nodes' being told
-	Add    Duration `toml:"add"`    // the same for a box that is new
-	Spread Duration `toml:"spread"` // between the first node that is told and the last
-	Calls  float64  `toml:"calls"`  // ask: calls a second that its service answers; it turns the others away. 0 for any number
+	Mode     string   `toml:"mode"`   // push or ask
+	Lag      Duration `toml:"lag"`    // from a change to the nodes' being told
+	AddLag   Duration `toml:"add"`    // the same for a box that is new
+	Spread   Duration `toml:"spread"` // between the first node that is told and the last
+	MaxCalls float64  `toml:"calls"`  // ask: calls a second that its service answers; it turns the others away. 0 for any number
 }
 
 // SRV are the SRV records of the sites, _config._tcp.SITE.example.org, where nodes.own has them asked at {dns}.
@@ -97,51 +97,51 @@
 
 // Clients are what showroom terminals and tablets do.
 type Clients struct {
-	Retries   int      `toml:"retries"`
-	Backoff   string   `toml:"backoff"` // none, fixed, exponential
-	Wait      Duration `toml:"wait"`
-	Honour    float64  `toml:"honour_retry_after"` // part of the clients that wait as Retry-After says
-	MaxWait   Duration `toml:"max_retry_after"`
-	TryShare  float64  `toml:"try_share"` // a try is given up after this part of the class's deadline
-	Impatient float64  `toml:"impatient"` // part that leaves long before its time is up
-	Notice    Duration `toml:"front_notice"`
-	Once      float64  `toml:"ask_once"`    // part that asks on a connection of its own, and then keeps it for good
-	RPC       float64  `toml:"jsonrpc"`     // part that asks over JSON-RPC; nodes.own says what the nodes do with it
-	Chunked   float64  `toml:"chunked"`     // part of the bodies that go in chunks, in pieces, with extensions and trailers
-	Conns     int      `toml:"connections"` // that all clients together hold to a node for requests; 0 for any number
+	Retries          int      `toml:"retries"`
+	Backoff          string   `toml:"backoff"` // none, fixed, exponential
+	RetryWait        Duration `toml:"wait"`
+	HonourRetryAfter float64  `toml:"honour_retry_after"` // part of the clients that wait as Retry-After says
+	MaxRetryAfter    Duration `toml:"max_retry_after"`
+	TryFraction      float64  `toml:"try_share"` // a try is given up after this part of the class's deadline
+	Impatient        float64  `toml:"impatient"` // part that leaves long before its time is up
+	FrontNotice      Duration `toml:"front_notice"`
+	SingleUse        float64  `toml:"ask_once"`    // part that asks on a connection of its own, and then keeps it for good
+	JSONRPC          float64  `toml:"jsonrpc"`     // part that asks over JSON-RPC; nodes.own says what the nodes do with it
+	Chunked          float64  `toml:"chunked"`     // part of the bodies that go in chunks, in pieces, with extensions and trailers
+	MaxConns         int      `toml:"connections"` // that all clients together hold to a node for requests; 0 for any number
 }
 
 // Rules are the figures of the four rules.
 type Rules struct {
-	DrainGrace Duration `toml:"drain_grace"`
-	FallFactor float64  `toml:"fall_factor"`
-	FallFor    Duration `toml:"fall_for"`
-	Attempts   int      `toml:"attempts"`
+	DrainGrace       Duration `toml:"drain_grace"`
+	OverloadFactor   float64  `toml:"fall_factor"`
+	OverloadDuration Duration `toml:"fall_for"`
+	Attempts         int      `toml:"attempts"`
 }
 
 // Report is how boxes report their load in answers.
 type Report struct {
-	Every Duration `toml:"every"`
-	Late  Duration `toml:"late"`
-	Noise float64  `toml:"noise"`
+	Interval Duration `toml:"every"`
+	Delay    Duration `toml:"late"`
+	Noise    float64  `toml:"noise"`
 }
 
-// Choke is what makes an overloaded box slow and keeps it so.
-type Choke struct {
-	At     float64  `toml:"at"`
-	Over   Duration `toml:"over"`
-	Slower float64  `toml:"slower"`
-	Below  float64  `toml:"below"`
-	Rest   Duration `toml:"rest"`
-	Most   Duration `toml:"most"`
+// Congestion is what makes an overloaded box slow and keeps it so.
+type Congestion struct {
+	At             float64  `toml:"at"`
+	Window         Duration `toml:"over"`
+	SlowFactor     float64  `toml:"slower"`
+	Below          float64  `toml:"below"`
+	RecoveryWindow Duration `toml:"rest"`
+	MaxDuration    Duration `toml:"most"`
 }
 
 // Conn are the connections of boxes.
 type Conn struct {
-	Max       int      `toml:"max"` // that a box accepts
-	Handshake Duration `toml:"handshake_work"`
-	Idle      Duration `toml:"idle"`    // a box closes one that stood idle for so long
-	Timeout   Duration `toml:"timeout"` // for nodes to connect in
+	Max            int      `toml:"max"` // that a box accepts
+	HandshakeWork  Duration `toml:"handshake_work"`
+	IdleTimeout    Duration `toml:"idle"`    // a box closes one that stood idle for so long
+	ConnectTimeout Duration `toml:"timeout"` // for nodes to connect in
 }
 
 // Prices are what nodes are told that things cost, as parts of the mean request's worth. The report counts no prices.
@@ -155,24 +155,24 @@
 	Share float64 `toml:"share"` // of the traffic
 }
 
-// Kind is a kind of machine.
-type Kind struct {
-	Name       string   `toml:"name"`
-	Cores      int      `toml:"cores"`
-	Speed      float64  `toml:"speed"`        // of a core; 1 is the usual
-	Spread     float64  `toml:"speed_spread"` // standard deviation between boxes, as a part
-	Slots      int      `toml:"slots"`
-	Queue      int      `toml:"queue"`
-	Thrash     float64  `toml:"thrash"`
-	ThrashAt   float64  `toml:"thrash_at"`
-	ColdFrom   float64  `toml:"cold_from"`
-	Cold       Duration `toml:"cold"`
-	WarmBy     string   `toml:"warm_by"` // time or requests
-	PauseEvery Duration `toml:"pause_every"`
-	Pause      Duration `toml:"pause"`
-	Errors     float64  `toml:"errors"` // part of the requests
-	Cancel     string   `toml:"cancel"` // none, queued or all: what a box drops when its sender has gone
-	DropsLate  bool     `toml:"drops_expired"`
+// MachineKind is a kind of machine.
+type MachineKind struct {
+	Name          string   `toml:"name"`
+	Cores         int      `toml:"cores"`
+	Speed         float64  `toml:"speed"`        // of a core; 1 is the usual
+	Spread        float64  `toml:"speed_spread"` // standard deviation between boxes, as a part
+	Slots         int      `toml:"slots"`
+	Queue         int      `toml:"queue"`
+	Thrash        float64  `toml:"thrash"`
+	ThrashAt      float64  `toml:"thrash_at"`
+	ColdFraction  float64  `toml:"cold_from"`
+	WarmUp        Duration `toml:"cold"`
+	WarmBy        string   `toml:"warm_by"` // time or requests
+	PauseEvery    Duration `toml:"pause_every"`
+	Pause         Duration `toml:"pause"`
+	ErrorFraction float64  `toml:"errors"` // part of the requests
+	Cancel        string   `toml:"cancel"` // none, queued or all: what a box drops when its sender has gone
+	DropsExpired  bool     `toml:"drops_expired"`
 }
 
 // Fleet is a number of boxes of one kind, dealt out over the sites in turn.
@@ -183,18 +183,18 @@
 
 // Class is one kind of request.
 type Class struct {
-	Name     string   `toml:"name"`
-	Share    float64  `toml:"share"`
-	Work     Duration `toml:"work"`   // mean, on a core of speed 1
-	Spread   float64  `toml:"spread"` // coefficient of variation
-	Noise    float64  `toml:"attempt_noise"`
-	Aim      Duration `toml:"aim"`
-	Deadline Duration `toml:"deadline"`
-	Worth    float64  `toml:"worth"`
-	Effect   string   `toml:"effect"` // safe, keyed, unsafe
-	Group    string   `toml:"group"`  // keyed: all, site, cell
-	Window   Duration `toml:"window"`
-	Bytes    int      `toml:"bytes"` // of the body
+	Name          string   `toml:"name"`
+	Share         float64  `toml:"share"`
+	Work          Duration `toml:"work"`   // mean, on a core of speed 1
+	Spread        float64  `toml:"spread"` // coefficient of variation
+	AttemptNoise  float64  `toml:"attempt_noise"`
+	LatencyTarget Duration `toml:"aim"`
+	Deadline      Duration `toml:"deadline"`
+	Utility       float64  `toml:"worth"`
+	Effect        string   `toml:"effect"` // safe, keyed, unsafe
+	Group         string   `toml:"group"`  // keyed: all, site, cell
+	Window        Duration `toml:"window"`
+	Bytes         int      `toml:"bytes"` // of the body
 }
 
 // Tenant is one customer.
@@ -206,33 +206,33 @@
 
 // Event is one entry of the time table. Do names it; the other keys that it reads are listed with Actions.
 type Event struct {
-	Do     string   `toml:"do"`
-	At     Duration `toml:"at"`
-	For    Duration `toml:"for"`
-	Over   Duration `toml:"over"`
-	Part   float64  `toml:"part"`
-	Batch  float64  `toml:"batch"`
-	Drain  Duration `toml:"drain"`
-	By     float64  `toml:"by"`
-	Follow float64  `toml:"traffic_follows"`
-	Boxes  int      `toml:"boxes"`
-	Node   int      `toml:"node"`
-	Down   Duration `toml:"down"`
-	Rate   float64  `toml:"rate"`
-	Kinds  []string `toml:"kinds"`
-	Reuse  bool     `toml:"same_address"`
-	Serves Duration `toml:"serves"` // a draining box goes on taking what is new for so long
-	Class  string   `toml:"class"`
-	Site   string   `toml:"site"`
-	To     string   `toml:"to"`  // the other site of a cut between two; without it all others
-	Way    string   `toml:"way"` // of what a cut stops: both, out (of what is cut off) or in
+	Action         string   `toml:"do"`
+	At             Duration `toml:"at"`
+	Lasts          Duration `toml:"for"`
+	Over           Duration `toml:"over"`
+	Fraction       float64  `toml:"part"`
+	Batch          float64  `toml:"batch"`
+	Drain          Duration `toml:"drain"`
+	Factor         float64  `toml:"by"`
+	TrafficFollows float64  `toml:"traffic_follows"`
+	Backends       int      `toml:"boxes"`
+	Node           int      `toml:"node"`
+	Down           Duration `toml:"down"`
+	Rate           float64  `toml:"rate"`
+	Kinds          []string `toml:"kinds"`
+	SameAddress    bool     `toml:"same_address"`
+	Serves         Duration `toml:"serves"` // a draining box goes on taking what is new for so long
+	Class          string   `toml:"class"`
+	Site           string   `toml:"site"`
+	To             string   `toml:"to"`  // the other site of a cut between two; without it all others
+	Direction      string   `toml:"way"` // of what a cut stops: both, out (of what is cut off) or in
 }
 
 // Action is what an event can do, with the keys that it reads beside do and at.
 type Action struct {
-	Keys []string
-	Need []string
-	Text string
+	Keys     []string
+	Required []string
+	Text     string
 }
 
 // Actions are the events that there are.
@@ -264,14 +264,14 @@
 	"surge":        {[]string{"for", "by"}, []string{"for", "by"}, "traffic times by"},
 }
 
-// LinkEvents are those that need nodes that talk to each other.
-var LinkEvents = []string{"cut-nodes", "drop-words", "double-words", "spoil-words", "late-words"}
+// PeerLinkEvents are those that need nodes that talk to each other.
+var PeerLinkEvents = []string{"cut-nodes", "drop-words", "double-words", "spoil-words", "late-words"}
 
-// LostKnown is after which time a lost site's boxes end as far as the list is concerned.
-const LostKnown = time.Second
+// LostSiteListDelay is after which time a lost site's boxes end as far as the list is concerned.
+const LostSiteListDelay = time.Second
 
-// BadKinds are the kinds of bad clients.
-var BadKinds = []string{"garbage", "endless-head", "negative-length", "huge-length", "both-lengths", "no-id", "no-class",
+// InvalidClientKinds are the kinds of bad clients.
+var InvalidClientKinds = []string{"garbage", "endless-head", "negative-length", "huge-length", "both-lengths", "no-id", "no-class",
 	"bad-deadline", "half", "silent", "open-id"}
 
 // HealthCheck is a further kind, which is not bad: it asks for the node's readiness on a connection of its own and keeps
@@ -351,60 +351,60 @@
 		{"traffic.peak", s.Traffic.Peak, 0.01, 100, ""},
 		{"traffic.swing", s.Traffic.Swing, 0, 0.95, ""},
 		{"traffic.period", s.Traffic.Period.S(), 0.1, 3600, "s"},
-		{"traffic.over_share_worth", s.Traffic.OverShare, 0, 1, ""},
-		{"traffic.quota_of_rate", s.Traffic.QuotaShare, 0.01, 100, ""},
-		{"net.same_site", s.Net.Same.S(), 0, 1, "s"},
-		{"net.cross_site", s.Net.Cross.S(), 0, 1, "s"},
+		{"traffic.over_share_worth", s.Traffic.OverQuotaUtility, 0, 1, ""},
+		{"traffic.quota_of_rate", s.Traffic.QuotaFactor, 0.01, 100, ""},
+		{"net.same_site", s.Net.SameSite.S(), 0, 1, "s"},
+		{"net.cross_site", s.Net.CrossSite.S(), 0, 1, "s"},
 		{"net.jitter", s.Net.Jitter, 0, 1, ""},
 		{"list.lag", s.List.Lag.S(), 0, 60, "s"},
-		{"list.add", s.List.Add.S(), 0, 60, "s"},
+		{"list.add", s.List.AddLag.S(), 0, 60, "s"},
 		{"list.spread", s.List.Spread.S(), 0, 10, "s"},
-		{"list.calls", s.List.Calls, 0, 1e6, " a second"},
+		{"list.calls", s.List.MaxCalls, 0, 1e6, " a second"},
 		{"clients.retries", float64(s.Clients.Retries), 0, 10, ""},
-		{"clients.wait", s.Clients.Wait.S(), 0, 10, "s"},
-		{"clients.honour_retry_after", s.Clients.Honour, 0, 1, ""},
-		{"clients.max_retry_after", s.Clients.MaxWait.S(), 0, 60, "s"},
-		{"clients.try_share", s.Clients.TryShare, 0.05, 1, ""},
+		{"clients.wait", s.Clients.RetryWait.S(), 0, 10, "s"},
+		{"clients.honour_retry_after", s.Clients.HonourRetryAfter, 0, 1, ""},
+		{"clients.max_retry_after", s.Clients.MaxRetryAfter.S(), 0, 60, "s"},
+		{"clients.try_share", s.Clients.TryFraction, 0.05, 1, ""},
 		{"clients.impatient", s.Clients.Impatient, 0, 1, ""},
-		{"clients.ask_once", s.Clients.Once, 0, 1, ""},
-		{"clients.jsonrpc", s.Clients.RPC, 0, 1, ""},
+		{"clients.ask_once", s.Clients.SingleUse, 0, 1, ""},
+		{"clients.jsonrpc", s.Clients.JSONRPC, 0, 1, ""},
 		{"clients.chunked", s.Clients.Chunked, 0, 1, ""},
-		{"clients.connections", float64(s.Clients.Conns), 0, 1 << 20, ""},
-		{"clients.front_notice", s.Clients.Notice.S(), 0, 30, "s"},
+		{"clients.connections", float64(s.Clients.MaxConns), 0, 1 << 20, ""},
+		{"clients.front_notice", s.Clients.FrontNotice.S(), 0, 30, "s"},
 		{"rules.drain_grace", s.Rules.DrainGrace.S(), 0.1, 60, "s"},
-		{"rules.fall_factor", s.Rules.FallFactor, 0, 100, ""},
-		{"rules.fall_for", s.Rules.FallFor.S(), 0.1, 60, "s"},
+		{"rules.fall_factor", s.Rules.OverloadFactor, 0, 100, ""},
+		{"rules.fall_for", s.Rules.OverloadDuration.S(), 0.1, 60, "s"},
 		{"rules.attempts", float64(s.Rules.Attempts), 1, 10, ""},
-		{"report.every", s.Report.Every.S(), 0, 60, "s"},
-		{"report.late", s.Report.Late.S(), 0, 60, "s"},
+		{"report.every", s.Report.Interval.S(), 0, 60, "s"},
+		{"report.late", s.Report.Delay.S(), 0, 60, "s"},
 		{"report.noise", s.Report.Noise, 0, 1, ""},
-		{"choke.at", s.Choke.At, 0, 1000, ""},
-		{"choke.over", s.Choke.Over.S(), 0.1, 60, "s"},
-		{"choke.slower", s.Choke.Slower, 1, 100, ""},
-		{"choke.below", s.Choke.Below, 0, 1, ""},
-		{"choke.rest", s.Choke.Rest.S(), 0.1, 60, "s"},
-		{"choke.most", s.Choke.Most.S(), 0.1, 600, "s"},
+		{"choke.at", s.Congestion.At, 0, 1000, ""},
+		{"choke.over", s.Congestion.Window.S(), 0.1, 60, "s"},
+		{"choke.slower", s.Congestion.SlowFactor, 1, 100, ""},
+		{"choke.below", s.Congestion.Below, 0, 1, ""},
+		{"choke.rest", s.Congestion.RecoveryWindow.S(), 0.1, 60, "s"},
+		{"choke.most", s.Congestion.MaxDuration.S(), 0.1, 600, "s"},
 		{"prices.cross_site", s.Prices.CrossSite, 0, 1, ""},
 		{"connections.max", float64(s.Conn.Max), 1, 65535, ""},
-		{"connections.handshake_work", s.Conn.Handshake.S(), 0, 1, "s"},
-		{"connections.idle", s.Conn.Idle.S(), 0.1, 3600, "s"},
-		{"connections.timeout", s.Conn.Timeout.S(), 0.01, 60, "s"},
+		{"connections.handshake_work", s.Conn.HandshakeWork.S(), 0, 1, "s"},
+		{"connections.idle", s.Conn.IdleTimeout.S(), 0.1, 3600, "s"},
+		{"connections.timeout", s.Conn.ConnectTimeout.S(), 0.01, 60, "s"},
 	}
-	for i, k := range s.Kinds {
+	for i, k := range s.MachineKinds {
 		p := fmt.Sprintf("kind[%d].", i)
 		bounds = append(bounds, bound{p + "cores", float64(k.Cores), 1, 256, ""}, bound{p + "speed", k.Speed, 0.01, 100, ""},
 			bound{p + "speed_spread", k.Spread, 0, 1, ""}, bound{p + "slots", float64(k.Slots), 1, 65536, ""},
 			bound{p + "queue", float64(k.Queue), 0, 1 << 20, ""}, bound{p + "thrash", k.Thrash, 0, 0.95, ""},
-			bound{p + "thrash_at", k.ThrashAt, 0, 1000, ""}, bound{p + "cold_from", k.ColdFrom, 0.01, 1, ""},
-			bound{p + "cold", k.Cold.S(), 0, 600, "s"}, bound{p + "pause_every", k.PauseEvery.S(), 0, 3600, "s"},
-			bound{p + "pause", k.Pause.S(), 0, 10, "s"}, bound{p + "errors", k.Errors, 0, 1, ""})
+			bound{p + "thrash_at", k.ThrashAt, 0, 1000, ""}, bound{p + "cold_from", k.ColdFraction, 0.01, 1, ""},
+			bound{p + "cold", k.WarmUp.S(), 0, 600, "s"}, bound{p + "pause_every", k.PauseEvery.S(), 0, 3600, "s"},
+			bound{p + "pause", k.Pause.S(), 0, 10, "s"}, bound{p + "errors", k.ErrorFraction, 0, 1, ""})
 	}
 	for i, c := range s.Classes {
 		p := fmt.Sprintf("class[%d].", i)
 		bounds = append(bounds, bound{p + "share", c.Share, 0.0001, 1e6, ""}, bound{p + "work", c.Work.S(), 1e-6, 60, "s"},
-			bound{p + "spread", c.Spread, 0, 5, ""}, bound{p + "attempt_noise", c.Noise, 0, 2, ""},
-			bound{p + "aim", c.Aim.S(), 0.001, 600, "s"}, bound{p + "deadline", c.Deadline.S(), c.Aim.S(), 600, "s"},
-			bound{p + "worth", c.Worth, 0, 1e6, ""}, bound{p + "bytes", float64(c.Bytes), 0, 16 << 20, ""})
+			bound{p + "spread", c.Spread, 0, 5, ""}, bound{p + "attempt_noise", c.AttemptNoise, 0, 2, ""},
+			bound{p + "aim", c.LatencyTarget.S(), 0.001, 600, "s"}, bound{p + "deadline", c.Deadline.S(), c.LatencyTarget.S(), 600, "s"},
+			bound{p + "worth", c.Utility, 0, 1e6, ""}, bound{p + "bytes", float64(c.Bytes), 0, 16 << 20, ""})
 	}
 	for i, t := range s.Tenants {
 		p := fmt.Sprintf("tenant[%d].", i)
@@ -430,7 +430,7 @@
 		{"list.mode", s.List.Mode, []string{"push", "ask"}},
 		{"clients.backoff", s.Clients.Backoff, []string{"none", "fixed", "exponential"}},
 	}
-	for i, k := range s.Kinds {
+	for i, k := range s.MachineKinds {
 		words = append(words, word{fmt.Sprintf("kind[%d].warm_by", i), k.WarmBy, []string{"time", "requests"}}, word{fmt.Sprintf("kind[%d].cancel", i), k.Cancel, []string{"none", "queued", "all"}})
 	}
 	for i, c := range s.Classes {
@@ -450,12 +450,12 @@
 	if err := s.own(); err != nil {
 		return s.keys.Problem("nodes.own", "%v", err)
 	}
-	if strings.Contains(s.Nodes.Own, "{peer}") && s.Nodes.Count > 200 {
+	if strings.Contains(s.Nodes.Settings, "{peer}") && s.Nodes.Count > 200 {
 		return s.keys.Problem("nodes.count", "%d: at most 200 nodes can talk to each other here", s.Nodes.Count)
 	}
-	if ttl := s.Names.TTL.D(); ttl < 0 || ttl%time.Second != 0 {
+	if ttl := s.SRV.TTL.D(); ttl < 0 || ttl%time.Second != 0 {
 		return s.keys.Problem("names.ttl", "%v is no whole number of seconds", ttl)
-	} else if (ttl > 0) != strings.Contains(s.Nodes.Own, "{dns}") {
+	} else if (ttl > 0) != strings.Contains(s.Nodes.Settings, "{dns}") {
 		return s.keys.Problem("names.ttl", "it goes with dns.servers = [\"{dns}\"] in nodes.own, and neither without the other")
 	}
 	return s.events()
@@ -464,7 +464,7 @@
 // own checks the nodes' own settings, with something in every place that a rehearsal fills in.
 func (s *Scenario) own() error {
 	key := ""
-	if strings.Contains(s.Nodes.Own, "{key}") {
+	if strings.Contains(s.Nodes.Settings, "{key}") {
 		f, err := os.CreateTemp("", "craneglade-key-*")
 		if err != nil {
 			return err
@@ -477,7 +477,7 @@
 		}
 	}
 	_, err := settings.Parse("nodes.own", []byte(strings.NewReplacer("{dir}", os.TempDir(), "{rpc}", "127.0.0.1:1", "{dns}", "127.0.0.1:1",
-		"{peer}", "127.0.0.1:1", "{advertise}", "127.0.0.1:1", "{seeds}", `["127.0.0.1:1"]`, "{key}", key, "{audit}", "audit").Replace(s.Nodes.Own)))
+		"{peer}", "127.0.0.1:1", "{advertise}", "127.0.0.1:1", "{seeds}", `["127.0.0.1:1"]`, "{key}", key, "{audit}", "audit").Replace(s.Nodes.Settings)))
 	return err
 }
 
@@ -489,7 +489,7 @@
 // names checks that names are there once, and that what they refer to is there.
 func (s *Scenario) names() error {
 	for table, names := range map[string][]string{"site": names(s.Sites, func(x Site) string { return x.Name }),
-		"kind":   names(s.Kinds, func(x Kind) string { return x.Name }),
+		"kind":   names(s.MachineKinds, func(x MachineKind) string { return x.Name }),
 		"class":  names(s.Classes, func(x Class) string { return x.Name }),
 		"tenant": names(s.Tenants, func(x Tenant) string { return x.Name })} {
 		for i, n := range names {
@@ -503,9 +503,9 @@
 		}
 	}
 	for i, f := range s.Fleet {
-		if s.Kind(f.Kind) == nil {
+		if s.MachineKind(f.Kind) == nil {
 			return s.keys.Problem(fmt.Sprintf("fleet[%d].kind", i), "%q is no kind of machine: there are %s", f.Kind,
-				strings.Join(names(s.Kinds, func(x Kind) string { return x.Name }), ", "))
+				strings.Join(names(s.MachineKinds, func(x MachineKind) string { return x.Name }), ", "))
 		}
 	}
 	return nil
@@ -519,17 +519,17 @@
 	return out
 }
 
-// Kind returns a kind of machine by its name, or nil.
-func (s *Scenario) Kind(name string) *Kind {
-	i := slices.IndexFunc(s.Kinds, func(k Kind) bool { return k.Name == name })
+// MachineKind returns a kind of machine by its name, or nil.
+func (s *Scenario) MachineKind(name string) *MachineKind {
+	i := slices.IndexFunc(s.MachineKinds, func(k MachineKind) bool { return k.Name == name })
 	if i < 0 {
 		return nil
 	}
-	return &s.Kinds[i]
+	return &s.MachineKinds[i]
 }
 
-// Boxes is the number of boxes at the start.
-func (s *Scenario) Boxes() int {
+// Backends is the number of boxes at the start.
+func (s *Scenario) Backends() int {
 	n := 0
 	for _, f := range s.Fleet {
 		n += f.Count
@@ -541,19 +541,19 @@
 func (s *Scenario) events() error {
 	for i, e := range s.Events {
 		p := fmt.Sprintf("event[%d].", i)
-		act, ok := Actions[e.Do]
+		act, ok := Actions[e.Action]
 		if !ok {
-			return s.keys.Problem(p+"do", "%q is none of %s", e.Do, strings.Join(sortedKeys(Actions), ", "))
+			return s.keys.Problem(p+"do", "%q is none of %s", e.Action, strings.Join(sortedKeys(Actions), ", "))
 		}
-		given := map[string]bool{"over": e.Over != 0, "part": e.Part != 0, "batch": e.Batch != 0, "drain": e.Drain != 0, "by": e.By != 0,
-			"traffic_follows": e.Follow != 0, "boxes": e.Boxes != 0, "node": e.Node != 0, "down": e.Down != 0, "rate": e.Rate != 0,
-			"kinds": len(e.Kinds) > 0, "class": e.Class != "", "same_address": e.Reuse, "serves": e.Serves != 0, "for": e.For != 0, "site": e.Site != "", "to": e.To != "", "way": e.Way != ""}
+		given := map[string]bool{"over": e.Over != 0, "part": e.Fraction != 0, "batch": e.Batch != 0, "drain": e.Drain != 0, "by": e.Factor != 0,
+			"traffic_follows": e.TrafficFollows != 0, "boxes": e.Backends != 0, "node": e.Node != 0, "down": e.Down != 0, "rate": e.Rate != 0,
+			"kinds": len(e.Kinds) > 0, "class": e.Class != "", "same_address": e.SameAddress, "serves": e.Serves != 0, "for": e.Lasts != 0, "site": e.Site != "", "to": e.To != "", "way": e.Direction != ""}
 		for _, k := range sortedKeys(given) {
 			if given[k] && !slices.Contains(act.Keys, k) {
-				return s.keys.Problem(p+k, "%s does not read it: it reads %s", e.Do, strings.Join(act.Keys, ", "))
+				return s.keys.Problem(p+k, "%s does not read it: it reads %s", e.Action, strings.Join(act.Keys, ", "))
 			}
-			if !given[k] && slices.Contains(act.Need, k) {
-				return s.keys.Problem(p+k, "%s needs it", e.Do)
+			if !given[k] && slices.Contains(act.Required, k) {
+				return s.keys.Problem(p+k, "%s needs it", e.Action)
 			}
 		}
 		switch {
@@ -561,59 +561,59 @@
 			return s.keys.Problem(p+"at", "%v is outside the length of %v", e.At, s.Length)
 		case e.Serves < 0 || e.Serves > e.Drain:
 			return s.keys.Problem(p+"serves", "%v is outside 0 to the drain of %v", e.Serves, e.Drain)
-		case e.Over < 0 || e.For < 0 || e.Drain < 0 || e.Down < 0:
+		case e.Over < 0 || e.Lasts < 0 || e.Drain < 0 || e.Down < 0:
 			return s.keys.Problem(p+"at", "a time is negative")
 		case e.At+e.Over > s.Length:
 			return s.keys.Problem(p+"over", "it ends at %v, after the length of %v", e.At+e.Over, s.Length)
-		case e.Part < 0 || e.Part > 1:
-			return s.keys.Problem(p+"part", "%v is outside 0 to 1", e.Part)
+		case e.Fraction < 0 || e.Fraction > 1:
+			return s.keys.Problem(p+"part", "%v is outside 0 to 1", e.Fraction)
 		case e.Batch < 0 || e.Batch > 1:
 			return s.keys.Problem(p+"batch", "%v is outside 0 to 1", e.Batch)
-		case e.Do == "grow" && !(e.By > 1 && e.By <= 10):
-			return s.keys.Problem(p+"by", "%v is outside 1 to 10: the fleet grows by that factor", e.By)
-		case e.Do == "slow" && !(e.By > 1 && e.By <= 100):
-			return s.keys.Problem(p+"by", "%v is outside 1 to 100: boxes are slower by that factor", e.By)
-		case e.Do == "surge" && !(e.By > 0 && e.By <= 100):
-			return s.keys.Problem(p+"by", "%v is outside 0 to 100: traffic is times that", e.By)
-		case e.Do == "list-stale" && !(e.By > 0 && e.By <= 60):
-			return s.keys.Problem(p+"by", "%v is outside 0 to 60 s", e.By)
-		case e.Follow < 0 || e.Follow > 1:
-			return s.keys.Problem(p+"traffic_follows", "%v is outside 0 to 1", e.Follow)
+		case e.Action == "grow" && !(e.Factor > 1 && e.Factor <= 10):
+			return s.keys.Problem(p+"by", "%v is outside 1 to 10: the fleet grows by that factor", e.Factor)
+		case e.Action == "slow" && !(e.Factor > 1 && e.Factor <= 100):
+			return s.keys.Problem(p+"by", "%v is outside 1 to 100: boxes are slower by that factor", e.Factor)
+		case e.Action == "surge" && !(e.Factor > 0 && e.Factor <= 100):
+			return s.keys.Problem(p+"by", "%v is outside 0 to 100: traffic is times that", e.Factor)
+		case e.Action == "list-stale" && !(e.Factor > 0 && e.Factor <= 60):
+			return s.keys.Problem(p+"by", "%v is outside 0 to 60 s", e.Factor)
+		case e.TrafficFollows < 0 || e.TrafficFollows > 1:
+			return s.keys.Problem(p+"traffic_follows", "%v is outside 0 to 1", e.TrafficFollows)
 		case e.Node < 0 || e.Node > s.Nodes.Count:
 			return s.keys.Problem(p+"node", "%d is none: nodes are numbered 1 to %d", e.Node, s.Nodes.Count)
-		case e.Boxes < 0 || e.Boxes > s.Boxes():
-			return s.keys.Problem(p+"boxes", "%d is more than the fleet has: %d", e.Boxes, s.Boxes())
+		case e.Backends < 0 || e.Backends > s.Backends():
+			return s.keys.Problem(p+"boxes", "%d is more than the fleet has: %d", e.Backends, s.Backends())
 		case e.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == e.Class }):
 			return s.keys.Problem(p+"class", "%q is no class: there are %s", e.Class,
 				strings.Join(names(s.Classes, func(c Class) string { return c.Name }), ", "))
 		case e.Site != "" && !slices.ContainsFunc(s.Sites, func(x Site) bool { return x.Name == e.Site }):
 			return s.keys.Problem(p+"site", "%q is no site: there are %s", e.Site,
 				strings.Join(names(s.Sites, func(x Site) string { return x.Name }), ", "))
-		case e.Do == "lose-site" && e.For < 2*Duration(LostKnown):
-			return s.keys.Problem(p+"for", "%v is shorter than %v: the list takes a lost site's boxes off after %v", e.For, 2*Duration(LostKnown), LostKnown)
-		case slices.Contains(LinkEvents, e.Do) && !strings.Contains(s.Nodes.Own, "{peer}"):
-			return s.keys.Problem(p+"do", "%s needs nodes that talk to each other: fleet.listen = \"{peer}\" in nodes.own", e.Do)
-		case e.Do == "cut-nodes" && (e.Part > 0) == (e.Site != ""):
+		case e.Action == "lose-site" && e.Lasts < 2*Duration(LostSiteListDelay):
+			return s.keys.Problem(p+"for", "%v is shorter than %v: the list takes a lost site's boxes off after %v", e.Lasts, 2*Duration(LostSiteListDelay), LostSiteListDelay)
+		case slices.Contains(PeerLinkEvents, e.Action) && !strings.Contains(s.Nodes.Settings, "{peer}"):
+			return s.keys.Problem(p+"do", "%s needs nodes that talk to each other: fleet.listen = \"{peer}\" in nodes.own", e.Action)
+		case e.Action == "cut-nodes" && (e.Fraction > 0) == (e.Site != ""):
 			return s.keys.Problem(p+"do", "cut-nodes needs one of part and site")
 		case e.To != "" && !slices.ContainsFunc(s.Sites, func(x Site) bool { return x.Name == e.To }):
 			return s.keys.Problem(p+"to", "%q is no site: there are %s", e.To, strings.Join(names(s.Sites, func(x Site) string { return x.Name }), ", "))
 		case e.To != "" && (e.Site == "" || e.To == e.Site):
 			return s.keys.Problem(p+"to", "%q needs another site beside it", e.To)
-		case (e.Do == "cut-nodes" || e.Do == "cut-links") && !slices.Contains([]string{"both", "out", "in"}, e.Way):
-			return s.keys.Problem(p+"way", "%q is none of both, out, in", e.Way)
-		case e.Do == "late-words" && !(e.By > 0 && e.By <= 10):
-			return s.keys.Problem(p+"by", "%v is outside 0 to 10 s", e.By)
-		case (e.Do == "kill" || e.Do == "term" || e.Do == "stall") && e.Part > 0 && e.Node > 0:
+		case (e.Action == "cut-nodes" || e.Action == "cut-links") && !slices.Contains([]string{"both", "out", "in"}, e.Direction):
+			return s.keys.Problem(p+"way", "%q is none of both, out, in", e.Direction)
+		case e.Action == "late-words" && !(e.Factor > 0 && e.Factor <= 10):
+			return s.keys.Problem(p+"by", "%v is outside 0 to 10 s", e.Factor)
+		case (e.Action == "kill" || e.Action == "term" || e.Action == "stall") && e.Fraction > 0 && e.Node > 0:
 			return s.keys.Problem(p+"part", "node says which one already: give one of the two")
 		case e.Rate < 0 || e.Rate > 1000:
 			return s.keys.Problem(p+"rate", "%v is outside 0 to 1000 a second", e.Rate)
 		}
 		for _, k := range e.Kinds {
-			if known := append(slices.Clone(BadKinds), HealthCheck); !slices.Contains(known, k) {
+			if known := append(slices.Clone(InvalidClientKinds), HealthCheck); !slices.Contains(known, k) {
 				return s.keys.Problem(p+"kinds", "%q is none of %s", k, strings.Join(known, ", "))
 			}
 		}
-		if e.Do == "deploy" {
+		if e.Action == "deploy" {
 			if err := s.reachable(p, e); err != nil {
 				return err
 			}
@@ -624,10 +624,10 @@
 
 // reachable tells whether a deploy can replace what it is to replace by its end: each batch waits for its drain.
 func (s *Scenario) reachable(p string, e Event) error {
-	n := s.Boxes()
-	replace := int(math.Round(e.Part * float64(n)))
+	n := s.Backends()
+	replace := int(math.Round(e.Fraction * float64(n)))
 	if replace < 1 {
-		return s.keys.Problem(p+"part", "%v of %d boxes is none", e.Part, n)
+		return s.keys.Problem(p+"part", "%v of %d boxes is none", e.Fraction, n)
 	}
 	batch := max(1, int(math.Round(cmpOr(e.Batch, 0.15)*float64(n))))
 	rounds := (replace + batch - 1) / batch
--- a/internal/kit/scenario/scenario_test.go
+++ b/internal/kit/scenario/scenario_test.go
@@ -19,7 +19,7 @@
 		s, err := Load(n)
 		if err != nil {
 			t.Errorf("%s: %v", n, err)
-		} else if s.Title == "" || s.Boxes() == 0 {
+		} else if s.Title == "" || s.Backends() == 0 {
 			t.Errorf("%s: no title or no boxes", n)
 		}
 	}
@@ -74,8 +74,8 @@
 	if s.Clients.Retries != 0 || s.Clients.Impatient != 0 {
 		t.Errorf("zeros were replaced: %+v", s.Clients)
 	}
-	if s.Clients.TryShare != Default().Clients.TryShare || s.Kinds[0].Slots != 2 || s.Kinds[0].Speed != Default().Kinds[0].Speed || len(s.Kinds) != 1 {
-		t.Errorf("defaults: %+v %+v", s.Clients, s.Kinds)
+	if s.Clients.TryFraction != Default().Clients.TryFraction || s.MachineKinds[0].Slots != 2 || s.MachineKinds[0].Speed != Default().MachineKinds[0].Speed || len(s.MachineKinds) != 1 {
+		t.Errorf("defaults: %+v %+v", s.Clients, s.MachineKinds)
 	}
 }
 
@@ -104,7 +104,7 @@
 	f.Add("[[event]]\ndo = 3")
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse("f.toml", []byte(text))
-		if err == nil && (s.Boxes() < 1 || s.Length <= 0) {
+		if err == nil && (s.Backends() < 1 || s.Length <= 0) {
 			t.Errorf("accepted: %s", fmt.Sprintf("%+v", s))
 		}
 	})
--- a/internal/kit/stand/bad.go
+++ b/internal/kit/stand/bad.go
@@ -126,7 +126,7 @@
 	if kind == "open-id" {
 		id = stolen
 	}
-	c.out.Add(&trace.Record{Kind: trace.Bad, T: c.clock.us(), Node: f.Name, How: how, Why: kind, ID: id, Status: status,
+	c.out.Add(&trace.Record{Kind: trace.InvalidClient, T: c.clock.us(), Node: f.Name, How: how, Why: kind, ID: id, Status: status,
 		Took: time.Since(start).Microseconds()})
 }
 
--- a/internal/kit/stand/box.go
+++ b/internal/kit/stand/box.go
@@ -108,8 +108,8 @@
 
 // state notes a change of the box as a whole. b.mu is held, or nobody else knows the box.
 func (b *Box) state(now time.Duration, state string) {
-	b.out.Add(&trace.Record{Kind: trace.Box, T: trace.US(now), Box: b.cfg.ID, Site: b.cfg.Site, Cell: b.cfg.Cell, Kit: b.cfg.Kind,
-		State: state, Cores: b.model.Capacity(), Full: b.model.Full()})
+	b.out.Add(&trace.Record{Kind: trace.Backend, T: trace.Microseconds(now), Backend: b.cfg.ID, Site: b.cfg.Site, Cell: b.cfg.Cell, MachineKind: b.cfg.Kind,
+		State: state, Cores: b.model.Capacity(), FullCores: b.model.Full()})
 }
 
 // Serve takes connections of one node from ln, and closes it when the box stops.
@@ -226,7 +226,7 @@
 	}
 	b.stopped = true
 	now := b.clock.Now()
-	b.state(now, trace.Gone)
+	b.state(now, trace.Removed)
 	b.model.Stop(now)
 	b.model.Take()
 	close(b.quit)
@@ -248,7 +248,7 @@
 // noteLost notes that a connection's request is reset. b.mu is held.
 func (b *Box) noteLost(c *boxConn) {
 	if k := c.busy.Swap(nil); k != nil {
-		b.out.Add(&trace.Record{Kind: trace.Reply, T: b.clock.us(), Box: b.cfg.ID, Att: k.att, ID: k.id, How: trace.Reset})
+		b.out.Add(&trace.Record{Kind: trace.Reply, T: b.clock.us(), Backend: b.cfg.ID, Attempt: k.att, ID: k.id, How: trace.Reset})
 	}
 }
 
@@ -263,7 +263,7 @@
 	for _, l := range b.links {
 		b.turn(l)
 	}
-	b.state(b.clock.Now(), trace.Silent)
+	b.state(b.clock.Now(), trace.Unresponsive)
 }
 
 // Return ends Silence. Connections that begin after it come up.
@@ -273,7 +273,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.silent && !b.stopped {
-		b.state(b.clock.Now(), trace.Back)
+		b.state(b.clock.Now(), trace.Responsive)
 		b.silent = false
 		for _, l := range b.links {
 			ended = append(ended, b.turn(l))
@@ -349,12 +349,12 @@
 		}
 		if now >= loads {
 			loads = now + loadEvery
-			b.out.Add(&trace.Record{Kind: trace.Load, T: trace.US(now), Box: b.cfg.ID, Held: b.model.Held(), Queue: b.model.Waiting(),
+			b.out.Add(&trace.Record{Kind: trace.Load, T: trace.Microseconds(now), Backend: b.cfg.ID, InFlight: b.model.Held(), Queue: b.model.Waiting(),
 				Conns: len(b.conns), Cores: b.model.Capacity()})
 		}
 		if now >= caps && !b.model.Warm() && !b.model.Down() {
 			caps = now + capEvery
-			b.out.Add(&trace.Record{Kind: trace.Cap, T: trace.US(now), Box: b.cfg.ID, Cores: b.model.Capacity()})
+			b.out.Add(&trace.Record{Kind: trace.Capacity, T: trace.Microseconds(now), Backend: b.cfg.ID, Cores: b.model.Capacity()})
 		}
 		next := loads
 		if b.cfg.Report.Every > 0 {
@@ -388,7 +388,7 @@
 		case boxmodel.TurnedWarm:
 			b.state(c.At, trace.Warm)
 		case boxmodel.FellOver:
-			b.state(c.At, trace.Fallen)
+			b.state(c.At, trace.Collapsed)
 			for _, l := range b.links {
 				l.ln.Close()
 			}
@@ -408,15 +408,15 @@
 			b.lost(k.conn)
 		case k.dead || r.Outcome == boxmodel.Cancelled:
 		case r.Outcome == boxmodel.Served && b.spoils > 0 && b.rng.Float64() < b.spoils:
-			b.later(k, trace.Spoilt, spoilt[b.rng.IntN(len(spoilt))])
+			b.later(k, trace.Malformed, spoilt[b.rng.IntN(len(spoilt))])
 		case r.Outcome == boxmodel.Served:
 			b.later(k, trace.Served, b.answer(200, "", k.body))
 		case r.Outcome == boxmodel.Failed:
 			b.later(k, trace.Failed, b.answer(500, "", "the box failed\n"))
 		case r.Outcome == boxmodel.Expired:
-			b.later(k, trace.Turned, b.answer(504, "X-Not-Run: 1\r\n", "over before it ran\n"))
+			b.later(k, trace.Rejected, b.answer(504, "X-Not-Run: 1\r\n", "over before it ran\n"))
 		default:
-			b.later(k, trace.Turned, b.answer(503, "X-Not-Run: 1\r\n", "no room\n"))
+			b.later(k, trace.Rejected, b.answer(503, "X-Not-Run: 1\r\n", "no room\n"))
 		}
 	}
 }
@@ -442,7 +442,7 @@
 // later writes an answer once it has come as far as the node's site.
 func (b *Box) later(k *call, how, text string) {
 	status := 0
-	if how != trace.Spoilt {
+	if how != trace.Malformed {
 		status, _ = strconv.Atoi(text[9:12])
 	}
 	b.wg.Add(1)
@@ -460,9 +460,9 @@
 			delete(b.conns, k.conn)
 			b.mu.Unlock()
 		}
-		rec := trace.Record{Kind: trace.Reply, T: b.clock.us(), Box: b.cfg.ID, Att: k.att, ID: k.id, Status: status, How: how}
+		rec := trace.Record{Kind: trace.Reply, T: b.clock.us(), Backend: b.cfg.ID, Attempt: k.att, ID: k.id, Status: status, How: how}
 		if how == trace.Served {
-			rec.Sum = digest([]byte(k.body))
+			rec.Digest = digest([]byte(k.body))
 		}
 		b.out.Add(&rec)
 		k.conn.SetWriteDeadline(time.Now().Add(5 * time.Second))
@@ -522,7 +522,7 @@
 	if k == nil {
 		return
 	}
-	b.out.Add(&trace.Record{Kind: trace.Drop, T: b.clock.us(), Box: b.cfg.ID, Node: c.node.Name, Att: k.att, ID: k.id})
+	b.out.Add(&trace.Record{Kind: trace.Dropped, T: b.clock.us(), Backend: b.cfg.ID, Node: c.node.Name, Attempt: k.att, ID: k.id})
 	b.wg.Add(1)
 	time.AfterFunc(b.cfg.Delay(c.node.Site), func() {
 		defer b.wg.Done()
@@ -541,9 +541,9 @@
 	if err == nil {
 		body, err = io.ReadAll(io.LimitReader(r.Body, maxBody))
 	}
-	rec := trace.Record{Kind: trace.Recv, T: b.clock.us(), T0: first, Box: b.cfg.ID, Node: c.node.Name}
+	rec := trace.Record{Kind: trace.Received, T: b.clock.us(), T0: first, Backend: b.cfg.ID, Node: c.node.Name}
 	if err != nil {
-		rec.Kind = trace.Part
+		rec.Kind = trace.Partial
 		if r != nil {
 			rec.ID = r.Header.Get("X-Request-Id")
 		}
@@ -557,18 +557,18 @@
 		_, err := io.WriteString(c, text)
 		return err == nil
 	}
-	rec.ID, rec.Class, rec.Att = r.Header.Get("X-Request-Id"), r.Header.Get("X-Class"), b.atts.Add(1)
+	rec.ID, rec.Class, rec.Attempt = r.Header.Get("X-Request-Id"), r.Header.Get("X-Class"), b.atts.Add(1)
 	work, bad := formed(r, body)
 	if r.URL.Query().Get("key") == "bad" {
-		rec.How = trace.BadClient
+		rec.How = trace.FromInvalidClient
 	}
 	extra := time.Duration(0)
 	if c.fresh {
 		extra, c.fresh = b.cfg.Handshake, false
 	}
-	rec.Work = trace.US(work + extra)
-	k := &call{conn: c, id: rec.ID, att: rec.Att}
-	k.body = fmt.Sprintf(`{"for":%q,"box":%q,"run":%d,"saved":true,"price":"%d.00"}`, rec.ID, b.cfg.ID, rec.Att, 400+rec.Att%900)
+	rec.Work = trace.Microseconds(work + extra)
+	k := &call{conn: c, id: rec.ID, att: rec.Attempt}
+	k.body = fmt.Sprintf(`{"for":%q,"box":%q,"run":%d,"saved":true,"price":"%d.00"}`, rec.ID, b.cfg.ID, rec.Attempt, 400+rec.Attempt%900)
 	if !c.busy.CompareAndSwap(nil, k) {
 		return false // a second request before the first is answered
 	}
@@ -580,7 +580,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if bad != "" {
-		b.out.Add(&trace.Record{Kind: trace.Reply, T: b.clock.us(), Box: b.cfg.ID, Att: k.att, ID: k.id, Status: 400, How: trace.Refused, Why: bad})
+		b.out.Add(&trace.Record{Kind: trace.Reply, T: b.clock.us(), Backend: b.cfg.ID, Attempt: k.att, ID: k.id, Status: 400, How: trace.Refused, Why: bad})
 		c.busy.Store(nil)
 		text := b.answer(400, "", bad+"\n")
 		if c.shared != nil {
@@ -590,7 +590,7 @@
 		return err == nil
 	}
 	if b.draining || c.extra {
-		b.later(k, trace.Turned, b.answer(503, "X-Not-Run: 1\r\n", "turned away\n"))
+		b.later(k, trace.Rejected, b.answer(503, "X-Not-Run: 1\r\n", "turned away\n"))
 		return true
 	}
 	if b.loses > 0 && b.rng.Float64() < b.loses {
--- a/internal/kit/stand/client.go
+++ b/internal/kit/stand/client.go
@@ -84,7 +84,7 @@
 
 // NewClients returns the clients of a plan. slack is how much later than its client's deadline an answer still counts.
 func NewClients(p *plan.Plan, nodes []trace.Node, dial Dial, clock Clock, out *trace.Writer, slack time.Duration) *Clients {
-	c := &Clients{plan: p, dial: dial, clock: clock, out: out, slack: slack, most: p.Scenario.Clients.Conns, rng: rand.New(rand.NewPCG(p.Seed, 4))}
+	c := &Clients{plan: p, dial: dial, clock: clock, out: out, slack: slack, most: p.Scenario.Clients.MaxConns, rng: rand.New(rand.NewPCG(p.Seed, 4))}
 	for _, n := range nodes {
 		c.nodes = append(c.nodes, &front{Node: n, all: map[*clientConn]struct{}{}})
 	}
@@ -205,9 +205,9 @@
 	rng := rand.New(rand.NewPCG(n.Seed, 5))
 	id := func() string { return fmt.Sprintf("%016x", rng.Uint64()) }
 	first := id()
-	rec := trace.Record{Class: class.Name, Tenant: s.Tenants[n.Tenant].Name, Site: s.Sites[n.Site].Name, Over: n.Over}
+	rec := trace.Record{Class: class.Name, Tenant: s.Tenants[n.Tenant].Name, Site: s.Sites[n.Site].Name, OverQuota: n.Over}
 	want := rec
-	want.Kind, want.T, want.ID = trace.Want, trace.US(n.At), first
+	want.Kind, want.T, want.ID = trace.Planned, trace.Microseconds(n.At), first
 	c.out.Add(&want)
 	c.Count.Asked.Add(1)
 	c.Count.Open.Add(1)
@@ -217,7 +217,7 @@
 	key := strconv.FormatUint(rng.Uint64()%100000, 36)
 	var res result
 	this := first
-	rpc := rand.New(rand.NewPCG(n.Seed, 6)).Float64() < s.Clients.RPC
+	rpc := rand.New(rand.NewPCG(n.Seed, 6)).Float64() < s.Clients.JSONRPC
 	for try := 0; ; try++ {
 		wait := c.plan.Patience(&n, c.clock.Now())
 		if wait == 0 {
@@ -237,11 +237,11 @@
 	}
 	took := c.clock.Now() - n.At
 	done := rec
-	done.Kind, done.T, done.ID, done.How, done.Took = trace.Done, c.clock.us(), first, res.how, trace.US(took)
+	done.Kind, done.T, done.ID, done.How, done.Took = trace.Done, c.clock.us(), first, res.how, trace.Microseconds(took)
 	c.out.Add(&done)
 	switch res.how {
 	case "served":
-		if took <= class.Aim.D() {
+		if took <= class.LatencyTarget.D() {
 			c.Count.InTime.Add(1)
 		} else {
 			c.Count.Late.Add(1)
@@ -310,9 +310,9 @@
 		left = t.need.Impatient
 	}
 	sent := rec
-	sent.Kind, sent.T, sent.Of, sent.Try, sent.Wait, sent.Reused, sent.Again = trace.Sent, c.clock.us(), t.of, t.try, trace.US(t.wait), reused, again
+	sent.Kind, sent.T, sent.FirstID, sent.Try, sent.Timeout, sent.Reused, sent.Resent = trace.Sent, c.clock.us(), t.of, t.try, trace.Microseconds(t.wait), reused, again
 	if t.try == 0 {
-		sent.Plan = trace.US(t.need.At)
+		sent.PlannedAt = trace.Microseconds(t.need.At)
 	}
 	if t.chunked {
 		sent.How = trace.Chunked
@@ -608,7 +608,7 @@
 			e.why = "keep"
 		}
 		k.c.out.Add(&trace.Record{Kind: trace.Got, T: k.c.clock.us(), T0: first, Node: k.front.Name, Conn: k.n, ID: t.id,
-			Status: resp.StatusCode, Sum: digest(body), Bytes: int64(len(body))})
+			Status: resp.StatusCode, Digest: digest(body), Bytes: int64(len(body))})
 		t.ended <- e
 		if resp.Close {
 			return
@@ -628,7 +628,7 @@
 	}
 	how := ""
 	if errors.Is(err, io.EOF) && bytes == 0 && k.taken() {
-		how = trace.Taken
+		how = trace.RequestRead
 	}
 	why := "closed"
 	if err != nil && !errors.Is(err, io.EOF) {
--- a/internal/kit/stand/list.go
+++ b/internal/kit/stand/list.go
@@ -94,7 +94,7 @@
 // noteTold notes that a box's state counts as told at a time.
 func (a *Agent) noteTold(at time.Duration, e *Entry) {
 	a.noted[e.ID] = max(a.noted[e.ID], at)
-	a.out.Add(&trace.Record{Kind: trace.Told, T: trace.US(at), Node: a.node, Box: e.ID, State: e.State})
+	a.out.Add(&trace.Record{Kind: trace.Notified, T: trace.Microseconds(at), Node: a.node, Backend: e.ID, State: e.State})
 }
 
 // Apply takes in a change.
@@ -175,7 +175,7 @@
 func (a *Agent) since(version int64, full bool) Whole {
 	l := Whole{Version: a.version, Full: full, Servers: []Entry{}}
 	for _, e := range a.entries {
-		if full && e.State != trace.Gone || !full && e.version > version {
+		if full && e.State != trace.Removed || !full && e.version > version {
 			l.Servers = append(l.Servers, e.Entry)
 		}
 	}
--- a/internal/kit/stand/rpc.go
+++ b/internal/kit/stand/rpc.go
@@ -66,7 +66,7 @@
 			return // what came while it was cut off came nowhere
 		}
 		if err != nil {
-			b.out.Add(&trace.Record{Kind: trace.Part, T: b.clock.us(), T0: first, Box: b.cfg.ID, Node: c.node.Name})
+			b.out.Add(&trace.Record{Kind: trace.Partial, T: b.clock.us(), T0: first, Backend: b.cfg.ID, Node: c.node.Name})
 			return
 		}
 		m, err := jsonrpc.Parse(frame, rpcMember)
@@ -204,7 +204,7 @@
 			body = slices.Concat(body, m.ID) // an answer that is not this call's
 		}
 		k.c.out.Add(&trace.Record{Kind: trace.Got, T: k.c.clock.us(), T0: first, Node: k.front.Name, Conn: k.n, ID: t.id,
-			Status: e.status, Sum: digest(body), Bytes: int64(len(body))})
+			Status: e.status, Digest: digest(body), Bytes: int64(len(body))})
 		t.ended <- e
 	}
 }
--- a/internal/kit/stand/stand.go
+++ b/internal/kit/stand/stand.go
@@ -23,7 +23,7 @@
 func (c Clock) Now() time.Duration { return time.Since(c.Start) }
 
 // us is the time since the start as traces have it.
-func (c Clock) us() int64 { return trace.US(c.Now()) }
+func (c Clock) us() int64 { return trace.Microseconds(c.Now()) }
 
 // digest tells bodies apart.
 func digest(body []byte) string {
--- a/internal/kit/stand/stand_test.go
+++ b/internal/kit/stand/stand_test.go
@@ -164,20 +164,20 @@
 	q := dial(t, addr)
 	io.WriteString(q, post("r3", 0)[:60])
 	q.Close()
-	until(t, "the half request's record", func() bool { return len(b.records(t, trace.Part)) == 1 })
+	until(t, "the half request's record", func() bool { return len(b.records(t, trace.Partial)) == 1 })
 	x.Drain()
 	resp, _ = p.ask(t, post("r4", time.Millisecond))
 	if resp.StatusCode != 503 || resp.Header.Get("X-Not-Run") != "1" {
 		t.Errorf("draining: %d %v", resp.StatusCode, resp.Header)
 	}
-	recv, reply := b.records(t, trace.Recv), b.records(t, trace.Reply)
+	recv, reply := b.records(t, trace.Received), b.records(t, trace.Reply)
 	if len(recv) != 3 || len(reply) != 3 || recv[0].ID != "r1" || recv[0].Node != "n1" || recv[0].T0 > recv[0].T || recv[0].Work != 2000 {
 		t.Fatalf("%+v\n%+v", recv, reply)
 	}
-	if reply[0].Sum != digest([]byte(body)) || reply[0].How != trace.Served || reply[0].Att != recv[0].Att {
+	if reply[0].Digest != digest([]byte(body)) || reply[0].How != trace.Served || reply[0].Attempt != recv[0].Attempt {
 		t.Errorf("%+v", reply[0])
 	}
-	if reply[2].How != trace.Turned {
+	if reply[2].How != trace.Rejected {
 		t.Errorf("%+v", reply[2])
 	}
 }
@@ -209,7 +209,7 @@
 	until(t, "the request", func() bool { return x.Standing().Held == 1 })
 	p.Close()
 	until(t, "its end", func() bool { return x.Standing().Held == 0 })
-	until(t, "the record", func() bool { return len(b.records(t, trace.Drop)) == 1 })
+	until(t, "the record", func() bool { return len(b.records(t, trace.Dropped)) == 1 })
 }
 
 func TestBoxTurnsAwayWhatIsTooMuch(t *testing.T) {
@@ -269,7 +269,7 @@
 	for _, r := range b.records(t, trace.Reply) {
 		how[r.ID] = r.How
 	}
-	want := map[string]string{"r1": trace.Reset, "r2": trace.Spoilt, "r3": trace.Served, "r5": trace.Served, "r6": trace.Reset}
+	want := map[string]string{"r1": trace.Reset, "r2": trace.Malformed, "r3": trace.Served, "r5": trace.Served, "r6": trace.Reset}
 	if fmt.Sprint(how) != fmt.Sprint(want) {
 		t.Errorf("%v, want %v", how, want)
 	}
@@ -285,7 +285,7 @@
 	p.ask(t, post("r1", 0))
 	cut(false, true)
 	io.WriteString(p, post("r2", time.Millisecond))
-	until(t, "the request", func() bool { return len(b.records(t, trace.Recv)) == 2 })
+	until(t, "the request", func() bool { return len(b.records(t, trace.Received)) == 2 })
 	until(t, "its end", func() bool { return x.Standing().Held == 0 })
 	cut(true, true)
 	until(t, "a connection that does not come up", func() bool {
@@ -315,7 +315,7 @@
 			t.Error("an answer that was lost on the way is told as written")
 		}
 	}
-	if n := len(b.records(t, trace.Recv)); n != 4 {
+	if n := len(b.records(t, trace.Received)); n != 4 {
 		t.Errorf("%d requests came in, want 4", n)
 	}
 }
@@ -347,7 +347,7 @@
 	x.Lose(1)
 	lost := dial(t, addr)
 	io.WriteString(lost, post("r1", time.Millisecond))
-	until(t, "the request", func() bool { return len(b.records(t, trace.Recv)) == 1 })
+	until(t, "the request", func() bool { return len(b.records(t, trace.Received)) == 1 })
 	x.Lose(0)
 	if resp, _ := dial(t, addr).ask(t, post("r2", time.Millisecond)); resp.StatusCode != 200 {
 		t.Errorf("the next one: %d", resp.StatusCode)
@@ -371,8 +371,8 @@
 	}
 	until(t, "the fall", func() bool { return x.Standing().Fallen })
 	until(t, "its record", func() bool {
-		for _, r := range b.records(t, trace.Box) {
-			if r.State == trace.Fallen {
+		for _, r := range b.records(t, trace.Backend) {
+			if r.State == trace.Collapsed {
 				return true
 			}
 		}
@@ -423,7 +423,7 @@
 	// While it is silent it hears nothing either; what came meanwhile is told when it speaks.
 	a.Hush()
 	a.Apply(entry("b1", "Gone"))
-	if n := len(b.records(t, trace.Told)); n != 3 {
+	if n := len(b.records(t, trace.Notified)); n != 3 {
 		t.Errorf("%d told", n)
 	}
 	go func() {
@@ -437,13 +437,13 @@
 	if l, _ := fetch(t, s.Addr, ""); len(l.Servers) != 1 {
 		t.Errorf("a whole list names what is gone: %+v", l)
 	}
-	told := b.records(t, trace.Told)
+	told := b.records(t, trace.Notified)
 	if len(told) != 4 || told[3].State != "Gone" || told[3].Node != "n1" {
 		t.Errorf("%+v", told)
 	}
 	a.Settle(time.Hour)
 	a.Apply(entry("b2", "Gone"))
-	if told := b.records(t, trace.Told); told[4].T < time.Hour.Microseconds() {
+	if told := b.records(t, trace.Notified); told[4].T < time.Hour.Microseconds() {
 		t.Errorf("told at %d, before the node has had its time", told[4].T)
 	}
 }
@@ -454,11 +454,11 @@
 	s := ServeAgent(a, listen(t))
 	defer s.Close()
 	a.Apply(entry("b1", "Terminating"))
-	if n := len(b.records(t, trace.Told)); n != 1 {
+	if n := len(b.records(t, trace.Notified)); n != 1 {
 		t.Errorf("%d told before anybody asked", n)
 	}
 	fetch(t, s.Addr, "?since=1&timeout_ms=5")
-	until(t, "the record", func() bool { return len(b.records(t, trace.Told)) == 2 })
+	until(t, "the record", func() bool { return len(b.records(t, trace.Notified)) == 2 })
 	a.Hush()
 	if _, status := fetch(t, s.Addr, ""); status != 503 {
 		t.Errorf("while it is down: %d", status)
@@ -547,13 +547,13 @@
 			t.Errorf("%+v: %s after %d tries", x, done.How, len(sent))
 		}
 		for i, s := range sent {
-			if s.Try != i || s.Of != sent[0].ID || s.Wait <= 0 {
+			if s.Try != i || s.FirstID != sent[0].ID || s.Timeout <= 0 {
 				t.Errorf("%+v", s)
 			}
 		}
 	}
 	got := b.records(t, trace.Got)
-	if got[0].Sum != digest([]byte("body")) || got[0].T0 > got[0].T {
+	if got[0].Digest != digest([]byte("body")) || got[0].T0 > got[0].T {
 		t.Errorf("%+v", got[0])
 	}
 }
@@ -581,11 +581,11 @@
 		}
 	}
 	sent, broke := b.records(t, trace.Sent), b.records(t, trace.Broke)
-	if len(sent) != 3 || sent[1].ID != sent[2].ID || !sent[1].Reused || !sent[2].Again || sent[2].Reused || len(broke) != 1 || broke[0].How == trace.Taken {
+	if len(sent) != 3 || sent[1].ID != sent[2].ID || !sent[1].Reused || !sent[2].Resent || sent[2].Reused || len(broke) != 1 || broke[0].How == trace.RequestRead {
 		t.Fatalf("%+v\n%+v", sent, broke)
 	}
 	one(t, b, c, 1)
-	if broke := b.records(t, trace.Broke); len(broke) < 2 || broke[1].How != trace.Taken {
+	if broke := b.records(t, trace.Broke); len(broke) < 2 || broke[1].How != trace.RequestRead {
 		t.Errorf("a close after the request was read: %+v", broke)
 	}
 }
@@ -652,8 +652,8 @@
 	if len(gave) != 1 || gave[0].Why != "time" {
 		t.Fatalf("%+v", gave)
 	}
-	if sent := b.records(t, trace.Sent)[0]; gave[0].T < sent.T+sent.Wait+70_000 {
-		t.Errorf("left %d us after sending, with %d to wait: a late answer would pass for none", gave[0].T-sent.T, sent.Wait)
+	if sent := b.records(t, trace.Sent)[0]; gave[0].T < sent.T+sent.Timeout+70_000 {
+		t.Errorf("left %d us after sending, with %d to wait: a late answer would pass for none", gave[0].T-sent.T, sent.Timeout)
 	}
 	c.Node(0, "127.0.0.1:1", Unreachable)
 	if done := one(t, b, c, 0); done.How != "unreachable" {
@@ -672,11 +672,11 @@
 	} {
 		b := newBook()
 		c := clients(t, b, quick, x.handle)
-		for _, kind := range scenario.BadKinds {
+		for _, kind := range scenario.InvalidClientKinds {
 			c.bad(context.Background(), 1, kind)
 		}
-		bad := b.records(t, trace.Bad)
-		if len(bad) != len(scenario.BadKinds) {
+		bad := b.records(t, trace.InvalidClient)
+		if len(bad) != len(scenario.InvalidClientKinds) {
 			t.Errorf("%s: %d records", x.name, len(bad))
 		}
 		for _, r := range bad {
@@ -714,8 +714,8 @@
 		if err := json.Unmarshal([]byte(line), &r); err != nil {
 			t.Fatal(err)
 		}
-		if r.Kind == trace.Told {
-			got = append(got, told{r.Box, r.State, r.T > settle.Microseconds()/2})
+		if r.Kind == trace.Notified {
+			got = append(got, told{r.Backend, r.State, r.T > settle.Microseconds()/2})
 		}
 	}
 	want := []told{{"b", trace.Terminating, true}, {"b", trace.Ready, false}, {"b", trace.Ready, true}, {"c", trace.Terminating, true},
--- a/internal/kit/trace/trace.go
+++ b/internal/kit/trace/trace.go
@@ -28,34 +28,34 @@
 
 // Head is the first line: what a judge has to know of the deployment.
 type Head struct {
-	Trace     int     `json:"trace"` // Version
-	Scenario  string  `json:"scenario"`
-	Seed      uint64  `json:"seed"`
-	Length    int64   `json:"length_us"`  // planned, from the first request to the last
-	Started   string  `json:"started_at"` // RFC 3339
-	Rules     Rules   `json:"rules"`
-	Classes   []Class `json:"classes"`
-	Nodes     []Node  `json:"nodes"`
-	OverShare float64 `json:"over_share_worth"` // worth of a request past its share, as a part of the usual
+	Trace            int     `json:"trace"` // Version
+	Scenario         string  `json:"scenario"`
+	Seed             uint64  `json:"seed"`
+	Length           int64   `json:"length_us"`  // planned, from the first request to the last
+	Started          string  `json:"started_at"` // RFC 3339
+	Rules            Rules   `json:"rules"`
+	Classes          []Class `json:"classes"`
+	Nodes            []Node  `json:"nodes"`
+	OverQuotaUtility float64 `json:"over_share_worth"` // worth of a request past its share, as a part of the usual
 }
 
 // Rules are the figures behind the four rules, as the settings of the nodes tell them.
 type Rules struct {
-	AnswerSlack int64   `json:"answer_slack_us"` // how long after the client's deadline a final answer still counts
-	DrainGrace  int64   `json:"drain_grace_us"`  // how long a node may go on sending to a box that it was told is leaving
-	FallFactor  float64 `json:"fall_factor"`     // a cold box that is sent more than this multiple of its capacity
-	FallFor     int64   `json:"fall_us"`         // for this long falls over
-	Slack       int64   `json:"slack_us"`        // added to every time limit: what sockets may cost
+	AnswerSlack      int64   `json:"answer_slack_us"` // how long after the client's deadline a final answer still counts
+	DrainGrace       int64   `json:"drain_grace_us"`  // how long a node may go on sending to a box that it was told is leaving
+	OverloadFactor   float64 `json:"fall_factor"`     // a cold box that is sent more than this multiple of its capacity
+	OverloadDuration int64   `json:"fall_us"`         // for this long falls over
+	Slack            int64   `json:"slack_us"`        // added to every time limit: what sockets may cost
 }
 
 // Class is one kind of request. Effect is safe, keyed or unsafe; Group, for keyed ones, all, site or cell.
 type Class struct {
-	Name   string  `json:"name"`
-	Effect string  `json:"effect"`
-	Group  string  `json:"group,omitempty"`
-	Window int64   `json:"window_us,omitempty"` // keyed: how long repeats are dropped, from the first send that may have run
-	Aim    int64   `json:"aim_us"`              // an answer within this earns the worth
-	Worth  float64 `json:"worth"`
+	Name          string  `json:"name"`
+	Effect        string  `json:"effect"`
+	Group         string  `json:"group,omitempty"`
+	Window        int64   `json:"window_us,omitempty"` // keyed: how long repeats are dropped, from the first send that may have run
+	LatencyTarget int64   `json:"aim_us"`              // an answer within this earns the worth
+	Utility       float64 `json:"worth"`
 }
 
 // Node is one node of the deployment.
@@ -66,85 +66,85 @@
 
 // The kinds of records.
 const (
-	Want    = "want"   // a client's need: its first try is planned for T
-	Sent    = "sent"   // the last byte of a request is written to a node
-	Got     = "got"    // a whole answer is read; T0 is its first byte
-	Broke   = "broke"  // the connection ended, or gave what is no answer, before a whole answer was there
-	GaveUp  = "gaveup" // the client left: its time was up, or it lost patience (Why)
-	Extra   = "extra"  // bytes came on a client's connection on which no request was open
-	Done    = "done"   // what became of a need: How and Took
-	Recv    = "recv"   // the last byte of a request is read at a box; T0 is its first byte
-	Part    = "part"   // a request began at a box and its connection ended before the last byte
-	Reply   = "reply"  // a box is about to write an answer, or does away with the connection (How)
-	Drop    = "drop"   // a node closed a connection on which a box had a request in hand
-	ByNames = "names"  // How of a Told record: DNS has told a node so, by an answer; without it, the list has
-
-	Told  = "told"  // the list has told a node of a box's State
-	Box   = "box"   // a box changes: State
-	Cap   = "cap"   // what a box that warms up can do at T, in cores of speed 1
-	Load  = "load"  // what a box holds at T
-	Proc  = "proc"  // a node's process changes: State
-	Use   = "use"   // what a node's process holds: Bytes of memory, Conns descriptors
-	Event = "event" // an entry of the time table takes place
-	Bad   = "bad"   // a client that sends what is no request is done: How
-	Lag   = "lag"   // the kit itself was late by Late
-	Peer  = "peer"  // something that a node said to another one (Node): How, Bytes, and Text: by whom
-	Spend = "spend" // what a node says that it may spend of a shared budget (Text): Own, Loans
-	View  = "view"  // what a node knows of the fleet: Surely, Listed, Out, Votes
-	Net   = "net"   // a trouble between nodes (Text) begins or is over (How)
-	End   = "end"   // the rehearsal is over; a trace without this line is cut short
+	Planned  = "want"   // a client's need: its first try is planned for T
+	Sent     = "sent"   // the last byte of a request is written to a node
+	Got      = "got"    // a whole answer is read; T0 is its first byte
+	Broke    = "broke"  // the connection ended, or gave what is no answer, before a whole answer was there
+	GaveUp   = "gaveup" // the client left: its time was up, or it lost patience (Why)
+	Extra    = "extra"  // bytes came on a client's connection on which no request was open
+	Done     = "done"   // what became of a need: How and Took
+	Received = "recv"   // the last byte of a request is read at a box; T0 is its first byte
+	Partial  = "part"   // a request began at a box and its connection ended before the last byte
+	Reply    = "reply"  // a box is about to write an answer, or does away with the connection (How)
+	Dropped  = "drop"   // a node closed a connection on which a box had a request in hand
+	ByDNS    = "names"  // How of a Told record: DNS has told a node so, by an answer; without it, the list has
+
+	Notified      = "told"  // the list has told a node of a box's State
+	Backend       = "box"   // a box changes: State
+	Capacity      = "cap"   // what a box that warms up can do at T, in cores of speed 1
+	Load          = "load"  // what a box holds at T
+	Process       = "proc"  // a node's process changes: State
+	Usage         = "use"   // what a node's process holds: Bytes of memory, Conns descriptors
+	Event         = "event" // an entry of the time table takes place
+	InvalidClient = "bad"   // a client that sends what is no request is done: How
+	Stall         = "lag"   // the kit itself was late by Late
+	PeerMessage   = "peer"  // something that a node said to another one (Node): How, Bytes, and Text: by whom
+	Spend         = "spend" // what a node says that it may spend of a shared budget (Text): Own, Loans
+	View          = "view"  // what a node knows of the fleet: Surely, Listed, Out, Votes
+	NetworkFault  = "net"   // a trouble between nodes (Text) begins or is over (How)
+	End           = "end"   // the rehearsal is over; a trace without this line is cut short
 )
 
 // States of boxes in Box and Told records.
 const (
-	Ready       = "Ready"
-	Terminating = "Terminating"
-	Gone        = "Gone"
-	Fallen      = "fallen" // pushed over while cold; stays down
-	Slow        = "slow"   // turned slower
-	Normal      = "normal" // at its usual speed again
-	Silent      = "silent" // cut off: answers nothing, refuses nothing
-	Back        = "back"   // no longer silent
-	Warm        = "warm"   // at its full capacity for the first time
+	Ready        = "Ready"
+	Terminating  = "Terminating"
+	Removed      = "Gone"
+	Collapsed    = "fallen" // pushed over while cold; stays down
+	Slow         = "slow"   // turned slower
+	Normal       = "normal" // at its usual speed again
+	Unresponsive = "silent" // cut off: answers nothing, refuses nothing
+	Responsive   = "back"   // no longer silent
+	Warm         = "warm"   // at its full capacity for the first time
 )
 
 // States of nodes in Proc records.
 const (
-	Started = "started" // the process runs
-	Up      = "ready"   // it answered its readiness call
-	Kill    = "kill"    // it is about to be killed
-	Term    = "term"    // it is about to get SIGTERM
-	Hup     = "hup"     // it is about to get SIGHUP
-	Stopped = "stopped" // it is about to be stopped (SIGSTOP)
-	Goes    = "goes"    // it goes on (SIGCONT)
-	Exited  = "exited"  // it ended as it was told to
-	Crashed = "crashed" // it ended by itself
+	Started   = "started" // the process runs
+	NodeReady = "ready"   // it answered its readiness call
+	Kill      = "kill"    // it is about to be killed
+	Term      = "term"    // it is about to get SIGTERM
+	Hup       = "hup"     // it is about to get SIGHUP
+	Stopped   = "stopped" // it is about to be stopped (SIGSTOP)
+	Resumed   = "goes"    // it goes on (SIGCONT)
+	Exited    = "exited"  // it ended as it was told to
+	Crashed   = "crashed" // it ended by itself
 )
 
 // Outcomes in Reply records.
 const (
-	Served  = "served"  // 200 with a body made for the request
-	Failed  = "failed"  // 500: it may have run
-	Turned  = "turned"  // 503 or 504 with X-Not-Run: it never ran
-	Refused = "refused" // 400 or 404: not a request of this service
-	Spoilt  = "spoilt"  // what is written is no answer; it has run
-	Reset   = "reset"   // the connection is reset; it may have run
+	Served    = "served"  // 200 with a body made for the request
+	Failed    = "failed"  // 500: it may have run
+	Rejected  = "turned"  // 503 or 504 with X-Not-Run: it never ran
+	Refused   = "refused" // 400 or 404: not a request of this service
+	Malformed = "spoilt"  // what is written is no answer; it has run
+	Reset     = "reset"   // the connection is reset; it may have run
 )
 
 // Begin is the How of the Event with which the traffic begins, and of a Net record of what begins.
 const Begin = "begin"
 
-// Over is the How of a Net record of what is over.
-const Over = "over"
+// Ended is the How of a Net record of what is over.
+const Ended = "over"
 
-// Taken is the How of a Broke whose other side had read the request before it closed.
-const Taken = "taken"
+// RequestRead is the How of a Broke whose other side had read the request before it closed.
+const RequestRead = "taken"
 
 // Chunked is the How of a Sent whose body goes in chunks (Transfer-Encoding).
 const Chunked = "chunked"
 
-// BadClient is the How of a Recv that carries the mark of a client that sends what is no request.
-const BadClient = "bad"
+// FromInvalidClient is the How of a Recv that carries the mark of a client that sends what is no request.
+const FromInvalidClient = "bad"
 
 // Record is any line but the first. Only the fields of its kind are set; the others are left out.
 type Record struct {
@@ -152,76 +152,76 @@
 	T    int64  `json:"t"`            // microseconds since the start
 	T0   int64  `json:"t0,omitempty"` // the first byte, where T is the last
 
-	Node string `json:"n,omitempty"`
-	Box  string `json:"b,omitempty"`
-	ID   string `json:"id,omitempty"`   // X-Request-Id
-	Of   string `json:"of,omitempty"`   // the id of the need's first try
-	Conn int64  `json:"c,omitempty"`    // a client's connection
-	Att  int64  `json:"a,omitempty"`    // one request at one box
-	Try  int    `json:"try,omitempty"`  // 0 for the first
-	Plan int64  `json:"plan,omitempty"` // when the send was planned
-
-	Class  string `json:"class,omitempty"`
-	Tenant string `json:"tenant,omitempty"`
-	Site   string `json:"site,omitempty"`
-	Cell   int    `json:"cell,omitempty"`
-	Wait   int64  `json:"wait,omitempty"`   // X-Deadline in microseconds
-	Reused bool   `json:"reused,omitempty"` // the connection has carried a request before
-	Again  bool   `json:"again,omitempty"`  // the same id once more: a kept connection had closed on the first
-
-	Status int    `json:"status,omitempty"`
-	Sum    string `json:"sum,omitempty"` // a digest of the body
-	Bytes  int64  `json:"bytes,omitempty"`
-	How    string `json:"how,omitempty"`
-	Why    string `json:"why,omitempty"`
-	Took   int64  `json:"took,omitempty"`
-	Over   bool   `json:"over,omitempty"` // past its tenant's share
-
-	Work  int64   `json:"work,omitempty"` // microseconds of a core of speed 1
-	State string  `json:"state,omitempty"`
-	Kit   string  `json:"kind,omitempty"` // a box's machine kind
-	Cores float64 `json:"cores,omitempty"`
-	Full  float64 `json:"full,omitempty"` // capacity when warm, in cores of speed 1
-	Held  int     `json:"held,omitempty"`
-	Queue int     `json:"queue,omitempty"`
-	Conns int     `json:"conns,omitempty"`
-	Late  int64   `json:"late,omitempty"`
-	Text  string  `json:"text,omitempty"`
-
-	Own    int64   `json:"own,omitempty"` // grains of its own that the node has not lent; a budget is 1048576
-	Loans  []Loan  `json:"loans,omitempty"`
-	Surely int     `json:"surely,omitempty"` // nodes that are surely there
-	AtMost int     `json:"most,omitempty"`   // and that may be
-	Every  int64   `json:"every,omitempty"`  // microseconds after which nodes tell again of what has not changed
-	Counts []Count `json:"counts,omitempty"` // what others have counted, as this node has heard anew
-	Listed int     `json:"listed,omitempty"` // boxes that there are,
-	Out    int     `json:"out,omitempty"`    // those that are out by hearsay,
-	Votes  int     `json:"votes,omitempty"`  // and the fewest nodes that found one of those broken
+	Node      string `json:"n,omitempty"`
+	Backend   string `json:"b,omitempty"`
+	ID        string `json:"id,omitempty"`   // X-Request-Id
+	FirstID   string `json:"of,omitempty"`   // the id of the need's first try
+	Conn      int64  `json:"c,omitempty"`    // a client's connection
+	Attempt   int64  `json:"a,omitempty"`    // one request at one box
+	Try       int    `json:"try,omitempty"`  // 0 for the first
+	PlannedAt int64  `json:"plan,omitempty"` // when the send was planned
+
+	Class   string `json:"class,omitempty"`
+	Tenant  string `json:"tenant,omitempty"`
+	Site    string `json:"site,omitempty"`
+	Cell    int    `json:"cell,omitempty"`
+	Timeout int64  `json:"wait,omitempty"`   // X-Deadline in microseconds
+	Reused  bool   `json:"reused,omitempty"` // the connection has carried a request before
+	Resent  bool   `json:"again,omitempty"`  // the same id once more: a kept connection had closed on the first
+
+	Status    int    `json:"status,omitempty"`
+	Digest    string `json:"sum,omitempty"` // a digest of the body
+	Bytes     int64  `json:"bytes,omitempty"`
+	How       string `json:"how,omitempty"`
+	Why       string `json:"why,omitempty"`
+	Took      int64  `json:"took,omitempty"`
+	OverQuota bool   `json:"over,omitempty"` // past its tenant's share
+
+	Work        int64   `json:"work,omitempty"` // microseconds of a core of speed 1
+	State       string  `json:"state,omitempty"`
+	MachineKind string  `json:"kind,omitempty"` // a box's machine kind
+	Cores       float64 `json:"cores,omitempty"`
+	FullCores   float64 `json:"full,omitempty"` // capacity when warm, in cores of speed 1
+	InFlight    int     `json:"held,omitempty"`
+	Queue       int     `json:"queue,omitempty"`
+	Conns       int     `json:"conns,omitempty"`
+	Late        int64   `json:"late,omitempty"`
+	Text        string  `json:"text,omitempty"`
+
+	Own             int64   `json:"own,omitempty"` // grains of its own that the node has not lent; a budget is 1048576
+	Loans           []Loan  `json:"loans,omitempty"`
+	ConfirmedAlive  int     `json:"surely,omitempty"` // nodes that are surely there
+	MaxAlive        int     `json:"most,omitempty"`   // and that may be
+	RefreshInterval int64   `json:"every,omitempty"`  // microseconds after which nodes tell again of what has not changed
+	Counts          []Count `json:"counts,omitempty"` // what others have counted, as this node has heard anew
+	Listed          int     `json:"listed,omitempty"` // boxes that there are,
+	Ejected         int     `json:"out,omitempty"`    // those that are out by hearsay,
+	MinVotes        int     `json:"votes,omitempty"`  // and the fewest nodes that found one of those broken
 }
 
 // Loan is part of a budget that a node holds of another one.
 type Loan struct {
-	Of     int   `json:"of"` // the other's number, from 0
+	Lender int   `json:"of"` // the other's number, from 0
 	Grains int64 `json:"grains"`
 	Until  int64 `json:"until"` // microseconds since the start
 }
 
 // Count is what a node has heard that another one counted of a tenant's requests.
 type Count struct {
-	Key   string `json:"key"`
-	Of    int    `json:"of"`    // the other's number, from 0
-	Life  uint64 `json:"life"`  // of the other; a later one's is higher
-	Epoch uint64 `json:"epoch"` // grows in a life
-	Sum   int64  `json:"sum"`   // requests,
-	From  int64  `json:"from"`  // in this time, microseconds since the start, by the other's clock
-	To    int64  `json:"to"`
+	Key         string `json:"key"`
+	Node        int    `json:"of"`    // the other's number, from 0
+	Incarnation uint64 `json:"life"`  // of the other; a later one's is higher
+	Epoch       uint64 `json:"epoch"` // grows in a life
+	Sum         int64  `json:"sum"`   // requests,
+	From        int64  `json:"from"`  // in this time, microseconds since the start, by the other's clock
+	To          int64  `json:"to"`
 }
 
 // At is the record's time as a duration.
 func (r *Record) At() time.Duration { return time.Duration(r.T) * time.Microsecond }
 
-// US turns a duration since the start into the trace's microseconds.
-func US(d time.Duration) int64 { return d.Microseconds() }
+// Microseconds turns a duration since the start into the trace's microseconds.
+func Microseconds(d time.Duration) int64 { return d.Microseconds() }
 
 // Writer writes a trace. It may be used from many goroutines; the first error of the stream is kept for Close.
 type Writer struct {
--- a/internal/kit/trace/trace_test.go
+++ b/internal/kit/trace/trace_test.go
@@ -12,7 +12,7 @@
 func TestRoundTrip(t *testing.T) {
 	var b bytes.Buffer
 	w := NewWriter(&b, Head{Scenario: "x", Seed: 7, Classes: []Class{{Name: "save", Effect: "keyed"}}})
-	recs := []Record{{Kind: Sent, T: 5, ID: "a<b", Node: "n1", Wait: 9}, {Kind: Recv, T: 7, T0: 6, Box: "s-1", Work: 100}, {Kind: End, T: 9}}
+	recs := []Record{{Kind: Sent, T: 5, ID: "a<b", Node: "n1", Timeout: 9}, {Kind: Received, T: 7, T0: 6, Backend: "s-1", Work: 100}, {Kind: End, T: 9}}
 	for i := range recs {
 		w.Add(&recs[i])
 	}
