--- a/internal/kit/judge/cold.go
+++ b/internal/kit/judge/cold.go
@@ -7,26 +7,27 @@
 	"craneglade/internal/kit/trace"
 )
 
-// This file is rule 4: all nodes together never push a cold backend over.
+// This file checks rule 4: the nodes together never overload a cold backend.
 
-// minToldShare is the part of a flood that has to come from nodes that were told of the backend's start.
-const minToldShare = 2.0 / 3
+// minNotifiedFraction is the fraction of the excess work that has to come from nodes that were notified of the backend's
+// start.
+const minNotifiedFraction = 2.0 / 3
 
-// backend is one start of a backend.
+// backend is one incarnation of a backend.
 type backend struct {
-	site    string
-	cell    int
-	start   int64
-	budget  *boxmodel.Budget // the work that it bears while it is cold; nil when it is not
-	flooded bool
-	line    int
+	site       string
+	cell       int
+	startedAt  int64
+	budget     *boxmodel.Budget // the work it can be sent while it is cold; nil otherwise
+	overloaded bool
+	line       int
 }
 
-// backendChanged follows the starts of backends, and when they are warm or gone.
+// backendChanged tracks when backends start, are warm and are removed.
 func (j *Judge) backendChanged(r lineRecord) {
 	switch r.State {
 	case trace.Ready:
-		b := &backend{site: r.Site, cell: r.Cell, start: r.T, line: r.line}
+		b := &backend{site: r.Site, cell: r.Cell, startedAt: r.T, line: r.line}
 		if r.Cores < r.FullCores && j.head.Rules.OverloadFactor > 0 {
 			b.budget = boxmodel.NewBudget(j.head.Rules.OverloadFactor, duration(j.head.Rules.OverloadDuration))
 			b.budget.Capacity(r.At(), r.Cores)
@@ -39,27 +40,27 @@
 	}
 }
 
-// capacityChanged records the cores that a cold backend has now.
+// capacityChanged records the current capacity of a cold backend, in cores.
 func (j *Judge) capacityChanged(r lineRecord) {
 	if b := j.backends[r.Backend]; b != nil && b.budget != nil {
 		b.budget.Capacity(r.At(), r.Cores)
 	}
 }
 
-// checkCold holds the work that a cold backend is sent against its budget. There is one violation for each start: what
-// follows is the same flood.
+// checkCold checks the work sent to a cold backend against its budget. It reports one violation per incarnation, as later
+// excesses belong to the same overload.
 func (j *Judge) checkCold(r lineRecord) {
 	b := j.backends[r.Backend]
 	if b == nil || b.budget == nil {
 		return
 	}
 	listed, isListed := j.node(r.Node).listed[r.Backend]
-	knowsStart := isListed && listed.at >= b.start
-	excess := b.budget.Tagged(r.At(), duration(r.Work).Seconds(), knowsStart, r.line)
-	if excess == nil || excess.Told < minToldShare || b.flooded {
+	notifiedOfStart := isListed && listed.notifiedAt >= b.startedAt
+	excess := b.budget.Tagged(r.At(), duration(r.Work).Seconds(), notifiedOfStart, r.line)
+	if excess == nil || excess.Told < minNotifiedFraction || b.overloaded {
 		return
 	}
-	b.flooded = true
+	b.overloaded = true
 	j.addViolation(Violation{Rule: ColdProtected, Name: ColdOverload, At: r.T, Node: r.Node, Request: r.ID, Box: r.Backend,
 		Lines: append([]int{b.line}, excess.Tags...),
 		Text: fmt.Sprintf("cold box %s was sent %.2f core-seconds within %v, with a budget of %.2f", r.Backend, excess.Sent,
--- a/internal/kit/judge/drains.go
+++ b/internal/kit/judge/drains.go
@@ -6,10 +6,11 @@
 	"craneglade/internal/kit/trace"
 )
 
-// This file is rule 3: nothing new to a backend after the grace from being told that it drains or is gone.
+// This file checks rule 3: a node sends nothing new to a backend later than the grace after it was notified that the backend
+// drains or is removed.
 
-// nodeTold records what a node was told of a backend, by the list or by DNS.
-func (j *Judge) nodeTold(r lineRecord) {
+// nodeNotified records the state of a backend that a node was notified of, by the list or by DNS.
+func (j *Judge) nodeNotified(r lineRecord) {
 	n := j.node(r.Node)
 	if r.How != trace.ByDNS {
 		n.listed[r.Backend] = notice{r.State, r.T, r.line}
@@ -27,28 +28,28 @@
 	}
 }
 
-// leaving returns what told the node first that a backend drains or is gone; false where nothing did.
-func (n *node) leaving(backend string) (told notice, ok bool) {
+// leaveNotice returns the first notice to the node that a backend drains or is removed, and false if there was none.
+func (n *node) leaveNotice(backend string) (notified notice, ok bool) {
 	listed, isListed := n.listed[backend]
 	isLeaving := isListed && listed.state != trace.Ready
 	withdrawn, isWithdrawn := n.withdrawn[backend]
-	if isWithdrawn && (!isLeaving || withdrawn.at < listed.at) {
+	if isWithdrawn && (!isLeaving || withdrawn.notifiedAt < listed.notifiedAt) {
 		return withdrawn, withdrawn.state != trace.Ready
 	}
 	return listed, isLeaving
 }
 
-// checkDrain holds the first byte that came to a backend against what its node was told.
+// checkDrain checks the time of a request's first byte at a backend against what its node was notified of.
 func (j *Judge) checkDrain(r lineRecord, firstByte int64) {
-	told, ok := j.node(r.Node).leaving(r.Backend)
+	notified, ok := j.node(r.Node).leaveNotice(r.Backend)
 	if !ok {
 		return
 	}
-	over := firstByte - told.at - j.head.Rules.DrainGrace - j.head.Rules.Slack
-	if over <= 0 {
+	overrun := firstByte - notified.notifiedAt - j.head.Rules.DrainGrace - j.head.Rules.Slack
+	if overrun <= 0 {
 		return
 	}
 	j.addViolation(Violation{Rule: DrainsHonoured, Name: SentToDraining, At: firstByte, Node: r.Node, Request: r.ID, Box: r.Backend,
-		Lines: []int{told.line, r.line}, margin: over, from: told.at, to: firstByte,
-		Text: fmt.Sprintf("sent to box %s %v after the node was told that it is %s", r.Backend, rounded(firstByte-told.at), told.state)})
+		Lines: []int{notified.line, r.line}, margin: overrun, from: notified.notifiedAt, to: firstByte,
+		Text: fmt.Sprintf("sent to box %s %v after the node was told that it is %s", r.Backend, rounded(firstByte-notified.notifiedAt), notified.state)})
 }
--- a/internal/kit/judge/judge.go
+++ b/internal/kit/judge/judge.go
@@ -1,16 +1,17 @@
-// Package judge checks a trace of a rehearsal against the rules. It is a pure state machine: records go in with Add, the
+// Package judge checks the trace of a rehearsal against the rules. It is a pure state machine: records go in with Add, the
 // verdict comes out of Finish; it has no clock, no I/O and no goroutine, and the same records give the same verdict.
 //
-// It goes only by what clients, backends and the list saw on their sockets. A node may have known less than that, never
-// more. The judge reads every doubt in the node's favour, but what it can't tell counts as undecided and never as kept.
+// It relies only on what clients, backends and the list observed on their sockets. A node may have known less than that,
+// never more. Doubts are resolved in the node's favour, but a case that the trace doesn't decide counts as undecided, never
+// as kept.
 //
-//   - An attempt may have run once its last byte was read at a backend, unless that backend turned it away (503 or 504
-//     with X-Not-Run: 1) and began to say so before the next attempt's first byte came.
-//   - A node was told of a backend's state when the list's stand-in noted so: for pushed lists when the agent beside
-//     the node had it.
-//   - Each time limit is longer by Rules.Slack, for what sockets cost.
-//   - Where the kit itself was late, by its own account, for as long as a limit was overrun, nobody can tell whose
-//     delay it was.
+//   - An attempt may have run once a backend read its last byte, unless that backend rejected it (503 or 504 with
+//     X-Not-Run: 1) and started to write the rejection before the first byte of the next attempt arrived.
+//   - A node counts as notified of a backend's state from the time that the simulated list recorded: for pushed lists, when
+//     the agent beside the node had received it.
+//   - Each time limit is extended by Rules.Slack, for the latency of sockets.
+//   - A time limit that was exceeded by no more than the time the kit itself was stalled meanwhile counts as undecided, as the
+//     delay may be the kit's.
 package judge
 
 import (
@@ -31,21 +32,21 @@
 	sweepInterval = microsPerSecond // of the trace's time
 )
 
-// Judge is the state of one judgement.
+// Judge checks one trace.
 type Judge struct {
-	head    trace.Head
-	classes map[string]*trace.Class
-	pending recordQueue // records that an earlier one may still come before
-	newest  int64       // the latest time of a record
-	swept   int64       // when sweep was last called
+	head      trace.Head
+	classes   map[string]*trace.Class
+	pending   recordQueue // records that an earlier one may still precede
+	newest    int64       // the latest time of a record so far
+	lastSweep int64       // when sweep last ran
 
 	nodes      map[string]*node
 	backends   map[string]*backend
 	requests   map[string]*request
 	attempts   map[int64]*attempt
-	bodies     map[string]*answer // what backends served, by the body's checksum
-	lastAnswer map[int64]*answer  // the latest final answer on each of the clients' connections
-	shared     shared
+	bodies     map[string]*answer // answers that backends served, by the digest of the body
+	lastAnswer map[int64]*answer  // the latest final answer on each client connection
+	shared     sharedState
 	lateness   lateness
 
 	found   []Violation
@@ -63,7 +64,7 @@
 		attempts:   map[int64]*attempt{},
 		bodies:     map[string]*answer{},
 		lastAnswer: map[int64]*answer{},
-		shared:     newShared(),
+		shared:     newSharedState(),
 	}
 	for i := range head.Classes {
 		j.classes[head.Classes[i].Name] = &head.Classes[i]
@@ -74,8 +75,8 @@
 	return j
 }
 
-// Add takes in the record of one line of the trace, the head's being line 1. Records may come out of the order of
-// their times by trace.Disorder.
+// Add processes the record on one line of the trace; the head is line 1. Records may be out of time order by at most
+// trace.Disorder.
 func (j *Judge) Add(line int, r trace.Record) {
 	heap.Push(&j.pending, lineRecord{r, line})
 	j.newest = max(j.newest, r.T)
@@ -84,9 +85,9 @@
 	}
 }
 
-// process acts on one record. It gets them in the order of their times.
+// process handles one record. Records are passed to it in time order.
 func (j *Judge) process(r lineRecord) {
-	if r.T-j.swept > sweepInterval {
+	if r.T-j.lastSweep > sweepInterval {
 		j.sweep(r.T)
 	}
 	switch r.Kind {
@@ -101,7 +102,7 @@
 	case trace.Extra:
 		j.extraBytes(r)
 	case trace.InvalidClient:
-		j.badInputAnswered(r)
+		j.invalidInputAnswered(r)
 	case trace.Received:
 		j.attemptReceived(r)
 	case trace.Partial:
@@ -109,28 +110,28 @@
 	case trace.Reply:
 		j.backendReplied(r)
 	case trace.Notified:
-		j.nodeTold(r)
+		j.nodeNotified(r)
 	case trace.Backend:
 		j.backendChanged(r)
 	case trace.Capacity:
 		j.capacityChanged(r)
 	case trace.Process:
 		j.processChanged(r)
-		j.sharerChanged(r)
+		j.sharingProcessChanged(r)
 	case trace.Spend:
-		j.spend(r)
+		j.recordSpendable(r)
 	case trace.View:
-		j.view(r)
+		j.checkView(r)
 	case trace.NetworkFault:
 		j.networkChanged(r)
 	case trace.Stall:
-		j.lateness.addLag(r.Record)
+		j.lateness.addStall(r.Record)
 	case trace.End:
 		j.verdict.Whole = true
 	}
 }
 
-// Finish takes in what is left and returns the verdict. Nothing may be added after it.
+// Finish processes the remaining records and returns the verdict. Add must not be called after it.
 func (j *Judge) Finish() *Verdict {
 	for len(j.pending) > 0 {
 		j.process(heap.Pop(&j.pending).(lineRecord))
@@ -138,16 +139,17 @@
 	for id, q := range j.requests {
 		j.closeRequest(id, q, j.newest)
 	}
-	j.sortOut()
+	j.classifyFindings()
 	j.lateness.fill(&j.verdict, j.newest)
 	return &j.verdict
 }
 
-// sortOut divides what was found into violations and what is undecided because the kit was late, in a fixed order.
-func (j *Judge) sortOut() {
+// classifyFindings splits the findings into violations and those that are undecided because the kit was stalled, and sorts
+// both.
+func (j *Judge) classifyFindings() {
 	v := &j.verdict
 	for _, f := range j.found {
-		if f.margin > 0 && j.lateness.between(f.from, f.to) >= f.margin {
+		if f.margin > 0 && j.lateness.stalledWithin(f.from, f.to) >= f.margin {
 			f.Text += "; but the kit itself was late then"
 			v.Undecided = append(v.Undecided, f)
 		} else {
@@ -158,9 +160,9 @@
 	sortViolations(v.Undecided)
 }
 
-// addViolation records a broken rule, unless the node could not act in time or too many are recorded already.
+// addViolation records a violation, unless it is excused by a stopped process or maxListed of them are recorded already.
 func (j *Judge) addViolation(v Violation) {
-	if j.excused(&v) {
+	if j.excusedByStop(&v) {
 		j.verdict.Excused++
 		return
 	}
--- a/internal/kit/judge/records.go
+++ b/internal/kit/judge/records.go
@@ -6,7 +6,7 @@
 	"craneglade/internal/kit/trace"
 )
 
-// lineRecord is a record and the line of the trace that it stands on.
+// lineRecord is a record and its line number in the trace.
 type lineRecord struct {
 	trace.Record
 	line int
@@ -32,12 +32,12 @@
 	return last
 }
 
-// duration turns a trace's microseconds into a duration.
+// duration converts a trace's microseconds to a Duration.
 func duration(microseconds int64) time.Duration {
 	return time.Duration(microseconds) * time.Microsecond
 }
 
-// rounded is a duration for people to read.
+// rounded converts a trace's microseconds to a Duration rounded to milliseconds, for texts.
 func rounded(microseconds int64) time.Duration {
 	return duration(microseconds).Round(time.Millisecond)
 }
--- a/internal/kit/judge/requests.go
+++ b/internal/kit/judge/requests.go
@@ -7,8 +7,8 @@
 	"craneglade/internal/kit/trace"
 )
 
-// forgetAfter is how long after its last record a request, an attempt or an answer is kept.
-const forgetAfter = 10 * microsPerSecond
+// retention is how long a request, an attempt or an answer is kept after its last record.
+const retention = 10 * microsPerSecond
 
 // The effects and groups of a class of requests (trace.Class).
 const (
@@ -19,52 +19,52 @@
 	groupCell    = "cell"
 )
 
-// request is one that a client sent, perhaps several times.
+// request is a request that a client sent, perhaps several times.
 type request struct {
-	class      *trace.Class // nil for an unknown one
-	sends      []*send
-	attempts   []*attempt
-	finalAt    int64 // when the final answer was read or the client left; -1 before
-	finalLine  int
-	clientLeft bool
-	served     bool // a backend has answered it
-	lastRecord int64
+	class              *trace.Class // nil if unknown
+	sends              []*send
+	attempts           []*attempt
+	finalAt            int64 // when the final answer was read or the client disconnected; -1 before
+	finalLine          int
+	clientDisconnected bool
+	served             bool // a backend has served it
+	lastRecord         int64
 }
 
-// harmlessAgain reports whether a repeat of the request harms nobody, at any backend.
-func (q *request) harmlessAgain() bool {
+// repeatHarmless reports whether the request may be repeated at any backend without a second effect.
+func (q *request) repeatHarmless() bool {
 	return q.class == nil || q.class.Effect == effectSafe || q.class.Effect == effectKeyed && q.class.Group == groupAll
 }
 
-// send is one time that a client sent a request.
+// send is one transmission of a request by a client.
 type send struct {
-	at, wait int64
-	node     string
-	conn     int64
-	reused   bool // the connection had carried a request before
-	line     int
-	over     bool // its end is known
+	sentAt, timeout int64
+	node            string
+	conn            int64
+	reused          bool // the connection had carried a request before
+	line            int
+	ended           bool // its outcome is known
 }
 
-// attempt is a request as it came to a backend.
+// attempt is a request as a backend received it.
 type attempt struct {
-	id, backend, node string
-	firstByte         int64
-	lastByte          int64
-	line              int
-	badClient         bool  // of a client that sends no valid requests
-	turnedAt          int64 // when the backend began to say that it never ran; -1 if it did not
-	turnedLine        int
+	requestID, backend, node string
+	firstByte                int64
+	lastByte                 int64
+	line                     int
+	fromInvalidClient        bool  // sent by a client that sends invalid requests
+	rejectedAt               int64 // when the backend started to write that it did not run; -1 if it did not reject it
+	rejectedLine             int
 }
 
-// mayHaveRun reports whether a sender that acted at a moment can't have known that this attempt never ran.
-func (a *attempt) mayHaveRun(at int64) bool { return a.turnedAt < 0 || a.turnedAt > at }
+// mayHaveRun reports whether a sender at the given time could not yet know that the attempt did not run.
+func (a *attempt) mayHaveRun(at int64) bool { return a.rejectedAt < 0 || a.rejectedAt > at }
 
-// answer is one made for a request.
+// answer is an answer to a request.
 type answer struct {
-	id   string // the request's
-	at   int64
-	line int
+	requestID string // the request's
+	at        int64
+	line      int
 }
 
 // requestSent records that a client sent a request.
@@ -76,14 +76,14 @@
 		j.verdict.Requests++
 	}
 	q.lastRecord = r.T
-	j.countAsked(r)
-	q.sends = append(q.sends, &send{at: r.T, wait: r.Timeout, node: r.Node, conn: r.Conn, reused: r.Reused, line: r.line})
+	j.recordRequestTime(r)
+	q.sends = append(q.sends, &send{sentAt: r.T, timeout: r.Timeout, node: r.Node, conn: r.Conn, reused: r.Reused, line: r.line})
 	if r.PlannedAt > 0 && !r.Resent {
 		j.lateness.addSend(r.T - r.PlannedAt)
 	}
 }
 
-// findSend returns the request and the send that the record of an end belongs to, or nil.
+// findSend returns the request and the send whose outcome a record reports; nil where they are unknown.
 func (j *Judge) findSend(r lineRecord) (*request, *send) {
 	q := j.requests[r.ID]
 	if q == nil {
@@ -102,9 +102,9 @@
 func (j *Judge) backendReplied(r lineRecord) {
 	a := j.attempts[r.Attempt]
 	if a != nil && r.How == trace.Rejected {
-		a.turnedAt, a.turnedLine = r.T, r.line
+		a.rejectedAt, a.rejectedLine = r.T, r.line
 	}
-	if a != nil && !a.badClient && r.How == trace.Refused && r.Status == 400 {
+	if a != nil && !a.fromInvalidClient && r.How == trace.Refused && r.Status == 400 {
 		j.addViolation(Violation{Rule: NoDoubleEffect, Name: UnsentRequest, At: a.firstByte, Node: a.node, Request: r.ID, Box: r.Backend,
 			Lines: []int{a.line, r.line}, Text: "a box got a request in a form that no client sent: " + r.Why})
 	}
@@ -116,31 +116,31 @@
 	}
 }
 
-// sweep forgets what nothing more can come of.
+// sweep drops state that no later record can refer to.
 func (j *Judge) sweep(now int64) {
-	j.swept = now
+	j.lastSweep = now
 	for id, q := range j.requests {
-		if now-q.lastRecord < forgetAfter {
+		if now-q.lastRecord < retention {
 			continue
 		}
 		j.closeRequest(id, q, now)
 		delete(j.requests, id)
 	}
 	for id, a := range j.attempts {
-		if now-a.lastByte > forgetAfter {
+		if now-a.lastByte > retention {
 			delete(j.attempts, id)
 		}
 	}
-	old := func(a *answer) bool { return now-a.at > forgetAfter }
-	maps.DeleteFunc(j.bodies, func(_ string, a *answer) bool { return old(a) })
-	maps.DeleteFunc(j.lastAnswer, func(_ int64, a *answer) bool { return old(a) })
+	expired := func(a *answer) bool { return now-a.at > retention }
+	maps.DeleteFunc(j.bodies, func(_ string, a *answer) bool { return expired(a) })
+	maps.DeleteFunc(j.lastAnswer, func(_ int64, a *answer) bool { return expired(a) })
 }
 
-// closeRequest looks at a request for the last time.
+// closeRequest reports a send whose outcome is missing, before its request is dropped.
 func (j *Judge) closeRequest(id string, q *request, now int64) {
 	for _, s := range q.sends {
-		if !s.over && !j.wasKilled(s.node, s.at, now) {
-			j.addUndecided(Violation{Rule: OneAnswer, At: s.at, Node: s.node, Request: id,
+		if !s.ended && !j.wasKilled(s.node, s.sentAt, now) {
+			j.addUndecided(Violation{Rule: OneAnswer, At: s.sentAt, Node: s.node, Request: id,
 				Lines: []int{s.line}, Text: "what became of this request is not in the trace"})
 			return
 		}
