--- a/internal/kit/deployment/deployment.go
+++ b/internal/kit/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment tells what a plan's nodes and judges are told of it: the settings object of a node's configuration
-// and the head of a trace. The rehearsal and the laboratory both read it, so that a day means the same in either.
+// Package deployment derives from a plan the settings object of a node's configuration and the head of a trace. The
+// rehearsal and the laboratory share it, so that a plan means the same in both.
 package deployment
 
 import (
@@ -12,11 +12,11 @@
 const (
 	// AnswerSlack is how long after its client's deadline a final answer still counts.
 	AnswerSlack = 20 * time.Millisecond
-	// LimitSlack is added to every time limit, for what sockets cost.
+	// LimitSlack is added to every time limit, for the latency of sockets.
 	LimitSlack = 50 * time.Millisecond
 )
 
-// Settings is the settings object of a node, as DEPLOY describes it. ordinal counts from 0; site is the node's own.
+// Settings returns the settings object of a node, as DEPLOY describes it. ordinal counts from 0; site is the node's own.
 func Settings(p *plan.Plan, ordinal int, site string) map[string]any {
 	type m = map[string]any
 	s := p.Scenario
@@ -59,7 +59,7 @@
 			"must_ask_in_s": 10.0}}
 }
 
-// Head is a trace's first line. started is a time as RFC 3339 writes it.
+// Head returns the first line of a trace. started is a time in the format of RFC 3339.
 func Head(p *plan.Plan, name, started string, nodes []trace.Node) trace.Head {
 	s := p.Scenario
 	h := trace.Head{Scenario: name, Seed: p.Seed, Length: trace.Microseconds(s.Length.D()), Started: started, Nodes: nodes,
--- a/internal/kit/report/html.go
+++ b/internal/kit/report/html.go
@@ -17,15 +17,15 @@
 //go:embed page.html
 var pageText string
 
-// HTML writes the report as one page that needs nothing else: styles and drawings are in it, and no script.
+// HTML writes the report as a self-contained page: styles and charts are embedded, and there is no script.
 func (r *Report) HTML(w io.Writer) error {
 	t, err := template.New("page").Funcs(template.FuncMap{
 		"pct":   func(v float64) string { return fmt.Sprintf("%.1f%%", 100*v) },
 		"f0":    func(v float64) string { return fmt.Sprintf("%.0f", v) },
 		"f3":    func(v float64) string { return fmt.Sprintf("%.3f", v) },
-		"ms":    func(us int64) string { return ms(us).String() },
-		"sec":   func(us int64) string { return fmt.Sprintf("%.3f", r.sec(us)) },
-		"lines": func(n []int) string { return list(n, 8) },
+		"ms":    func(us int64) string { return duration(us).String() },
+		"sec":   func(us int64) string { return fmt.Sprintf("%.3f", r.seconds(us)) },
+		"lines": func(n []int) string { return joinNumbers(n, 8) },
 		"ints":  func(v judge.Rule) int { return int(v) },
 	}).Parse(pageText)
 	if err != nil {
@@ -49,19 +49,19 @@
 		*Report
 		Rules                  []rule
 		Answers, Latency, Lane template.HTML
-	}{r, rules, template.HTML(r.answers()), template.HTML(r.latency()), template.HTML(r.lanes())})
+	}{r, rules, template.HTML(r.outcomeChart()), template.HTML(r.latencyChart()), template.HTML(r.backendChart())})
 }
 
-// sec turns the trace's time into seconds since the traffic began.
-func (r *Report) sec(us int64) float64 { return float64(us-r.Begin) / 1e6 }
+// seconds converts the trace's time to seconds since the traffic started.
+func (r *Report) seconds(us int64) float64 { return float64(us-r.Begin) / 1e6 }
 
 const (
-	left  = chart.Left
-	plotW = chart.PlotW
+	left      = chart.Left
+	plotWidth = chart.PlotW
 )
 
-// drawing is a chart as long as the run.
-func (r *Report) drawing(height float64, label string) *chart.Chart {
+// newChart returns a chart whose time axis covers the run.
+func (r *Report) newChart(height float64, label string) *chart.Chart {
 	end := max(r.Seconds, float64(len(r.PerSecond)), 1)
 	for _, b := range r.Backends {
 		if n := len(b.Spans); n > 0 {
@@ -71,8 +71,8 @@
 	return chart.New(height, math.Ceil(end), label)
 }
 
-// marks draws the events as numbered lines and the violations as red ones.
-func (r *Report) marks(s *chart.Chart, top, bottom float64) {
+// drawEvents draws events as numbered vertical lines and violations as red ones.
+func (r *Report) drawEvents(s *chart.Chart, top, bottom float64) {
 	last := -100.0
 	row := 0.0
 	for i, e := range r.Events {
@@ -87,12 +87,12 @@
 			e.At, template.HTMLEscapeString(e.Text), x, x, top, bottom, x, top+7+row*15, x, top+10.5+row*15, i+1)
 	}
 	for _, v := range r.Verdict.Violations {
-		x := s.X(r.sec(v.At))
+		x := s.X(r.seconds(v.At))
 		s.Printf(`<g><title>%s</title><line class="broken" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/></g>`, template.HTMLEscapeString(r.Line(v)), x, x, top, bottom)
 	}
 }
 
-var kinds = []struct {
+var outcomes = []struct {
 	class, name string
 	of          func(Second) int
 }{
@@ -102,20 +102,20 @@
 	{"failed", "failed, unreached or left", func(s Second) int { return s.Failed }},
 }
 
-// answers is the load and what became of it.
-func (r *Report) answers() string {
-	s := r.drawing(280, "requests a second by what became of them")
+// outcomeChart draws the requests of each second by outcome.
+func (r *Report) outcomeChart() string {
+	s := r.newChart(280, "requests a second by what became of them")
 	const top, bottom = 44.0, 250.0
-	high := 1.0
+	maxRate := 1.0
 	for _, p := range r.PerSecond {
-		high = max(high, float64(p.Asked))
+		maxRate = max(maxRate, float64(p.Asked))
 	}
 	s.Axis(bottom, top)
-	y := s.Scale(bottom, top, math.Ceil(high*1.05), "requests a second")
-	bar := plotW / s.End
+	y := s.Scale(bottom, top, math.Ceil(maxRate*1.05), "requests a second")
+	bar := plotWidth / s.End
 	for i, p := range r.PerSecond {
 		sum := 0.0
-		for _, k := range kinds {
+		for _, k := range outcomes {
 			n := float64(k.of(p))
 			if n == 0 {
 				continue
@@ -125,8 +125,8 @@
 			sum += n
 		}
 	}
-	r.marks(s, top, bottom)
-	for i, k := range kinds {
+	r.drawEvents(s, top, bottom)
+	for i, k := range outcomes {
 		s.Printf(`<rect class="%s" x="%.1f" y="8" width="12" height="12"/><text class="tick" x="%.1f" y="18">%s</text>`, k.class, left+240+float64(i)*130,
 			left+257+float64(i)*130, k.name)
 	}
@@ -134,16 +134,16 @@
 	return s.String()
 }
 
-// latency is how long answers took.
-func (r *Report) latency() string {
-	s := r.drawing(220, "latency of served requests by second")
+// latencyChart draws the latency of served requests by second.
+func (r *Report) latencyChart() string {
+	s := r.newChart(220, "latency of served requests by second")
 	const top, bottom = 30.0, 190.0
-	high := 50.0
+	maxLatency := 50.0
 	for _, p := range r.PerSecond {
-		high = max(high, p.P95)
+		maxLatency = max(maxLatency, p.P95)
 	}
 	s.Axis(bottom, top)
-	y := s.Scale(bottom, top, math.Ceil(high*1.05), "ms")
+	y := s.Scale(bottom, top, math.Ceil(maxLatency*1.05), "ms")
 	line := func(class string, of func(Second) float64) {
 		var at []string
 		for i, p := range r.PerSecond {
@@ -158,57 +158,57 @@
 	s.Printf(`<line class="p50" x1="%.0f" x2="%.0f" y1="14" y2="14"/><text class="tick" x="%.0f" y="18">median</text><line class="p95" x1="%.0f" x2="%.0f" y1="14" y2="14"/><text class="tick" x="%.0f" y="18">95th percentile</text>`,
 		left+240, left+264, left+270, left+370, left+394, left+400)
 	for _, v := range r.Verdict.Violations {
-		s.Printf(`<line class="broken" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/>`, s.X(r.sec(v.At)), s.X(r.sec(v.At)), top, bottom)
+		s.Printf(`<line class="broken" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/>`, s.X(r.seconds(v.At)), s.X(r.seconds(v.At)), top, bottom)
 	}
 	s.Printf(`</svg>`)
 	return s.String()
 }
 
-// lanes are the boxes, one below the other.
-func (r *Report) lanes() string {
-	const lane, siteH, top = 24.0, 18.0, 28.0
-	boxes := slices.Clone(r.Backends)
-	slices.SortStableFunc(boxes, func(a, b Backend) int { return cmp.Compare(a.Site, b.Site) })
+// backendChart draws the states and the load of the backends, one below the other.
+func (r *Report) backendChart() string {
+	const laneHeight, siteHeight, top = 24.0, 18.0, 28.0
+	backends := slices.Clone(r.Backends)
+	slices.SortStableFunc(backends, func(a, b Backend) int { return cmp.Compare(a.Site, b.Site) })
 	sites := 0
-	for i := range boxes {
-		if i == 0 || boxes[i].Site != boxes[i-1].Site {
+	for i := range backends {
+		if i == 0 || backends[i].Site != backends[i-1].Site {
 			sites++
 		}
 	}
-	s := r.drawing(top+lane*float64(len(boxes))+siteH*float64(sites)+26, "state and load of each box")
-	most := 8
-	for _, b := range boxes {
+	s := r.newChart(top+laneHeight*float64(len(backends))+siteHeight*float64(sites)+26, "state and load of each box")
+	maxInFlight := 8
+	for _, b := range backends {
 		for _, p := range b.Load {
-			most = max(most, p.InFlight)
+			maxInFlight = max(maxInFlight, p.InFlight)
 		}
 	}
-	bottom := top + lane*float64(len(boxes)) + siteH*float64(sites)
+	bottom := top + laneHeight*float64(len(backends)) + siteHeight*float64(sites)
 	s.Axis(bottom, top)
-	next, site := top, ""
-	for _, b := range boxes {
+	nextY, site := top, ""
+	for _, b := range backends {
 		if b.Site != site {
 			site = b.Site
-			s.Printf(`<text class="site" x="4" y="%.1f">%s</text>`, next+13, template.HTMLEscapeString(site))
-			next += siteH
+			s.Printf(`<text class="site" x="4" y="%.1f">%s</text>`, nextY+13, template.HTMLEscapeString(site))
+			nextY += siteHeight
 		}
-		y := next
-		next += lane
+		y := nextY
+		nextY += laneHeight
 		s.Printf(`<text class="lane" x="%.1f" y="%.1f" text-anchor="end">%s</text><g><title>%s, %s, %s: %d attempts, %d served, %d turned away, %d failed, spoilt or reset</title>`,
 			left-4, y+16, strings.TrimPrefix(b.ID, "s-")[:min(8, len(b.ID)-2)], b.ID, b.Kind, b.Site, b.Attempts, b.Served, b.Rejected, b.Failed)
 		for _, p := range b.Spans {
-			s.Printf(`<rect class="st-%s" x="%.1f" y="%.1f" width="%.1f" height="%.1f"/>`, p.State, s.X(p.From), y+2, max(s.X(p.To)-s.X(p.From), 0.5), lane-4)
+			s.Printf(`<rect class="st-%s" x="%.1f" y="%.1f" width="%.1f" height="%.1f"/>`, p.State, s.X(p.From), y+2, max(s.X(p.To)-s.X(p.From), 0.5), laneHeight-4)
 		}
 		s.Printf(`</g>`)
 		if len(b.Load) > 1 {
 			var at []string
 			for _, p := range b.Load {
-				at = append(at, fmt.Sprintf("%.1f,%.1f", s.X(p.At), y+lane-3-(lane-6)*float64(p.InFlight)/float64(most)))
+				at = append(at, fmt.Sprintf("%.1f,%.1f", s.X(p.At), y+laneHeight-3-(laneHeight-6)*float64(p.InFlight)/float64(maxInFlight)))
 			}
 			s.Printf(`<polyline class="held" points="%s"/>`, strings.Join(at, " "))
 		}
 		for _, v := range r.Verdict.Violations {
 			if v.Box == b.ID {
-				s.Printf(`<circle class="hit" cx="%.1f" cy="%.1f" r="5"><title>%s</title></circle>`, s.X(r.sec(v.At)), y+lane/2, template.HTMLEscapeString(r.Line(v)))
+				s.Printf(`<circle class="hit" cx="%.1f" cy="%.1f" r="5"><title>%s</title></circle>`, s.X(r.seconds(v.At)), y+laneHeight/2, template.HTMLEscapeString(r.Line(v)))
 			}
 		}
 	}
@@ -218,6 +218,6 @@
 		s.Printf(`<rect class="st-%s" x="%.1f" y="4" width="14" height="14"/><text class="tick" x="%.1f" y="15">%s</text>`, k, x, x+18, name)
 		x += 90
 	}
-	s.Printf(`<line class="held" x1="%.1f" x2="%.1f" y1="11" y2="11"/><text class="tick" x="%.1f" y="15">requests held (full height: %d)</text></svg>`, x, x+24, x+30, most)
+	s.Printf(`<line class="held" x1="%.1f" x2="%.1f" y1="11" y2="11"/><text class="tick" x="%.1f" y="15">requests held (full height: %d)</text></svg>`, x, x+24, x+30, maxInFlight)
 	return s.String()
 }
--- a/internal/kit/report/report.go
+++ b/internal/kit/report/report.go
@@ -1,5 +1,5 @@
-// Package report makes figures, text and a page of a trace. It reads the same records as the judge and holds no
-// opinion: what broke a rule is in the verdict that it is given.
+// Package report summarizes a trace as figures, text, JSON and an HTML page. It reads the same records as package judge but
+// checks no rules itself: violations come from the verdict that it is given.
 package report
 
 import (
@@ -16,22 +16,22 @@
 	"craneglade/internal/kit/trace"
 )
 
-// Weights of the parts of Figure, as the service counts: the whole run, the worst 10 s, the worst-served class and the
-// worst-served tenant within its share.
+// Weights of the terms of Report.Figure: the whole run, the worst 10 s, the worst-served class and the worst-served tenant
+// within its quota.
 const (
-	wWhole, wWindow, wClass, wTenant = 0.6, 0.1, 0.2, 0.1
-	windowFor                        = 10 // seconds
+	weightWhole, weightWindow, weightClass, weightTenant = 0.6, 0.1, 0.2, 0.1
+	windowSeconds                                        = 10 // seconds
 )
 
-// Report is what a trace shows in figures. Shares are parts of 1, times milliseconds unless named otherwise.
+// Report is the summary of a trace. Shares are fractions of 1; times are in milliseconds unless named otherwise.
 type Report struct {
 	Scenario  string         `json:"scenario"`
 	Seed      uint64         `json:"seed"`
 	Started   string         `json:"started_at"`
-	Begin     int64          `json:"begin_us"` // when the traffic began, in the trace's time
+	Begin     int64          `json:"begin_us"` // when the traffic started, in the trace's time
 	Seconds   float64        `json:"seconds"`
 	Whole     Service        `json:"whole"`
-	Figure    float64        `json:"figure"` // the weighted share, before prices
+	Figure    float64        `json:"figure"` // the weighted share of utility, before prices
 	Classes   []Service      `json:"classes"`
 	Tenants   []Service      `json:"tenants"`
 	Windows   []Service      `json:"windows"`
@@ -43,10 +43,10 @@
 	Attempts  Attempts       `json:"attempts"`
 	Broken    []Group        `json:"broken"`
 	Verdict   *judge.Verdict `json:"verdict"`
-	Kit       any            `json:"kit,omitempty"` // what the kit used itself
+	Kit       any            `json:"kit,omitempty"` // resources that the kit itself used
 }
 
-// Service is how some of the needs were served.
+// Service summarizes how a group of logical requests was served.
 type Service struct {
 	Name      string  `json:"name"`
 	Asked     int     `json:"asked"`
@@ -56,23 +56,23 @@
 	Failed    int     `json:"failed"`
 	Unreached int     `json:"unreached"`
 	Left      int     `json:"left"`
-	Share     float64 `json:"worth_in_time"` // worth answered within its aim over worth asked for
+	Share     float64 `json:"worth_in_time"` // utility of the requests answered within their latency target, as a fraction of the utility requested
 	P50       float64 `json:"p50_ms"`
 	P90       float64 `json:"p90_ms"`
 	P99       float64 `json:"p99_ms"`
 
-	worth, earned float64
-	took          []float64
+	utility, earnedUtility float64
+	latencies              []float64
 }
 
-// Second is one second of the run.
+// Second summarizes the requests of one second of the run.
 type Second struct {
 	Asked, InTime, Late, Refused, Failed int
 	P50, P95                             float64
-	took                                 []float64
+	latencies                            []float64
 }
 
-// Backend is one box's lane.
+// Backend is the history of one backend.
 type Backend struct {
 	ID       string  `json:"id"`
 	Site     string  `json:"site"`
@@ -85,20 +85,20 @@
 	Failed   int     `json:"failed_spoilt_or_reset"`
 }
 
-// Span is a time in one state; times are seconds since the traffic began.
+// Span is a time span in one state; times are in seconds since the traffic started.
 type Span struct {
 	State string  `json:"state"`
 	From  float64 `json:"from"`
 	To    float64 `json:"to"`
 }
 
-// Point is what a box holds at one moment.
+// Point is the number of requests at a backend at one time.
 type Point struct {
 	At       float64 `json:"at"`
 	InFlight int     `json:"held"`
 }
 
-// Node is one node.
+// Node summarizes one node.
 type Node struct {
 	Name      string  `json:"name"`
 	Site      string  `json:"site"`
@@ -111,13 +111,13 @@
 	Lives     int     `json:"lives"`
 }
 
-// Event is something that happened.
+// Event is an event of the scenario or a change of a node's process.
 type Event struct {
 	At   float64 `json:"at"`
 	Text string  `json:"text"`
 }
 
-// Bad is how one kind of bad client fared.
+// Bad counts the outcomes of one kind of invalid client.
 type Bad struct {
 	Kind   string `json:"kind"`
 	Error  int    `json:"error"`
@@ -127,24 +127,24 @@
 	Asked  int    `json:"answered"` // health checks
 }
 
-// Group is all that broke one rule in the same way at one box, or without a box at one node.
+// Group is the violations of one name at one backend, or at one node if they name no backend.
 type Group struct {
 	First judge.Violation `json:"first"`
 	Last  int64           `json:"last_us"`
 	Count int             `json:"count"`
 }
 
-// groups gathers violations, which are in the order of their moments.
-func groups(all []judge.Violation) []Group {
+// groupViolations groups violations, which are in time order.
+func groupViolations(all []judge.Violation) []Group {
 	type key struct{ name, at string }
-	place := map[key]int{}
+	index := map[key]int{}
 	var out []Group
 	for _, v := range all {
 		k := key{v.Name, cmp.Or(v.Box, v.Node)}
-		i, ok := place[k]
+		i, ok := index[k]
 		if !ok {
 			i = len(out)
-			place[k] = i
+			index[k] = i
 			out = append(out, Group{First: v})
 		}
 		out[i].Last = v.At
@@ -153,7 +153,7 @@
 	return out
 }
 
-// Attempts are sends to boxes.
+// Attempts counts the attempts at all backends.
 type Attempts struct {
 	All    int     `json:"all"`
 	Per    float64 `json:"for_each_request"`
@@ -163,37 +163,37 @@
 	Failed int     `json:"failed"`
 }
 
-// Collector takes in a trace.
+// Collector builds a Report from the records of a trace.
 type Collector struct {
-	rep     Report
-	head    trace.Head
-	classes map[string]*trace.Class
-	wants   map[string]trace.Record
-	class   map[string]*Service
-	tenant  map[string]*Service
-	window  map[int]*Service
-	perS    map[int]*Second
-	boxes   map[string]*lane
-	order   []string
-	nodes   map[string]*Node
-	bad     map[string]*Bad
-	begin   int64
-	last    int64
-	sent    int
-}
-
-type lane struct {
+	rep            Report
+	head           trace.Head
+	classes        map[string]*trace.Class
+	pending        map[string]trace.Record
+	class          map[string]*Service
+	tenant         map[string]*Service
+	window         map[int]*Service
+	perSecond      map[int]*Second
+	backends       map[string]*backendHistory
+	backendOrder   []string
+	nodes          map[string]*Node
+	invalidClients map[string]*Bad
+	trafficStart   int64
+	lastRecord     int64
+	sends          int
+}
+
+type backendHistory struct {
 	Backend
-	state map[string]bool
-	since float64
-	now   string
+	states map[string]bool
+	since  float64
+	shown  string
 }
 
 // New returns a collector for a trace with this head.
 func New(h trace.Head) *Collector {
-	c := &Collector{head: h, classes: map[string]*trace.Class{}, wants: map[string]trace.Record{}, class: map[string]*Service{},
-		tenant: map[string]*Service{}, window: map[int]*Service{}, perS: map[int]*Second{}, boxes: map[string]*lane{},
-		nodes: map[string]*Node{}, bad: map[string]*Bad{}, begin: -1}
+	c := &Collector{head: h, classes: map[string]*trace.Class{}, pending: map[string]trace.Record{}, class: map[string]*Service{},
+		tenant: map[string]*Service{}, window: map[int]*Service{}, perSecond: map[int]*Second{}, backends: map[string]*backendHistory{},
+		nodes: map[string]*Node{}, invalidClients: map[string]*Bad{}, trafficStart: -1}
 	c.rep = Report{Scenario: h.Scenario, Seed: h.Seed, Started: h.Started, Whole: Service{Name: "all"}}
 	for i := range h.Classes {
 		c.classes[h.Classes[i].Name] = &h.Classes[i]
@@ -204,27 +204,27 @@
 	return c
 }
 
-// s is a record's time in seconds since the traffic began.
-func (c *Collector) s(t int64) float64 { return float64(t-max(c.begin, 0)) / 1e6 }
+// seconds converts a record's time to seconds since the traffic started.
+func (c *Collector) seconds(t int64) float64 { return float64(t-max(c.trafficStart, 0)) / 1e6 }
 
-// Add takes in one record.
+// Add processes one record.
 func (c *Collector) Add(r trace.Record) {
-	if r.Kind != trace.Notified { // a told record may lie ahead
-		c.last = max(c.last, r.T)
+	if r.Kind != trace.Notified { // these may carry a time in the future
+		c.lastRecord = max(c.lastRecord, r.T)
 	}
 	switch r.Kind {
 	case trace.Event:
 		if r.How == trace.Begin {
-			c.begin, c.rep.Begin = r.T, r.T
+			c.trafficStart, c.rep.Begin = r.T, r.T
 			return
 		}
-		c.rep.Events = append(c.rep.Events, Event{c.s(r.T), r.Text})
+		c.rep.Events = append(c.rep.Events, Event{c.seconds(r.T), r.Text})
 	case trace.Planned:
-		c.wants[r.ID] = r
+		c.pending[r.ID] = r
 	case trace.Done:
-		c.done(r)
+		c.requestDone(r)
 	case trace.Sent:
-		c.sent++
+		c.sends++
 		if n := c.nodes[r.Node]; n != nil && !r.Reused {
 			n.NewConns++
 		}
@@ -233,14 +233,14 @@
 			n.Answers++
 		}
 	case trace.Received:
-		c.recv(r)
+		c.attemptReceived(r)
 	case trace.Reply:
-		c.reply(r)
+		c.backendReplied(r)
 	case trace.Backend:
-		c.box(r)
+		c.backendChanged(r)
 	case trace.Load:
-		if b := c.boxes[r.Backend]; b != nil && c.s(r.T) >= 0 {
-			b.Load = append(b.Load, Point{c.s(r.T), r.InFlight})
+		if b := c.backends[r.Backend]; b != nil && c.seconds(r.T) >= 0 {
+			b.Load = append(b.Load, Point{c.seconds(r.T), r.InFlight})
 		}
 	case trace.Process:
 		n := c.nodes[r.Node]
@@ -251,8 +251,8 @@
 		case trace.Started:
 			n.Lives++
 		case trace.Kill, trace.Term, trace.Hup, trace.Crashed, trace.NodeReady:
-			if c.begin >= 0 && r.T < c.begin+c.head.Length { // the end of all nodes is none
-				c.rep.Events = append(c.rep.Events, Event{c.s(r.T), r.Node + " " + r.State})
+			if c.trafficStart >= 0 && r.T < c.trafficStart+c.head.Length { // the shutdown of all nodes is not an event
+				c.rep.Events = append(c.rep.Events, Event{c.seconds(r.T), r.Node + " " + r.State})
 			}
 		}
 	case trace.Usage:
@@ -260,10 +260,10 @@
 			n.PeakMB, n.PeakFiles = max(n.PeakMB, float64(r.Bytes)/(1<<20)), max(n.PeakFiles, r.Conns)
 		}
 	case trace.InvalidClient:
-		b := c.bad[r.Why]
+		b := c.invalidClients[r.Why]
 		if b == nil {
 			b = &Bad{Kind: r.Why}
-			c.bad[r.Why] = b
+			c.invalidClients[r.Why] = b
 		}
 		switch r.How {
 		case "error":
@@ -280,36 +280,36 @@
 	}
 }
 
-func get[K comparable, V any](m map[K]*V, k K, fresh func() *V) *V {
+func getOrCreate[K comparable, V any](m map[K]*V, k K, create func() *V) *V {
 	v := m[k]
 	if v == nil {
-		v = fresh()
+		v = create()
 		m[k] = v
 	}
 	return v
 }
 
-func (c *Collector) done(r trace.Record) {
-	w, ok := c.wants[r.ID]
+func (c *Collector) requestDone(r trace.Record) {
+	w, ok := c.pending[r.ID]
 	if !ok {
 		return
 	}
-	delete(c.wants, r.ID)
+	delete(c.pending, r.ID)
 	class := c.classes[w.Class]
 	if class == nil {
 		return
 	}
-	worth := class.Utility
+	utility := class.Utility
 	if w.OverQuota {
-		worth *= c.head.OverQuotaUtility
+		utility *= c.head.OverQuotaUtility
 	}
-	second := int(c.s(w.T))
-	sec := get(c.perS, second, func() *Second { return &Second{} })
+	second := int(c.seconds(w.T))
+	sec := getOrCreate(c.perSecond, second, func() *Second { return &Second{} })
 	sec.Asked++
-	took := float64(r.Took) / 1e3
-	in := r.How == "served" && r.Took <= class.LatencyTarget
+	latency := float64(r.Took) / 1e3
+	inTime := r.How == "served" && r.Took <= class.LatencyTarget
 	switch {
-	case in:
+	case inTime:
 		sec.InTime++
 	case r.How == "served":
 		sec.Late++
@@ -319,22 +319,22 @@
 		sec.Failed++
 	}
 	if r.How == "served" {
-		sec.took = append(sec.took, took)
+		sec.latencies = append(sec.latencies, latency)
 	}
-	parts := []*Service{&c.rep.Whole, get(c.class, w.Class, func() *Service { return &Service{Name: w.Class} }),
-		get(c.window, second/windowFor, func() *Service { return &Service{Name: fmt.Sprintf("%d s", second/windowFor*windowFor)} })}
-	tenant := get(c.tenant, w.Tenant, func() *Service { return &Service{Name: w.Tenant} })
-	for _, s := range append(parts, tenant) {
+	services := []*Service{&c.rep.Whole, getOrCreate(c.class, w.Class, func() *Service { return &Service{Name: w.Class} }),
+		getOrCreate(c.window, second/windowSeconds, func() *Service { return &Service{Name: fmt.Sprintf("%d s", second/windowSeconds*windowSeconds)} })}
+	tenant := getOrCreate(c.tenant, w.Tenant, func() *Service { return &Service{Name: w.Tenant} })
+	for _, s := range append(services, tenant) {
 		s.Asked++
-		value := worth
-		if s == tenant && w.OverQuota { // a tenant is judged within its share
+		value := utility
+		if s == tenant && w.OverQuota { // a tenant is rated only within its quota
 			value = 0
 		}
-		s.worth += value
+		s.utility += value
 		switch {
-		case in:
+		case inTime:
 			s.InTime++
-			s.earned += value
+			s.earnedUtility += value
 		case r.How == "served":
 			s.Late++
 		case r.How == "refused":
@@ -347,18 +347,18 @@
 			s.Failed++
 		}
 		if r.How == "served" {
-			s.took = append(s.took, took)
+			s.latencies = append(s.latencies, latency)
 		}
 	}
 }
 
-func (c *Collector) recv(r trace.Record) {
+func (c *Collector) attemptReceived(r trace.Record) {
 	c.rep.Attempts.All++
 	n := c.nodes[r.Node]
 	if n != nil {
 		n.Attempts++
 	}
-	if b := c.boxes[r.Backend]; b != nil {
+	if b := c.backends[r.Backend]; b != nil {
 		b.Attempts++
 		if n != nil && b.Site != n.Site {
 			n.Crossing++
@@ -366,10 +366,10 @@
 	}
 }
 
-func (c *Collector) reply(r trace.Record) {
-	a, b := &c.rep.Attempts, c.boxes[r.Backend]
+func (c *Collector) backendReplied(r trace.Record) {
+	a, b := &c.rep.Attempts, c.backends[r.Backend]
 	if b == nil {
-		b = &lane{}
+		b = &backendHistory{}
 	}
 	switch r.How {
 	case trace.Served:
@@ -389,127 +389,127 @@
 	}
 }
 
-// shown are the states of a lane, the one that goes before all others first.
-var shown = []string{trace.Removed, trace.Collapsed, trace.Unresponsive, trace.Terminating, trace.Slow, "cold"}
+// statePriority lists the states of a backend; the first one that applies is shown.
+var statePriority = []string{trace.Removed, trace.Collapsed, trace.Unresponsive, trace.Terminating, trace.Slow, "cold"}
 
-func (c *Collector) box(r trace.Record) {
-	b := c.boxes[r.Backend]
-	at := max(c.s(r.T), 0)
-	if c.begin < 0 {
+func (c *Collector) backendChanged(r trace.Record) {
+	b := c.backends[r.Backend]
+	at := max(c.seconds(r.T), 0)
+	if c.trafficStart < 0 {
 		at = 0
 	}
 	if b == nil {
-		b = &lane{Backend: Backend{ID: r.Backend, Site: r.Site, Kind: r.MachineKind}, state: map[string]bool{}, now: trace.Removed, since: at}
-		c.boxes[r.Backend] = b
-		c.order = append(c.order, r.Backend)
+		b = &backendHistory{Backend: Backend{ID: r.Backend, Site: r.Site, Kind: r.MachineKind}, states: map[string]bool{}, shown: trace.Removed, since: at}
+		c.backends[r.Backend] = b
+		c.backendOrder = append(c.backendOrder, r.Backend)
 	}
 	switch r.State {
 	case trace.Ready:
-		b.state = map[string]bool{"cold": r.Cores < r.FullCores*0.999}
+		b.states = map[string]bool{"cold": r.Cores < r.FullCores*0.999}
 	case trace.Warm:
-		b.state["cold"] = false
+		b.states["cold"] = false
 	case trace.Normal:
-		b.state[trace.Slow] = false
+		b.states[trace.Slow] = false
 	case trace.Responsive:
-		b.state[trace.Unresponsive] = false
+		b.states[trace.Unresponsive] = false
 	default:
-		b.state[r.State] = true
+		b.states[r.State] = true
 	}
-	b.turn(at)
+	b.updateShown(at)
 }
 
-func (b *lane) turn(at float64) {
-	now := "normal"
-	for _, s := range shown {
-		if b.state[s] {
-			now = s
+func (b *backendHistory) updateShown(at float64) {
+	state := "normal"
+	for _, s := range statePriority {
+		if b.states[s] {
+			state = s
 			break
 		}
 	}
-	if now == b.now {
+	if state == b.shown {
 		return
 	}
-	b.span(at)
-	b.now, b.since = now, at
+	b.closeSpan(at)
+	b.shown, b.since = state, at
 }
 
-func (b *lane) span(at float64) {
-	if b.now != trace.Removed && at > b.since {
-		b.Spans = append(b.Spans, Span{State: b.now, From: b.since, To: at})
+func (b *backendHistory) closeSpan(at float64) {
+	if b.shown != trace.Removed && at > b.since {
+		b.Spans = append(b.Spans, Span{State: b.shown, From: b.since, To: at})
 	}
 }
 
-// Finish returns the report. Nothing may be added after it.
+// Finish returns the report. Add must not be called after it.
 func (c *Collector) Finish(v *judge.Verdict) *Report {
 	rep := &c.rep
-	rep.Verdict, rep.Broken = v, groups(v.Violations)
+	rep.Verdict, rep.Broken = v, groupViolations(v.Violations)
 	rep.Seconds = float64(c.head.Length) / 1e6
-	rep.Whole.close()
+	rep.Whole.finish()
 	for _, s := range c.class {
-		rep.Classes = append(rep.Classes, s.close())
+		rep.Classes = append(rep.Classes, s.finish())
 	}
 	for _, s := range c.tenant {
-		rep.Tenants = append(rep.Tenants, s.close())
+		rep.Tenants = append(rep.Tenants, s.finish())
 	}
 	byName := func(a, b Service) int { return cmp.Compare(a.Name, b.Name) }
 	slices.SortFunc(rep.Classes, byName)
 	slices.SortFunc(rep.Tenants, byName)
-	for _, k := range keys(c.window) {
-		rep.Windows = append(rep.Windows, c.window[k].close())
+	for _, k := range sortedKeys(c.window) {
+		rep.Windows = append(rep.Windows, c.window[k].finish())
 	}
 	worst := func(list []Service, least int) float64 {
 		w := 1.0
 		for _, s := range list {
-			if s.worth > 0 && s.Asked >= least {
+			if s.utility > 0 && s.Asked >= least {
 				w = min(w, s.Share)
 			}
 		}
 		return w
 	}
-	// A window in which next to nothing was asked says nothing: the last one may be cut short.
-	full := int(float64(rep.Whole.Asked) * min(1, windowFor/max(rep.Seconds, 1)) / 3)
-	rep.Figure = wWhole*rep.Whole.Share + wWindow*worst(rep.Windows, full) + wClass*worst(rep.Classes, 1) + wTenant*worst(rep.Tenants, 1)
+	// Windows with few requests are ignored: the last one may be incomplete.
+	full := int(float64(rep.Whole.Asked) * min(1, windowSeconds/max(rep.Seconds, 1)) / 3)
+	rep.Figure = weightWhole*rep.Whole.Share + weightWindow*worst(rep.Windows, full) + weightClass*worst(rep.Classes, 1) + weightTenant*worst(rep.Tenants, 1)
 	end := 0
-	for k := range c.perS {
+	for k := range c.perSecond {
 		end = max(end, k+1)
 	}
 	rep.PerSecond = make([]Second, end)
-	for k, s := range c.perS {
+	for k, s := range c.perSecond {
 		if k >= 0 {
-			s.P50, s.P95 = quantile(s.took, 0.5), quantile(s.took, 0.95)
+			s.P50, s.P95 = quantile(s.latencies, 0.5), quantile(s.latencies, 0.95)
 			rep.PerSecond[k] = *s
 		}
 	}
-	stop := c.s(c.last)
-	for _, id := range c.order {
-		b := c.boxes[id]
-		b.span(stop)
+	stop := c.seconds(c.lastRecord)
+	for _, id := range c.backendOrder {
+		b := c.backends[id]
+		b.closeSpan(stop)
 		rep.Backends = append(rep.Backends, b.Backend)
 	}
 	slices.SortStableFunc(rep.Backends, func(a, b Backend) int {
-		return cmp.Or(cmp.Compare(first(a), first(b)), cmp.Compare(a.Site, b.Site), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(firstSeen(a), firstSeen(b)), cmp.Compare(a.Site, b.Site), cmp.Compare(a.ID, b.ID))
 	})
 	for _, n := range c.head.Nodes {
 		rep.Nodes = append(rep.Nodes, *c.nodes[n.Name])
 	}
-	for _, k := range keys(c.bad) {
-		rep.Bad = append(rep.Bad, *c.bad[k])
+	for _, k := range sortedKeys(c.invalidClients) {
+		rep.Bad = append(rep.Bad, *c.invalidClients[k])
 	}
 	slices.SortStableFunc(rep.Events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
-	if c.sent > 0 {
-		rep.Attempts.Per = float64(rep.Attempts.All) / float64(c.sent)
+	if c.sends > 0 {
+		rep.Attempts.Per = float64(rep.Attempts.All) / float64(c.sends)
 	}
 	return rep
 }
 
-func first(b Backend) float64 {
+func firstSeen(b Backend) float64 {
 	if len(b.Spans) == 0 {
 		return math.Inf(1)
 	}
 	return b.Spans[0].From
 }
 
-func keys[K cmp.Ordered, V any](m map[K]V) []K {
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	var out []K
 	for k := range m {
 		out = append(out, k)
@@ -518,15 +518,15 @@
 	return out
 }
 
-func (s *Service) close() Service {
-	if s.worth > 0 {
-		s.Share = s.earned / s.worth
+func (s *Service) finish() Service {
+	if s.utility > 0 {
+		s.Share = s.earnedUtility / s.utility
 	}
-	s.P50, s.P90, s.P99 = quantile(s.took, 0.5), quantile(s.took, 0.9), quantile(s.took, 0.99)
+	s.P50, s.P90, s.P99 = quantile(s.latencies, 0.5), quantile(s.latencies, 0.9), quantile(s.latencies, 0.99)
 	return *s
 }
 
-// quantile is the nearest rank; it sorts what it is given.
+// quantile returns a quantile by nearest rank. It sorts its argument.
 func quantile(v []float64, p float64) float64 {
 	if len(v) == 0 {
 		return 0
@@ -535,7 +535,7 @@
 	return v[min(len(v)-1, int(math.Ceil(p*float64(len(v))))-1)]
 }
 
-// Read reads a trace and returns its report with the judge's verdict.
+// Read reads a trace, checks it and returns its report.
 func Read(r io.Reader) (*Report, error) {
 	in, err := trace.NewReader(r)
 	if err != nil {
@@ -556,14 +556,14 @@
 	}
 }
 
-// JSON writes the report as one JSON document.
+// JSON writes the report as a JSON document.
 func (r *Report) JSON(w io.Writer) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", " ")
 	return enc.Encode(r)
 }
 
-const most = 20 // violations that the text lists
+const maxListed = 20 // entries of each list in the text
 
 // Text writes the report for a terminal.
 func (r *Report) Text(w io.Writer) error {
@@ -593,7 +593,7 @@
 		fmt.Fprintf(&b, "  bad clients, %s: %d got an error, %d a close, %d neither, %d were served\n", x.Kind, x.Error, x.Closed, x.None, x.Served)
 	}
 	v := r.Verdict
-	fmt.Fprintf(&b, "  the kit's own lateness: p50 %v, p99 %v; held up %.2f%% of the time\n\n", ms(v.LateP50), ms(v.LateP99), 100*v.LagShare)
+	fmt.Fprintf(&b, "  the kit's own lateness: p50 %v, p99 %v; held up %.2f%% of the time\n\n", duration(v.LateP50), duration(v.LateP99), 100*v.LagShare)
 	for _, rule := range v.Rules() {
 		word := "kept"
 		switch {
@@ -605,21 +605,21 @@
 		fmt.Fprintf(&b, "  rule %d, %-26s %s\n", int(rule), rule.String()+":", word)
 	}
 	for i, g := range r.Broken {
-		if i == most {
-			fmt.Fprintf(&b, "  ... and %d more; --json lists them\n", len(r.Broken)-most)
+		if i == maxListed {
+			fmt.Fprintf(&b, "  ... and %d more; --json lists them\n", len(r.Broken)-maxListed)
 			break
 		}
 		fmt.Fprintf(&b, "  %s\n", r.Line(g.First))
 		if g.Count > 1 {
-			fmt.Fprintf(&b, "    and %d more like it until %.3f s\n", g.Count-1, r.sec(g.Last))
+			fmt.Fprintf(&b, "    and %d more like it until %.3f s\n", g.Count-1, r.seconds(g.Last))
 		}
 	}
 	if v.Unlisted > 0 {
 		fmt.Fprintf(&b, "  %d violations past the first %d are not listed\n", v.Unlisted, len(v.Violations))
 	}
 	for i, x := range v.Undecided {
-		if i == most {
-			fmt.Fprintf(&b, "  ... and %d more undecided\n", len(v.Undecided)-most)
+		if i == maxListed {
+			fmt.Fprintf(&b, "  ... and %d more undecided\n", len(v.Undecided)-maxListed)
 			break
 		}
 		fmt.Fprintf(&b, "  undecided: %s\n", r.Line(x))
@@ -634,26 +634,26 @@
 	return err
 }
 
-func ms(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+func duration(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// Line is a violation on one line; its moment is since the traffic began.
+// Line formats a violation on one line, with its time since the traffic started.
 func (r *Report) Line(x judge.Violation) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%.3f s: rule %d, %s", r.sec(x.At), int(x.Rule), x.Name)
+	fmt.Fprintf(&b, "%.3f s: rule %d, %s", r.seconds(x.At), int(x.Rule), x.Name)
 	for _, p := range []struct{ name, v string }{{"node", x.Node}, {"request", x.Request}, {"box", x.Box}} {
 		if p.v != "" {
 			fmt.Fprintf(&b, ", %s %s", p.name, p.v)
 		}
 	}
-	fmt.Fprintf(&b, ": %s (trace lines %s)", x.Text, list(x.Lines, 6))
+	fmt.Fprintf(&b, ": %s (trace lines %s)", x.Text, joinNumbers(x.Lines, 6))
 	return b.String()
 }
 
-func list(n []int, most int) string {
+func joinNumbers(n []int, limit int) string {
 	var out []string
 	for i, x := range n {
-		if i == most {
-			out = append(out, fmt.Sprintf("and %d more", len(n)-most))
+		if i == limit {
+			out = append(out, fmt.Sprintf("and %d more", len(n)-limit))
 			break
 		}
 		out = append(out, fmt.Sprint(x))
--- a/internal/kit/report/report_test.go
+++ b/internal/kit/report/report_test.go
@@ -10,7 +10,7 @@
 	"craneglade/internal/kit/trace"
 )
 
-// sample is a trace of four requests of two classes, one cold box and one broken rule.
+// sample returns a trace of four requests of two classes, with one cold backend and one violation.
 func sample(t *testing.T) []byte {
 	t.Helper()
 	var b bytes.Buffer
@@ -29,7 +29,7 @@
 		{Kind: trace.Load, T: 18e5, Backend: "s-00000002", InFlight: 5},
 		{Kind: trace.Backend, T: 2e6, Backend: "s-00000002", State: trace.Warm},
 		{Kind: trace.Usage, T: 2e6, Node: "n1", Bytes: 30 << 20, Conns: 40},
-		// In time, late, refused and failed; the failed one breaks the second rule.
+		// In time, late, refused and failed; the failed one violates rule 2.
 		{Kind: trace.Planned, T: 11e5, ID: "r1", Class: "save", Tenant: "t1"}, {Kind: trace.Sent, T: 11e5, ID: "r1", Class: "save", Node: "n1", Conn: 1, Timeout: 1e6},
 		{Kind: trace.Received, T: 12e5, ID: "r1", Backend: "s-00000001", Node: "n1", Attempt: 1}, {Kind: trace.Reply, T: 13e5, Backend: "s-00000001", ID: "r1", Attempt: 1, How: trace.Served, Digest: "x"},
 		{Kind: trace.Got, T: 131e4, ID: "r1", Node: "n1", Conn: 1, Status: 200, Digest: "x"}, {Kind: trace.Done, T: 131e4, ID: "r1", How: "served", Took: 21e4},
@@ -69,7 +69,7 @@
 	if w.Asked != 4 || w.InTime != 1 || w.Late != 1 || w.Refused != 1 || w.Failed != 1 {
 		t.Errorf("%+v", w)
 	}
-	near("whole", w.Share, 10.0/(10+5+2+2)) // the second is past its share
+	near("whole", w.Share, 10.0/(10+5+2+2)) // the second is over its tenant's quota
 	near("p50", w.P50, 210)
 	near("p99", w.P99, 510)
 	if len(r.Classes) != 2 || len(r.Tenants) != 2 || len(r.Windows) != 1 || len(r.PerSecond) != 2 || len(r.Backends) != 2 {
@@ -83,7 +83,7 @@
 	if n := r.Nodes[0]; n.Answers != 4 || n.Attempts != 4 || n.PeakMB != 30 || n.PeakFiles != 40 || n.NewConns != 3 || n.Crossing != 1 || n.Lives != 1 {
 		t.Errorf("%+v", n)
 	}
-	if len(r.Events) != 1 || r.Events[0].At != 0.5 { // the end of the node is none
+	if len(r.Events) != 1 || r.Events[0].At != 0.5 { // the shutdown of the node is not an event
 		t.Errorf("%+v", r.Events)
 	}
 	cold := r.Backends[1]
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestForms(t *testing.T) {
+func TestOutputFormats(t *testing.T) {
 	r, err := Read(bytes.NewReader(sample(t)))
 	if err != nil {
 		t.Fatal(err)
@@ -131,8 +131,8 @@
 	}
 }
 
-// An empty run still gives a page.
-func TestNothingHappened(t *testing.T) {
+// A trace without records must still give a valid page and text.
+func TestEmptyRun(t *testing.T) {
 	var b, page bytes.Buffer
 	w := trace.NewWriter(&b, trace.Head{Scenario: "empty"})
 	w.Close()
--- a/internal/kit/scenario/default.go
+++ b/internal/kit/scenario/default.go
@@ -11,7 +11,7 @@
 const ms = Duration(time.Millisecond)
 const sec = Duration(time.Second)
 
-// Default is what a file that says nothing describes: the service configurator-nw on a busy morning.
+// Default returns the scenario of an empty file: the service configurator-nw on a busy morning.
 func Default() *Scenario {
 	return &Scenario{
 		Length: 30 * sec,
@@ -44,11 +44,11 @@
 	}
 }
 
-// fill gives what the file has left out its default. A table of an array that is there at all replaces the default's
-// whole array; its entries' own defaults are those of the default's first entry, but for names.
-func (s *Scenario) fill() {
+// applyDefaults sets what the file omits to its default. An array of tables in the file replaces the default's whole array; its
+// entries default to the values of the default's first entry, except for names.
+func (s *Scenario) applyDefaults() {
 	def := Default()
-	kinds, classes, tenants, sites := s.MachineKinds, s.Classes, s.Tenants, s.Sites // those that the file has
+	kinds, classes, tenants, sites := s.MachineKinds, s.Classes, s.Tenants, s.Sites // as the file has them
 	merge(reflect.ValueOf(s).Elem(), reflect.ValueOf(def).Elem(), "", s.keys)
 	for i := range kinds {
 		d := def.MachineKinds[0]
@@ -56,23 +56,23 @@
 		if s.MachineKinds[i].Cores == 0 {
 			d.Slots = d.Cores
 		}
-		mergeEntry(&s.MachineKinds[i], &d, indexed("kind", i), s.keys)
+		mergeEntry(&s.MachineKinds[i], &d, entryKey("kind", i), s.keys)
 	}
 	for i := range classes {
 		d := def.Classes[0]
 		if s.Classes[i].Effect != "" && s.Classes[i].Effect != "keyed" {
 			d.Group, d.Window = "all", 0
 		}
-		mergeEntry(&s.Classes[i], &d, indexed("class", i), s.keys)
+		mergeEntry(&s.Classes[i], &d, entryKey("class", i), s.keys)
 		if s.Classes[i].Effect != "keyed" {
 			s.Classes[i].Group, s.Classes[i].Window = "all", 0
 		}
 	}
 	for i := range tenants {
-		mergeEntry(&s.Tenants[i], &Tenant{Share: 1, Usage: 1}, indexed("tenant", i), s.keys)
+		mergeEntry(&s.Tenants[i], &Tenant{Share: 1, Usage: 1}, entryKey("tenant", i), s.keys)
 	}
 	for i := range sites {
-		mergeEntry(&s.Sites[i], &Site{Share: 1}, indexed("site", i), s.keys)
+		mergeEntry(&s.Sites[i], &Site{Share: 1}, entryKey("site", i), s.keys)
 	}
 	for i := range s.Events {
 		d := Event{}
@@ -88,17 +88,17 @@
 				d = Event{Node: 1}
 			}
 		}
-		mergeEntry(&s.Events[i], &d, indexed("event", i), s.keys)
+		mergeEntry(&s.Events[i], &d, entryKey("event", i), s.keys)
 	}
 }
 
-func indexed(table string, i int) string { return fmt.Sprintf("%s[%d]", table, i) }
+func entryKey(table string, i int) string { return fmt.Sprintf("%s[%d]", table, i) }
 
 func mergeEntry[T any](v, def *T, prefix string, keys *tomlfile.Keys) {
 	merge(reflect.ValueOf(v).Elem(), reflect.ValueOf(def).Elem(), prefix, keys)
 }
 
-// merge copies def's fields over those of v that the file does not name. A zero that is written down stays.
+// merge copies to v the fields of def whose keys the file does not set. An explicit zero in the file is kept.
 func merge(v, def reflect.Value, prefix string, keys *tomlfile.Keys) {
 	t := v.Type()
 	for i := range t.NumField() {
--- a/internal/kit/scenario/scenario.go
+++ b/internal/kit/scenario/scenario.go
@@ -1,9 +1,9 @@
-// Package scenario reads the files that describe a rehearsal: the fleet, the traffic, the list and a time table of
-// what happens. Files are TOML v1.0.0. What a file leaves out has the value of Default, which is the opening of a
-// season at a service like configurator-nw.
+// Package scenario reads the files that describe a rehearsal: the fleet, the traffic, the list and the events. Files are
+// TOML v1.0.0. What a file omits has the value of Default, which is the opening of a season at a service like
+// configurator-nw.
 //
-// A file is checked whole before anything is started. An error is one line: file, line, key, what is wrong and what
-// would be right.
+// A file is validated completely before anything is started. An error is one line: file, line, key, what is wrong and
+// what is expected.
 package scenario
 
 import (
@@ -22,14 +22,14 @@
 	"craneglade/internal/tomlfile"
 )
 
-// Duration is a time span as files write it.
+// Duration is a duration as files write it.
 type Duration = tomlfile.Duration
 
-// Scenario is one rehearsal.
+// Scenario describes one rehearsal.
 type Scenario struct {
 	Title  string   `toml:"title"`  // one line, for --list
-	Length Duration `toml:"length"` // from the first request planned to the last
-	Seed   uint64   `toml:"seed"`   // used where the command line names none; 0 draws one
+	Length Duration `toml:"length"` // from the first planned request to the last
+	Seed   uint64   `toml:"seed"`   // used if the command line sets none; 0 draws one at random
 
 	Nodes      Nodes      `toml:"nodes"`
 	Traffic    Traffic    `toml:"traffic"`
@@ -50,68 +50,68 @@
 	Tenants      []Tenant      `toml:"tenant"`
 	Events       []Event       `toml:"event"`
 
-	keys *tomlfile.Keys // that the file names
+	keys *tomlfile.Keys // that the file sets
 }
 
-// Nodes are the load balancers under rehearsal.
+// Nodes describes the load balancer nodes under test.
 type Nodes struct {
 	Count    int     `toml:"count"`
 	Cores    float64 `toml:"cores"`
 	MemoryMB int     `toml:"memory_mb"`
-	Sockets  int     `toml:"sockets"` // descriptors a node may hold
-	Settings string  `toml:"own"`     // settings of the node's own, as serve --config reads them; {dir} is a folder, {rpc} an address of its own, {dns} its DNS server; {peer}, {advertise}, {seeds}, {key} and {audit} are for [fleet]
+	Sockets  int     `toml:"sockets"` // maximum number of a node's descriptors
+	Settings string  `toml:"own"`     // the node's settings file, as serve --config reads it; {dir} is a folder, {rpc} a local address, {dns} its DNS server; {peer}, {advertise}, {seeds}, {key} and {audit} are for [fleet]
 }
 
-// Traffic is the load. Rates are first tries a second, over all sites.
+// Traffic describes the load. Rates are first tries per second, over all sites.
 type Traffic struct {
 	Rate             float64  `toml:"rate"`
 	Shape            string   `toml:"shape"` // steady, ramp (from Rate to Rate x Peak), wave (about Rate by Swing), bursty
 	Peak             float64  `toml:"peak"`
 	Swing            float64  `toml:"swing"`
 	Period           Duration `toml:"period"`
-	OverQuotaUtility float64  `toml:"over_share_worth"` // worth of a request past its tenant's share, as a part of the usual
-	QuotaFactor      float64  `toml:"quota_of_rate"`    // what all tenants' shares together are, as a multiple of Rate
+	OverQuotaUtility float64  `toml:"over_share_worth"` // utility of a request over its tenant's quota, as a fraction of its normal utility
+	QuotaFactor      float64  `toml:"quota_of_rate"`    // sum of all tenants' quotas, as a multiple of Rate
 }
 
-// Net are one-way delays.
+// Net holds one-way network delays.
 type Net struct {
 	SameSite  Duration `toml:"same_site"`
 	CrossSite Duration `toml:"cross_site"`
-	Jitter    float64  `toml:"jitter"` // spread as a part of the delay
+	Jitter    float64  `toml:"jitter"` // spread, as a fraction of the delay
 }
 
-// List is the box list.
+// List describes how nodes get the list of backends.
 type List struct {
 	Mode     string   `toml:"mode"`   // push or ask
-	Lag      Duration `toml:"lag"`    // from a change to the nodes' being told
-	AddLag   Duration `toml:"add"`    // the same for a box that is new
-	Spread   Duration `toml:"spread"` // between the first node that is told and the last
-	MaxCalls float64  `toml:"calls"`  // ask: calls a second that its service answers; it turns the others away. 0 for any number
+	Lag      Duration `toml:"lag"`    // from a change to the notification of nodes
+	AddLag   Duration `toml:"add"`    // the same for a new backend
+	Spread   Duration `toml:"spread"` // between the notification of the first node and the last
+	MaxCalls float64  `toml:"calls"`  // ask: maximum number of queries per second; more are rejected. 0: unlimited
 }
 
-// SRV are the SRV records of the sites, _config._tcp.SITE.example.org, where nodes.own has them asked at {dns}.
+// SRV describes the SRV records of the sites, _config._tcp.SITE.example.org, for nodes whose settings query {dns}.
 type SRV struct {
 	TTL Duration `toml:"ttl"` // lifetime of records, whole seconds; 0 for no DNS
 	Lag Duration `toml:"lag"` // from a change to its publication
 }
 
-// Clients are what showroom terminals and tablets do.
+// Clients describes the behaviour of clients: showroom terminals and tablets.
 type Clients struct {
 	Retries          int      `toml:"retries"`
 	Backoff          string   `toml:"backoff"` // none, fixed, exponential
 	RetryWait        Duration `toml:"wait"`
-	HonourRetryAfter float64  `toml:"honour_retry_after"` // part of the clients that wait as Retry-After says
+	HonourRetryAfter float64  `toml:"honour_retry_after"` // fraction of the clients that obey Retry-After
 	MaxRetryAfter    Duration `toml:"max_retry_after"`
-	TryFraction      float64  `toml:"try_share"` // a try is given up after this part of the class's deadline
-	Impatient        float64  `toml:"impatient"` // part that leaves long before its time is up
+	TryFraction      float64  `toml:"try_share"` // a try times out after this fraction of the class's deadline
+	Impatient        float64  `toml:"impatient"` // fraction that disconnects long before the deadline
 	FrontNotice      Duration `toml:"front_notice"`
-	SingleUse        float64  `toml:"ask_once"`    // part that asks on a connection of its own, and then keeps it for good
-	JSONRPC          float64  `toml:"jsonrpc"`     // part that asks over JSON-RPC; nodes.own says what the nodes do with it
-	Chunked          float64  `toml:"chunked"`     // part of the bodies that go in chunks, in pieces, with extensions and trailers
-	MaxConns         int      `toml:"connections"` // that all clients together hold to a node for requests; 0 for any number
+	SingleUse        float64  `toml:"ask_once"`    // fraction of requests sent on a connection of their own, which then stays open unused
+	JSONRPC          float64  `toml:"jsonrpc"`     // fraction of requests sent over JSON-RPC; nodes.own sets how nodes handle them
+	Chunked          float64  `toml:"chunked"`     // fraction of bodies sent chunked, in pieces, with extensions and trailers
+	MaxConns         int      `toml:"connections"` // maximum number of connections for requests from all clients to a node; 0: unlimited
 }
 
-// Rules are the figures of the four rules.
+// Rules holds the parameters of the four rules.
 type Rules struct {
 	DrainGrace       Duration `toml:"drain_grace"`
 	OverloadFactor   float64  `toml:"fall_factor"`
@@ -119,48 +119,48 @@
 	Attempts         int      `toml:"attempts"`
 }
 
-// Report is how boxes report their load in answers.
+// Report describes how backends report their load in answers.
 type Report struct {
 	Interval Duration `toml:"every"`
 	Delay    Duration `toml:"late"`
 	Noise    float64  `toml:"noise"`
 }
 
-// Congestion is what makes an overloaded box slow and keeps it so.
+// Congestion describes when an overloaded backend slows down, and when it recovers.
 type Congestion struct {
-	At             float64  `toml:"at"`
+	At             float64  `toml:"at"` // a backend slows down when it holds more than cores + At x sqrt(cores) requests, on average over Window; 0: never
 	Window         Duration `toml:"over"`
-	SlowFactor     float64  `toml:"slower"`
-	Below          float64  `toml:"below"`
+	SlowFactor     float64  `toml:"slower"` // by which it slows down
+	Below          float64  `toml:"below"`  // it recovers when its cores were busy for less than this fraction of RecoveryWindow,
 	RecoveryWindow Duration `toml:"rest"`
-	MaxDuration    Duration `toml:"most"`
+	MaxDuration    Duration `toml:"most"` // or after this time at the latest
 }
 
-// Conn are the connections of boxes.
+// Conn describes the connections to backends.
 type Conn struct {
-	Max            int      `toml:"max"` // that a box accepts
+	Max            int      `toml:"max"` // that a backend accepts
 	HandshakeWork  Duration `toml:"handshake_work"`
-	IdleTimeout    Duration `toml:"idle"`    // a box closes one that stood idle for so long
-	ConnectTimeout Duration `toml:"timeout"` // for nodes to connect in
+	IdleTimeout    Duration `toml:"idle"`    // a backend closes a connection that was idle this long
+	ConnectTimeout Duration `toml:"timeout"` // within which a node has to connect
 }
 
-// Prices are what nodes are told that things cost, as parts of the mean request's worth. The report counts no prices.
+// Prices holds the costs that nodes are configured with, as fractions of the mean request's utility. The report ignores them.
 type Prices struct {
-	CrossSite float64 `toml:"cross_site"` // an attempt that leaves its node's site
+	CrossSite float64 `toml:"cross_site"` // of an attempt to another site than the node's
 }
 
-// Site is a place with nodes, boxes and clients.
+// Site is a location with nodes, backends and clients.
 type Site struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"` // of the traffic
 }
 
-// MachineKind is a kind of machine.
+// MachineKind is a kind of machine that backends run on.
 type MachineKind struct {
 	Name          string   `toml:"name"`
 	Cores         int      `toml:"cores"`
-	Speed         float64  `toml:"speed"`        // of a core; 1 is the usual
-	Spread        float64  `toml:"speed_spread"` // standard deviation between boxes, as a part
+	Speed         float64  `toml:"speed"`        // of a core; 1 is normal
+	Spread        float64  `toml:"speed_spread"` // standard deviation between backends, as a fraction
 	Slots         int      `toml:"slots"`
 	Queue         int      `toml:"queue"`
 	Thrash        float64  `toml:"thrash"`
@@ -170,18 +170,18 @@
 	WarmBy        string   `toml:"warm_by"` // time or requests
 	PauseEvery    Duration `toml:"pause_every"`
 	Pause         Duration `toml:"pause"`
-	ErrorFraction float64  `toml:"errors"` // part of the requests
-	Cancel        string   `toml:"cancel"` // none, queued or all: what a box drops when its sender has gone
+	ErrorFraction float64  `toml:"errors"` // of the requests
+	Cancel        string   `toml:"cancel"` // none, queued or all: the requests that a backend drops when their sender disconnects
 	DropsExpired  bool     `toml:"drops_expired"`
 }
 
-// Fleet is a number of boxes of one kind, dealt out over the sites in turn.
+// Fleet is a number of backends of one machine kind, assigned to the sites in turn.
 type Fleet struct {
 	Kind  string `toml:"kind"`
 	Count int    `toml:"count"`
 }
 
-// Class is one kind of request.
+// Class is a class of requests.
 type Class struct {
 	Name          string   `toml:"name"`
 	Share         float64  `toml:"share"`
@@ -197,14 +197,14 @@
 	Bytes         int      `toml:"bytes"` // of the body
 }
 
-// Tenant is one customer.
+// Tenant is a tenant of the service.
 type Tenant struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"`
-	Usage float64 `toml:"usage"` // of its share
+	Usage float64 `toml:"usage"` // as a fraction of its share
 }
 
-// Event is one entry of the time table. Do names it; the other keys that it reads are listed with Actions.
+// Event is one event of the scenario. Action selects its kind; Actions lists the other keys that it uses.
 type Event struct {
 	Action         string   `toml:"do"`
 	At             Duration `toml:"at"`
@@ -213,7 +213,7 @@
 	Fraction       float64  `toml:"part"`
 	Batch          float64  `toml:"batch"`
 	Drain          Duration `toml:"drain"`
-	Factor         float64  `toml:"by"`
+	Factor         float64  `toml:"by"` // a factor; for list-stale and late-words, seconds
 	TrafficFollows float64  `toml:"traffic_follows"`
 	Backends       int      `toml:"boxes"`
 	Node           int      `toml:"node"`
@@ -221,21 +221,21 @@
 	Rate           float64  `toml:"rate"`
 	Kinds          []string `toml:"kinds"`
 	SameAddress    bool     `toml:"same_address"`
-	Serves         Duration `toml:"serves"` // a draining box goes on taking what is new for so long
+	Serves         Duration `toml:"serves"` // how long a draining backend goes on accepting new requests
 	Class          string   `toml:"class"`
 	Site           string   `toml:"site"`
-	To             string   `toml:"to"`  // the other site of a cut between two; without it all others
-	Direction      string   `toml:"way"` // of what a cut stops: both, out (of what is cut off) or in
+	To             string   `toml:"to"`  // the other site of a cut; all others if empty
+	Direction      string   `toml:"way"` // of the traffic that a cut stops: both, out (from what is cut off) or in
 }
 
-// Action is what an event can do, with the keys that it reads beside do and at.
+// Action describes a kind of event, with the keys that it uses besides do and at.
 type Action struct {
 	Keys     []string
 	Required []string
 	Text     string
 }
 
-// Actions are the events that there are.
+// Actions lists the kinds of events by name.
 var Actions = map[string]Action{
 	"deploy":       {[]string{"over", "part", "batch", "drain", "same_address", "serves"}, []string{"over", "part"}, "replace part of the fleet, a batch at a time, by cold successors"},
 	"grow":         {[]string{"over", "by", "traffic_follows"}, []string{"over", "by"}, "add cold boxes until the fleet is by times as large"},
@@ -264,28 +264,28 @@
 	"surge":        {[]string{"for", "by"}, []string{"for", "by"}, "traffic times by"},
 }
 
-// PeerLinkEvents are those that need nodes that talk to each other.
+// PeerLinkEvents lists the events that require nodes that communicate with each other.
 var PeerLinkEvents = []string{"cut-nodes", "drop-words", "double-words", "spoil-words", "late-words"}
 
-// LostSiteListDelay is after which time a lost site's boxes end as far as the list is concerned.
+// LostSiteListDelay is the time after which the list removes the backends of a lost site.
 const LostSiteListDelay = time.Second
 
-// InvalidClientKinds are the kinds of bad clients.
+// InvalidClientKinds lists the kinds of clients that send invalid requests.
 var InvalidClientKinds = []string{"garbage", "endless-head", "negative-length", "huge-length", "both-lengths", "no-id", "no-class",
 	"bad-deadline", "half", "silent", "open-id"}
 
-// HealthCheck is a further kind, which is not bad: it asks for the node's readiness on a connection of its own and keeps
-// that. It plays only where an event names it.
+// HealthCheck is a further kind of client, which is valid: it queries the node's readiness on a connection of its own and
+// keeps that open. It takes part only if an event names it.
 const HealthCheck = "health-check"
 
 //go:embed scenarios/*.toml
 var shipped embed.FS
 
-// Names lists the scenarios that ship with the program.
+// Names returns the names of the embedded scenarios.
 func Names() []string {
 	entries, err := shipped.ReadDir("scenarios")
 	if err != nil {
-		return nil // embedded: can't be
+		return nil // cannot happen: the folder is embedded
 	}
 	var names []string
 	for _, e := range entries {
@@ -294,7 +294,7 @@
 	return names
 }
 
-// Load reads a shipped scenario by its name, or a file by its path: what ends in .toml or holds a slash is a path.
+// Load reads an embedded scenario by its name, or a file by its path. A name that ends in .toml or contains a slash is a path.
 func Load(name string) (*Scenario, error) {
 	if strings.HasSuffix(name, ".toml") || strings.ContainsRune(name, '/') {
 		text, err := os.ReadFile(name)
@@ -310,31 +310,31 @@
 	return Parse(name+".toml", text)
 }
 
-// Text is a shipped scenario as it is written.
+// Text returns the source of an embedded scenario.
 func Text(name string) ([]byte, error) {
 	text, err := shipped.ReadFile(path.Join("scenarios", name+".toml"))
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("no scenario %q: shipped are %s; a file's name ends in .toml", name, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("no scenario %q: shipped are %s; the path of a file ends in .toml", name, strings.Join(Names(), ", "))
 	}
 	return text, err
 }
 
-// Parse reads and checks a scenario; file is its name for errors.
+// Parse parses and validates a scenario. Errors name it by file.
 func Parse(file string, text []byte) (*Scenario, error) {
 	s := &Scenario{}
 	var err error
 	if s.keys, err = tomlfile.Decode(file, text, s); err != nil {
 		return nil, err
 	}
-	s.fill()
-	if err := s.check(); err != nil {
+	s.applyDefaults()
+	if err := s.validate(); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// check reports the first thing that makes no sense.
-func (s *Scenario) check() error {
+// validate returns the first error in the scenario.
+func (s *Scenario) validate() error {
 	type bound struct {
 		key      string
 		v        float64
@@ -418,51 +418,51 @@
 	}
 	for _, b := range bounds {
 		if !(b.v >= b.min && b.v <= b.max) {
-			return s.keys.Problem(b.key, "%v%s is outside %v to %v%s", trim(b.v), b.unit, trim(b.min), trim(b.max), b.unit)
+			return s.keys.Problem(b.key, "%v%s is outside %v to %v%s", roundMicro(b.v), b.unit, roundMicro(b.min), roundMicro(b.max), b.unit)
 		}
 	}
-	type word struct {
+	type choice struct {
 		key, v string
 		of     []string
 	}
-	words := []word{
+	choices := []choice{
 		{"traffic.shape", s.Traffic.Shape, []string{"steady", "ramp", "wave", "bursty"}},
 		{"list.mode", s.List.Mode, []string{"push", "ask"}},
 		{"clients.backoff", s.Clients.Backoff, []string{"none", "fixed", "exponential"}},
 	}
 	for i, k := range s.MachineKinds {
-		words = append(words, word{fmt.Sprintf("kind[%d].warm_by", i), k.WarmBy, []string{"time", "requests"}}, word{fmt.Sprintf("kind[%d].cancel", i), k.Cancel, []string{"none", "queued", "all"}})
+		choices = append(choices, choice{fmt.Sprintf("kind[%d].warm_by", i), k.WarmBy, []string{"time", "requests"}}, choice{fmt.Sprintf("kind[%d].cancel", i), k.Cancel, []string{"none", "queued", "all"}})
 	}
 	for i, c := range s.Classes {
-		words = append(words, word{fmt.Sprintf("class[%d].effect", i), c.Effect, []string{"safe", "keyed", "unsafe"}}, word{fmt.Sprintf("class[%d].group", i), c.Group, []string{"all", "site", "cell"}})
+		choices = append(choices, choice{fmt.Sprintf("class[%d].effect", i), c.Effect, []string{"safe", "keyed", "unsafe"}}, choice{fmt.Sprintf("class[%d].group", i), c.Group, []string{"all", "site", "cell"}})
 		if c.Effect == "keyed" && c.Window <= 0 {
 			return s.keys.Problem(fmt.Sprintf("class[%d].window", i), "a keyed class needs the time for which repeats are dropped")
 		}
 	}
-	for _, w := range words {
+	for _, w := range choices {
 		if !slices.Contains(w.of, w.v) {
 			return s.keys.Problem(w.key, "%q is none of %s", w.v, strings.Join(w.of, ", "))
 		}
 	}
-	if err := s.names(); err != nil {
+	if err := s.checkNames(); err != nil {
 		return err
 	}
-	if err := s.own(); err != nil {
+	if err := s.checkNodeSettings(); err != nil {
 		return s.keys.Problem("nodes.own", "%v", err)
 	}
 	if strings.Contains(s.Nodes.Settings, "{peer}") && s.Nodes.Count > 200 {
-		return s.keys.Problem("nodes.count", "%d: at most 200 nodes can talk to each other here", s.Nodes.Count)
+		return s.keys.Problem("nodes.count", "%d: at most 200 nodes can communicate with each other", s.Nodes.Count)
 	}
 	if ttl := s.SRV.TTL.D(); ttl < 0 || ttl%time.Second != 0 {
-		return s.keys.Problem("names.ttl", "%v is no whole number of seconds", ttl)
+		return s.keys.Problem("names.ttl", "%v is not a whole number of seconds", ttl)
 	} else if (ttl > 0) != strings.Contains(s.Nodes.Settings, "{dns}") {
-		return s.keys.Problem("names.ttl", "it goes with dns.servers = [\"{dns}\"] in nodes.own, and neither without the other")
+		return s.keys.Problem("names.ttl", "it requires dns.servers = [\"{dns}\"] in nodes.own, and vice versa")
 	}
-	return s.events()
+	return s.checkEvents()
 }
 
-// own checks the nodes' own settings, with something in every place that a rehearsal fills in.
-func (s *Scenario) own() error {
+// checkNodeSettings checks the nodes' settings, with valid values for the placeholders that a rehearsal fills in.
+func (s *Scenario) checkNodeSettings() error {
 	key := ""
 	if strings.Contains(s.Nodes.Settings, "{key}") {
 		f, err := os.CreateTemp("", "craneglade-key-*")
@@ -481,37 +481,37 @@
 	return err
 }
 
-// FleetKey is what {key} in nodes.own holds: that of a rehearsal is no secret.
+// FleetKey is the content of the file {key} in nodes.own. The key of a rehearsal is not secret.
 const FleetKey = "000102030405060708090a0b0c0d0e0f\n"
 
-func trim(v float64) float64 { return math.Round(v*1e6) / 1e6 }
+func roundMicro(v float64) float64 { return math.Round(v*1e6) / 1e6 }
 
-// names checks that names are there once, and that what they refer to is there.
-func (s *Scenario) names() error {
-	for table, names := range map[string][]string{"site": names(s.Sites, func(x Site) string { return x.Name }),
-		"kind":   names(s.MachineKinds, func(x MachineKind) string { return x.Name }),
-		"class":  names(s.Classes, func(x Class) string { return x.Name }),
-		"tenant": names(s.Tenants, func(x Tenant) string { return x.Name })} {
+// checkNames checks that names are valid and unique, and that machine kinds of the fleet exist.
+func (s *Scenario) checkNames() error {
+	for table, names := range map[string][]string{"site": namesOf(s.Sites, func(x Site) string { return x.Name }),
+		"kind":   namesOf(s.MachineKinds, func(x MachineKind) string { return x.Name }),
+		"class":  namesOf(s.Classes, func(x Class) string { return x.Name }),
+		"tenant": namesOf(s.Tenants, func(x Tenant) string { return x.Name })} {
 		for i, n := range names {
 			key := fmt.Sprintf("%s[%d].name", table, i)
 			if n == "" || strings.ContainsFunc(n, func(r rune) bool { return r <= ' ' || r > '~' || r == '"' }) {
-				return s.keys.Problem(key, "%q is no name: use letters, digits and dashes", n)
+				return s.keys.Problem(key, "%q is not a valid name: use letters, digits and dashes", n)
 			}
 			if slices.Index(names, n) != i {
-				return s.keys.Problem(key, "%q is there twice", n)
+				return s.keys.Problem(key, "%q is defined twice", n)
 			}
 		}
 	}
 	for i, f := range s.Fleet {
 		if s.MachineKind(f.Kind) == nil {
-			return s.keys.Problem(fmt.Sprintf("fleet[%d].kind", i), "%q is no kind of machine: there are %s", f.Kind,
-				strings.Join(names(s.MachineKinds, func(x MachineKind) string { return x.Name }), ", "))
+			return s.keys.Problem(fmt.Sprintf("fleet[%d].kind", i), "%q is not a kind of machine: there are %s", f.Kind,
+				strings.Join(namesOf(s.MachineKinds, func(x MachineKind) string { return x.Name }), ", "))
 		}
 	}
 	return nil
 }
 
-func names[T any](list []T, name func(T) string) []string {
+func namesOf[T any](list []T, name func(T) string) []string {
 	var out []string
 	for _, x := range list {
 		out = append(out, name(x))
@@ -519,7 +519,7 @@
 	return out
 }
 
-// MachineKind returns a kind of machine by its name, or nil.
+// MachineKind returns a machine kind by its name, or nil.
 func (s *Scenario) MachineKind(name string) *MachineKind {
 	i := slices.IndexFunc(s.MachineKinds, func(k MachineKind) bool { return k.Name == name })
 	if i < 0 {
@@ -528,7 +528,7 @@
 	return &s.MachineKinds[i]
 }
 
-// Backends is the number of boxes at the start.
+// Backends returns the number of backends at the start.
 func (s *Scenario) Backends() int {
 	n := 0
 	for _, f := range s.Fleet {
@@ -537,8 +537,8 @@
 	return n
 }
 
-// events checks the time table.
-func (s *Scenario) events() error {
+// checkEvents validates the events.
+func (s *Scenario) checkEvents() error {
 	for i, e := range s.Events {
 		p := fmt.Sprintf("event[%d].", i)
 		act, ok := Actions[e.Action]
@@ -550,7 +550,7 @@
 			"kinds": len(e.Kinds) > 0, "class": e.Class != "", "same_address": e.SameAddress, "serves": e.Serves != 0, "for": e.Lasts != 0, "site": e.Site != "", "to": e.To != "", "way": e.Direction != ""}
 		for _, k := range sortedKeys(given) {
 			if given[k] && !slices.Contains(act.Keys, k) {
-				return s.keys.Problem(p+k, "%s does not read it: it reads %s", e.Action, strings.Join(act.Keys, ", "))
+				return s.keys.Problem(p+k, "%s does not use it: it uses %s", e.Action, strings.Join(act.Keys, ", "))
 			}
 			if !given[k] && slices.Contains(act.Required, k) {
 				return s.keys.Problem(p+k, "%s needs it", e.Action)
@@ -562,9 +562,9 @@
 		case e.Serves < 0 || e.Serves > e.Drain:
 			return s.keys.Problem(p+"serves", "%v is outside 0 to the drain of %v", e.Serves, e.Drain)
 		case e.Over < 0 || e.Lasts < 0 || e.Drain < 0 || e.Down < 0:
-			return s.keys.Problem(p+"at", "a time is negative")
+			return s.keys.Problem(p+"at", "a duration is negative")
 		case e.At+e.Over > s.Length:
-			return s.keys.Problem(p+"over", "it ends at %v, after the length of %v", e.At+e.Over, s.Length)
+			return s.keys.Problem(p+"over", "the event ends at %v, after the length of %v", e.At+e.Over, s.Length)
 		case e.Fraction < 0 || e.Fraction > 1:
 			return s.keys.Problem(p+"part", "%v is outside 0 to 1", e.Fraction)
 		case e.Batch < 0 || e.Batch > 1:
@@ -574,37 +574,37 @@
 		case e.Action == "slow" && !(e.Factor > 1 && e.Factor <= 100):
 			return s.keys.Problem(p+"by", "%v is outside 1 to 100: boxes are slower by that factor", e.Factor)
 		case e.Action == "surge" && !(e.Factor > 0 && e.Factor <= 100):
-			return s.keys.Problem(p+"by", "%v is outside 0 to 100: traffic is times that", e.Factor)
+			return s.keys.Problem(p+"by", "%v is outside 0 to 100: traffic is multiplied by that", e.Factor)
 		case e.Action == "list-stale" && !(e.Factor > 0 && e.Factor <= 60):
 			return s.keys.Problem(p+"by", "%v is outside 0 to 60 s", e.Factor)
 		case e.TrafficFollows < 0 || e.TrafficFollows > 1:
 			return s.keys.Problem(p+"traffic_follows", "%v is outside 0 to 1", e.TrafficFollows)
 		case e.Node < 0 || e.Node > s.Nodes.Count:
-			return s.keys.Problem(p+"node", "%d is none: nodes are numbered 1 to %d", e.Node, s.Nodes.Count)
+			return s.keys.Problem(p+"node", "%d is not a node: nodes are numbered 1 to %d", e.Node, s.Nodes.Count)
 		case e.Backends < 0 || e.Backends > s.Backends():
 			return s.keys.Problem(p+"boxes", "%d is more than the fleet has: %d", e.Backends, s.Backends())
 		case e.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == e.Class }):
-			return s.keys.Problem(p+"class", "%q is no class: there are %s", e.Class,
-				strings.Join(names(s.Classes, func(c Class) string { return c.Name }), ", "))
+			return s.keys.Problem(p+"class", "%q is not a class: there are %s", e.Class,
+				strings.Join(namesOf(s.Classes, func(c Class) string { return c.Name }), ", "))
 		case e.Site != "" && !slices.ContainsFunc(s.Sites, func(x Site) bool { return x.Name == e.Site }):
-			return s.keys.Problem(p+"site", "%q is no site: there are %s", e.Site,
-				strings.Join(names(s.Sites, func(x Site) string { return x.Name }), ", "))
+			return s.keys.Problem(p+"site", "%q is not a site: there are %s", e.Site,
+				strings.Join(namesOf(s.Sites, func(x Site) string { return x.Name }), ", "))
 		case e.Action == "lose-site" && e.Lasts < 2*Duration(LostSiteListDelay):
-			return s.keys.Problem(p+"for", "%v is shorter than %v: the list takes a lost site's boxes off after %v", e.Lasts, 2*Duration(LostSiteListDelay), LostSiteListDelay)
+			return s.keys.Problem(p+"for", "%v is shorter than %v: the list removes a lost site's boxes after %v", e.Lasts, 2*Duration(LostSiteListDelay), LostSiteListDelay)
 		case slices.Contains(PeerLinkEvents, e.Action) && !strings.Contains(s.Nodes.Settings, "{peer}"):
-			return s.keys.Problem(p+"do", "%s needs nodes that talk to each other: fleet.listen = \"{peer}\" in nodes.own", e.Action)
+			return s.keys.Problem(p+"do", "%s needs nodes that communicate with each other: set fleet.listen = \"{peer}\" in nodes.own", e.Action)
 		case e.Action == "cut-nodes" && (e.Fraction > 0) == (e.Site != ""):
-			return s.keys.Problem(p+"do", "cut-nodes needs one of part and site")
+			return s.keys.Problem(p+"do", "cut-nodes needs exactly one of part and site")
 		case e.To != "" && !slices.ContainsFunc(s.Sites, func(x Site) bool { return x.Name == e.To }):
-			return s.keys.Problem(p+"to", "%q is no site: there are %s", e.To, strings.Join(names(s.Sites, func(x Site) string { return x.Name }), ", "))
+			return s.keys.Problem(p+"to", "%q is not a site: there are %s", e.To, strings.Join(namesOf(s.Sites, func(x Site) string { return x.Name }), ", "))
 		case e.To != "" && (e.Site == "" || e.To == e.Site):
-			return s.keys.Problem(p+"to", "%q needs another site beside it", e.To)
+			return s.keys.Problem(p+"to", "%q needs a different site in the key site", e.To)
 		case (e.Action == "cut-nodes" || e.Action == "cut-links") && !slices.Contains([]string{"both", "out", "in"}, e.Direction):
 			return s.keys.Problem(p+"way", "%q is none of both, out, in", e.Direction)
 		case e.Action == "late-words" && !(e.Factor > 0 && e.Factor <= 10):
 			return s.keys.Problem(p+"by", "%v is outside 0 to 10 s", e.Factor)
 		case (e.Action == "kill" || e.Action == "term" || e.Action == "stall") && e.Fraction > 0 && e.Node > 0:
-			return s.keys.Problem(p+"part", "node says which one already: give one of the two")
+			return s.keys.Problem(p+"part", "node already selects one: set only one of the two")
 		case e.Rate < 0 || e.Rate > 1000:
 			return s.keys.Problem(p+"rate", "%v is outside 0 to 1000 a second", e.Rate)
 		}
@@ -614,7 +614,7 @@
 			}
 		}
 		if e.Action == "deploy" {
-			if err := s.reachable(p, e); err != nil {
+			if err := s.checkDeployFits(p, e); err != nil {
 				return err
 			}
 		}
@@ -622,23 +622,23 @@
 	return nil
 }
 
-// reachable tells whether a deploy can replace what it is to replace by its end: each batch waits for its drain.
-func (s *Scenario) reachable(p string, e Event) error {
+// checkDeployFits checks that a deploy has time for all of its batches, which start at least 500 ms apart.
+func (s *Scenario) checkDeployFits(p string, e Event) error {
 	n := s.Backends()
 	replace := int(math.Round(e.Fraction * float64(n)))
 	if replace < 1 {
-		return s.keys.Problem(p+"part", "%v of %d boxes is none", e.Fraction, n)
+		return s.keys.Problem(p+"part", "%v of %d boxes is less than one box", e.Fraction, n)
 	}
-	batch := max(1, int(math.Round(cmpOr(e.Batch, 0.15)*float64(n))))
+	batch := max(1, int(math.Round(firstNonZero(e.Batch, 0.15)*float64(n))))
 	rounds := (replace + batch - 1) / batch
-	if least := time.Duration(rounds-1) * 500 * time.Millisecond; e.Over.D() < least {
-		return s.keys.Problem(p+"over", "%d boxes in batches of %d take %d rounds, %v at the least: give it longer or a larger batch",
-			replace, batch, rounds, least)
+	if minDuration := time.Duration(rounds-1) * 500 * time.Millisecond; e.Over.D() < minDuration {
+		return s.keys.Problem(p+"over", "%d boxes in batches of %d take %d rounds, at least %v: set a longer time or a larger batch",
+			replace, batch, rounds, minDuration)
 	}
 	return nil
 }
 
-func cmpOr(a, b float64) float64 {
+func firstNonZero(a, b float64) float64 {
 	if a != 0 {
 		return a
 	}
--- a/internal/kit/scenario/scenario_test.go
+++ b/internal/kit/scenario/scenario_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-func TestShippedAreGood(t *testing.T) {
+func TestEmbeddedScenariosLoad(t *testing.T) {
 	names := Names()
 	for _, want := range []string{"opening", "calm", "rolling-deploy", "late-list", "slow-after-overload", "bad-clients", "bad-boxes", "reload", "kill"} {
 		if !strings.Contains(" "+strings.Join(names, " ")+" ", " "+want+" ") {
-			t.Errorf("%s is not shipped", want)
+			t.Errorf("scenario %s is missing", want)
 		}
 	}
 	for _, n := range names {
@@ -20,13 +20,13 @@
 		if err != nil {
 			t.Errorf("%s: %v", n, err)
 		} else if s.Title == "" || s.Backends() == 0 {
-			t.Errorf("%s: no title or no boxes", n)
+			t.Errorf("%s: no title or no backends", n)
 		}
 	}
 }
 
-// A bad file gives one line with file, line, key and what would be right.
-func TestBadFiles(t *testing.T) {
+// The error about an invalid file is one line with file, line, key and what is expected.
+func TestInvalidFileErrors(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"lenght = \"30s\"", `f.toml:1: lenght: no such key; did you mean length?`},
 		{"length = \"30s\"\n[traffic]\nrte = 5", `f.toml:3: traffic.rte: no such key; did you mean rate?`},
@@ -38,20 +38,20 @@
 		{"[traffic]\nshape = \"square\"", `f.toml:2: traffic.shape: "square" is none of steady, ramp, wave, bursty`},
 		{"[[class]]\nname = \"a\"\neffect = \"keyed\"\nwindow = \"0s\"", `f.toml:4: class[0].window: a keyed class needs`},
 		{"[[class]]\nname = \"a\"\naim = \"2s\"\ndeadline = \"1s\"", `f.toml:4: class[0].deadline: 1s is outside 2 to 600s`},
-		{"[[class]]\nname = \"a\"\n[[class]]\nname = \"a\"", `f.toml:4: class[1].name: "a" is there twice`},
-		{"[[class]]\nname = \"a b\"", `f.toml:2: class[0].name: "a b" is no name`},
-		{"[[fleet]]\nkind = \"gen-z\"\ncount = 3", `f.toml:2: fleet[0].kind: "gen-z" is no kind of machine: there are gen-a, gen-b`},
+		{"[[class]]\nname = \"a\"\n[[class]]\nname = \"a\"", `f.toml:4: class[1].name: "a" is defined twice`},
+		{"[[class]]\nname = \"a b\"", `f.toml:2: class[0].name: "a b" is not a valid name`},
+		{"[[fleet]]\nkind = \"gen-z\"\ncount = 3", `f.toml:2: fleet[0].kind: "gen-z" is not a kind of machine: there are gen-a, gen-b`},
 		{"[[event]]\ndo = \"deplay\"\nat = \"1s\"", `f.toml:2: event[0].do: "deplay" is none of bad-clients, crash, cut-links, cut-nodes, deploy`},
-		{"[[event]]\ndo = \"kill\"\nat = \"1s\"\ndown = \"1s\"\nby = 3", `f.toml:5: event[0].by: kill does not read it: it reads node, part, down`},
-		{"[[event]]\ndo = \"kill\"\nat = \"1s\"\ndown = \"1s\"\nnode = 2\npart = 0.5", `f.toml:6: event[0].part: node says which one already: give one of the two`},
-		{"[[event]]\ndo = \"lose-site\"\nat = \"1s\"\nfor = \"5s\"\nsite = \"salem\"", `f.toml:5: event[0].site: "salem" is no site: there are tacoma, everett, olympia`},
-		{"[[event]]\ndo = \"lose-site\"\nat = \"1s\"\nfor = \"1s\"\nsite = \"everett\"", `f.toml:4: event[0].for: 1s is shorter than 2s: the list takes a lost site's boxes off after 1s`},
+		{"[[event]]\ndo = \"kill\"\nat = \"1s\"\ndown = \"1s\"\nby = 3", `f.toml:5: event[0].by: kill does not use it: it uses node, part, down`},
+		{"[[event]]\ndo = \"kill\"\nat = \"1s\"\ndown = \"1s\"\nnode = 2\npart = 0.5", `f.toml:6: event[0].part: node already selects one: set only one of the two`},
+		{"[[event]]\ndo = \"lose-site\"\nat = \"1s\"\nfor = \"5s\"\nsite = \"salem\"", `f.toml:5: event[0].site: "salem" is not a site: there are tacoma, everett, olympia`},
+		{"[[event]]\ndo = \"lose-site\"\nat = \"1s\"\nfor = \"1s\"\nsite = \"everett\"", `f.toml:4: event[0].for: 1s is shorter than 2s: the list removes a lost site's boxes after 1s`},
 		{"[[event]]\ndo = \"lose-site\"\nat = \"1s\"\nfor = \"5s\"", `f.toml:1: event[0].site: lose-site needs it`},
 		{"[[event]]\ndo = \"kill\"\nat = \"1s\"", `f.toml:1: event[0].down: kill needs it`},
 		{"[[event]]\ndo = \"kill\"\nat = \"99s\"\ndown = \"1s\"", `f.toml:3: event[0].at: 1m39s is outside the length of 30s`},
-		{"[[event]]\ndo = \"kill\"\nat = \"1s\"\ndown = \"1s\"\nnode = 9", `f.toml:5: event[0].node: 9 is none: nodes are numbered 1 to 3`},
-		{"[[event]]\ndo = \"deploy\"\nat = \"1s\"\nover = \"2s\"\npart = 0.93\nbatch = 0.09", `f.toml:4: event[0].over: 10 boxes in batches of 1 take 10 rounds, 4.5s at the least`},
-		{"[[event]]\ndo = \"deploy\"\nat = \"20s\"\nover = \"20s\"\npart = 0.9", `f.toml:4: event[0].over: it ends at 40s, after the length of 30s`},
+		{"[[event]]\ndo = \"kill\"\nat = \"1s\"\ndown = \"1s\"\nnode = 9", `f.toml:5: event[0].node: 9 is not a node: nodes are numbered 1 to 3`},
+		{"[[event]]\ndo = \"deploy\"\nat = \"1s\"\nover = \"2s\"\npart = 0.93\nbatch = 0.09", `f.toml:4: event[0].over: 10 boxes in batches of 1 take 10 rounds, at least 4.5s`},
+		{"[[event]]\ndo = \"deploy\"\nat = \"20s\"\nover = \"20s\"\npart = 0.9", `f.toml:4: event[0].over: the event ends at 40s, after the length of 30s`},
 		{"[[event]]\ndo = \"vanish\"\nat = \"1s\"\nfor = \"2s\"\nboxes = 40", `f.toml:5: event[0].boxes: 40 is more than the fleet has: 11`},
 		{"[[event]]\ndo = \"bad-clients\"\nat = \"1s\"\nfor = \"2s\"\nrate = 5\nkinds = [\"rude\"]", `f.toml:6: event[0].kinds: "rude" is none of garbage`},
 		{"[nodes]\ncount = 3\nown = \"[bodies]\\nmemry = 3\"", `f.toml:3: nodes.own: nodes.own:2: bodies.memry: no such key; did you mean memory?`},
@@ -66,13 +66,13 @@
 	}
 }
 
-func TestWhatIsWrittenStays(t *testing.T) {
+func TestExplicitZeroIsKept(t *testing.T) {
 	s, err := Parse("f.toml", []byte("[clients]\nretries = 0\nimpatient = 0.0\n[[kind]]\nname = \"k\"\ncores = 2\n[[fleet]]\nkind = \"k\"\ncount = 4\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.Clients.Retries != 0 || s.Clients.Impatient != 0 {
-		t.Errorf("zeros were replaced: %+v", s.Clients)
+		t.Errorf("explicit zeros were replaced: %+v", s.Clients)
 	}
 	if s.Clients.TryFraction != Default().Clients.TryFraction || s.MachineKinds[0].Slots != 2 || s.MachineKinds[0].Speed != Default().MachineKinds[0].Speed || len(s.MachineKinds) != 1 {
 		t.Errorf("defaults: %+v %+v", s.Clients, s.MachineKinds)
@@ -92,7 +92,7 @@
 		t.Errorf("%v, %v", s, err)
 	}
 	if _, err := Load(path + "x.toml"); err == nil {
-		t.Error("a file that is not there was read")
+		t.Error("a missing file was read")
 	}
 }
 
--- a/internal/kit/trace/trace.go
+++ b/internal/kit/trace/trace.go
@@ -1,9 +1,10 @@
-// Package trace is the record of a rehearsal: one JSON object a line, in the order in which the kit noted them.
-// The first line is a Head, every other line a Record. The format is versioned; docs/operators/trace.md describes it.
+// Package trace reads and writes the trace of a rehearsal: one JSON object per line, in the order in which the kit
+// recorded them. The first line is a Head, every other line a Record. The format is versioned;
+// docs/operators/trace.md describes it.
 //
 // All times are whole microseconds since the start of the rehearsal, taken from one monotonic clock. Lines are not
-// sorted by time: two stand-ins may note what they saw in the other order. A reader that needs order has to allow
-// for Disorder between neighbours.
+// sorted by time, as simulated clients and backends record concurrently. A reader that needs time order has to allow
+// for Disorder.
 package trace
 
 import (
@@ -20,13 +21,13 @@
 // Version is the version of the format that this package writes, and the only one that it reads.
 const Version = 1
 
-// Disorder bounds by how much a line's time may lie before that of a line above it.
+// Disorder is the maximum by which a line's time may precede that of an earlier line.
 const Disorder = 2 * time.Second
 
-// maxLine is the longest line that Read takes, in bytes.
+// maxLine is the longest line that a Reader accepts, in bytes.
 const maxLine = 1 << 20
 
-// Head is the first line: what a judge has to know of the deployment.
+// Head is the first line: what a checker needs to know of the deployment.
 type Head struct {
 	Trace            int     `json:"trace"` // Version
 	Scenario         string  `json:"scenario"`
@@ -36,16 +37,16 @@
 	Rules            Rules   `json:"rules"`
 	Classes          []Class `json:"classes"`
 	Nodes            []Node  `json:"nodes"`
-	OverQuotaUtility float64 `json:"over_share_worth"` // worth of a request past its share, as a part of the usual
+	OverQuotaUtility float64 `json:"over_share_worth"` // utility of a request over its tenant's quota, as a fraction of its normal utility
 }
 
-// Rules are the figures behind the four rules, as the settings of the nodes tell them.
+// Rules are the parameters of the four rules, as the nodes are configured.
 type Rules struct {
 	AnswerSlack      int64   `json:"answer_slack_us"` // how long after the client's deadline a final answer still counts
-	DrainGrace       int64   `json:"drain_grace_us"`  // how long a node may go on sending to a box that it was told is leaving
-	OverloadFactor   float64 `json:"fall_factor"`     // a cold box that is sent more than this multiple of its capacity
-	OverloadDuration int64   `json:"fall_us"`         // for this long falls over
-	Slack            int64   `json:"slack_us"`        // added to every time limit: what sockets may cost
+	DrainGrace       int64   `json:"drain_grace_us"`  // how long a node may go on sending to a backend after a notice that it is leaving
+	OverloadFactor   float64 `json:"fall_factor"`     // a cold backend collapses when it is sent more than this multiple of its capacity
+	OverloadDuration int64   `json:"fall_us"`         // for this long
+	Slack            int64   `json:"slack_us"`        // added to every time limit, for the latency of sockets
 }
 
 // Class is one kind of request. Effect is safe, keyed or unsafe; Group, for keyed ones, all, site or cell.
@@ -53,8 +54,8 @@
 	Name          string  `json:"name"`
 	Effect        string  `json:"effect"`
 	Group         string  `json:"group,omitempty"`
-	Window        int64   `json:"window_us,omitempty"` // keyed: how long repeats are dropped, from the first send that may have run
-	LatencyTarget int64   `json:"aim_us"`              // an answer within this earns the worth
+	Window        int64   `json:"window_us,omitempty"` // keyed: how long repeats are dropped, from the first attempt that may have run
+	LatencyTarget int64   `json:"aim_us"`              // an answer within this time earns the utility
 	Utility       float64 `json:"worth"`
 }
 
@@ -66,58 +67,58 @@
 
 // The kinds of records.
 const (
-	Planned  = "want"   // a client's need: its first try is planned for T
+	Planned  = "want"   // a client's logical request, made of one or more tries: the first is planned for T
 	Sent     = "sent"   // the last byte of a request is written to a node
 	Got      = "got"    // a whole answer is read; T0 is its first byte
-	Broke    = "broke"  // the connection ended, or gave what is no answer, before a whole answer was there
-	GaveUp   = "gaveup" // the client left: its time was up, or it lost patience (Why)
-	Extra    = "extra"  // bytes came on a client's connection on which no request was open
-	Done     = "done"   // what became of a need: How and Took
-	Received = "recv"   // the last byte of a request is read at a box; T0 is its first byte
-	Partial  = "part"   // a request began at a box and its connection ended before the last byte
-	Reply    = "reply"  // a box is about to write an answer, or does away with the connection (How)
-	Dropped  = "drop"   // a node closed a connection on which a box had a request in hand
-	ByDNS    = "names"  // How of a Told record: DNS has told a node so, by an answer; without it, the list has
-
-	Notified      = "told"  // the list has told a node of a box's State
-	Backend       = "box"   // a box changes: State
-	Capacity      = "cap"   // what a box that warms up can do at T, in cores of speed 1
-	Load          = "load"  // what a box holds at T
+	Broke    = "broke"  // the connection ended, or carried an invalid answer, before a whole answer was read
+	GaveUp   = "gaveup" // the client disconnected, at its deadline or earlier (Why)
+	Extra    = "extra"  // bytes arrived on a client connection without an open request
+	Done     = "done"   // the outcome of a logical request: How and Took
+	Received = "recv"   // the last byte of a request is read at a backend; T0 is its first byte
+	Partial  = "part"   // a request started to arrive at a backend and its connection ended before the last byte
+	Reply    = "reply"  // a backend is about to write an answer or to close the connection (How)
+	Dropped  = "drop"   // a node closed a connection with a request in flight at a backend
+	ByDNS    = "names"  // How of a Notified record: by an answer of DNS; without it, by the list
+
+	Notified      = "told"  // a node was notified of a backend's State
+	Backend       = "box"   // a backend changes: State
+	Capacity      = "cap"   // the capacity of a warming backend at T, in cores of speed 1
+	Load          = "load"  // the requests at a backend at T: InFlight, Queue
 	Process       = "proc"  // a node's process changes: State
-	Usage         = "use"   // what a node's process holds: Bytes of memory, Conns descriptors
-	Event         = "event" // an entry of the time table takes place
-	InvalidClient = "bad"   // a client that sends what is no request is done: How
-	Stall         = "lag"   // the kit itself was late by Late
-	PeerMessage   = "peer"  // something that a node said to another one (Node): How, Bytes, and Text: by whom
-	Spend         = "spend" // what a node says that it may spend of a shared budget (Text): Own, Loans
-	View          = "view"  // what a node knows of the fleet: Surely, Listed, Out, Votes
-	NetworkFault  = "net"   // a trouble between nodes (Text) begins or is over (How)
-	End           = "end"   // the rehearsal is over; a trace without this line is cut short
+	Usage         = "use"   // resources of a node's process: Bytes of memory, Conns descriptors
+	Event         = "event" // an event of the scenario takes place
+	InvalidClient = "bad"   // a client that sends invalid requests is done: How
+	Stall         = "lag"   // the kit itself was stalled for Late
+	PeerMessage   = "peer"  // a message from one node (Text) to another (Node): How, Bytes
+	Spend         = "spend" // what a node reports that it may spend of a shared budget (Text): Own, Loans
+	View          = "view"  // what a node knows of the fleet: ConfirmedAlive, Listed, Ejected, MinVotes
+	NetworkFault  = "net"   // a fault between nodes (Text) begins or ends (How)
+	End           = "end"   // the rehearsal is over; a trace without this line is incomplete
 )
 
-// States of boxes in Box and Told records.
+// States of backends in Backend and Notified records.
 const (
 	Ready        = "Ready"
 	Terminating  = "Terminating"
 	Removed      = "Gone"
-	Collapsed    = "fallen" // pushed over while cold; stays down
-	Slow         = "slow"   // turned slower
-	Normal       = "normal" // at its usual speed again
-	Unresponsive = "silent" // cut off: answers nothing, refuses nothing
-	Responsive   = "back"   // no longer silent
+	Collapsed    = "fallen" // overloaded while cold; stays down
+	Slow         = "slow"   // slowed down
+	Normal       = "normal" // back at normal speed
+	Unresponsive = "silent" // cut off: neither answers nor refuses connections
+	Responsive   = "back"   // no longer unresponsive
 	Warm         = "warm"   // at its full capacity for the first time
 )
 
-// States of nodes in Proc records.
+// States of nodes in Process records.
 const (
 	Started   = "started" // the process runs
-	NodeReady = "ready"   // it answered its readiness call
+	NodeReady = "ready"   // its readiness check succeeds
 	Kill      = "kill"    // it is about to be killed
 	Term      = "term"    // it is about to get SIGTERM
 	Hup       = "hup"     // it is about to get SIGHUP
 	Stopped   = "stopped" // it is about to be stopped (SIGSTOP)
-	Resumed   = "goes"    // it goes on (SIGCONT)
-	Exited    = "exited"  // it ended as it was told to
+	Resumed   = "goes"    // it is resumed (SIGCONT)
+	Exited    = "exited"  // it ended on request
 	Crashed   = "crashed" // it ended by itself
 )
 
@@ -125,28 +126,28 @@
 const (
 	Served    = "served"  // 200 with a body made for the request
 	Failed    = "failed"  // 500: it may have run
-	Rejected  = "turned"  // 503 or 504 with X-Not-Run: it never ran
+	Rejected  = "turned"  // 503 or 504 with X-Not-Run: it did not run
 	Refused   = "refused" // 400 or 404: not a request of this service
-	Malformed = "spoilt"  // what is written is no answer; it has run
+	Malformed = "spoilt"  // an invalid answer is written; it has run
 	Reset     = "reset"   // the connection is reset; it may have run
 )
 
-// Begin is the How of the Event with which the traffic begins, and of a Net record of what begins.
+// Begin is the How of the Event record at the start of the traffic, and of a NetworkFault record of a fault that begins.
 const Begin = "begin"
 
-// Ended is the How of a Net record of what is over.
+// Ended is the How of a NetworkFault record of a fault that ends.
 const Ended = "over"
 
-// RequestRead is the How of a Broke whose other side had read the request before it closed.
+// RequestRead is the How of a Broke record if the peer had read the request before it closed the connection.
 const RequestRead = "taken"
 
-// Chunked is the How of a Sent whose body goes in chunks (Transfer-Encoding).
+// Chunked is the How of a Sent record of a chunked body (Transfer-Encoding).
 const Chunked = "chunked"
 
-// FromInvalidClient is the How of a Recv that carries the mark of a client that sends what is no request.
+// FromInvalidClient is the How of a Received record of a request marked as sent by an invalid client.
 const FromInvalidClient = "bad"
 
-// Record is any line but the first. Only the fields of its kind are set; the others are left out.
+// Record is any line but the first. Only the fields of its kind are set; the others are omitted.
 type Record struct {
 	Kind string `json:"e"`
 	T    int64  `json:"t"`            // microseconds since the start
@@ -155,9 +156,9 @@
 	Node      string `json:"n,omitempty"`
 	Backend   string `json:"b,omitempty"`
 	ID        string `json:"id,omitempty"`   // X-Request-Id
-	FirstID   string `json:"of,omitempty"`   // the id of the need's first try
+	FirstID   string `json:"of,omitempty"`   // the id of the logical request's first try
 	Conn      int64  `json:"c,omitempty"`    // a client's connection
-	Attempt   int64  `json:"a,omitempty"`    // one request at one box
+	Attempt   int64  `json:"a,omitempty"`    // identifies one request at one backend
 	Try       int    `json:"try,omitempty"`  // 0 for the first
 	PlannedAt int64  `json:"plan,omitempty"` // when the send was planned
 
@@ -167,7 +168,7 @@
 	Cell    int    `json:"cell,omitempty"`
 	Timeout int64  `json:"wait,omitempty"`   // X-Deadline in microseconds
 	Reused  bool   `json:"reused,omitempty"` // the connection has carried a request before
-	Resent  bool   `json:"again,omitempty"`  // the same id once more: a kept connection had closed on the first
+	Resent  bool   `json:"again,omitempty"`  // the same id again, after an idle connection had closed on the first
 
 	Status    int    `json:"status,omitempty"`
 	Digest    string `json:"sum,omitempty"` // a digest of the body
@@ -175,11 +176,11 @@
 	How       string `json:"how,omitempty"`
 	Why       string `json:"why,omitempty"`
 	Took      int64  `json:"took,omitempty"`
-	OverQuota bool   `json:"over,omitempty"` // past its tenant's share
+	OverQuota bool   `json:"over,omitempty"` // over its tenant's quota
 
 	Work        int64   `json:"work,omitempty"` // microseconds of a core of speed 1
 	State       string  `json:"state,omitempty"`
-	MachineKind string  `json:"kind,omitempty"` // a box's machine kind
+	MachineKind string  `json:"kind,omitempty"` // of a backend
 	Cores       float64 `json:"cores,omitempty"`
 	FullCores   float64 `json:"full,omitempty"` // capacity when warm, in cores of speed 1
 	InFlight    int     `json:"held,omitempty"`
@@ -188,42 +189,42 @@
 	Late        int64   `json:"late,omitempty"`
 	Text        string  `json:"text,omitempty"`
 
-	Own             int64   `json:"own,omitempty"` // grains of its own that the node has not lent; a budget is 1048576
+	Own             int64   `json:"own,omitempty"` // grains of its own that the node has not lent; a budget has 1048576
 	Loans           []Loan  `json:"loans,omitempty"`
-	ConfirmedAlive  int     `json:"surely,omitempty"` // nodes that are surely there
-	MaxAlive        int     `json:"most,omitempty"`   // and that may be
-	RefreshInterval int64   `json:"every,omitempty"`  // microseconds after which nodes tell again of what has not changed
-	Counts          []Count `json:"counts,omitempty"` // what others have counted, as this node has heard anew
-	Listed          int     `json:"listed,omitempty"` // boxes that there are,
-	Ejected         int     `json:"out,omitempty"`    // those that are out by hearsay,
-	MinVotes        int     `json:"votes,omitempty"`  // and the fewest nodes that found one of those broken
+	ConfirmedAlive  int     `json:"surely,omitempty"` // nodes confirmed alive
+	MaxAlive        int     `json:"most,omitempty"`   // nodes possibly alive
+	RefreshInterval int64   `json:"every,omitempty"`  // microseconds after which nodes repeat unchanged information
+	Counts          []Count `json:"counts,omitempty"` // counts of other nodes that this node has newly received
+	Listed          int     `json:"listed,omitempty"` // backends in the list
+	Ejected         int     `json:"out,omitempty"`    // of these, ejected by peers' reports
+	MinVotes        int     `json:"votes,omitempty"`  // the fewest nodes that reported one of the ejected ones unhealthy
 }
 
-// Loan is part of a budget that a node holds of another one.
+// Loan is a share of a budget that a node has borrowed from another one.
 type Loan struct {
-	Lender int   `json:"of"` // the other's number, from 0
+	Lender int   `json:"of"` // the number of the lending node, from 0
 	Grains int64 `json:"grains"`
 	Until  int64 `json:"until"` // microseconds since the start
 }
 
-// Count is what a node has heard that another one counted of a tenant's requests.
+// Count is another node's count of a tenant's requests, as a node received it.
 type Count struct {
 	Key         string `json:"key"`
-	Node        int    `json:"of"`    // the other's number, from 0
-	Incarnation uint64 `json:"life"`  // of the other; a later one's is higher
-	Epoch       uint64 `json:"epoch"` // grows in a life
-	Sum         int64  `json:"sum"`   // requests,
-	From        int64  `json:"from"`  // in this time, microseconds since the start, by the other's clock
+	Node        int    `json:"of"`    // the number of the counting node, from 0
+	Incarnation uint64 `json:"life"`  // of the counting node; grows with each start
+	Epoch       uint64 `json:"epoch"` // grows within an incarnation
+	Sum         int64  `json:"sum"`   // requests
+	From        int64  `json:"from"`  // start of the time counted, in microseconds since the start, by the counting node's clock
 	To          int64  `json:"to"`
 }
 
-// At is the record's time as a duration.
+// At returns the record's time as a duration since the start.
 func (r *Record) At() time.Duration { return time.Duration(r.T) * time.Microsecond }
 
-// Microseconds turns a duration since the start into the trace's microseconds.
+// Microseconds converts a duration since the start to the trace's microseconds.
 func Microseconds(d time.Duration) int64 { return d.Microseconds() }
 
-// Writer writes a trace. It may be used from many goroutines; the first error of the stream is kept for Close.
+// Writer writes a trace. It is safe for concurrent use; Close returns the first error of the stream.
 type Writer struct {
 	mu  sync.Mutex
 	buf *bufio.Writer
@@ -231,7 +232,7 @@
 	err error
 }
 
-// NewWriter writes the head to w.
+// NewWriter writes the head to w and returns a Writer for the records.
 func NewWriter(w io.Writer, h Head) *Writer {
 	h.Trace = Version
 	out := &Writer{buf: bufio.NewWriterSize(w, 256<<10)}
@@ -250,7 +251,7 @@
 	}
 }
 
-// Close flushes and returns the first error. The underlying writer stays open.
+// Close flushes the trace and returns the first error. The underlying writer stays open.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -260,7 +261,7 @@
 	return w.err
 }
 
-// ErrFormat is wrapped by every error that a malformed trace gives.
+// ErrFormat is wrapped by every error about a malformed trace.
 var ErrFormat = errors.New("not a trace of this format")
 
 // Reader reads a trace.
@@ -270,13 +271,13 @@
 	line int
 }
 
-// NewReader reads the head. A stream that is no trace, or of another version, gives an error that wraps ErrFormat.
+// NewReader reads the head. If the stream is not a trace, or one of another version, the error wraps ErrFormat.
 func NewReader(r io.Reader) (*Reader, error) {
 	out := &Reader{in: bufio.NewScanner(r)}
 	out.in.Buffer(make([]byte, 64<<10), maxLine)
 	text, err := out.next()
 	if err == io.EOF {
-		return nil, fmt.Errorf("line 1: %w: it is empty", ErrFormat)
+		return nil, fmt.Errorf("line 1: %w: the file is empty", ErrFormat)
 	}
 	if err != nil {
 		return nil, err
@@ -301,7 +302,7 @@
 	return bytes.TrimSpace(r.in.Bytes()), nil
 }
 
-// Line is the number of the line that Next read last; the head's is 1.
+// Line returns the number of the line that Next read last; the head is line 1.
 func (r *Reader) Line() int { return r.line }
 
 // Next reads the next record. At the end it returns io.EOF; an error names the line.
@@ -319,7 +320,7 @@
 			return fmt.Errorf("line %d: %w: %v", r.line, ErrFormat, err)
 		}
 		if rec.Kind == "" || rec.T < 0 {
-			return fmt.Errorf("line %d: %w: e or t is missing", r.line, ErrFormat)
+			return fmt.Errorf("line %d: %w: e is missing or t is negative", r.line, ErrFormat)
 		}
 		return nil
 	}
--- a/internal/kit/trace/trace_test.go
+++ b/internal/kit/trace/trace_test.go
@@ -37,15 +37,15 @@
 	}
 }
 
-func TestBadTraces(t *testing.T) {
+func TestInvalidTraces(t *testing.T) {
 	good := `{"trace":1,"scenario":"x","seed":1}` + "\n"
 	for _, c := range []struct{ name, text, want string }{
 		{"empty", "", "line 1"},
-		{"no trace", "hello\n", "line 1"},
+		{"not JSON", "hello\n", "line 1"},
 		{"another version", `{"trace":9}` + "\n", "trace is 9, and should be 1"},
-		{"half a line", good + `{"e":"sent","t":1` + "\n", "line 2"},
+		{"truncated line", good + `{"e":"sent","t":1` + "\n", "line 2"},
 		{"no kind", good + `{"t":1}` + "\n", "line 2"},
-		{"before the start", good + `{"e":"sent","t":-1}` + "\n", "line 2"},
+		{"negative time", good + `{"e":"sent","t":-1}` + "\n", "line 2"},
 		{"a line without end", good + strings.Repeat("x", maxLine+1), "line 2"},
 	} {
 		r, err := NewReader(strings.NewReader(c.text))
@@ -62,12 +62,12 @@
 	}
 }
 
-type failing struct{}
+type failingWriter struct{}
 
-func (failing) Write([]byte) (int, error) { return 0, io.ErrShortWrite }
+func (failingWriter) Write([]byte) (int, error) { return 0, io.ErrShortWrite }
 
-func TestFirstErrorIsKept(t *testing.T) {
-	w := NewWriter(failing{}, Head{})
+func TestWriterKeepsFirstError(t *testing.T) {
+	w := NewWriter(failingWriter{}, Head{})
 	for range 10000 {
 		w.Add(&Record{Kind: Sent, T: 1, ID: "0123456789abcdef0123456789abcdef"})
 	}
