--- a/internal/kit/chart/chart.go
+++ b/internal/kit/chart/chart.go
@@ -11,8 +11,8 @@
 // Dimensions of a chart in the units of its view box: its width, the margins left and right of the plot, and the plot's
 // width.
 const (
-	Width, Left, right = 1040.0, 56.0, 16.0
-	PlotW              = Width - Left - right
+	Width, Left, rightMargin = 1040.0, 56.0, 16.0
+	PlotWidth                = Width - Left - rightMargin
 )
 
 // Chart is an SVG drawing with time from left to right. The Builder holds the markup so far.
@@ -33,7 +33,7 @@
 func (s *Chart) Printf(format string, args ...any) { fmt.Fprintf(&s.Builder, format, args...) }
 
 // X returns the horizontal position of a time in seconds, limited to the plot.
-func (s *Chart) X(t float64) float64 { return Left + PlotW*min(max(t, 0), s.End)/s.End }
+func (s *Chart) X(t float64) float64 { return Left + PlotWidth*min(max(t, 0), s.End)/s.End }
 
 // Axis draws the time axis at y and grid lines up to top.
 func (s *Chart) Axis(y, top float64) {
@@ -42,7 +42,7 @@
 		s.Printf(`<line class="grid" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/><text class="tick" x="%.1f" y="%.1f" text-anchor="middle">%g s</text>`,
 			s.X(t), s.X(t), top, y, s.X(t), y+15, t)
 	}
-	s.Printf(`<line class="axis" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/>`, Left, Left+PlotW, y, y)
+	s.Printf(`<line class="axis" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/>`, Left, Left+PlotWidth, y, y)
 }
 
 // Scale draws the left axis from 0 to high and returns the function from a value to its vertical position.
@@ -51,7 +51,7 @@
 	step := roundStep(high / 4)
 	for v := 0.0; v <= high+1e-9; v += step {
 		s.Printf(`<line class="grid" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/><text class="tick" x="%.1f" y="%.1f" text-anchor="end">%g</text>`,
-			Left, Left+PlotW, y(v), y(v), Left-6, y(v)+4, v)
+			Left, Left+PlotWidth, y(v), y(v), Left-6, y(v)+4, v)
 	}
 	s.Printf(`<text class="tick" x="%.1f" y="%.1f">%s</text>`, 4.0, top-8, unit)
 	return y
--- a/internal/kit/report/html.go
+++ b/internal/kit/report/html.go
@@ -57,7 +57,7 @@
 
 const (
 	left      = chart.Left
-	plotWidth = chart.PlotW
+	plotWidth = chart.PlotWidth
 )
 
 // newChart returns a chart whose time axis covers the run.
--- a/internal/kit/report/report.go
+++ b/internal/kit/report/report.go
@@ -25,25 +25,25 @@
 
 // Report is the summary of a trace. Shares are fractions of 1; times are in milliseconds unless named otherwise.
 type Report struct {
-	Scenario  string         `json:"scenario"`
-	Seed      uint64         `json:"seed"`
-	Started   string         `json:"started_at"`
-	Begin     int64          `json:"begin_us"` // when the traffic started, in the trace's time
-	Seconds   float64        `json:"seconds"`
-	Whole     Service        `json:"whole"`
-	Figure    float64        `json:"figure"` // the weighted share of utility, before prices
-	Classes   []Service      `json:"classes"`
-	Tenants   []Service      `json:"tenants"`
-	Windows   []Service      `json:"windows"`
-	PerSecond []Second       `json:"per_second"`
-	Backends  []Backend      `json:"boxes"`
-	Nodes     []Node         `json:"nodes"`
-	Events    []Event        `json:"events"`
-	Bad       []Bad          `json:"bad_clients,omitempty"`
-	Attempts  Attempts       `json:"attempts"`
-	Broken    []Group        `json:"broken"`
-	Verdict   *judge.Verdict `json:"verdict"`
-	Kit       any            `json:"kit,omitempty"` // resources that the kit itself used
+	Scenario  string                  `json:"scenario"`
+	Seed      uint64                  `json:"seed"`
+	Started   string                  `json:"started_at"`
+	Begin     int64                   `json:"begin_us"` // when the traffic started, in the trace's time
+	Seconds   float64                 `json:"seconds"`
+	Whole     Service                 `json:"whole"`
+	Figure    float64                 `json:"figure"` // the weighted share of utility, before prices
+	Classes   []Service               `json:"classes"`
+	Tenants   []Service               `json:"tenants"`
+	Windows   []Service               `json:"windows"`
+	PerSecond []Second                `json:"per_second"`
+	Backends  []Backend               `json:"boxes"`
+	Nodes     []Node                  `json:"nodes"`
+	Events    []Event                 `json:"events"`
+	Bad       []InvalidClientOutcomes `json:"bad_clients,omitempty"`
+	Attempts  Attempts                `json:"attempts"`
+	Broken    []Group                 `json:"broken"`
+	Verdict   *judge.Verdict          `json:"verdict"`
+	Kit       any                     `json:"kit,omitempty"` // resources that the kit itself used
 }
 
 // Service summarizes how a group of logical requests was served.
@@ -117,8 +117,8 @@
 	Text string  `json:"text"`
 }
 
-// Bad counts the outcomes of one kind of invalid client.
-type Bad struct {
+// InvalidClientOutcomes counts the outcomes of one kind of invalid client.
+type InvalidClientOutcomes struct {
 	Kind   string `json:"kind"`
 	Error  int    `json:"error"`
 	Closed int    `json:"closed"`
@@ -176,7 +176,7 @@
 	backends       map[string]*backendHistory
 	backendOrder   []string
 	nodes          map[string]*Node
-	invalidClients map[string]*Bad
+	invalidClients map[string]*InvalidClientOutcomes
 	trafficStart   int64
 	lastRecord     int64
 	sends          int
@@ -193,7 +193,7 @@
 func New(h trace.Head) *Collector {
 	c := &Collector{head: h, classes: map[string]*trace.Class{}, pending: map[string]trace.Record{}, class: map[string]*Service{},
 		tenant: map[string]*Service{}, window: map[int]*Service{}, perSecond: map[int]*Second{}, backends: map[string]*backendHistory{},
-		nodes: map[string]*Node{}, invalidClients: map[string]*Bad{}, trafficStart: -1}
+		nodes: map[string]*Node{}, invalidClients: map[string]*InvalidClientOutcomes{}, trafficStart: -1}
 	c.rep = Report{Scenario: h.Scenario, Seed: h.Seed, Started: h.Started, Whole: Service{Name: "all"}}
 	for i := range h.Classes {
 		c.classes[h.Classes[i].Name] = &h.Classes[i]
@@ -262,7 +262,7 @@
 	case trace.InvalidClient:
 		b := c.invalidClients[r.Why]
 		if b == nil {
-			b = &Bad{Kind: r.Why}
+			b = &InvalidClientOutcomes{Kind: r.Why}
 			c.invalidClients[r.Why] = b
 		}
 		switch r.How {
