--- a/internal/kit/chart/chart.go
+++ b/internal/kit/chart/chart.go
@@ -45,11 +45,11 @@
 	s.Printf(`<line class="axis" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/>`, Left, Left+PlotWidth, y, y)
 }
 
-// Scale draws the left axis from 0 to high and returns the function from a value to its vertical position.
-func (s *Chart) Scale(bottom, top, high float64, unit string) func(float64) float64 {
-	y := func(v float64) float64 { return bottom - (bottom-top)*min(v, high)/high }
-	step := roundStep(high / 4)
-	for v := 0.0; v <= high+1e-9; v += step {
+// Scale draws the left axis from 0 to maxValue and returns the function from a value to its vertical position.
+func (s *Chart) Scale(bottom, top, maxValue float64, unit string) func(float64) float64 {
+	y := func(v float64) float64 { return bottom - (bottom-top)*min(v, maxValue)/maxValue }
+	step := roundStep(maxValue / 4)
+	for v := 0.0; v <= maxValue+1e-9; v += step {
 		s.Printf(`<line class="grid" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/><text class="tick" x="%.1f" y="%.1f" text-anchor="end">%g</text>`,
 			Left, Left+PlotWidth, y(v), y(v), Left-6, y(v)+4, v)
 	}
--- a/internal/kit/deployment/deployment.go
+++ b/internal/kit/deployment/deployment.go
@@ -22,39 +22,39 @@
 	s := p.Scenario
 	effects := map[string]string{"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
 	groups := map[string]string{"all": "all", "site": "zone", "cell": "cell"}
-	var grades, projects []m
+	var classes, tenants []m
 	for _, c := range s.Classes {
 		g := m{"name": c.Name, "aim_s": c.LatencyTarget.S(), "deadline_s": c.Deadline.S(), "gain": c.Utility, "late_worth": 0.0,
 			"effect": effects[c.Effect], "group": groups[c.Group], "streaming": false}
 		if c.Effect == "keyed" {
 			g["repeat_window_s"] = c.Window.S()
 		}
-		grades = append(grades, g)
+		classes = append(classes, g)
 	}
 	share := 0.0
 	for _, t := range s.Tenants {
 		share += t.Share
 	}
 	for i, t := range s.Tenants {
-		projects = append(projects, m{"name": t.Name, "share": t.Share / share, "quota_per_s": p.Quota(i)})
+		tenants = append(tenants, m{"name": t.Name, "share": t.Share / share, "quota_per_s": p.Quota(i)})
 	}
-	cold, coldShare := 0.0, 1.0
+	maxWarmUp, minColdFraction := 0.0, 1.0
 	for _, k := range s.MachineKinds {
-		cold, coldShare = max(cold, k.WarmUp.S()), min(coldShare, k.ColdFraction)
+		maxWarmUp, minColdFraction = max(maxWarmUp, k.WarmUp.S()), min(minColdFraction, k.ColdFraction)
 	}
 	var zones []string
 	for _, x := range s.Sites {
 		zones = append(zones, x.Name)
 	}
 	return m{"balancers": s.Nodes.Count, "ordinal": ordinal, "zone": site, "zones": zones, "discovery": s.List.Mode,
-		"grades": grades, "projects": projects, "over_share_worth": s.Traffic.OverQuotaUtility, "weights": "silent", "worth_by": "request",
+		"grades": classes, "projects": tenants, "over_share_worth": s.Traffic.OverQuotaUtility, "weights": "silent", "worth_by": "request",
 		"tariffs": m{"cross_zone": s.Prices.CrossSite},
 		"clients": m{"marks_retry": false},
 		"policy_limits": m{"cancel": true, "conn_idle_s": s.Conn.IdleTimeout.S(), "connect_timeout_s": s.Conn.ConnectTimeout.S(),
 			"max_attempts": s.Rules.Attempts, "max_open": 20000, "max_retry_after_s": s.Clients.MaxRetryAfter.S(), "parallel_tries": true,
 			"peers": false, "probes": false, "retry_after": true, "streams_per_conn": 1},
 		"report": m{"how": "piggyback", "names": []string{"concurrent", "depth"}},
-		"invariants": m{"answer_slack_s": AnswerSlack.Seconds(), "cold_s": cold, "cold_share": coldShare,
+		"invariants": m{"answer_slack_s": AnswerSlack.Seconds(), "cold_s": maxWarmUp, "cold_share": minColdFraction,
 			"drain_grace_s": s.Rules.DrainGrace.S(), "fall_s": s.Rules.OverloadDuration.S(), "overload_factor": s.Rules.OverloadFactor,
 			"must_ask_in_s": 10.0}}
 }
--- a/internal/kit/report/report.go
+++ b/internal/kit/report/report.go
@@ -165,13 +165,13 @@
 
 // Collector builds a Report from the records of a trace.
 type Collector struct {
-	rep            Report
+	report         Report
 	head           trace.Head
 	classes        map[string]*trace.Class
 	pending        map[string]trace.Record
-	class          map[string]*Service
-	tenant         map[string]*Service
-	window         map[int]*Service
+	byClass        map[string]*Service
+	byTenant       map[string]*Service
+	byWindow       map[int]*Service
 	perSecond      map[int]*Second
 	backends       map[string]*backendHistory
 	backendOrder   []string
@@ -184,17 +184,17 @@
 
 type backendHistory struct {
 	Backend
-	states map[string]bool
-	since  float64
-	shown  string
+	states     map[string]bool
+	shownSince float64
+	shown      string
 }
 
 // New returns a collector for a trace with this head.
 func New(h trace.Head) *Collector {
-	c := &Collector{head: h, classes: map[string]*trace.Class{}, pending: map[string]trace.Record{}, class: map[string]*Service{},
-		tenant: map[string]*Service{}, window: map[int]*Service{}, perSecond: map[int]*Second{}, backends: map[string]*backendHistory{},
+	c := &Collector{head: h, classes: map[string]*trace.Class{}, pending: map[string]trace.Record{}, byClass: map[string]*Service{},
+		byTenant: map[string]*Service{}, byWindow: map[int]*Service{}, perSecond: map[int]*Second{}, backends: map[string]*backendHistory{},
 		nodes: map[string]*Node{}, invalidClients: map[string]*InvalidClientOutcomes{}, trafficStart: -1}
-	c.rep = Report{Scenario: h.Scenario, Seed: h.Seed, Started: h.Started, Whole: Service{Name: "all"}}
+	c.report = Report{Scenario: h.Scenario, Seed: h.Seed, Started: h.Started, Whole: Service{Name: "all"}}
 	for i := range h.Classes {
 		c.classes[h.Classes[i].Name] = &h.Classes[i]
 	}
@@ -215,10 +215,10 @@
 	switch r.Kind {
 	case trace.Event:
 		if r.How == trace.Begin {
-			c.trafficStart, c.rep.Begin = r.T, r.T
+			c.trafficStart, c.report.Begin = r.T, r.T
 			return
 		}
-		c.rep.Events = append(c.rep.Events, Event{c.seconds(r.T), r.Text})
+		c.report.Events = append(c.report.Events, Event{c.seconds(r.T), r.Text})
 	case trace.Planned:
 		c.pending[r.ID] = r
 	case trace.Done:
@@ -252,7 +252,7 @@
 			n.Lives++
 		case trace.Kill, trace.Term, trace.Hup, trace.Crashed, trace.NodeReady:
 			if c.trafficStart >= 0 && r.T < c.trafficStart+c.head.Length { // the shutdown of all nodes is not an event
-				c.rep.Events = append(c.rep.Events, Event{c.seconds(r.T), r.Node + " " + r.State})
+				c.report.Events = append(c.report.Events, Event{c.seconds(r.T), r.Node + " " + r.State})
 			}
 		}
 	case trace.Usage:
@@ -321,9 +321,9 @@
 	if r.How == "served" {
 		sec.latencies = append(sec.latencies, latency)
 	}
-	services := []*Service{&c.rep.Whole, getOrCreate(c.class, w.Class, func() *Service { return &Service{Name: w.Class} }),
-		getOrCreate(c.window, second/windowSeconds, func() *Service { return &Service{Name: fmt.Sprintf("%d s", second/windowSeconds*windowSeconds)} })}
-	tenant := getOrCreate(c.tenant, w.Tenant, func() *Service { return &Service{Name: w.Tenant} })
+	services := []*Service{&c.report.Whole, getOrCreate(c.byClass, w.Class, func() *Service { return &Service{Name: w.Class} }),
+		getOrCreate(c.byWindow, second/windowSeconds, func() *Service { return &Service{Name: fmt.Sprintf("%d s", second/windowSeconds*windowSeconds)} })}
+	tenant := getOrCreate(c.byTenant, w.Tenant, func() *Service { return &Service{Name: w.Tenant} })
 	for _, s := range append(services, tenant) {
 		s.Asked++
 		value := utility
@@ -353,7 +353,7 @@
 }
 
 func (c *Collector) attemptReceived(r trace.Record) {
-	c.rep.Attempts.All++
+	c.report.Attempts.All++
 	n := c.nodes[r.Node]
 	if n != nil {
 		n.Attempts++
@@ -367,7 +367,7 @@
 }
 
 func (c *Collector) backendReplied(r trace.Record) {
-	a, b := &c.rep.Attempts, c.backends[r.Backend]
+	a, b := &c.report.Attempts, c.backends[r.Backend]
 	if b == nil {
 		b = &backendHistory{}
 	}
@@ -399,7 +399,7 @@
 		at = 0
 	}
 	if b == nil {
-		b = &backendHistory{Backend: Backend{ID: r.Backend, Site: r.Site, Kind: r.MachineKind}, states: map[string]bool{}, shown: trace.Removed, since: at}
+		b = &backendHistory{Backend: Backend{ID: r.Backend, Site: r.Site, Kind: r.MachineKind}, states: map[string]bool{}, shown: trace.Removed, shownSince: at}
 		c.backends[r.Backend] = b
 		c.backendOrder = append(c.backendOrder, r.Backend)
 	}
@@ -430,45 +430,45 @@
 		return
 	}
 	b.closeSpan(at)
-	b.shown, b.since = state, at
+	b.shown, b.shownSince = state, at
 }
 
 func (b *backendHistory) closeSpan(at float64) {
-	if b.shown != trace.Removed && at > b.since {
-		b.Spans = append(b.Spans, Span{State: b.shown, From: b.since, To: at})
+	if b.shown != trace.Removed && at > b.shownSince {
+		b.Spans = append(b.Spans, Span{State: b.shown, From: b.shownSince, To: at})
 	}
 }
 
 // Finish returns the report. Add must not be called after it.
 func (c *Collector) Finish(v *judge.Verdict) *Report {
-	rep := &c.rep
+	rep := &c.report
 	rep.Verdict, rep.Broken = v, groupViolations(v.Violations)
 	rep.Seconds = float64(c.head.Length) / 1e6
 	rep.Whole.finish()
-	for _, s := range c.class {
+	for _, s := range c.byClass {
 		rep.Classes = append(rep.Classes, s.finish())
 	}
-	for _, s := range c.tenant {
+	for _, s := range c.byTenant {
 		rep.Tenants = append(rep.Tenants, s.finish())
 	}
 	byName := func(a, b Service) int { return cmp.Compare(a.Name, b.Name) }
 	slices.SortFunc(rep.Classes, byName)
 	slices.SortFunc(rep.Tenants, byName)
-	for _, k := range sortedKeys(c.window) {
-		rep.Windows = append(rep.Windows, c.window[k].finish())
+	for _, k := range sortedKeys(c.byWindow) {
+		rep.Windows = append(rep.Windows, c.byWindow[k].finish())
 	}
-	worst := func(list []Service, least int) float64 {
+	worstShare := func(list []Service, minAsked int) float64 {
 		w := 1.0
 		for _, s := range list {
-			if s.utility > 0 && s.Asked >= least {
+			if s.utility > 0 && s.Asked >= minAsked {
 				w = min(w, s.Share)
 			}
 		}
 		return w
 	}
 	// Windows with few requests are ignored: the last one may be incomplete.
-	full := int(float64(rep.Whole.Asked) * min(1, windowSeconds/max(rep.Seconds, 1)) / 3)
-	rep.Figure = weightWhole*rep.Whole.Share + weightWindow*worst(rep.Windows, full) + weightClass*worst(rep.Classes, 1) + weightTenant*worst(rep.Tenants, 1)
+	minRequests := int(float64(rep.Whole.Asked) * min(1, windowSeconds/max(rep.Seconds, 1)) / 3)
+	rep.Figure = weightWhole*rep.Whole.Share + weightWindow*worstShare(rep.Windows, minRequests) + weightClass*worstShare(rep.Classes, 1) + weightTenant*worstShare(rep.Tenants, 1)
 	end := 0
 	for k := range c.perSecond {
 		end = max(end, k+1)
