--- a/internal/kit/judge/judge_test.go
+++ b/internal/kit/judge/judge_test.go
@@ -43,8 +43,8 @@
 func got(t int64, id string, status int, sum string) trace.Record {
 	return trace.Record{Kind: trace.Got, T: t * milli, T0: t * milli, Node: "n1", ID: id, Conn: 1, Status: status, Digest: sum}
 }
-func recv(t int64, att int64, box, id string) trace.Record {
-	return trace.Record{Kind: trace.Received, T: t * milli, T0: t * milli, Node: "n1", Backend: box, ID: id, Attempt: att, Work: 70 * milli}
+func recv(t int64, att int64, backend, id string) trace.Record {
+	return trace.Record{Kind: trace.Received, T: t * milli, T0: t * milli, Node: "n1", Backend: backend, ID: id, Attempt: att, Work: 70 * milli}
 }
 func replied(t int64, att int64, id, how, sum string) trace.Record {
 	return trace.Record{Kind: trace.Reply, T: t * milli, ID: id, Attempt: att, How: how, Digest: sum}
@@ -57,8 +57,8 @@
 	r.Node = node
 	return r
 }
-func notified(t int64, node, box, state string) trace.Record {
-	return trace.Record{Kind: trace.Notified, T: t * milli, Node: node, Backend: box, State: state}
+func notified(t int64, node, backend, state string) trace.Record {
+	return trace.Record{Kind: trace.Notified, T: t * milli, Node: node, Backend: backend, State: state}
 }
 func processRecord(t int64, node, state string) trace.Record {
 	return trace.Record{Kind: trace.Process, T: t * milli, Node: node, State: state}
--- a/internal/kit/judge/lateness.go
+++ b/internal/kit/judge/lateness.go
@@ -67,8 +67,8 @@
 	}
 	switch {
 	case v.LateP99 > maxLateP99:
-		v.Void = fmt.Sprintf("the kit sent late itself: p99 %v, and %v is the most", duration(v.LateP99), duration(maxLateP99))
+		v.Void = fmt.Sprintf("the kit's own sends were late: p99 %v, at most %v is allowed", duration(v.LateP99), duration(maxLateP99))
 	case v.LagShare > maxStallFraction:
-		v.Void = fmt.Sprintf("the kit was held up for %.0f%% of the time, and %.0f%% is the most", 100*v.LagShare, 100*maxStallFraction)
+		v.Void = fmt.Sprintf("the kit was stalled for %.0f%% of the time, at most %.0f%% is allowed", 100*v.LagShare, 100*maxStallFraction)
 	}
 }
--- a/internal/kit/judge/shared.go
+++ b/internal/kit/judge/shared.go
@@ -81,8 +81,8 @@
 	case trace.Stopped:
 		n.stops = append(n.stops, span{r.T, 0})
 	case trace.Resumed:
-		if last := len(n.stops); last > 0 && n.stops[last-1].to == 0 {
-			n.stops[last-1].to = r.T
+		if count := len(n.stops); count > 0 && n.stops[count-1].to == 0 {
+			n.stops[count-1].to = r.T
 			for budget := range j.shared.budgets {
 				j.checkBudget(r, budget)
 			}
@@ -265,20 +265,21 @@
 	}
 }
 
-// checkCountAge checks that a node has recent counts of all others once there has been no fault between nodes for long enough.
+// checkCountAge checks that the counts a node has received of running nodes are recent once there has been no fault between
+// nodes for long enough.
 func (j *Judge) checkCountAge(r lineRecord) {
 	if len(j.shared.faults) > 0 || r.T-j.shared.calmSince < membershipDelay || !j.node(r.Node).ready || r.RefreshInterval == 0 {
 		return
 	}
 	known := j.shared.receivedCounts[r.Node]
 	for _, k := range slices.SortedFunc(maps.Keys(known), func(a, b nodeTenant) int { return cmp.Or(cmp.Compare(a.node, b.node), cmp.Compare(a.tenant, b.tenant)) }) {
-		h := known[k]
-		if n := j.node(k.node); !n.ready || h.receivedAt == 0 || r.T-h.receivedAt < max(membershipDelay, 4*r.RefreshInterval) {
+		version := known[k]
+		if n := j.node(k.node); !n.ready || version.receivedAt == 0 || r.T-version.receivedAt < max(membershipDelay, 4*r.RefreshInterval) {
 			continue
 		}
-		known[k] = countVersion{h.incarnation, h.epoch, r.T} // reports each outage once
+		known[k] = countVersion{version.incarnation, version.epoch, r.T} // reports each outage once
 		j.addViolation(Violation{Rule: SharedInBounds, Name: StaleCount, At: r.T, Node: r.Node, Lines: []int{r.line},
-			Text: fmt.Sprintf("its latest word of node %s's count of %s is %v old", k.node, k.tenant, rounded(r.T-h.receivedAt))})
+			Text: fmt.Sprintf("its latest word of node %s's count of %s is %v old", k.node, k.tenant, rounded(r.T-version.receivedAt))})
 	}
 }
 
--- a/internal/kit/judge/shared_test.go
+++ b/internal/kit/judge/shared_test.go
@@ -43,8 +43,8 @@
 		}
 		return out
 	}
-	counted := func(life, epoch uint64, sum, from, to int64) trace.Record {
-		return trace.Record{ConfirmedAlive: 1, Counts: []trace.Count{{Key: "quota/a", Node: 1, Incarnation: life, Epoch: epoch, Sum: sum, From: from, To: to}}}
+	counted := func(incarnation, epoch uint64, sum, from, to int64) trace.Record {
+		return trace.Record{ConfirmedAlive: 1, Counts: []trace.Count{{Key: "quota/a", Node: 1, Incarnation: incarnation, Epoch: epoch, Sum: sum, From: from, To: to}}}
 	}
 	for _, c := range []struct {
 		name string
