--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -109,7 +109,7 @@
 		if o.Broken > 0 {
 			rules = fmt.Sprintf("BROKEN in %d", o.Broken)
 		}
-		against := lab.Paired(&out[0], o, func(d *lab.Day) float64 { return d.Figure })
+		against := lab.Paired(&out[0], o, func(d *lab.PlayResult) float64 { return d.Figure })
 		fmt.Fprintf(t, "%s\t%v\t%+.3f ±%.3f\t%v\t%.3f\t%.3f\t%s\t", o.Setting.Name, o.Figure, against.Mean, against.Half, o.Share, o.Refused.Mean, o.Twice.Mean, rules)
 		for _, x := range o.Windows {
 			fmt.Fprintf(t, "%.3f ", x.Share.Mean)
@@ -120,7 +120,7 @@
 	for i := range out[0].Costs {
 		fmt.Fprintf(t, "%s", out[0].Costs[i].Name)
 		for _, o := range out {
-			fmt.Fprintf(t, "\t%v", o.Costs[i].Is)
+			fmt.Fprintf(t, "\t%v", o.Costs[i].Estimate)
 		}
 		fmt.Fprintln(t)
 	}
@@ -185,8 +185,8 @@
 	fmt.Fprintln(t, "second\tattempts\tnew conns\tshaken s\tacross\tcold s\tbudget\tuntried\ttried\tlist\twhole\taway\treport s\tno report\topen\topen p99\theld\tbelieved\t")
 	for i := range c.Seconds {
 		s := &c.Seconds[i]
-		fmt.Fprintf(t, "%d\t%d\t%d\t%.1f\t%d\t%.1f\t%.2f\t%d\t%d\t%d\t%d\t%d\t%.2f\t%d\t%.1f\t%.0f\t%.2f\t%.2f\t\n", s.At, s.Attempts, s.NewConns, s.Shaken,
-			s.Crossing, s.Cold, s.ColdUsed, s.Untried, s.Tried, s.Asked, s.Whole, s.Away, s.Age, s.Unheard, s.Open, s.OpenP99, s.Held, s.Believed)
+		fmt.Fprintf(t, "%d\t%d\t%d\t%.1f\t%d\t%.1f\t%.2f\t%d\t%d\t%d\t%d\t%d\t%.2f\t%d\t%.1f\t%.0f\t%.2f\t%.2f\t\n", s.At, s.Attempts, s.NewConns, s.HandshakeCoreSeconds,
+			s.CrossSite, s.ColdCoreSeconds, s.ColdBudgetUsed, s.RefusedUntried, s.RefusedTried, s.ListCalls, s.FullLists, s.ListCallsRejected, s.ReportAgeSeconds, s.WithoutReport, s.Open, s.OpenP99, s.InFlight, s.BelievedInFlight)
 	}
 	return t.Flush()
 }
--- a/internal/kit/boxmodel/boxmodel.go
+++ b/internal/kit/boxmodel/boxmodel.go
@@ -135,7 +135,7 @@
 	b.crowd, b.busy = window{span: spec.Choke.Over}, window{span: spec.Choke.Rest}
 	if spec.Fall.Factor > 0 && !b.warm {
 		b.budget = NewBudget(spec.Fall.Factor, spec.Fall.For)
-		b.budget.Capacity(now, b.Capacity())
+		b.budget.SetCapacity(now, b.Capacity())
 	}
 	return b
 }
@@ -204,7 +204,7 @@
 		return
 	}
 	if b.budget != nil && !b.warm {
-		if b.budget.Send(now, j.Work+j.Extra, true) != nil {
+		if b.budget.Add(now, j.Work+j.Extra, true) != nil {
 			b.changes = append(b.changes, Changed{now, FellOver})
 			b.end(j.ID, Lost)
 			b.Stop(now)
@@ -378,7 +378,7 @@
 			b.warm, b.budget = true, nil
 			b.changes = append(b.changes, Changed{b.now, TurnedWarm})
 		} else if b.budget != nil {
-			b.budget.Capacity(b.now, b.Capacity())
+			b.budget.SetCapacity(b.now, b.Capacity())
 		}
 	}
 	b.chokes()
--- a/internal/kit/boxmodel/boxmodel_test.go
+++ b/internal/kit/boxmodel/boxmodel_test.go
@@ -203,24 +203,24 @@
 
 func TestBudgetCountsEveryWindow(t *testing.T) {
 	b := NewBudget(4, 1500*ms)
-	b.Capacity(0, 1) // 6 core-seconds a window
+	b.SetCapacity(0, 1) // 6 core-seconds a window
 	for i := range 60 {
-		if e := b.Tagged(time.Duration(i)*25*ms, 0.1, i%4 != 0, i); e != nil { // 4 a second
+		if e := b.AddTagged(time.Duration(i)*25*ms, 0.1, i%4 != 0, i); e != nil { // 4 a second
 			t.Fatalf("a stream within the budget: %+v", e)
 		}
 	}
 	// A burst at once spends what is left before the window has passed.
 	var e *Excess
 	for i := 0; i < 200 && e == nil; i++ {
-		e = b.Tagged(1500*ms, 0.1, true, 1000+i)
+		e = b.AddTagged(1500*ms, 0.1, true, 1000+i)
 	}
 	if e == nil {
 		t.Fatal("the burst was not seen")
 	}
-	if e.Sent <= 6 || e.Budget < 6 || e.To != 1500*ms || e.Told < 0.7 || e.Told == 1 || len(e.Tags) < 60 {
+	if e.Sent <= 6 || e.Budget < 6 || e.To != 1500*ms || e.NotifiedFraction < 0.7 || e.NotifiedFraction == 1 || len(e.Tags) < 60 {
 		t.Errorf("%+v", e)
 	}
-	if e := b.Tagged(4*time.Second, 0.1, true, 0); e != nil {
+	if e := b.AddTagged(4*time.Second, 0.1, true, 0); e != nil {
 		t.Errorf("the window has passed: %+v", e)
 	}
 }
--- a/internal/kit/boxmodel/budget.go
+++ b/internal/kit/boxmodel/budget.go
@@ -33,11 +33,11 @@
 
 // Excess is a window whose budget was overspent.
 type Excess struct {
-	From, To time.Duration
-	Sent     float64 // core-seconds
-	Budget   float64 // core-seconds, slack included
-	Told     float64 // part of Sent that came from senders told of the box's start
-	Tags     []int   // of the sends in the window
+	From, To         time.Duration
+	Sent             float64 // core-seconds
+	Budget           float64 // core-seconds, slack included
+	NotifiedFraction float64 // part of Sent that came from senders told of the box's start
+	Tags             []int   // of the sends in the window
 }
 
 // NewBudget returns the account of a box that starts now.
@@ -45,8 +45,8 @@
 	return &Budget{factor: factor, window: window}
 }
 
-// Capacity notes what the box can do from at on, in cores of speed 1.
-func (b *Budget) Capacity(at time.Duration, cores float64) {
+// SetCapacity notes what the box can do from at on, in cores of speed 1.
+func (b *Budget) SetCapacity(at time.Duration, cores float64) {
 	if n := len(b.caps); n > 0 && b.caps[n-1].cores == cores {
 		return
 	}
@@ -56,14 +56,14 @@
 	}
 }
 
-// Send notes work sent by a sender that had, or had not, been told of the box's start. Where the window that ends
+// Add notes work sent by a sender that had, or had not, been told of the box's start. Where the window that ends
 // here is overspent it returns that window.
-func (b *Budget) Send(at time.Duration, work float64, told bool) *Excess {
-	return b.Tagged(at, work, told, 0)
+func (b *Budget) Add(at time.Duration, work float64, told bool) *Excess {
+	return b.AddTagged(at, work, told, 0)
 }
 
-// Tagged is Send with a mark of the caller's that an Excess gives back.
-func (b *Budget) Tagged(at time.Duration, work float64, told bool, tag int) *Excess {
+// AddTagged is Send with a mark of the caller's that an Excess gives back.
+func (b *Budget) AddTagged(at time.Duration, work float64, told bool, tag int) *Excess {
 	b.sends = append(b.sends, send{at, work, told, tag})
 	for len(b.sends) > 0 && b.sends[0].at <= at-b.window {
 		b.sends = b.sends[1:]
@@ -81,15 +81,15 @@
 	if sum <= limit {
 		return nil
 	}
-	e := &Excess{From: at - b.window, To: at, Sent: sum, Budget: limit, Told: known / sum}
+	e := &Excess{From: at - b.window, To: at, Sent: sum, Budget: limit, NotifiedFraction: known / sum}
 	for _, s := range b.sends {
 		e.Tags = append(e.Tags, s.tag)
 	}
 	return e
 }
 
-// Worst is the largest part of its budget that any window so far was sent: above 1 it was overspent.
-func (b *Budget) Worst() float64 { return b.worst }
+// MaxFraction is the largest part of its budget that any window so far was sent: above 1 it was overspent.
+func (b *Budget) MaxFraction() float64 { return b.worst }
 
 // able is the work that the box could do between two moments. Before its first level it counts as that level: the
 // window of a box that has just started is not cut short by its start.
--- a/internal/kit/judge/cold.go
+++ b/internal/kit/judge/cold.go
@@ -29,7 +29,7 @@
 		b := &backend{site: r.Site, cell: r.Cell, start: r.T, line: r.line}
 		if r.Cores < r.Full && j.head.Rules.FallFactor > 0 {
 			b.budget = boxmodel.NewBudget(j.head.Rules.FallFactor, duration(j.head.Rules.FallFor))
-			b.budget.Capacity(r.At(), r.Cores)
+			b.budget.SetCapacity(r.At(), r.Cores)
 		}
 		j.backends[r.Box] = b
 	case trace.Warm, trace.Gone:
@@ -42,7 +42,7 @@
 // capacityChanged records the cores that a cold backend has now.
 func (j *Judge) capacityChanged(r lineRecord) {
 	if b := j.backends[r.Box]; b != nil && b.budget != nil {
-		b.budget.Capacity(r.At(), r.Cores)
+		b.budget.SetCapacity(r.At(), r.Cores)
 	}
 }
 
@@ -55,8 +55,8 @@
 	}
 	listed, isListed := j.node(r.Node).listed[r.Box]
 	knowsStart := isListed && listed.at >= b.start
-	excess := b.budget.Tagged(r.At(), duration(r.Work).Seconds(), knowsStart, r.line)
-	if excess == nil || excess.Told < minToldShare || b.flooded {
+	excess := b.budget.AddTagged(r.At(), duration(r.Work).Seconds(), knowsStart, r.line)
+	if excess == nil || excess.NotifiedFraction < minToldShare || b.flooded {
 		return
 	}
 	b.flooded = true
--- a/internal/kit/lab/box.go
+++ b/internal/kit/lab/box.go
@@ -13,7 +13,7 @@
 // box is one box process with its network side.
 type box struct {
 	w        *world
-	plan     *plan.Box
+	plan     *plan.Backend
 	model    *boxmodel.Box
 	reports  *boxmodel.Reports
 	started  time.Duration // 0 for one that was there from the beginning
@@ -33,7 +33,7 @@
 
 // start starts the process of a box, for the first time or again.
 func (w *world) start(i int, warm bool) {
-	p := &w.plan.Boxes[i]
+	p := &w.plan.Backends[i]
 	spec := p.Spec
 	if warm {
 		spec.ColdFrom = 1
@@ -57,7 +57,7 @@
 	b.budget = nil
 	if !warm {
 		b.budget = boxmodel.NewBudget(w.plan.Scenario.Rules.FallFactor, w.plan.Scenario.Rules.FallFor.D())
-		b.budget.Capacity(w.now, b.model.Capacity())
+		b.budget.SetCapacity(w.now, b.model.Capacity())
 	}
 	b.state(trace.Ready)
 	first := time.Duration(rng.Float64() * float64(r.Every.D()))
@@ -70,7 +70,7 @@
 	b.every(0, capEvery, func() bool {
 		if b.budget != nil && !b.model.Warm() {
 			w.note(trace.Record{Kind: trace.Cap, Box: p.ID, Cores: b.model.Capacity()})
-			b.budget.Capacity(w.now, b.model.Capacity())
+			b.budget.SetCapacity(w.now, b.model.Capacity())
 		}
 		return !b.model.Warm()
 	})
--- a/internal/kit/lab/class_test.go
+++ b/internal/kit/lab/class_test.go
@@ -20,7 +20,7 @@
 	o := Options{Name: "one-class-fails", Plan: plan.New(s, 4), Tuning: policy.DefaultTuning()}
 	sick := map[string]bool{}
 	for _, st := range o.Plan.Steps {
-		if st.Do == plan.Fail && st.By > 0 {
+		if st.Do == plan.FailClass && st.By > 0 {
 			sick[st.Box] = true
 		}
 	}
--- a/internal/kit/lab/client.go
+++ b/internal/kit/lab/client.go
@@ -11,7 +11,7 @@
 )
 
 // want begins what one client needs.
-func (w *world) want(need plan.Need) {
+func (w *world) want(need plan.Operation) {
 	first := w.id()
 	rec := w.rec(&need)
 	rec.Kind, rec.ID = trace.Want, first
@@ -19,7 +19,7 @@
 	w.try(&request{id: first, need: &need, first: first})
 }
 
-func (w *world) rec(need *plan.Need) trace.Record {
+func (w *world) rec(need *plan.Operation) trace.Record {
 	s := w.plan.Scenario
 	return trace.Record{Class: s.Classes[need.Class].Name, Tenant: s.Tenants[need.Tenant].Name, Site: s.Sites[need.Site].Name,
 		Over: need.Over}
--- a/internal/kit/lab/counts.go
+++ b/internal/kit/lab/counts.go
@@ -12,17 +12,17 @@
 type Counts struct {
 	Seconds []Second `json:"seconds"`
 
-	NewConns  float64 `json:"new_connections_an_attempt"`
-	Handshake float64 `json:"handshake_part_of_work"` // of all work sent
-	OpenMean  float64 `json:"open_connections_mean"`  // at a box, over boxes and seconds
-	OpenP99   float64 `json:"open_connections_p99"`
-	OpenMost  float64 `json:"open_connections_most"`
-	ListCalls float64 `json:"list_calls_a_node"` // in the 10 s after each start of nodes but the first, or in the whole play without one
-	ListAway  float64 `json:"list_calls_turned_away_a_node"`
-	ColdWorst float64 `json:"cold_budget_worst"` // largest part of a cold box's budget that any window was sent; 1 is all of it
-	Blind     float64 `json:"attempts_at_boxes_cut_off"`
-	Gossip    float64 `json:"shared_bytes_a_node_a_second"`
-	Spread    float64 `json:"work_p99_to_mean"` // of the work that warm boxes got in a second, for each core's speed
+	NewConns                 float64 `json:"new_connections_an_attempt"`
+	HandshakeFraction        float64 `json:"handshake_part_of_work"` // of all work sent
+	OpenMean                 float64 `json:"open_connections_mean"`  // at a box, over boxes and seconds
+	OpenP99                  float64 `json:"open_connections_p99"`
+	OpenMax                  float64 `json:"open_connections_most"`
+	ListCalls                float64 `json:"list_calls_a_node"` // in the 10 s after each start of nodes but the first, or in the whole play without one
+	ListCallsRejected        float64 `json:"list_calls_turned_away_a_node"`
+	ColdBudgetMax            float64 `json:"cold_budget_worst"` // largest part of a cold box's budget that any window was sent; 1 is all of it
+	AttemptsToIsolated       float64 `json:"attempts_at_boxes_cut_off"`
+	SharedBytesPerNodeSecond float64 `json:"shared_bytes_a_node_a_second"`
+	LoadP99ToMean            float64 `json:"work_p99_to_mean"` // of the work that warm boxes got in a second, for each core's speed
 
 	starts  []time.Duration
 	opens   []float64
@@ -36,24 +36,24 @@
 
 // Second is one second of a play, over the whole fleet.
 type Second struct {
-	At       int     `json:"at"` // seconds since the traffic began
-	Attempts int     `json:"attempts"`
-	NewConns int     `json:"new_connections"`
-	Shaken   float64 `json:"handshake_core_seconds"`
-	Crossing int     `json:"across_sites"`
-	Cold     float64 `json:"cold_core_seconds"` // work sent to boxes that warm up
-	ColdUsed float64 `json:"cold_budget_used"`  // the largest part of a cold box's budget at any time so far today
-	Untried  int     `json:"refused_untried"`   // refusals by what went before: no attempt,
-	Tried    int     `json:"refused_tried"`     // or some, none of which ran
-	Asked    int     `json:"list_calls"`
-	Whole    int     `json:"whole_lists"` // of them, those for the whole list
-	Away     int     `json:"list_calls_turned_away"`
-	Age      float64 `json:"report_age_s"` // mean age of the report by which a box was chosen
-	Unheard  int     `json:"without_report"`
-	Open     float64 `json:"open_connections"` // at a box, mean of those in service
-	OpenP99  float64 `json:"open_connections_p99"`
-	Held     float64 `json:"held"` // requests at a box, in truth: mean
-	Believed float64 `json:"held_believed"`
+	At                   int     `json:"at"` // seconds since the traffic began
+	Attempts             int     `json:"attempts"`
+	NewConns             int     `json:"new_connections"`
+	HandshakeCoreSeconds float64 `json:"handshake_core_seconds"`
+	CrossSite            int     `json:"across_sites"`
+	ColdCoreSeconds      float64 `json:"cold_core_seconds"` // work sent to boxes that warm up
+	ColdBudgetUsed       float64 `json:"cold_budget_used"`  // the largest part of a cold box's budget at any time so far today
+	RefusedUntried       int     `json:"refused_untried"`   // refusals by what went before: no attempt,
+	RefusedTried         int     `json:"refused_tried"`     // or some, none of which ran
+	ListCalls            int     `json:"list_calls"`
+	FullLists            int     `json:"whole_lists"` // of them, those for the whole list
+	ListCallsRejected    int     `json:"list_calls_turned_away"`
+	ReportAgeSeconds     float64 `json:"report_age_s"` // mean age of the report by which a box was chosen
+	WithoutReport        int     `json:"without_report"`
+	Open                 float64 `json:"open_connections"` // at a box, mean of those in service
+	OpenP99              float64 `json:"open_connections_p99"`
+	InFlight             float64 `json:"held"` // requests at a box, in truth: mean
+	BelievedInFlight     float64 `json:"held_believed"`
 
 	ages float64
 }
@@ -75,48 +75,48 @@
 	w, s := a.node.w, c.now(a.node.w)
 	s.Attempts++
 	if a.box.silent || w.apart(a.node.Site, a.box.plan.Site) {
-		c.Blind++
+		c.AttemptsToIsolated++
 	}
 	work := a.req.need.Work
 	if a.fresh {
 		shake := w.plan.Scenario.Conn.Handshake.D()
 		s.NewConns++
-		s.Shaken += shake.Seconds()
+		s.HandshakeCoreSeconds += shake.Seconds()
 		c.shaken += shake
 		work += shake
 	}
 	c.sentAll += work
 	c.got[a.box] += work
 	if a.box.plan.Site != a.node.Site {
-		s.Crossing++
+		s.CrossSite++
 	}
 	if at, ok := a.node.heard[a.box]; ok {
 		s.ages += (w.now - at).Seconds()
 	} else {
-		s.Unheard++
+		s.WithoutReport++
 	}
 }
 
 func (c *Counts) cold(b *box, work time.Duration) {
 	s := c.now(b.w)
-	s.Cold += work.Seconds()
-	c.ColdWorst = max(c.ColdWorst, b.budget.Worst())
+	s.ColdCoreSeconds += work.Seconds()
+	c.ColdBudgetMax = max(c.ColdBudgetMax, b.budget.MaxFraction())
 }
 
 func (c *Counts) refused(n *node, id string) {
 	r, s := n.requests[id], c.now(n.w)
 	if r != nil && len(r.attempts) > 0 {
-		s.Tried++
+		s.RefusedTried++
 	} else {
-		s.Untried++
+		s.RefusedUntried++
 	}
 }
 
 func (c *Counts) asked(l *listCall) {
 	s := c.now(l.n.w)
-	s.Asked++
+	s.ListCalls++
 	if l.since < 0 {
-		s.Whole++
+		s.FullLists++
 	}
 	if c.starting(l.n.w.now) {
 		c.calls++
@@ -124,7 +124,7 @@
 }
 
 func (c *Counts) turned(l *listCall) {
-	c.now(l.n.w).Away++
+	c.now(l.n.w).ListCallsRejected++
 	if c.starting(l.n.w.now) {
 		c.away++
 	}
@@ -155,14 +155,14 @@
 	clear(c.got)
 	if len(open) > 0 {
 		slices.Sort(open)
-		s.Open, s.OpenP99, s.Held = stat.Mean(open, nil), stat.Quantile(0.99, stat.Empirical, open, nil), held/up
+		s.Open, s.OpenP99, s.InFlight = stat.Mean(open, nil), stat.Quantile(0.99, stat.Empirical, open, nil), held/up
 		c.opens = append(c.opens, open...)
 	}
 	if mean := stat.Mean(load, nil); len(load) > 0 && mean > 0 && w.now <= w.plan.Scenario.Length.D() {
 		slices.Sort(load)
 		c.uneven = append(c.uneven, stat.Quantile(0.99, stat.Empirical, load, nil)/mean)
 	}
-	s.ColdUsed = c.ColdWorst
+	s.ColdBudgetUsed = c.ColdBudgetMax
 	believed, seen := 0.0, 0.0
 	for _, n := range w.nodes {
 		if !n.up {
@@ -174,7 +174,7 @@
 			}
 		}
 	}
-	s.Believed = believed / max(1, seen)
+	s.BelievedInFlight = believed / max(1, seen)
 	w.after(time.Second, w.sample)
 }
 
@@ -184,20 +184,20 @@
 	for i := range c.Seconds {
 		s := &c.Seconds[i]
 		attempts, conns = attempts+s.Attempts, conns+s.NewConns
-		if heard := s.Attempts - s.Unheard; heard > 0 {
-			s.Age = s.ages / float64(heard)
+		if heard := s.Attempts - s.WithoutReport; heard > 0 {
+			s.ReportAgeSeconds = s.ages / float64(heard)
 		}
 	}
 	c.NewConns = float64(conns) / float64(max(1, attempts))
-	c.Handshake = c.shaken.Seconds() / math.Max(1e-9, c.sentAll.Seconds())
+	c.HandshakeFraction = c.shaken.Seconds() / math.Max(1e-9, c.sentAll.Seconds())
 	slices.Sort(c.opens)
 	if len(c.opens) > 0 {
-		c.OpenMean, c.OpenP99, c.OpenMost = stat.Mean(c.opens, nil), stat.Quantile(0.99, stat.Empirical, c.opens, nil), c.opens[len(c.opens)-1]
+		c.OpenMean, c.OpenP99, c.OpenMax = stat.Mean(c.opens, nil), stat.Quantile(0.99, stat.Empirical, c.opens, nil), c.opens[len(c.opens)-1]
 	}
 	if len(c.uneven) > 0 {
-		c.Spread = stat.Mean(c.uneven, nil)
+		c.LoadP99ToMean = stat.Mean(c.uneven, nil)
 	}
-	c.ListCalls, c.ListAway = c.calls/float64(len(w.nodes)), c.away/float64(len(w.nodes))
-	c.Gossip /= float64(len(w.nodes)) * max(1, w.now.Seconds())
+	c.ListCalls, c.ListCallsRejected = c.calls/float64(len(w.nodes)), c.away/float64(len(w.nodes))
+	c.SharedBytesPerNodeSecond /= float64(len(w.nodes)) * max(1, w.now.Seconds())
 	c.opens, c.uneven, c.got = nil, nil, nil
 }
--- a/internal/kit/lab/fleet_test.go
+++ b/internal/kit/lab/fleet_test.go
@@ -65,8 +65,8 @@
 			if d.Share < want.share {
 				t.Errorf("%.3f of the worth in time, want %.2f", d.Share, want.share)
 			}
-			if c := d.Counts; c.NewConns > want.fresh || c.ColdWorst > 1 || c.OpenMost > want.open {
-				t.Errorf("new connections %.2f an attempt, cold budget %.2f, %v connections at a box", c.NewConns, c.ColdWorst, c.OpenMost)
+			if c := d.Counts; c.NewConns > want.fresh || c.ColdBudgetMax > 1 || c.OpenMax > want.open {
+				t.Errorf("new connections %.2f an attempt, cold budget %.2f, %v connections at a box", c.NewConns, c.ColdBudgetMax, c.OpenMax)
 			}
 			if name != "fleet-herd" { // the one with kills and a list that is asked for
 				return
@@ -85,8 +85,8 @@
 			s.Nodes /= 2
 		}
 	})
-	if c.ColdWorst == 0 || c.ColdWorst > 1 {
-		t.Errorf("at the worst moment a cold box was sent %.2f of its budget", c.ColdWorst)
+	if c.ColdBudgetMax == 0 || c.ColdBudgetMax > 1 {
+		t.Errorf("at the worst moment a cold box was sent %.2f of its budget", c.ColdBudgetMax)
 	}
 }
 
@@ -98,12 +98,12 @@
 		s.List.Calls = 1e-3 // one call in all
 	})
 	c := play(t, s, 3, nil)
-	if c.ListAway == 0 || c.ListCalls > 10 {
-		t.Errorf("%.1f calls a node in 10 s, %.1f of them turned away", c.ListCalls, c.ListAway)
+	if c.ListCallsRejected == 0 || c.ListCalls > 10 {
+		t.Errorf("%.1f calls a node in 10 s, %.1f of them turned away", c.ListCalls, c.ListCallsRejected)
 	}
 	attempts, refused := 0, 0
 	for _, x := range c.Seconds[3:13] {
-		attempts, refused = attempts+x.Attempts, refused+x.Untried+x.Tried
+		attempts, refused = attempts+x.Attempts, refused+x.RefusedUntried+x.RefusedTried
 	}
 	if attempts < 5000 || refused > attempts/50 {
 		t.Errorf("%d attempts and %d refusals in the 10 s", attempts, refused)
@@ -121,9 +121,9 @@
 		})
 		c := play(t, s, 5+seed, nil)
 		first := c.Seconds[0]
-		refused, attempts = refused+first.Untried+first.Tried, attempts+first.Attempts
-		if c.Spread > 2.5 {
-			t.Errorf("seed %d: the busiest box gets %.1f times the mean", 5+seed, c.Spread)
+		refused, attempts = refused+first.RefusedUntried+first.RefusedTried, attempts+first.Attempts
+		if c.LoadP99ToMean > 2.5 {
+			t.Errorf("seed %d: the busiest box gets %.1f times the mean", 5+seed, c.LoadP99ToMean)
 		}
 	}
 	if refused > attempts/50 {
--- a/internal/kit/lab/lab_test.go
+++ b/internal/kit/lab/lab_test.go
@@ -159,7 +159,7 @@
 	if err != nil || calls != 6 || len(out) != 2 {
 		t.Fatalf("%d outcomes, %d calls, error %v", len(out), calls, err)
 	}
-	against := Paired(&out[0], &out[1], func(d *Day) float64 { return d.Figure })
+	against := Paired(&out[0], &out[1], func(d *PlayResult) float64 { return d.Figure })
 	if !(against.Mean+against.Half < 0) || out[0].Figure.Half <= 0 {
 		t.Errorf("H of half a request against the one in service: %v (%v, %v), want it surely worse", against, out[0].Figure, out[1].Figure)
 	}
--- a/internal/kit/lab/list.go
+++ b/internal/kit/lab/list.go
@@ -182,7 +182,7 @@
 		for id := range n.known {
 			if !slices.ContainsFunc(news, func(e policy.Entry) bool { return e.ID == id }) {
 				delete(n.known, id)
-				n.w.note(trace.Record{Kind: trace.Told, Node: n.Name, Box: n.w.plan.Boxes[id-1].ID, State: trace.Gone})
+				n.w.note(trace.Record{Kind: trace.Told, Node: n.Name, Box: n.w.plan.Backends[id-1].ID, State: trace.Gone})
 			}
 		}
 		n.take(kind, news)
--- a/internal/kit/lab/node.go
+++ b/internal/kit/lab/node.go
@@ -52,7 +52,7 @@
 // request is one try of a client at a node.
 type request struct {
 	id       string
-	need     *plan.Need
+	need     *plan.Operation
 	try      int
 	first    string
 	sentAt   time.Duration
@@ -90,7 +90,7 @@
 	w.nodes = append(w.nodes, n)
 	for i := range w.plan.Initial {
 		n.known[uint32(i+1)] = w.entry(i, policy.Active)
-		w.note(trace.Record{Kind: trace.Told, Node: t.Name, Box: w.plan.Boxes[i].ID, State: trace.Ready})
+		w.note(trace.Record{Kind: trace.Told, Node: t.Name, Box: w.plan.Backends[i].ID, State: trace.Ready})
 	}
 	return n.begin()
 }
@@ -195,7 +195,7 @@
 		n.known[e.ID] = e
 		for name, s := range states {
 			if s == e.State {
-				n.w.note(trace.Record{Kind: trace.Told, Node: n.Name, Box: n.w.plan.Boxes[e.ID-1].ID, State: name})
+				n.w.note(trace.Record{Kind: trace.Told, Node: n.Name, Box: n.w.plan.Backends[e.ID-1].ID, State: name})
 			}
 		}
 		if e.State == policy.Removed {
@@ -351,7 +351,7 @@
 			work += w.plan.Scenario.Conn.Handshake.D()
 		}
 		if b.budget != nil {
-			b.budget.Send(w.now, work.Seconds(), true)
+			b.budget.Add(w.now, work.Seconds(), true)
 			w.counts.cold(b, work)
 		}
 		w.note(trace.Record{Kind: trace.Recv, Box: b.plan.ID, Node: a.node.Name, ID: a.req.id, Att: int64(a.att), T0: trace.US(w.now),
--- a/internal/kit/lab/page.go
+++ b/internal/kit/lab/page.go
@@ -24,7 +24,7 @@
 	t, err := template.New("page").Funcs(template.FuncMap{
 		"colour": func(i int) string { return colours[i%len(colours)] },
 		"paired": func(o Outcome) string {
-			return Paired(&out[0], &o, func(d *Day) float64 { return d.Figure }).String()
+			return Paired(&out[0], &o, func(d *PlayResult) float64 { return d.Figure }).String()
 		},
 	}).Parse(pageText)
 	if err != nil {
@@ -40,7 +40,7 @@
 
 // chart shows, for each setting, the requests answered in time in each second, over all seeds, below those asked for.
 func (s *Sweep) chart(out []Outcome) string {
-	mean := func(o *Outcome, of func(*Day) []float64) []float64 {
+	mean := func(o *Outcome, of func(*PlayResult) []float64) []float64 {
 		var sum []float64
 		for i := range o.PerSeed {
 			for k, v := range of(&o.PerSeed[i]) {
@@ -52,7 +52,7 @@
 		}
 		return sum
 	}
-	asked := mean(&out[0], func(d *Day) []float64 { return d.Asked })
+	asked := mean(&out[0], func(d *PlayResult) []float64 { return d.Asked })
 	c := chart.New(320, max(1, float64(len(asked))), "requests asked for and answered in time, a second")
 	const top, bottom = 30.0, 290.0
 	high := 1.0
@@ -70,7 +70,7 @@
 	}
 	line(asked, `stroke="#1b1f24" stroke-dasharray="4 3"`)
 	for i := range out[:min(drawn, len(out))] {
-		line(mean(&out[i], func(d *Day) []float64 { return d.Served }), fmt.Sprintf(`stroke="%s" stroke-width="2"`, colours[i]))
+		line(mean(&out[i], func(d *PlayResult) []float64 { return d.Served }), fmt.Sprintf(`stroke="%s" stroke-width="2"`, colours[i]))
 	}
 	c.F(`</svg>`)
 	return c.String()
--- a/internal/kit/lab/plot.go
+++ b/internal/kit/lab/plot.go
@@ -24,19 +24,19 @@
 	{"a second", []line{
 		{"attempts", func(s *Second) float64 { return float64(s.Attempts) }},
 		{"new connections", func(s *Second) float64 { return float64(s.NewConns) }},
-		{"refused", func(s *Second) float64 { return float64(s.Untried + s.Tried) }},
-		{"across sites", func(s *Second) float64 { return float64(s.Crossing) }}}},
+		{"refused", func(s *Second) float64 { return float64(s.RefusedUntried + s.RefusedTried) }},
+		{"across sites", func(s *Second) float64 { return float64(s.CrossSite) }}}},
 	{"at a box", []line{
-		{"requests held", func(s *Second) float64 { return s.Held }},
-		{"held, as believed", func(s *Second) float64 { return s.Believed }},
+		{"requests held", func(s *Second) float64 { return s.InFlight }},
+		{"held, as believed", func(s *Second) float64 { return s.BelievedInFlight }},
 		{"open connections", func(s *Second) float64 { return s.Open }},
 		{"open connections, p99", func(s *Second) float64 { return s.OpenP99 }}}},
 	{"core-seconds a second", []line{
-		{"handshakes", func(s *Second) float64 { return s.Shaken }},
-		{"work at cold boxes", func(s *Second) float64 { return s.Cold }}}},
+		{"handshakes", func(s *Second) float64 { return s.HandshakeCoreSeconds }},
+		{"work at cold boxes", func(s *Second) float64 { return s.ColdCoreSeconds }}}},
 	{"list calls a second", []line{
-		{"asked", func(s *Second) float64 { return float64(s.Asked) }},
-		{"turned away", func(s *Second) float64 { return float64(s.Away) }}}},
+		{"asked", func(s *Second) float64 { return float64(s.ListCalls) }},
+		{"turned away", func(s *Second) float64 { return float64(s.ListCallsRejected) }}}},
 }
 
 const panelW, panelH = 1040, 260
--- a/internal/kit/lab/share.go
+++ b/internal/kit/lab/share.go
@@ -117,7 +117,7 @@
 	}
 }
 
-func (w *world) gossiped(frame []byte) { w.counts.Gossip += float64(len(frame)) }
+func (w *world) gossiped(frame []byte) { w.counts.SharedBytesPerNodeSecond += float64(len(frame)) }
 
 // carry takes a frame to a node, or loses it.
 func (w *world) carry(to *node, frame []byte) {
@@ -165,7 +165,7 @@
 		if e.State == policy.Active && n.w.boxes[id-1] != nil {
 			k := n.key(n.w.boxes[id-1])
 			n.keys[k] = id
-			all = append(all, judgement.Backend{Key: k, Name: n.w.plan.Boxes[id-1].ID, Site: e.Zone})
+			all = append(all, judgement.Backend{Key: k, Name: n.w.plan.Backends[id-1].ID, Site: e.Zone})
 		}
 	}
 	n.shared.SetBackends(all)
--- a/internal/kit/lab/share_test.go
+++ b/internal/kit/lab/share_test.go
@@ -31,13 +31,13 @@
 			t.Fatal(err)
 		}
 		alone, together = alone+a.Figure/3, together+b.Figure/3
-		if b.Broken != "" || b.Counts.Gossip == 0 || b.Counts.Gossip > 64<<10 {
-			t.Errorf("seed %d: %s; %.0f bytes a node a second", seed, b.Broken, b.Counts.Gossip)
+		if b.Broken != "" || b.Counts.SharedBytesPerNodeSecond == 0 || b.Counts.SharedBytesPerNodeSecond > 64<<10 {
+			t.Errorf("seed %d: %s; %.0f bytes a node a second", seed, b.Broken, b.Counts.SharedBytesPerNodeSecond)
 		}
 		if seed > 0 {
 			continue
 		}
-		if again, err := playSetting("greedy", s, seed, set); err != nil || again.Figure != b.Figure || again.Counts.Gossip != b.Counts.Gossip {
+		if again, err := playSetting("greedy", s, seed, set); err != nil || again.Figure != b.Figure || again.Counts.SharedBytesPerNodeSecond != b.Counts.SharedBytesPerNodeSecond {
 			t.Errorf("a second play differs: %v and %v, %v", again.Figure, b.Figure, err)
 		}
 	}
--- a/internal/kit/lab/site_test.go
+++ b/internal/kit/lab/site_test.go
@@ -37,7 +37,7 @@
 			if d.Broken != "" {
 				t.Errorf("seed %d: %s", seed, d.Broken)
 			}
-			blind[i] += d.Counts.Blind / 3
+			blind[i] += d.Counts.AttemptsToIsolated / 3
 			share[i] += d.Share / 3
 		}
 		for node, n := range lost {
--- a/internal/kit/lab/sweep.go
+++ b/internal/kit/lab/sweep.go
@@ -37,22 +37,22 @@
 
 // Outcome is what one setting came to over the seeds of a sweep.
 type Outcome struct {
-	Setting  Setting  `json:"setting"`
-	Figure   Estimate `json:"figure"`        // as the service counts, before prices
-	Share    Estimate `json:"worth_in_time"` // worth answered within its aim over worth asked for
-	Windows  []Window `json:"windows"`
-	PerSeed  []Day    `json:"plays"`
-	Broken   int      `json:"plays_with_a_broken_rule"`
-	Refused  Estimate `json:"refused"`       // part of the needs that ended refused
-	Twice    Estimate `json:"refused_twice"` // of those with more than one try, the part whose second was refused too
-	Attempts Estimate `json:"attempts_for_each_request"`
-	Costs    []Cost   `json:"costs"`
+	Setting  Setting      `json:"setting"`
+	Figure   Estimate     `json:"figure"`        // as the service counts, before prices
+	Share    Estimate     `json:"worth_in_time"` // worth answered within its aim over worth asked for
+	Windows  []Window     `json:"windows"`
+	PerSeed  []PlayResult `json:"plays"`
+	Broken   int          `json:"plays_with_a_broken_rule"`
+	Refused  Estimate     `json:"refused"`       // part of the needs that ended refused
+	Twice    Estimate     `json:"refused_twice"` // of those with more than one try, the part whose second was refused too
+	Attempts Estimate     `json:"attempts_for_each_request"`
+	Costs    []Cost       `json:"costs"`
 }
 
 // Cost is one figure of Counts over the plays.
 type Cost struct {
-	Name string   `json:"name"`
-	Is   Estimate `json:"is"`
+	Name     string   `json:"name"`
+	Estimate Estimate `json:"is"`
 }
 
 var costs = []struct {
@@ -60,16 +60,16 @@
 	of   func(*Counts) float64
 }{
 	{"new connections an attempt", func(c *Counts) float64 { return c.NewConns }},
-	{"handshakes, part of all work", func(c *Counts) float64 { return c.Handshake }},
+	{"handshakes, part of all work", func(c *Counts) float64 { return c.HandshakeFraction }},
 	{"open connections a box, mean", func(c *Counts) float64 { return c.OpenMean }},
 	{"open connections a box, p99", func(c *Counts) float64 { return c.OpenP99 }},
-	{"open connections a box, most", func(c *Counts) float64 { return c.OpenMost }},
+	{"open connections a box, most", func(c *Counts) float64 { return c.OpenMax }},
 	{"list calls a node", func(c *Counts) float64 { return c.ListCalls }},
-	{"list calls turned away a node", func(c *Counts) float64 { return c.ListAway }},
-	{"attempts at boxes that are cut off", func(c *Counts) float64 { return c.Blind }},
-	{"bytes of shared state a node a second", func(c *Counts) float64 { return c.Gossip }},
-	{"cold budget used at the worst moment", func(c *Counts) float64 { return c.ColdWorst }},
-	{"work of a box, p99 to mean", func(c *Counts) float64 { return c.Spread }},
+	{"list calls turned away a node", func(c *Counts) float64 { return c.ListCallsRejected }},
+	{"attempts at boxes that are cut off", func(c *Counts) float64 { return c.AttemptsToIsolated }},
+	{"bytes of shared state a node a second", func(c *Counts) float64 { return c.SharedBytesPerNodeSecond }},
+	{"cold budget used at the worst moment", func(c *Counts) float64 { return c.ColdBudgetMax }},
+	{"work of a box, p99 to mean", func(c *Counts) float64 { return c.LoadP99ToMean }},
 }
 
 // Window is the worth in time of the needs that arose in a part of the day.
@@ -78,8 +78,8 @@
 	Share Estimate `json:"worth_in_time"`
 }
 
-// Day is one play's figures.
-type Day struct {
+// PlayResult is one play's figures.
+type PlayResult struct {
 	Seed    uint64    `json:"seed"`
 	Figure  float64   `json:"figure"`
 	Share   float64   `json:"worth_in_time"`
@@ -117,7 +117,7 @@
 }
 
 // Paired is the estimate of the mean difference b - a of two outcomes over the same seeds.
-func Paired(a, b *Outcome, of func(*Day) float64) Estimate {
+func Paired(a, b *Outcome, of func(*PlayResult) float64) Estimate {
 	var d []float64
 	for i := range min(len(a.PerSeed), len(b.PerSeed)) {
 		d = append(d, of(&b.PerSeed[i])-of(&a.PerSeed[i]))
@@ -129,9 +129,9 @@
 func (s *Sweep) Run(ctx context.Context, done func(played, all int)) ([]Outcome, error) {
 	type job struct{ setting, seed int }
 	jobs := make(chan job)
-	plays := make([][]Day, len(s.Settings))
+	plays := make([][]PlayResult, len(s.Settings))
 	for i := range plays {
-		plays[i] = make([]Day, len(s.Seeds))
+		plays[i] = make([]PlayResult, len(s.Seeds))
 	}
 	workers := s.Workers
 	if workers <= 0 {
@@ -185,11 +185,11 @@
 }
 
 // PlayOnce plays one seed of a scenario with nodes that share nothing, and takes its figures.
-func PlayOnce(name string, s *scenario.Scenario, seed uint64, t policy.Tuning) (*Day, error) {
+func PlayOnce(name string, s *scenario.Scenario, seed uint64, t policy.Tuning) (*PlayResult, error) {
 	return playSetting(name, s, seed, Setting{Tuning: t})
 }
 
-func playSetting(name string, s *scenario.Scenario, seed uint64, set Setting) (*Day, error) {
+func playSetting(name string, s *scenario.Scenario, seed uint64, set Setting) (*PlayResult, error) {
 	o := Options{Name: name, Plan: plan.New(s, seed), Tuning: set.Tuning, Sharing: set.Share, Sites: set.Sites, Counts: &Counts{}}
 	h := Head(&o)
 	c, j := report.New(h), judge.New(h)
@@ -211,7 +211,7 @@
 		return nil, err
 	}
 	rep := c.Finish(j.Finish())
-	p := &Day{Seed: seed, Figure: rep.Figure, Share: rep.Whole.Share, Counts: o.Counts, report: rep}
+	p := &PlayResult{Seed: seed, Figure: rep.Figure, Share: rep.Whole.Share, Counts: o.Counts, report: rep}
 	for _, w := range rep.Windows {
 		p.Windows = append(p.Windows, w.Share)
 	}
@@ -233,25 +233,25 @@
 	return p, nil
 }
 
-func outcome(set Setting, plays []Day) Outcome {
+func outcome(set Setting, plays []PlayResult) Outcome {
 	o := Outcome{Setting: set, PerSeed: plays}
-	of := func(f func(*Day) float64) Estimate {
+	of := func(f func(*PlayResult) float64) Estimate {
 		var v []float64
 		for i := range plays {
 			v = append(v, f(&plays[i]))
 		}
 		return NewEstimate(v)
 	}
-	o.Figure = of(func(p *Day) float64 { return p.Figure })
-	o.Share = of(func(p *Day) float64 { return p.Share })
-	o.Refused = of(func(p *Day) float64 { return p.refused })
-	o.Twice = of(func(p *Day) float64 { return p.twice })
-	o.Attempts = of(func(p *Day) float64 { return p.report.Attempts.Per })
+	o.Figure = of(func(p *PlayResult) float64 { return p.Figure })
+	o.Share = of(func(p *PlayResult) float64 { return p.Share })
+	o.Refused = of(func(p *PlayResult) float64 { return p.refused })
+	o.Twice = of(func(p *PlayResult) float64 { return p.twice })
+	o.Attempts = of(func(p *PlayResult) float64 { return p.report.Attempts.Per })
 	for _, c := range costs {
-		o.Costs = append(o.Costs, Cost{c.name, of(func(p *Day) float64 { return c.of(p.Counts) })})
+		o.Costs = append(o.Costs, Cost{c.name, of(func(p *PlayResult) float64 { return c.of(p.Counts) })})
 	}
 	for i := range plays[0].report.Windows {
-		o.Windows = append(o.Windows, Window{plays[0].report.Windows[i].Name, of(func(p *Day) float64 {
+		o.Windows = append(o.Windows, Window{plays[0].report.Windows[i].Name, of(func(p *PlayResult) float64 {
 			if i < len(p.Windows) {
 				return p.Windows[i]
 			}
--- a/internal/kit/lab/world.go
+++ b/internal/kit/lab/world.go
@@ -168,17 +168,17 @@
 	w.list.w = w
 	w.counts.begin(w)
 	s := o.Plan.Scenario
-	for i, b := range o.Plan.Boxes {
+	for i, b := range o.Plan.Backends {
 		w.number[b.ID] = i
 	}
 	for _, st := range o.Plan.Steps {
 		switch st.Do {
-		case plan.Term, plan.Reload, plan.Bad, plan.Spoil, plan.Stall, plan.CutNode, plan.Words:
+		case plan.Term, plan.Reload, plan.BadClient, plan.CorruptResponses, plan.Stall, plan.IsolateNode, plan.MessageFault:
 			return fmt.Errorf("%v: the laboratory plays no %q: use rehearse", st.At, st.Do)
 		}
 	}
 	w.note(trace.Record{Kind: trace.Event, How: trace.Begin, Text: "traffic begins"})
-	w.boxes = make([]*box, len(o.Plan.Boxes))
+	w.boxes = make([]*box, len(o.Plan.Backends))
 	for i := range o.Plan.Initial {
 		w.start(i, true)
 	}
@@ -191,7 +191,7 @@
 	for _, st := range o.Plan.Steps {
 		w.at(st.At, func() { w.step(&st) })
 	}
-	w.arrivals(o.Plan.Needs())
+	w.arrivals(o.Plan.Operations())
 	if o.Belief != nil {
 		w.beliefs()
 	}
@@ -210,7 +210,7 @@
 }
 
 // arrivals hands in the needs, one at a time.
-func (w *world) arrivals(n *plan.Needs) {
+func (w *world) arrivals(n *plan.Operations) {
 	need, ok := n.Next()
 	if !ok {
 		return
@@ -248,28 +248,28 @@
 	case plan.Slow:
 		b.model.Slowed(w.now, st.By)
 		b.drive()
-	case plan.Silence:
+	case plan.Isolate:
 		b.silent = true
 		b.state(trace.Silent)
-	case plan.Return:
+	case plan.Reconnect:
 		b.silent = false
 		b.state(trace.Back)
 		b.reset()
-	case plan.Lose:
+	case plan.DropRequests:
 		b.loses = st.By
-	case plan.Fail:
+	case plan.FailClass:
 		b.fails = ""
 		if st.By > 0 {
 			b.fails = st.Text
 		}
-	case plan.Reset:
+	case plan.ResetRequests:
 		w.resets = st.By
-	case plan.Dark:
+	case plan.CutLink:
 		w.dark[st.Text] = st.By > 0
-	case plan.Hush:
+	case plan.PauseList:
 		w.hushAt[st.Text] = true
 		w.hushed = w.hushAt[""]
-	case plan.Speak:
+	case plan.ResumeList:
 		delete(w.hushAt, st.Text)
 		w.hushed = w.hushAt[""]
 		for _, n := range w.nodes {
@@ -283,14 +283,14 @@
 		w.nodes[st.Node-1].kill()
 	case plan.Revive:
 		w.nodes[st.Node-1].revive()
-	case plan.Lag:
+	case plan.DelayList:
 		w.late = time.Duration(st.By * float64(time.Second))
 	}
 }
 
 // entry is a box as the list has it.
 func (w *world) entry(i int, state policy.State) policy.Entry {
-	p := &w.plan.Boxes[i]
+	p := &w.plan.Backends[i]
 	e := policy.Entry{ID: uint32(i + 1), Hash: subset.Hash(p.ID), Zone: p.Site, Cell: int64(p.Cell), Kind: p.Kind, State: state}
 	if b := w.boxes[i]; b != nil && b.started > 0 {
 		e.Launched = epoch + b.started
--- a/internal/kit/plan/plan.go
+++ b/internal/kit/plan/plan.go
@@ -16,8 +16,8 @@
 	"craneglade/internal/kit/scenario"
 )
 
-// Box is one box process. Its id stays with it when it restarts; its successor has another.
-type Box struct {
+// Backend is one box process. Its id stays with it when it restarts; its successor has another.
+type Backend struct {
 	ID    string
 	Site  string
 	Kind  string
@@ -30,33 +30,33 @@
 
 // The steps of a time table.
 const (
-	Start    = "start"    // Box starts, cold
-	Drain    = "drain"    // Box is taken off the list and, after By seconds, only finishes what it has
-	Exit     = "exit"     // its process ends
-	Crash    = "crash"    // its process dies
-	Restart  = "restart"  // and starts again under its id, cold
-	Slow     = "slow"     // it is slower by By; 1 is normal
-	Silence  = "silence"  // it is cut off
-	Return   = "return"   // it is back
-	Reset    = "reset"    // part By of all requests are reset; 0 ends it
-	Lose     = "lose"     // Box loses part By of its requests: read, and neither run nor answered; 0 ends it
-	Fail     = "fail"     // Box answers requests of the class Text with an error; By 0 ends it
-	Spoil    = "spoil"    // part By of all answers are spoilt; 0 ends it
-	Kill     = "kill"     // Node is killed
-	Term     = "term"     // Node gets SIGTERM
-	Revive   = "revive"   // Node starts again
-	Reload   = "reload"   // Node gets another discovery and SIGHUP
-	Stall    = "stall"    // a node's process is stopped,
-	Resume   = "resume"   // and goes on
-	CutNode  = "cut-node" // a node is cut off from others, Text: which way; By: which cut
-	Words    = "words"    // a trouble of what nodes say, Text: which, By: how much; By 0 ends it
-	Mend     = "mend"     // a cut is over; By: which
-	Dark     = "dark"     // what goes from one site to another is lost, Text: "from>to"; By 0 ends it
-	Hush     = "hush"     // the list says nothing, Text: to nodes of which site; "" to any
-	Speak    = "speak"    // the list speaks again
-	Lag      = "lag"      // the list is By seconds later than usual
-	Bad      = "bad"      // one bad client of kind Text comes to Node
-	Announce = "announce" // an event of the scenario begins: Text
+	Start            = "start"    // Box starts, cold
+	Drain            = "drain"    // Box is taken off the list and, after By seconds, only finishes what it has
+	Exit             = "exit"     // its process ends
+	Crash            = "crash"    // its process dies
+	Restart          = "restart"  // and starts again under its id, cold
+	Slow             = "slow"     // it is slower by By; 1 is normal
+	Isolate          = "silence"  // it is cut off
+	Reconnect        = "return"   // it is back
+	ResetRequests    = "reset"    // part By of all requests are reset; 0 ends it
+	DropRequests     = "lose"     // Box loses part By of its requests: read, and neither run nor answered; 0 ends it
+	FailClass        = "fail"     // Box answers requests of the class Text with an error; By 0 ends it
+	CorruptResponses = "spoil"    // part By of all answers are spoilt; 0 ends it
+	Kill             = "kill"     // Node is killed
+	Term             = "term"     // Node gets SIGTERM
+	Revive           = "revive"   // Node starts again
+	Reload           = "reload"   // Node gets another discovery and SIGHUP
+	Stall            = "stall"    // a node's process is stopped,
+	Resume           = "resume"   // and goes on
+	IsolateNode      = "cut-node" // a node is cut off from others, Text: which way; By: which cut
+	MessageFault     = "words"    // a trouble of what nodes say, Text: which, By: how much; By 0 ends it
+	HealNodes        = "mend"     // a cut is over; By: which
+	CutLink          = "dark"     // what goes from one site to another is lost, Text: "from>to"; By 0 ends it
+	PauseList        = "hush"     // the list says nothing, Text: to nodes of which site; "" to any
+	ResumeList       = "speak"    // the list speaks again
+	DelayList        = "lag"      // the list is By seconds later than usual
+	BadClient        = "bad"      // one bad client of kind Text comes to Node
+	Announce         = "announce" // an event of the scenario begins: Text
 )
 
 // Step is one thing that happens.
@@ -69,8 +69,8 @@
 	Text string
 }
 
-// Need is what one client wants: a request that it sends, and sends again as the scenario lets it.
-type Need struct {
+// Operation is what one client wants: a request that it sends, and sends again as the scenario lets it.
+type Operation struct {
 	N         int
 	At        time.Duration
 	Class     int // index into the scenario's classes
@@ -88,7 +88,7 @@
 type Plan struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
-	Boxes    []Box // all that ever start; the first Initial are there from the beginning, warm
+	Backends []Backend // all that ever start; the first Initial are there from the beginning, warm
 	Initial  int
 	Steps    []Step // in the order of their times
 	levels   []level
@@ -108,16 +108,16 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for _, f := range s.Fleet {
 		for range f.Count {
-			p.add(rng, f.Kind, s.Sites[len(p.Boxes)%len(s.Sites)].Name)
+			p.add(rng, f.Kind, s.Sites[len(p.Backends)%len(s.Sites)].Name)
 		}
 	}
 	// Kinds and sites must not go hand in hand: deal the sites out anew.
-	order := rng.Perm(len(p.Boxes))
+	order := rng.Perm(len(p.Backends))
 	for i, k := range order {
-		p.Boxes[k].Site = s.Sites[i%len(s.Sites)].Name
-		p.Boxes[k].Cell = i % len(s.Sites)
+		p.Backends[k].Site = s.Sites[i%len(s.Sites)].Name
+		p.Backends[k].Cell = i % len(s.Sites)
 	}
-	p.Initial = len(p.Boxes)
+	p.Initial = len(p.Backends)
 	p.table(rng)
 	slices.SortStableFunc(p.Steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	if s.Traffic.Shape == "bursty" {
@@ -134,7 +134,7 @@
 }
 
 // add makes a box of a kind.
-func (p *Plan) add(rng *rand.Rand, kind, site string) *Box {
+func (p *Plan) add(rng *rand.Rand, kind, site string) *Backend {
 	s := p.Scenario
 	k := s.Kind(kind)
 	speed := k.Speed * math.Exp(rng.NormFloat64()*k.Spread)
@@ -143,7 +143,7 @@
 		noise = max(noise, c.Noise)
 	}
 	cell := slices.IndexFunc(s.Sites, func(x scenario.Site) bool { return x.Name == site })
-	p.Boxes = append(p.Boxes, Box{ID: fmt.Sprintf("s-%08x", rng.Uint32()), Site: site, Kind: kind, Cell: cell, Seed: rng.Uint64(),
+	p.Backends = append(p.Backends, Backend{ID: fmt.Sprintf("s-%08x", rng.Uint32()), Site: site, Kind: kind, Cell: cell, Seed: rng.Uint64(),
 		Speed: speed, Spec: boxmodel.Spec{Cores: k.Cores, Speed: speed, Slots: k.Slots, Queue: k.Queue, Thrash: k.Thrash,
 			ThrashAt: k.ThrashAt, ColdFrom: k.ColdFrom, Cold: k.Cold.D(), WarmByWork: k.WarmBy == "requests",
 			PauseEvery: k.PauseEvery.D(), Pause: k.Pause.D(), ErrorRate: k.Errors, Noise: noise,
@@ -151,7 +151,7 @@
 			Choke: boxmodel.Choke{At: s.Choke.At, Over: s.Choke.Over.D(), Slower: s.Choke.Slower, Below: s.Choke.Below,
 				Rest: s.Choke.Rest.D(), Most: s.Choke.Most.D()},
 			Fall: boxmodel.Fall{Factor: s.Rules.FallFactor, For: s.Rules.FallFor.D()}}})
-	return &p.Boxes[len(p.Boxes)-1]
+	return &p.Backends[len(p.Backends)-1]
 }
 
 // life is when a box is in service, for the choice of boxes that events touch.
@@ -164,14 +164,14 @@
 func (p *Plan) table(rng *rand.Rand) {
 	s := p.Scenario
 	lives := map[string]life{}
-	for _, b := range p.Boxes {
+	for _, b := range p.Backends {
 		lives[b.ID] = life{0, forever}
 	}
 	step := func(st Step) { p.Steps = append(p.Steps, st) }
 	// there lists the boxes in service for the whole of a time, in the order of the plan.
 	there := func(from, to time.Duration) []int {
 		var out []int
-		for i, b := range p.Boxes {
+		for i, b := range p.Backends {
 			if l := lives[b.ID]; l.from <= from && l.to > to {
 				out = append(out, i)
 			}
@@ -202,7 +202,7 @@
 			}
 			for i, k := range old {
 				t := at + time.Duration(i/batch)*gap
-				id, kind, site := p.Boxes[k].ID, p.Boxes[k].Kind, p.Boxes[k].Site
+				id, kind, site := p.Backends[k].ID, p.Backends[k].Kind, p.Backends[k].Site
 				n := p.add(rng, kind, site)
 				exit := t + e.Drain.D()
 				begin := t
@@ -220,7 +220,7 @@
 			now := there(at, at)
 			more := int(math.Round((e.By - 1) * float64(len(now))))
 			for i := range more {
-				like := p.Boxes[now[i%len(now)]]
+				like := p.Backends[now[i%len(now)]]
 				n := p.add(rng, like.Kind, s.Sites[i%len(s.Sites)].Name)
 				t := at + time.Duration(float64(e.Over.D())*float64(i+1)/float64(more))
 				lives[n.ID] = life{t, forever}
@@ -251,36 +251,36 @@
 		case "slow":
 			announce("%d boxes %.1f times slower for %v", e.Boxes, e.By, e.For)
 			for _, i := range some(at, end, e.Boxes) {
-				step(Step{At: at, Do: Slow, Box: p.Boxes[i].ID, By: e.By})
-				step(Step{At: end, Do: Slow, Box: p.Boxes[i].ID, By: 1})
+				step(Step{At: at, Do: Slow, Box: p.Backends[i].ID, By: e.By})
+				step(Step{At: end, Do: Slow, Box: p.Backends[i].ID, By: 1})
 			}
 		case "vanish":
 			announce("%d boxes cut off for %v", e.Boxes, e.For)
 			for _, i := range some(at, end, e.Boxes) {
-				step(Step{At: at, Do: Silence, Box: p.Boxes[i].ID})
-				step(Step{At: end, Do: Return, Box: p.Boxes[i].ID})
+				step(Step{At: at, Do: Isolate, Box: p.Backends[i].ID})
+				step(Step{At: end, Do: Reconnect, Box: p.Backends[i].ID})
 			}
 		case "crash":
 			announce("%d boxes crash", e.Boxes)
 			for _, i := range some(at, at+e.Down.D(), e.Boxes) {
-				step(Step{At: at, Do: Crash, Box: p.Boxes[i].ID})
-				step(Step{At: at + e.Down.D(), Do: Restart, Box: p.Boxes[i].ID})
+				step(Step{At: at, Do: Crash, Box: p.Backends[i].ID})
+				step(Step{At: at + e.Down.D(), Do: Restart, Box: p.Backends[i].ID})
 			}
 		case "lose":
-			n := cmp.Or(e.Boxes, len(p.Boxes))
+			n := cmp.Or(e.Boxes, len(p.Backends))
 			announce("boxes lose %.0f%% of their requests for %v", 100*e.Part, e.For)
 			for _, i := range some(at, end, n) {
-				step(Step{At: at, Do: Lose, Box: p.Boxes[i].ID, By: e.Part})
-				step(Step{At: end, Do: Lose, Box: p.Boxes[i].ID})
+				step(Step{At: at, Do: DropRequests, Box: p.Backends[i].ID, By: e.Part})
+				step(Step{At: end, Do: DropRequests, Box: p.Backends[i].ID})
 			}
 		case "fail-class":
 			announce("%d boxes fail %s for %v", e.Boxes, e.Class, e.For)
 			for _, i := range some(at, end, e.Boxes) {
-				step(Step{At: at, Do: Fail, Box: p.Boxes[i].ID, Text: e.Class, By: 1})
-				step(Step{At: end, Do: Fail, Box: p.Boxes[i].ID, Text: e.Class})
+				step(Step{At: at, Do: FailClass, Box: p.Backends[i].ID, Text: e.Class, By: 1})
+				step(Step{At: end, Do: FailClass, Box: p.Backends[i].ID, Text: e.Class})
 			}
 		case "reset", "spoil":
-			do := map[string]string{"reset": Reset, "spoil": Spoil}[e.Do]
+			do := map[string]string{"reset": ResetRequests, "spoil": CorruptResponses}[e.Do]
 			announce("boxes %s %.0f%% for %v", e.Do, 100*e.Part, e.For)
 			step(Step{At: at, Do: do, By: e.Part})
 			step(Step{At: end, Do: do})
@@ -314,27 +314,27 @@
 			announce("%d nodes are cut off from the others, %s, for %v", len(nodes), e.Way, e.For)
 			cuts++
 			for _, n := range nodes {
-				step(Step{At: at, Do: CutNode, Node: n, Text: e.Way, By: cuts})
+				step(Step{At: at, Do: IsolateNode, Node: n, Text: e.Way, By: cuts})
 			}
-			step(Step{At: end, Do: Mend, By: cuts})
+			step(Step{At: end, Do: HealNodes, By: cuts})
 		case "drop-words", "double-words", "spoil-words", "late-words":
 			announce("%s, %v, for %v", e.Do, cmp.Or(e.Part, e.By), e.For)
-			step(Step{At: at, Do: Words, Text: e.Do, By: cmp.Or(e.Part, e.By)})
-			step(Step{At: end, Do: Words, Text: e.Do})
+			step(Step{At: at, Do: MessageFault, Text: e.Do, By: cmp.Or(e.Part, e.By)})
+			step(Step{At: end, Do: MessageFault, Text: e.Do})
 		case "lose-site":
 			announce("site %s is lost for %v", e.Site, e.For)
 			lost[e.Site] = append(lost[e.Site], life{at, end})
 			for _, i := range there(at, at) {
-				if id := p.Boxes[i].ID; p.Boxes[i].Site == e.Site {
-					step(Step{At: at, Do: Silence, Box: id})
+				if id := p.Backends[i].ID; p.Backends[i].Site == e.Site {
+					step(Step{At: at, Do: Isolate, Box: id})
 					step(Step{At: at + scenario.LostKnown, Do: Crash, Box: id})
 					step(Step{At: end, Do: Restart, Box: id})
 				}
 			}
-			for _, b := range p.Boxes { // what starts there meanwhile is not heard of either
+			for _, b := range p.Backends { // what starts there meanwhile is not heard of either
 				if from := lives[b.ID].from; b.Site == e.Site && from > at && from < end {
-					step(Step{At: from, Do: Silence, Box: b.ID})
-					step(Step{At: end, Do: Return, Box: b.ID})
+					step(Step{At: from, Do: Isolate, Box: b.ID})
+					step(Step{At: end, Do: Reconnect, Box: b.ID})
 				}
 			}
 		case "reload":
@@ -346,18 +346,18 @@
 			}
 		case "list-outage":
 			announce("the list is silent for %v, to %s", e.For, cmp.Or(e.Site, "all"))
-			step(Step{At: at, Do: Hush, Text: e.Site})
-			step(Step{At: end, Do: Speak, Text: e.Site})
+			step(Step{At: at, Do: PauseList, Text: e.Site})
+			step(Step{At: end, Do: ResumeList, Text: e.Site})
 		case "cut-links":
 			announce("links of %s to %s are cut, %s, for %v", cmp.Or(e.Site, "each site"), cmp.Or(e.To, "all others"), e.Way, e.For)
 			for _, way := range p.dark(e) {
-				step(Step{At: at, Do: Dark, Text: way, By: 1})
-				step(Step{At: end, Do: Dark, Text: way})
+				step(Step{At: at, Do: CutLink, Text: way, By: 1})
+				step(Step{At: end, Do: CutLink, Text: way})
 			}
 		case "list-stale":
 			announce("the list is %.1f s further behind for %v", e.By, e.For)
-			step(Step{At: at, Do: Lag, By: e.By})
-			step(Step{At: end, Do: Lag})
+			step(Step{At: at, Do: DelayList, By: e.By})
+			step(Step{At: end, Do: DelayList})
 		case "surge":
 			announce("traffic times %.1f for %v", e.By, e.For)
 			p.levels = append(p.levels, level{at, end, func(time.Duration) float64 { return e.By }})
@@ -375,12 +375,12 @@
 				if t >= end {
 					break
 				}
-				step(Step{At: t, Do: Bad, Node: 1 + rng.IntN(s.Nodes.Count), Text: kinds[rng.IntN(len(kinds))]})
+				step(Step{At: t, Do: BadClient, Node: 1 + rng.IntN(s.Nodes.Count), Text: kinds[rng.IntN(len(kinds))]})
 			}
 		}
 	}
 	site := map[string]string{}
-	for _, b := range p.Boxes {
+	for _, b := range p.Backends {
 		site[b.ID] = b.Site
 	}
 	p.Steps = slices.DeleteFunc(p.Steps, func(st Step) bool { // what crashed there starts again with its site
@@ -433,8 +433,8 @@
 	return r
 }
 
-// Needs is the stream of needs, in the order of their times. It holds no more than one at a time.
-type Needs struct {
+// Operations is the stream of needs, in the order of their times. It holds no more than one at a time.
+type Operations struct {
 	p       *Plan
 	rng     *rand.Rand
 	t       time.Duration
@@ -446,10 +446,10 @@
 	at      time.Duration
 }
 
-// Needs returns the stream from its start. Each call gives the same.
-func (p *Plan) Needs() *Needs {
+// Operations returns the stream from its start. Each call gives the same.
+func (p *Plan) Operations() *Operations {
 	s := p.Scenario
-	n := &Needs{p: p, rng: rand.New(rand.NewPCG(p.Seed, 2))}
+	n := &Operations{p: p, rng: rand.New(rand.NewPCG(p.Seed, 2))}
 	for _, c := range s.Classes {
 		n.class = append(n.class, c.Share)
 	}
@@ -474,12 +474,12 @@
 }
 
 // Next returns the next need; false after the last.
-func (n *Needs) Next() (Need, bool) {
+func (n *Operations) Next() (Operation, bool) {
 	s := n.p.Scenario
 	for {
 		n.t += time.Duration(n.rng.ExpFloat64() / n.p.peak * 1e9)
 		if n.t >= s.Length.D() {
-			return Need{}, false
+			return Operation{}, false
 		}
 		if n.rng.Float64()*n.p.peak < n.p.Rate(n.t) {
 			break
@@ -492,7 +492,7 @@
 		s2 := math.Log(1 + c.Spread*c.Spread)
 		work *= math.Exp(n.rng.NormFloat64()*math.Sqrt(s2) - s2/2)
 	}
-	d := Need{N: n.n, At: n.t, Class: class, Tenant: pick(n.rng, n.tenant), Site: pick(n.rng, n.site),
+	d := Operation{N: n.n, At: n.t, Class: class, Tenant: pick(n.rng, n.tenant), Site: pick(n.rng, n.site),
 		Work: time.Duration(work * 1e9).Round(time.Microsecond), Honours: n.rng.Float64() < s.Clients.Honour, Seed: n.rng.Uint64()}
 	if n.rng.Float64() < s.Clients.Impatient {
 		d.Impatient = time.Duration(n.rng.Float64() * 0.3 * float64(c.Deadline.D()))
@@ -526,7 +526,7 @@
 
 // Patience is how long a client waits for the answer to a try that it begins now; 0 where it begins none any more.
 // now is on the clock that Need.At is on.
-func (p *Plan) Patience(n *Need, now time.Duration) time.Duration {
+func (p *Plan) Patience(n *Operation, now time.Duration) time.Duration {
 	deadline := p.Scenario.Classes[n.Class].Deadline.D()
 	wait := min(time.Duration(float64(deadline)*p.Scenario.Clients.TryShare), n.At+deadline-now)
 	if wait < 5*time.Millisecond {
@@ -537,7 +537,7 @@
 
 // Again tells whether a client tries again after its try number try, from 0, ended so, and after which pause.
 // retryAfter is what a refusal asked for; 0 for nothing.
-func (p *Plan) Again(n *Need, try int, how string, retryAfter time.Duration) (pause time.Duration, again bool) {
+func (p *Plan) Again(n *Operation, try int, how string, retryAfter time.Duration) (pause time.Duration, again bool) {
 	c := &p.Scenario.Clients
 	if how == Served || how == Abandoned || try >= c.Retries ||
 		how == Failed && p.Scenario.Classes[n.Class].Effect != "safe" {
@@ -571,7 +571,7 @@
 
 // Write writes all of the plan as text.
 func (p *Plan) Write(w io.Writer) error {
-	for i, b := range p.Boxes {
+	for i, b := range p.Backends {
 		if _, err := fmt.Fprintf(w, "box %d %+v\n", i, b); err != nil {
 			return err
 		}
@@ -581,7 +581,7 @@
 			return err
 		}
 	}
-	for n := p.Needs(); ; {
+	for n := p.Operations(); ; {
 		d, ok := n.Next()
 		if !ok {
 			return nil
--- a/internal/kit/plan/plan_test.go
+++ b/internal/kit/plan/plan_test.go
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	p := New(s, 1)
-	if n := len(p.Boxes) - p.Initial; n != 20 { // 1.8 times 11
+	if n := len(p.Backends) - p.Initial; n != 20 { // 1.8 times 11
 		t.Errorf("%d boxes more", n)
 	}
 	for at, want := range map[time.Duration]float64{time.Second: 100, 10 * time.Second: 145, 16 * time.Second: 190, 18 * time.Second: 380} {
@@ -114,7 +114,7 @@
 		}
 	}
 	n := 0
-	for needs := p.Needs(); ; n++ {
+	for needs := p.Operations(); ; n++ {
 		d, ok := needs.Next()
 		if !ok {
 			break
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 	over, all := 0, 0
-	for needs := New(s, 1).Needs(); ; all++ {
+	for needs := New(s, 1).Operations(); ; all++ {
 		d, ok := needs.Next()
 		if !ok {
 			break
@@ -188,7 +188,7 @@
 	for seed := uint64(1); seed <= 20; seed++ {
 		p := New(s, seed)
 		site := map[string]string{}
-		for _, b := range p.Boxes {
+		for _, b := range p.Backends {
 			site[b.ID] = b.Site
 		}
 		for _, st := range p.Steps {
@@ -199,7 +199,7 @@
 				continue
 			}
 			found++
-			if !slices.ContainsFunc(p.Steps, func(x Step) bool { return x.Do == Silence && x.Box == st.Box && x.At == st.At }) {
+			if !slices.ContainsFunc(p.Steps, func(x Step) bool { return x.Do == Isolate && x.Box == st.Box && x.At == st.At }) {
 				t.Errorf("seed %d: box %s starts at %v and is heard of", seed, st.Box, st.At)
 			}
 		}
--- a/internal/kit/run/fleet.go
+++ b/internal/kit/run/fleet.go
@@ -78,15 +78,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := trace.Record{Kind: trace.Net, T: trace.US(r.clock().Now()), Text: s.Text, How: trace.Begin}
-	if s.Do != plan.Words {
+	if s.Do != plan.MessageFault {
 		rec.Text = fmt.Sprintf("cut %.0f", s.By)
 	}
-	if s.Do == plan.Mend || s.Do == plan.Words && s.By == 0 {
+	if s.Do == plan.HealNodes || s.Do == plan.MessageFault && s.By == 0 {
 		rec.How = trace.Over
 	}
 	r.out.Add(&rec)
 	switch s.Do {
-	case plan.CutNode:
+	case plan.IsolateNode:
 		c := r.cuts[s.By]
 		if c == nil {
 			c = &cut{nodes: map[int]bool{}}
@@ -103,12 +103,12 @@
 			out, in := off[from] && !off[to], off[to] && !off[from]
 			return out && s.Text != "in" || in && s.Text != "out"
 		})
-	case plan.Mend:
+	case plan.HealNodes:
 		if c := r.cuts[s.By]; c != nil {
 			c.end()
 			delete(r.cuts, s.By)
 		}
-	case plan.Words:
+	case plan.MessageFault:
 		if end := r.ends[s.Text]; end != nil {
 			end()
 			delete(r.ends, s.Text)
@@ -156,7 +156,7 @@
 	r.mu.Lock()
 	dark := maps.Clone(r.dark)
 	r.mu.Unlock()
-	seat.box.Cut(func(n trace.Node) (in, out bool) {
+	seat.box.SetCuts(func(n trace.Node) (in, out bool) {
 		return dark[n.Site+">"+seat.plan.Site] != nil, dark[seat.plan.Site+">"+n.Site] != nil
 	})
 }
--- a/internal/kit/run/node.go
+++ b/internal/kit/run/node.go
@@ -65,7 +65,7 @@
 			if n.rpc, err = n.r.nodeAddr(); err != nil {
 				return err
 			}
-			n.r.clients.RPCNode(n.index, n.rpc)
+			n.r.clients.SetRPCAddr(n.index, n.rpc)
 		}
 		if err = n.launch(ctx); err == nil || ctx.Err() != nil || n.starts > 1 {
 			return err
@@ -84,7 +84,7 @@
 			return err
 		}
 	}
-	path, err := n.write(n.agent.Known())
+	path, err := n.write(n.agent.InitialList())
 	if err != nil {
 		n.mu.Unlock()
 		return err
@@ -128,7 +128,7 @@
 		case !n.meant:
 			text := n.tail.last()
 			n.note(trace.Crashed, strings.TrimSpace(fmt.Sprintf("%v: %s", exitText(err), text)))
-			n.r.clients.Node(n.index, n.addr, stand.Unreachable)
+			n.r.clients.SetNode(n.index, n.addr, stand.Unreachable)
 		default:
 			n.note(trace.Exited, "")
 		}
@@ -138,7 +138,7 @@
 		return err
 	}
 	n.note(trace.Up, "")
-	n.r.clients.Node(n.index, n.addr, stand.Reachable)
+	n.r.clients.SetNode(n.index, n.addr, stand.Reachable)
 	return nil
 }
 
@@ -151,7 +151,7 @@
 }
 
 // write writes the configuration, with the list that is known.
-func (n *node) write(known stand.Whole) (string, error) {
+func (n *node) write(known stand.List) (string, error) {
 	text, err := config(n.r.plan, n, known)
 	if err != nil {
 		return "", err
@@ -253,14 +253,14 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.ended == ended {
-		n.r.clients.Node(n.index, n.addr, reach)
+		n.r.clients.SetNode(n.index, n.addr, reach)
 	}
 }
 
 // term asks the process to end and sees that it does.
 func (n *node) term() {
 	ended, ok := n.signal(syscall.SIGTERM, trace.Term, true)
-	n.r.after(termLate, func() { n.takeOut(ended, stand.Ending) })
+	n.r.after(termLate, func() { n.takeOut(ended, stand.Draining) })
 	if !ok {
 		return
 	}
@@ -288,9 +288,9 @@
 	if err != nil {
 		return err
 	}
-	n.agent.Settle(settleTime)
+	n.agent.DelayNotifications(settleTime)
 	n.signal(syscall.SIGHUP, trace.Hup, false)
-	old.Leave(leaveTime)
+	old.CloseAfter(leaveTime)
 	return nil
 }
 
--- a/internal/kit/run/run.go
+++ b/internal/kit/run/run.go
@@ -95,8 +95,8 @@
 
 // boxSeat is a box and the addresses at which the nodes see it.
 type boxSeat struct {
-	plan  *plan.Box
-	box   *stand.Box
+	plan  *plan.Backend
+	box   *stand.Backend
 	addrs []string
 	begun int64 // Unix milliseconds; 0 for long ago
 	up    bool
@@ -191,15 +191,15 @@
 
 // raise brings up all that is there before the first request.
 func (r *Rehearsal) raise(ctx context.Context) error {
-	for i := range r.plan.Boxes[:r.plan.Initial] {
-		b := &r.plan.Boxes[i]
+	for i := range r.plan.Backends[:r.plan.Initial] {
+		b := &r.plan.Backends[i]
 		if err := r.startBox(b, true, nil); err != nil {
 			return err
 		}
 	}
 	for _, n := range r.nodes {
 		var known []stand.Entry
-		for _, b := range r.plan.Boxes[:r.plan.Initial] {
+		for _, b := range r.plan.Backends[:r.plan.Initial] {
 			known = append(known, r.entry(r.boxes[b.ID], n.index, trace.Ready))
 		}
 		n.agent = stand.NewAgent(n.Name, r.plan.Scenario.List.Mode == "ask", r.clock(), r.out, known)
@@ -212,7 +212,7 @@
 			if n.names, err = r.newNames(n); err != nil {
 				return err
 			}
-			for _, b := range r.plan.Boxes[:r.plan.Initial] {
+			for _, b := range r.plan.Backends[:r.plan.Initial] {
 				if err := n.names.set(b.ID, b.Site, r.boxes[b.ID].addrs[n.index], true); err != nil {
 					return err
 				}
@@ -236,7 +236,7 @@
 func (r *Rehearsal) play(ctx context.Context) (*Cost, error) {
 	// The clock of the plan begins now; that of the trace keeps running from the start of the first box.
 	begin := r.clock().Now()
-	r.clients.Begin(begin)
+	r.clients.SetStart(begin)
 	r.out.Add(&trace.Record{Kind: trace.Event, T: trace.US(begin), How: trace.Begin, Text: "traffic begins"})
 	r.background(ctx, r.beat)
 	r.background(ctx, r.watch)
@@ -321,8 +321,8 @@
 
 func (r *Rehearsal) status(at time.Duration) Status {
 	c := &r.clients.Count
-	s := Status{At: at, Length: r.plan.Scenario.Length.D(), Asked: c.Asked.Load(), InTime: c.InTime.Load(), Late: c.Late.Load(),
-		Refused: c.Refused.Load(), Failed: c.Failed.Load(), Unreached: c.Unreached.Load(), Open: c.Open.Load()}
+	s := Status{At: at, Length: r.plan.Scenario.Length.D(), Asked: c.Started.Load(), InTime: c.InTime.Load(), Late: c.Late.Load(),
+		Refused: c.Refused.Load(), Failed: c.Failed.Load(), Unreached: c.Unreachable.Load(), Open: c.Open.Load()}
 	for _, n := range r.nodes {
 		n.mu.Lock()
 		select {
@@ -338,12 +338,12 @@
 		if !b.up {
 			continue
 		}
-		st := b.box.Standing()
+		st := b.box.Status()
 		s.Boxes++
 		for _, x := range []struct {
 			is bool
 			n  *int
-		}{{!st.Warm, &s.Cold}, {st.Slow, &s.Slow}, {st.Draining, &s.Leaving}, {st.Silent, &s.Silent}, {st.Fallen, &s.Fallen}} {
+		}{{!st.Warm, &s.Cold}, {st.Slow, &s.Slow}, {st.Draining, &s.Leaving}, {st.Isolated, &s.Silent}, {st.Collapsed, &s.Fallen}} {
 			if x.is {
 				*x.n++
 			}
@@ -419,24 +419,24 @@
 		r.publish(s.Box, trace.Ready, r.plan.Scenario.List.Add.D())
 		r.rename(s.Box, true)
 	case plan.Slow:
-		seat.box.Slow(s.By)
-	case plan.Silence:
-		seat.box.Silence()
-	case plan.Return:
-		seat.box.Return()
-	case plan.Lose:
-		seat.box.Lose(s.By)
-	case plan.Fail:
-		seat.box.FailClass(s.Text, s.By > 0)
-	case plan.Reset, plan.Spoil:
+		seat.box.SetSlowdown(s.By)
+	case plan.Isolate:
+		seat.box.Isolate()
+	case plan.Reconnect:
+		seat.box.Reconnect()
+	case plan.DropRequests:
+		seat.box.SetDropFraction(s.By)
+	case plan.FailClass:
+		seat.box.SetClassFailure(s.Text, s.By > 0)
+	case plan.ResetRequests, plan.CorruptResponses:
 		r.mu.Lock()
-		if s.Do == plan.Reset {
+		if s.Do == plan.ResetRequests {
 			r.resets = s.By
 		} else {
 			r.spoils = s.By
 		}
 		for _, b := range r.boxes {
-			b.box.Trouble(r.resets, r.spoils)
+			b.box.SetFaults(r.resets, r.spoils)
 		}
 		r.mu.Unlock()
 	case plan.Kill:
@@ -451,27 +451,27 @@
 		n.signal(syscall.SIGSTOP, trace.Stopped, false)
 	case plan.Resume:
 		n.signal(syscall.SIGCONT, trace.Goes, false)
-	case plan.CutNode, plan.Mend, plan.Words:
+	case plan.IsolateNode, plan.HealNodes, plan.MessageFault:
 		r.trouble(&s)
-	case plan.Dark:
+	case plan.CutLink:
 		r.darken(&s)
-	case plan.Hush, plan.Speak:
+	case plan.PauseList, plan.ResumeList:
 		for _, n := range r.nodes {
 			if s.Text != "" && n.Site != s.Text {
 				continue
 			}
-			if s.Do == plan.Hush {
-				n.agent.Hush()
+			if s.Do == plan.PauseList {
+				n.agent.Pause()
 			} else {
-				n.agent.Speak()
+				n.agent.Resume()
 			}
 		}
-	case plan.Lag:
+	case plan.DelayList:
 		r.mu.Lock()
 		r.late = time.Duration(s.By * float64(time.Second))
 		r.mu.Unlock()
-	case plan.Bad:
-		r.clients.Bad(ctx, s.Node, s.Text)
+	case plan.BadClient:
+		r.clients.StartBadClient(ctx, s.Node, s.Text)
 	}
 	return nil
 }
@@ -505,25 +505,25 @@
 	}
 }
 
-func (r *Rehearsal) planned(id string) *plan.Box {
-	for i := range r.plan.Boxes {
-		if r.plan.Boxes[i].ID == id {
-			return &r.plan.Boxes[i]
+func (r *Rehearsal) planned(id string) *plan.Backend {
+	for i := range r.plan.Backends {
+		if r.plan.Backends[i].ID == id {
+			return &r.plan.Backends[i]
 		}
 	}
 	return nil
 }
 
 // startBox starts a box's process, at given addresses or at new ones.
-func (r *Rehearsal) startBox(b *plan.Box, warm bool, addrs []string) error {
+func (r *Rehearsal) startBox(b *plan.Backend, warm bool, addrs []string) error {
 	s := r.plan.Scenario
 	spec := b.Spec
 	if warm {
 		spec.ColdFrom = 1
 	}
-	cfg := stand.BoxConfig{ID: b.ID, Site: b.Site, Kind: b.Kind, Cell: b.Cell, Seed: b.Seed, Spec: spec, Handshake: s.Conn.Handshake.D(),
-		MaxConns: s.Conn.Max, Idle: s.Conn.Idle.D(), Noise: s.Report.Noise, Delay: r.delay(b)}
-	cfg.Report.Every, cfg.Report.Late = s.Report.Every.D(), s.Report.Late.D()
+	cfg := stand.BackendConfig{ID: b.ID, Site: b.Site, Kind: b.Kind, Cell: b.Cell, Seed: b.Seed, Spec: spec, Handshake: s.Conn.Handshake.D(),
+		MaxConns: s.Conn.Max, IdleTimeout: s.Conn.Idle.D(), ReportNoise: s.Report.Noise, Delay: r.delay(b)}
+	cfg.Report.Interval, cfg.Report.Delay = s.Report.Every.D(), s.Report.Late.D()
 	var lns []net.Listener
 	for i := range r.nodes {
 		want := ""
@@ -546,13 +546,13 @@
 	if !warm {
 		seat.begun = time.Now().UnixMilli()
 	}
-	seat.box = stand.NewBox(cfg, r.clock(), r.out, &r.atts)
+	seat.box = stand.NewBackend(cfg, r.clock(), r.out, &r.atts)
 	for i, ln := range lns {
 		seat.addrs = append(seat.addrs, ln.Addr().String())
 		seat.box.Serve(ln, r.nodes[i].Node)
 	}
 	r.mu.Lock()
-	seat.box.Trouble(r.resets, r.spoils)
+	seat.box.SetFaults(r.resets, r.spoils)
 	r.boxes[b.ID] = seat
 	r.mu.Unlock()
 	r.link(seat)
@@ -560,7 +560,7 @@
 }
 
 // delay is the way between a site and a box.
-func (r *Rehearsal) delay(b *plan.Box) func(string) time.Duration {
+func (r *Rehearsal) delay(b *plan.Backend) func(string) time.Duration {
 	net := r.plan.Scenario.Net
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(b.Seed, 7))
--- a/internal/kit/run/settings.go
+++ b/internal/kit/run/settings.go
@@ -10,7 +10,7 @@
 )
 
 // config is a node's configuration file, as DEPLOY describes it.
-func config(p *plan.Plan, n *node, known stand.Whole) ([]byte, error) {
+func config(p *plan.Plan, n *node, known stand.List) ([]byte, error) {
 	type m = map[string]any
 	s := p.Scenario
 	return json.MarshalIndent(m{"name": n.Name, "listen": n.addr, "discovery": n.agentAt.Addr,
--- a/internal/kit/stand/bad.go
+++ b/internal/kit/stand/bad.go
@@ -16,8 +16,8 @@
 	"craneglade/internal/kit/trace"
 )
 
-// Bad plays one client that sends what is no request to a node. Within 3 s it is owed an error or a close.
-func (c *Clients) Bad(ctx context.Context, node int, kind string) {
+// StartBadClient plays one client that sends what is no request to a node. Within 3 s it is owed an error or a close.
+func (c *Clients) StartBadClient(ctx context.Context, node int, kind string) {
 	c.wg.Add(1)
 	go func() {
 		defer c.wg.Done()
--- a/internal/kit/stand/box.go
+++ b/internal/kit/stand/box.go
@@ -26,23 +26,23 @@
 // maxBody is the largest body of a request that a box reads, in bytes.
 const maxBody = 32 << 20
 
-// BoxConfig is what a box is.
-type BoxConfig struct {
+// BackendConfig is what a box is.
+type BackendConfig struct {
 	ID, Site, Kind string
 	Cell           int
 	Seed           uint64
 	Spec           boxmodel.Spec
-	Handshake      time.Duration                       // work that a new connection costs, on a core of speed 1
-	MaxConns       int                                 // connections that it accepts; 0 for any number
-	Idle           time.Duration                       // a connection that stood idle for so long is closed
-	Delay          func(from string) time.Duration     // one way, between a site and this box
-	Report         struct{ Every, Late time.Duration } // of load reports
-	Noise          float64                             // of load reports, as a part
+	Handshake      time.Duration                           // work that a new connection costs, on a core of speed 1
+	MaxConns       int                                     // connections that it accepts; 0 for any number
+	IdleTimeout    time.Duration                           // a connection that stood idle for so long is closed
+	Delay          func(from string) time.Duration         // one way, between a site and this box
+	Report         struct{ Interval, Delay time.Duration } // of load reports
+	ReportNoise    float64                                 // of load reports, as a part
 }
 
-// Box is a box process. It serves until Stop.
-type Box struct {
-	cfg   BoxConfig
+// Backend is a box process. It serves until Stop.
+type Backend struct {
+	cfg   BackendConfig
 	clock Clock
 	out   *trace.Writer
 	atts  *atomic.Int64
@@ -90,13 +90,13 @@
 	rpc    string   // and its id there
 }
 
-// NewBox starts a box that listens nowhere yet. atts numbers the requests at all boxes of a rehearsal.
-func NewBox(cfg BoxConfig, clock Clock, out *trace.Writer, atts *atomic.Int64) *Box {
-	b := &Box{cfg: cfg, clock: clock, out: out, atts: atts, kick: make(chan struct{}, 1), quit: make(chan struct{}),
+// NewBackend starts a box that listens nowhere yet. atts numbers the requests at all boxes of a rehearsal.
+func NewBackend(cfg BackendConfig, clock Clock, out *trace.Writer, atts *atomic.Int64) *Backend {
+	b := &Backend{cfg: cfg, clock: clock, out: out, atts: atts, kick: make(chan struct{}, 1), quit: make(chan struct{}),
 		rng: rand.New(rand.NewPCG(cfg.Seed, 3)), open: map[uint64]*call{}, conns: map[*boxConn]struct{}{}}
 	now := clock.Now()
 	b.model = boxmodel.New(cfg.Spec, cfg.Seed, now)
-	b.reports = boxmodel.NewReports(cfg.Report.Late, cfg.Noise, b.rng)
+	b.reports = boxmodel.NewReports(cfg.Report.Delay, cfg.ReportNoise, b.rng)
 	b.state(now, trace.Ready)
 	b.wg.Add(1)
 	go func() {
@@ -107,13 +107,13 @@
 }
 
 // state notes a change of the box as a whole. b.mu is held, or nobody else knows the box.
-func (b *Box) state(now time.Duration, state string) {
+func (b *Backend) state(now time.Duration, state string) {
 	b.out.Add(&trace.Record{Kind: trace.Box, T: trace.US(now), Box: b.cfg.ID, Site: b.cfg.Site, Cell: b.cfg.Cell, Kit: b.cfg.Kind,
 		State: state, Cores: b.model.Capacity(), Full: b.model.Full()})
 }
 
 // Serve takes connections of one node from ln, and closes it when the box stops.
-func (b *Box) Serve(ln net.Listener, node trace.Node) {
+func (b *Backend) Serve(ln net.Listener, node trace.Node) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.stopped {
@@ -134,7 +134,7 @@
 }
 
 // accept takes a connection. One that comes while its link is cut is taken, and nobody else's until it is whole again.
-func (b *Box) accept(conn net.Conn, l *link) {
+func (b *Backend) accept(conn net.Conn, l *link) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if back := l.back; back != nil && !b.closed {
@@ -166,7 +166,7 @@
 }
 
 // holds is the number of connections. b.mu is held.
-func (b *Box) holds() int {
+func (b *Backend) holds() int {
 	n := 0
 	for c := range b.conns {
 		if c.shared == nil {
@@ -177,7 +177,7 @@
 }
 
 // Drain makes the box finish what it has and turn new requests away.
-func (b *Box) Drain() {
+func (b *Backend) Drain() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.draining = true
@@ -185,7 +185,7 @@
 }
 
 // Stop ends the process: connections are reset, new ones are refused. It returns when all of it has ended.
-func (b *Box) Stop() {
+func (b *Backend) Stop() {
 	b.mu.Lock()
 	b.die()
 	if !b.closed {
@@ -207,7 +207,7 @@
 }
 
 // Crash ends the process. Of a box that is cut off nobody hears that: its connections stay as they are until Stop.
-func (b *Box) Crash() {
+func (b *Backend) Crash() {
 	b.mu.Lock()
 	silent := b.silent
 	if silent {
@@ -220,7 +220,7 @@
 }
 
 // die ends what runs here. b.mu is held.
-func (b *Box) die() {
+func (b *Backend) die() {
 	if b.stopped {
 		return
 	}
@@ -233,7 +233,7 @@
 }
 
 // lost resets a connection, and notes so for the request on it. b.mu is held.
-func (b *Box) lost(c *boxConn) {
+func (b *Backend) lost(c *boxConn) {
 	for o := range b.conns { // all calls that share it
 		if o != c && c.shared != nil && o.shared == c.shared {
 			b.noteLost(o)
@@ -246,14 +246,14 @@
 }
 
 // noteLost notes that a connection's request is reset. b.mu is held.
-func (b *Box) noteLost(c *boxConn) {
+func (b *Backend) noteLost(c *boxConn) {
 	if k := c.busy.Swap(nil); k != nil {
 		b.out.Add(&trace.Record{Kind: trace.Reply, T: b.clock.us(), Box: b.cfg.ID, Att: k.att, ID: k.id, How: trace.Reset})
 	}
 }
 
-// Silence cuts the box off; Return brings it back, with every connection from before reset.
-func (b *Box) Silence() {
+// Isolate cuts the box off; Return brings it back, with every connection from before reset.
+func (b *Backend) Isolate() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.silent || b.stopped {
@@ -266,8 +266,8 @@
 	b.state(b.clock.Now(), trace.Silent)
 }
 
-// Return ends Silence. Connections that begin after it come up.
-func (b *Box) Return() {
+// Reconnect ends Silence. Connections that begin after it come up.
+func (b *Backend) Reconnect() {
 	var ended []<-chan struct{}
 	defer func() { await(ended) }()
 	b.mu.Lock()
@@ -281,30 +281,30 @@
 	}
 }
 
-// Slow makes the box slower by a factor; 1 is its usual speed.
-func (b *Box) Slow(factor float64) {
+// SetSlowdown makes the box slower by a factor; 1 is its usual speed.
+func (b *Backend) SetSlowdown(factor float64) {
 	b.mu.Lock()
 	b.model.Slowed(b.clock.Now(), factor)
 	b.mu.Unlock()
 	b.poke()
 }
 
-// Trouble sets the parts of the requests that are reset and of the answers that are spoilt.
-func (b *Box) Trouble(resets, spoils float64) {
+// SetFaults sets the parts of the requests that are reset and of the answers that are spoilt.
+func (b *Backend) SetFaults(resets, spoils float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.resets, b.spoils = resets, spoils
 }
 
-// Lose sets the part of the requests that the box reads and then forgets: they neither run nor get an answer.
-func (b *Box) Lose(part float64) {
+// SetDropFraction sets the part of the requests that the box reads and then forgets: they neither run nor get an answer.
+func (b *Backend) SetDropFraction(part float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.loses = part
 }
 
-// FailClass makes the box answer requests of a class with an error, or ends that.
-func (b *Box) FailClass(class string, on bool) {
+// SetClassFailure makes the box answer requests of a class with an error, or ends that.
+func (b *Backend) SetClassFailure(class string, on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fails = ""
@@ -313,20 +313,20 @@
 	}
 }
 
-// Standing is what there is to show of a box.
-type Standing struct {
-	Warm, Slow, Draining, Silent, Fallen bool
-	Held                                 int
+// Status is what there is to show of a box.
+type Status struct {
+	Warm, Slow, Draining, Isolated, Collapsed bool
+	InFlight                                  int
 }
 
-// Standing tells how the box stands.
-func (b *Box) Standing() Standing {
+// Status tells how the box stands.
+func (b *Backend) Status() Status {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return Standing{b.model.Warm(), b.slow, b.draining, b.silent, b.model.Down(), b.model.Held()}
+	return Status{b.model.Warm(), b.slow, b.draining, b.silent, b.model.Down(), b.model.Held()}
 }
 
-func (b *Box) poke() {
+func (b *Backend) poke() {
 	select {
 	case b.kick <- struct{}{}:
 	default:
@@ -334,7 +334,7 @@
 }
 
 // drive keeps the model up to the time and answers what it has done.
-func (b *Box) drive() {
+func (b *Backend) drive() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	loads, caps, reports := time.Duration(0), time.Duration(0), time.Duration(0)
@@ -344,7 +344,7 @@
 		b.model.Advance(now)
 		b.settle()
 		if now >= reports {
-			reports = now + b.cfg.Report.Every
+			reports = now + b.cfg.Report.Interval
 			b.reports.Take(now, b.model)
 		}
 		if now >= loads {
@@ -357,7 +357,7 @@
 			b.out.Add(&trace.Record{Kind: trace.Cap, T: trace.US(now), Box: b.cfg.ID, Cores: b.model.Capacity()})
 		}
 		next := loads
-		if b.cfg.Report.Every > 0 {
+		if b.cfg.Report.Interval > 0 {
 			next = min(next, reports)
 		}
 		if at, ok := b.model.Next(); ok {
@@ -375,7 +375,7 @@
 }
 
 // settle carries out what the model has done. b.mu is held.
-func (b *Box) settle() {
+func (b *Backend) settle() {
 	results, changes := b.model.Take()
 	for _, c := range changes {
 		switch c.What {
@@ -431,7 +431,7 @@
 }
 
 // answer is an answer's text with the load report that is due. b.mu is held.
-func (b *Box) answer(status int, headers, body string) string {
+func (b *Backend) answer(status int, headers, body string) string {
 	if held, queue, ok := b.reports.Due(); ok && status != 400 && status != 404 {
 		headers += fmt.Sprintf("X-Load: {\"inflight\":%d,\"queue\":%d}\r\n", held, queue)
 	}
@@ -440,7 +440,7 @@
 }
 
 // later writes an answer once it has come as far as the node's site.
-func (b *Box) later(k *call, how, text string) {
+func (b *Backend) later(k *call, how, text string) {
 	status := 0
 	if how != trace.Spoilt {
 		status, _ = strconv.Atoi(text[9:12])
@@ -474,7 +474,7 @@
 
 // wait returns once the box can be reached. It tells whether it could all along, as far as this connection goes: what
 // was read off it just before the box came back is none of the box's either.
-func (b *Box) wait(c *boxConn) bool {
+func (b *Backend) wait(c *boxConn) bool {
 	b.mu.Lock()
 	back, hears, cut := c.link.back, b.hears(c), c.cut
 	b.mu.Unlock()
@@ -486,15 +486,15 @@
 }
 
 // talk reads the requests of one connection.
-func (b *Box) talk(c *boxConn) {
+func (b *Backend) talk(c *boxConn) {
 	if !b.wait(c) {
 		reset(c.Conn)
 		return
 	}
 	in := bufio.NewReader(c.Conn)
 	for {
-		if b.cfg.Idle > 0 && c.busy.Load() == nil {
-			c.SetReadDeadline(time.Now().Add(b.cfg.Idle))
+		if b.cfg.IdleTimeout > 0 && c.busy.Load() == nil {
+			c.SetReadDeadline(time.Now().Add(b.cfg.IdleTimeout))
 		}
 		next, err := in.Peek(1)
 		first := b.clock.us()
@@ -517,7 +517,7 @@
 }
 
 // gone is called when a node has closed a connection.
-func (b *Box) gone(c *boxConn) {
+func (b *Backend) gone(c *boxConn) {
 	k := c.busy.Swap(nil)
 	if k == nil {
 		return
@@ -535,7 +535,7 @@
 }
 
 // request reads one request and hands it to the model. It returns false when the connection is of no further use.
-func (b *Box) request(c *boxConn, in *bufio.Reader, first int64) bool {
+func (b *Backend) request(c *boxConn, in *bufio.Reader, first int64) bool {
 	r, err := http.ReadRequest(in)
 	var body []byte
 	if err == nil {
--- a/internal/kit/stand/client.go
+++ b/internal/kit/stand/client.go
@@ -55,8 +55,8 @@
 
 // Counts are figures for the eye, since the start.
 type Counts struct {
-	Asked, InTime, Late, Refused, Failed, Unreached, Left atomic.Int64
-	Open                                                  atomic.Int64
+	Started, InTime, Late, Refused, Failed, Unreachable, Abandoned atomic.Int64
+	Open                                                           atomic.Int64
 }
 
 // Reach tells how clients can reach a node.
@@ -65,7 +65,7 @@
 const (
 	Unreachable Reach = iota // not at all
 	Reachable                // by connections that they have, and by new ones
-	Ending                   // by those that they have alone, for as long as these stay open
+	Draining                 // by those that they have alone, for as long as these stay open
 )
 
 // front is what the front layer knows of a node.
@@ -94,11 +94,11 @@
 	return c
 }
 
-// Begin says when the plan's time begins, since the start of the rehearsal. It is called before Play.
-func (c *Clients) Begin(at time.Duration) { c.begin = at }
+// SetStart says when the plan's time begins, since the start of the rehearsal. It is called before Play.
+func (c *Clients) SetStart(at time.Duration) { c.begin = at }
 
-// Node tells the front of a node's address and how clients are to go there.
-func (c *Clients) Node(i int, addr string, reach Reach) {
+// SetNode tells the front of a node's address and how clients are to go there.
+func (c *Clients) SetNode(i int, addr string, reach Reach) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nodes[i].addr, c.nodes[i].reach = addr, reach
@@ -106,7 +106,7 @@
 
 // takes tells whether a request may go to a node. Clients.mu is held.
 func (f *front) takes() bool {
-	if f.reach != Ending {
+	if f.reach != Draining {
 		return f.reach == Reachable
 	}
 	f.idle = slices.DeleteFunc(f.idle, (*clientConn).isDead)
@@ -125,7 +125,7 @@
 func (c *Clients) Play(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for needs := c.plan.Needs(); ; {
+	for needs := c.plan.Operations(); ; {
 		n, ok := needs.Next()
 		if !ok {
 			return
@@ -199,7 +199,7 @@
 }
 
 // need is one client's: its tries, and what became of them.
-func (c *Clients) need(ctx context.Context, n plan.Need) {
+func (c *Clients) need(ctx context.Context, n plan.Operation) {
 	s := c.plan.Scenario
 	class := &s.Classes[n.Class]
 	rng := rand.New(rand.NewPCG(n.Seed, 5))
@@ -209,7 +209,7 @@
 	want := rec
 	want.Kind, want.T, want.ID = trace.Want, trace.US(n.At), first
 	c.out.Add(&want)
-	c.Count.Asked.Add(1)
+	c.Count.Started.Add(1)
 	c.Count.Open.Add(1)
 	defer c.Count.Open.Add(-1)
 	end := n.At + class.Deadline.D()
@@ -249,9 +249,9 @@
 	case "refused":
 		c.Count.Refused.Add(1)
 	case "unreachable":
-		c.Count.Unreached.Add(1)
+		c.Count.Unreachable.Add(1)
 	case "left":
-		c.Count.Left.Add(1)
+		c.Count.Abandoned.Add(1)
 	default:
 		c.Count.Failed.Add(1)
 	}
@@ -259,7 +259,7 @@
 
 // sending is one request.
 type sending struct {
-	need    *plan.Need
+	need    *plan.Operation
 	class   *scenario.Class
 	id, of  string
 	try     int
@@ -474,7 +474,7 @@
 	if rpc {
 		addr = f.rpcAddr
 	}
-	full := c.most > 0 && len(f.all)+f.dialing >= c.most || f.reach == Ending
+	full := c.most > 0 && len(f.all)+f.dialing >= c.most || f.reach == Draining
 	if !full {
 		f.dialing++
 	}
--- a/internal/kit/stand/link.go
+++ b/internal/kit/stand/link.go
@@ -102,9 +102,9 @@
 	return err == nil && set
 }
 
-// Cut cuts the box off from nodes, as of tells for each: from what the node sends (in), what is sent to it (out), both or
+// SetCuts cuts the box off from nodes, as of tells for each: from what the node sends (in), what is sent to it (out), both or
 // neither. Connections that were open under a cut are reset when it ends, and those that begin after it come up.
-func (b *Box) Cut(of func(node trace.Node) (in, out bool)) {
+func (b *Backend) SetCuts(of func(node trace.Node) (in, out bool)) {
 	var ended []<-chan struct{}
 	defer func() { await(ended) }()
 	b.mu.Lock()
@@ -126,7 +126,7 @@
 
 // turn brings a link to what is cut now. Where that makes it whole, what it returns is closed once what waited on it is
 // done away with; nil where nothing did. b.mu is held.
-func (b *Box) turn(l *link) (ended <-chan struct{}) {
+func (b *Backend) turn(l *link) (ended <-chan struct{}) {
 	cut := b.silent || l.in || l.out
 	switch {
 	case cut && l.back == nil && !b.closed:
@@ -149,5 +149,5 @@
 }
 
 // hears tells whether what a node sends arrives, and says whether what the box sends does. b.mu is held.
-func (b *Box) hears(c *boxConn) bool { return !b.silent && !c.link.in }
-func (b *Box) says(c *boxConn) bool  { return !b.silent && !c.link.out }
+func (b *Backend) hears(c *boxConn) bool { return !b.silent && !c.link.in }
+func (b *Backend) says(c *boxConn) bool  { return !b.silent && !c.link.out }
--- a/internal/kit/stand/list.go
+++ b/internal/kit/stand/list.go
@@ -28,8 +28,8 @@
 	RPC     string  `json:"rpc,omitempty"` // where it speaks JSON-RPC
 }
 
-// Whole is a list or a change of one, as PROTOCOL's discovery writes it.
-type Whole struct {
+// List is a list or a change of one, as PROTOCOL's discovery writes it.
+type List struct {
 	Version int64   `json:"version"`
 	Full    bool    `json:"full"`
 	Servers []Entry `json:"servers"`
@@ -118,8 +118,8 @@
 	a.changed = make(chan struct{})
 }
 
-// Hush makes the list say nothing and hear nothing, until Speak.
-func (a *Agent) Hush() {
+// Pause makes the list say nothing and hear nothing, until Speak.
+func (a *Agent) Pause() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.hush == nil {
@@ -127,8 +127,8 @@
 	}
 }
 
-// Speak ends Hush.
-func (a *Agent) Speak() {
+// Resume ends Hush.
+func (a *Agent) Resume() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.hush == nil {
@@ -142,17 +142,17 @@
 	a.hush = nil
 }
 
-// Settle says that what the list has to tell counts as told after d at the earliest: a node that has just been given
+// DelayNotifications says that what the list has to tell counts as told after d at the earliest: a node that has just been given
 // another discovery gets that long to find it.
-func (a *Agent) Settle(d time.Duration) {
+func (a *Agent) DelayNotifications(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.settled = a.clock.Now() + d
 }
 
-// Known is the list that a new process of the node is started with. All of it counts as told then: what an earlier process had
+// InitialList is the list that a new process of the node is started with. All of it counts as told then: what an earlier process had
 // still to find after a reload is over.
-func (a *Agent) Known() Whole {
+func (a *Agent) InitialList() List {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.settled = 0
@@ -165,15 +165,15 @@
 }
 
 // List is the whole list.
-func (a *Agent) List() Whole {
+func (a *Agent) List() List {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.since(0, true)
 }
 
 // since is what has changed after a version, or the whole list. a.mu is held.
-func (a *Agent) since(version int64, full bool) Whole {
-	l := Whole{Version: a.version, Full: full, Servers: []Entry{}}
+func (a *Agent) since(version int64, full bool) List {
+	l := List{Version: a.version, Full: full, Servers: []Entry{}}
 	for _, e := range a.entries {
 		if full && e.State != trace.Gone || !full && e.version > version {
 			l.Servers = append(l.Servers, e.Entry)
@@ -197,7 +197,7 @@
 	for {
 		a.mu.Lock()
 		hush, changed, newer := a.hush, a.changed, !watch || a.version > since
-		var l Whole
+		var l List
 		if hush == nil && (newer || ctx.Err() != nil) {
 			l = a.since(since, !watch || since > a.version)
 		}
@@ -228,7 +228,7 @@
 	}
 }
 
-func (a *Agent) write(w http.ResponseWriter, l Whole) {
+func (a *Agent) write(w http.ResponseWriter, l List) {
 	w.Header().Set("Content-Type", "application/json")
 	if json.NewEncoder(w).Encode(l) != nil || !a.ask {
 		return
@@ -260,8 +260,8 @@
 	return s
 }
 
-// Leave takes no new connection from now on, and closes the open ones after d.
-func (s *AgentServer) Leave(d time.Duration) {
+// CloseAfter takes no new connection from now on, and closes the open ones after d.
+func (s *AgentServer) CloseAfter(d time.Duration) {
 	s.ln.Close()
 	time.AfterFunc(d, func() { s.srv.Close() })
 }
--- a/internal/kit/stand/rpc.go
+++ b/internal/kit/stand/rpc.go
@@ -40,7 +40,7 @@
 
 // talkRPC reads the calls of one connection, which share it. Each has a place of its own among the connections for as long
 // as it is open.
-func (b *Box) talkRPC(c *boxConn, in *bufio.Reader) {
+func (b *Backend) talkRPC(c *boxConn, in *bufio.Reader) {
 	r := jsonrpc.NewReader(in)
 	defer func() {
 		b.mu.Lock()
@@ -209,8 +209,8 @@
 	}
 }
 
-// RPCNode gives the front of a node's address for JSON-RPC.
-func (c *Clients) RPCNode(i int, addr string) {
+// SetRPCAddr gives the front of a node's address for JSON-RPC.
+func (c *Clients) SetRPCAddr(i int, addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nodes[i].rpcAddr = addr
--- a/internal/kit/stand/stand_test.go
+++ b/internal/kit/stand/stand_test.go
@@ -92,15 +92,15 @@
 }
 
 // newBox starts a box that one node sees.
-func newBox(t *testing.T, b *book, change func(*BoxConfig)) (*Box, string) {
+func newBox(t *testing.T, b *book, change func(*BackendConfig)) (*Backend, string) {
 	t.Helper()
-	cfg := BoxConfig{ID: "b1", Site: "a", Kind: "k", Seed: 1, Delay: func(string) time.Duration { return 0 },
+	cfg := BackendConfig{ID: "b1", Site: "a", Kind: "k", Seed: 1, Delay: func(string) time.Duration { return 0 },
 		Spec: boxmodel.Spec{Cores: 2, Speed: 1, Slots: 2, Queue: 1, ColdFrom: 1, CancelQueued: true, CancelRuns: true}}
-	cfg.Report.Every = 10 * time.Millisecond
+	cfg.Report.Interval = 10 * time.Millisecond
 	if change != nil {
 		change(&cfg)
 	}
-	x := NewBox(cfg, Clock{time.Now()}, b.w, &atomic.Int64{})
+	x := NewBackend(cfg, Clock{time.Now()}, b.w, &atomic.Int64{})
 	ln := listen(t)
 	x.Serve(ln, trace.Node{Name: "n1", Site: "a"})
 	t.Cleanup(x.Stop)
@@ -206,18 +206,18 @@
 	x, addr := newBox(t, b, nil)
 	p := dial(t, addr)
 	io.WriteString(p, post("r1", 50*time.Second))
-	until(t, "the request", func() bool { return x.Standing().Held == 1 })
+	until(t, "the request", func() bool { return x.Status().InFlight == 1 })
 	p.Close()
-	until(t, "its end", func() bool { return x.Standing().Held == 0 })
+	until(t, "its end", func() bool { return x.Status().InFlight == 0 })
 	until(t, "the record", func() bool { return len(b.records(t, trace.Drop)) == 1 })
 }
 
 func TestBoxTurnsAwayWhatIsTooMuch(t *testing.T) {
 	b := newBook()
-	x, addr := newBox(t, b, func(c *BoxConfig) { c.MaxConns = 4 })
+	x, addr := newBox(t, b, func(c *BackendConfig) { c.MaxConns = 4 })
 	for i := range 3 { // two run, one waits
 		io.WriteString(dial(t, addr), post(fmt.Sprint("r", i), 50*time.Second))
-		until(t, "the request", func() bool { return x.Standing().Held == i+1 })
+		until(t, "the request", func() bool { return x.Status().InFlight == i+1 })
 	}
 	if resp, _ := dial(t, addr).ask(t, post("r8", 0)); resp.StatusCode != 503 || resp.Header.Get("X-Not-Run") != "1" {
 		t.Errorf("no room: %d", resp.StatusCode)
@@ -231,24 +231,24 @@
 func TestBoxTroubles(t *testing.T) {
 	b := newBook()
 	x, addr := newBox(t, b, nil)
-	x.Trouble(1, 0)
+	x.SetFaults(1, 0)
 	p := dial(t, addr)
 	io.WriteString(p, post("r1", time.Millisecond))
 	if _, err := p.in.ReadByte(); err == nil || err == io.EOF {
 		t.Errorf("a reset reads as %v", err)
 	}
-	x.Trouble(0, 1)
+	x.SetFaults(0, 1)
 	p = dial(t, addr)
 	io.WriteString(p, post("r2", time.Millisecond))
 	if _, err := p.in.ReadByte(); err != nil {
 		t.Errorf("nothing came of a spoilt answer: %v", err)
 	}
-	x.Trouble(0, 0)
+	x.SetFaults(0, 0)
 	p = dial(t, addr)
 	p.ask(t, post("r3", time.Millisecond))
-	x.Silence()
+	x.Isolate()
 	io.WriteString(p, post("r4", time.Millisecond))
-	x.Return()
+	x.Reconnect()
 	if _, err := p.in.ReadByte(); err == nil {
 		t.Error("a connection outlived the silence")
 	}
@@ -257,7 +257,7 @@
 	}
 	p = dial(t, addr)
 	io.WriteString(p, post("r6", 50*time.Second))
-	until(t, "the request", func() bool { return x.Standing().Held == 1 })
+	until(t, "the request", func() bool { return x.Status().InFlight == 1 })
 	x.Stop()
 	if _, err := p.in.ReadByte(); err == nil || err == io.EOF {
 		t.Errorf("a process that dies reads as %v", err)
@@ -280,13 +280,13 @@
 func TestLinkCut(t *testing.T) {
 	b := newBook()
 	x, addr := newBox(t, b, nil)
-	cut := func(in, out bool) { x.Cut(func(trace.Node) (bool, bool) { return in, out }) }
+	cut := func(in, out bool) { x.SetCuts(func(trace.Node) (bool, bool) { return in, out }) }
 	p := dial(t, addr)
 	p.ask(t, post("r1", 0))
 	cut(false, true)
 	io.WriteString(p, post("r2", time.Millisecond))
 	until(t, "the request", func() bool { return len(b.records(t, trace.Recv)) == 2 })
-	until(t, "its end", func() bool { return x.Standing().Held == 0 })
+	until(t, "its end", func() bool { return x.Status().InFlight == 0 })
 	cut(true, true)
 	until(t, "a connection that does not come up", func() bool {
 		c, err := net.DialTimeout("tcp", addr, 100*time.Millisecond)
@@ -326,8 +326,8 @@
 	x, addr := newBox(t, b, nil)
 	p := dial(t, addr)
 	io.WriteString(p, post("r1", 50*time.Second))
-	until(t, "the request", func() bool { return x.Standing().Held == 1 })
-	x.Silence()
+	until(t, "the request", func() bool { return x.Status().InFlight == 1 })
+	x.Isolate()
 	x.Crash()
 	p.SetDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := p.in.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -344,32 +344,32 @@
 func TestBoxLosesRequests(t *testing.T) {
 	b := newBook()
 	x, addr := newBox(t, b, nil)
-	x.Lose(1)
+	x.SetDropFraction(1)
 	lost := dial(t, addr)
 	io.WriteString(lost, post("r1", time.Millisecond))
 	until(t, "the request", func() bool { return len(b.records(t, trace.Recv)) == 1 })
-	x.Lose(0)
+	x.SetDropFraction(0)
 	if resp, _ := dial(t, addr).ask(t, post("r2", time.Millisecond)); resp.StatusCode != 200 {
 		t.Errorf("the next one: %d", resp.StatusCode)
 	}
-	if n := len(b.records(t, trace.Reply)); n != 1 || x.Standing().Held != 0 {
-		t.Errorf("%d replies, %d held, want one reply and none held", n, x.Standing().Held)
+	if n := len(b.records(t, trace.Reply)); n != 1 || x.Status().InFlight != 0 {
+		t.Errorf("%d replies, %d held, want one reply and none held", n, x.Status().InFlight)
 	}
 }
 
 func TestBoxFallsOver(t *testing.T) {
 	b := newBook()
-	x, addr := newBox(t, b, func(c *BoxConfig) {
+	x, addr := newBox(t, b, func(c *BackendConfig) {
 		c.Spec.ColdFrom, c.Spec.Cold, c.Spec.Queue, c.Spec.Fall = 0.1, time.Hour, 1000, boxmodel.Fall{Factor: 2, For: time.Second}
 	})
-	for i := 0; !x.Standing().Fallen && i < 500; i++ {
+	for i := 0; !x.Status().Collapsed && i < 500; i++ {
 		if c, err := net.Dial("tcp", addr); err == nil {
 			defer c.Close()
 			io.WriteString(c, post(fmt.Sprint("r", i), 500*time.Millisecond))
 		}
 		time.Sleep(time.Millisecond)
 	}
-	until(t, "the fall", func() bool { return x.Standing().Fallen })
+	until(t, "the fall", func() bool { return x.Status().Collapsed })
 	until(t, "its record", func() bool {
 		for _, r := range b.records(t, trace.Box) {
 			if r.State == trace.Fallen {
@@ -384,14 +384,14 @@
 	return Entry{ID: id, Addr: "127.0.0.1:1", Zone: "a", State: state}
 }
 
-func fetch(t *testing.T, addr, query string) (Whole, int) {
+func fetch(t *testing.T, addr, query string) (List, int) {
 	t.Helper()
 	resp, err := http.Get("http://" + addr + "/v1/endpoints" + query)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	var l Whole
+	var l List
 	if resp.StatusCode == 200 {
 		if err := json.NewDecoder(resp.Body).Decode(&l); err != nil {
 			t.Fatal(err)
@@ -411,7 +411,7 @@
 	if l, _ := fetch(t, s.Addr, "?since=1&timeout_ms=5"); l.Full || len(l.Servers) != 0 || l.Version != 1 {
 		t.Errorf("a watch with nothing new: %+v", l)
 	}
-	got := make(chan Whole, 1)
+	got := make(chan List, 1)
 	go func() {
 		l, _ := fetch(t, s.Addr, "?since=1&timeout_ms=60000")
 		got <- l
@@ -421,7 +421,7 @@
 		t.Errorf("%+v", l)
 	}
 	// While it is silent it hears nothing either; what came meanwhile is told when it speaks.
-	a.Hush()
+	a.Pause()
 	a.Apply(entry("b1", "Gone"))
 	if n := len(b.records(t, trace.Told)); n != 3 {
 		t.Errorf("%d told", n)
@@ -430,7 +430,7 @@
 		l, _ := fetch(t, s.Addr, "?since=2&timeout_ms=10")
 		got <- l
 	}()
-	a.Speak()
+	a.Resume()
 	if l := <-got; l.Version != 3 || len(l.Servers) != 1 {
 		t.Errorf("%+v", l)
 	}
@@ -441,7 +441,7 @@
 	if len(told) != 4 || told[3].State != "Gone" || told[3].Node != "n1" {
 		t.Errorf("%+v", told)
 	}
-	a.Settle(time.Hour)
+	a.DelayNotifications(time.Hour)
 	a.Apply(entry("b2", "Gone"))
 	if told := b.records(t, trace.Told); told[4].T < time.Hour.Microseconds() {
 		t.Errorf("told at %d, before the node has had its time", told[4].T)
@@ -459,7 +459,7 @@
 	}
 	fetch(t, s.Addr, "?since=1&timeout_ms=5")
 	until(t, "the record", func() bool { return len(b.records(t, trace.Told)) == 2 })
-	a.Hush()
+	a.Pause()
 	if _, status := fetch(t, s.Addr, ""); status != 503 {
 		t.Errorf("while it is down: %d", status)
 	}
@@ -494,7 +494,7 @@
 		return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	}
 	c := NewClients(plan.New(s, 1), []trace.Node{{Name: "n1", Site: "tacoma"}}, dialer, Clock{time.Now()}, b.w, 70*time.Millisecond)
-	c.Node(0, ln.Addr().String(), Reachable)
+	c.SetNode(0, ln.Addr().String(), Reachable)
 	t.Cleanup(func() {
 		c.Close()
 		ln.Close()
@@ -507,7 +507,7 @@
 func one(t *testing.T, b *book, c *Clients, class int) trace.Record {
 	t.Helper()
 	n := len(b.records(t, trace.Done))
-	c.need(context.Background(), plan.Need{At: c.clock.Now(), Class: class, Work: time.Millisecond, Seed: uint64(n + 1)})
+	c.need(context.Background(), plan.Operation{At: c.clock.Now(), Class: class, Work: time.Millisecond, Seed: uint64(n + 1)})
 	return b.records(t, trace.Done)[n]
 }
 
@@ -655,7 +655,7 @@
 	if sent := b.records(t, trace.Sent)[0]; gave[0].T < sent.T+sent.Wait+70_000 {
 		t.Errorf("left %d us after sending, with %d to wait: a late answer would pass for none", gave[0].T-sent.T, sent.Wait)
 	}
-	c.Node(0, "127.0.0.1:1", Unreachable)
+	c.SetNode(0, "127.0.0.1:1", Unreachable)
 	if done := one(t, b, c, 0); done.How != "unreachable" {
 		t.Errorf("with no node: %+v", done)
 	}
@@ -696,11 +696,11 @@
 	clock := Clock{Start: time.Now()}
 	a := NewAgent("n1", false, clock, w, nil)
 	const settle = time.Hour
-	a.Settle(settle)
+	a.DelayNotifications(settle)
 	a.Apply(Entry{ID: "b", State: trace.Terminating})
 	a.Apply(Entry{ID: "b", State: trace.Ready, Started: 1})
 	a.Apply(Entry{ID: "c", State: trace.Terminating})
-	a.Known() // a new process has it at once
+	a.InitialList() // a new process has it at once
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
