--- a/internal/kit/boxmodel/boxmodel.go
+++ b/internal/kit/boxmodel/boxmodel.go
@@ -56,10 +56,10 @@
 
 // Job is one request.
 type Job struct {
-	ID    uint64 // the caller's own name for it
-	Work  float64
-	Extra float64       // work beside it that nobody answers for, such as a handshake
-	Until time.Duration // its deadline; 0 for none
+	ID       uint64 // the caller's own name for it
+	Work     float64
+	Overhead float64       // work beside it that nobody answers for, such as a handshake
+	Deadline time.Duration // its deadline; 0 for none
 }
 
 // Outcome says how a request ended.
@@ -68,7 +68,7 @@
 const (
 	Served    Outcome = iota // its work is done
 	Failed                   // its work is done and an error came of it
-	Full                     // turned away: no room
+	QueueFull                // turned away: no room
 	Expired                  // turned away: its time was up while it waited
 	Cancelled                // dropped at its sender's wish
 	Lost                     // the box stopped
@@ -81,58 +81,58 @@
 	Outcome Outcome
 }
 
-// Change is something that happened to the box as a whole.
-type Change uint8
+// ChangeKind is something that happened to the box as a whole.
+type ChangeKind uint8
 
 const (
-	TurnedSlow   Change = iota // it works at a part of its speed
-	TurnedNormal               // it works at its own speed again
-	TurnedWarm                 // it has reached its full capacity
-	FellOver                   // it failed under its load
+	BecameSlow   ChangeKind = iota // it works at a part of its speed
+	BecameNormal                   // it works at its own speed again
+	BecameWarm                     // it has reached its full capacity
+	Collapsed                      // it failed under its load
 )
 
-// Changed is a Change and its time.
-type Changed struct {
+// Change is a Change and its time.
+type Change struct {
 	At   time.Duration
-	What Change
+	Kind ChangeKind
 }
 
-type job struct {
+type activeJob struct {
 	Job
-	left float64
+	remaining float64
 }
 
-// Box is a box's state.
-type Box struct {
-	spec    Spec
-	rng     *rand.Rand
-	started time.Duration
-	now     time.Duration
-	down    bool
-	warm    bool
-	done    float64 // work done since the start
-
-	run   []*job
-	queue []*job
-
-	pauseAt, pauseEnd time.Duration
-	chokedAt          time.Duration // 0: not slow
-	choked            bool
-	chokeSpent        bool
-	forced            float64 // a factor from outside
-	crowd, busy       window
-	budget            *Budget
+// Backend is a box's state.
+type Backend struct {
+	spec     Spec
+	rng      *rand.Rand
+	started  time.Duration
+	now      time.Duration
+	down     bool
+	warm     bool
+	workDone float64 // work done since the start
+
+	running []*activeJob
+	waiting []*activeJob
+
+	pauseAt, pauseEnd      time.Duration
+	slowSince              time.Duration // 0: not slow
+	slow                   bool
+	wasSlow                bool
+	slowdown               float64 // a factor from outside
+	occupancy, utilization movingMean
+	budget                 *Budget
 
 	results []Result
-	changes []Changed
+	changes []Change
 }
 
 // New returns a box that starts at now. One with ColdFrom 1 is warm.
-func New(spec Spec, seed uint64, now time.Duration) *Box {
-	b := &Box{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), started: now, now: now, forced: 1}
+func New(spec Spec, seed uint64, now time.Duration) *Backend {
+	b := &Backend{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), started: now, now: now, slowdown: 1}
 	b.warm = spec.ColdFrom >= 1 || spec.Cold <= 0
-	b.pauseAt = b.drawPause(now)
-	b.crowd, b.busy = window{span: spec.Choke.Over}, window{span: spec.Choke.Rest}
+	b.pauseAt = b.nextPause(now)
+	b.occupancy, b.utilization = movingMean{span: spec.Choke.Over}, movingMean{span: spec.Choke.Rest}
 	if spec.Fall.Factor > 0 && !b.warm {
 		b.budget = NewBudget(spec.Fall.Factor, spec.Fall.For)
 		b.budget.SetCapacity(now, b.Capacity())
@@ -140,73 +140,73 @@
 	return b
 }
 
-func (b *Box) drawPause(now time.Duration) time.Duration {
+func (b *Backend) nextPause(now time.Duration) time.Duration {
 	if b.spec.PauseEvery <= 0 || b.spec.Pause <= 0 {
 		return math.MaxInt64
 	}
 	return now + time.Duration(b.rng.ExpFloat64()*float64(b.spec.PauseEvery))
 }
 
-// Full is what the box can do when it is warm and nothing ails it, in cores of speed 1.
-func (b *Box) Full() float64 { return float64(b.spec.Cores) * b.spec.Speed }
+// FullCapacity is what the box can do when it is warm and nothing ails it, in cores of speed 1.
+func (b *Backend) FullCapacity() float64 { return float64(b.spec.Cores) * b.spec.Speed }
 
 // Capacity is what it can do now, in cores of speed 1; crowding and pauses do not count.
-func (b *Box) Capacity() float64 {
-	c := b.Full() * b.warmth() / b.forced
-	if b.choked {
+func (b *Backend) Capacity() float64 {
+	c := b.FullCapacity() * b.warmFraction() / b.slowdown
+	if b.slow {
 		c /= b.spec.Choke.Slower
 	}
 	return c
 }
 
-// warmth is the part of the full capacity that warming leaves.
-func (b *Box) warmth() float64 {
+// warmFraction is the part of the full capacity that warming leaves.
+func (b *Backend) warmFraction() float64 {
 	if b.warm {
 		return 1
 	}
 	s := float64(b.now-b.started) / float64(b.spec.Cold)
 	if b.spec.WarmByWork {
 		// The work that takes a box with all to do from cold to warm in half the stated time.
-		s = max(s, b.done/(b.Full()*(1+b.spec.ColdFrom)/2*b.spec.Cold.Seconds()/2))
+		s = max(s, b.workDone/(b.FullCapacity()*(1+b.spec.ColdFrom)/2*b.spec.Cold.Seconds()/2))
 	}
 	return min(1, b.spec.ColdFrom+(1-b.spec.ColdFrom)*s)
 }
 
 // Warm tells whether the box is at its full capacity.
-func (b *Box) Warm() bool { return b.warm }
+func (b *Backend) Warm() bool { return b.warm }
 
 // Down tells whether the box has fallen over or was stopped.
-func (b *Box) Down() bool { return b.down }
+func (b *Backend) Down() bool { return b.down }
 
-// Held is the number of requests in work or waiting.
-func (b *Box) Held() int { return len(b.run) + len(b.queue) }
+// InFlight is the number of requests in work or waiting.
+func (b *Backend) InFlight() int { return len(b.running) + len(b.waiting) }
 
 // Waiting is the number of requests that wait for a worker.
-func (b *Box) Waiting() int { return len(b.queue) }
+func (b *Backend) Waiting() int { return len(b.waiting) }
 
-// Slowed makes the box slower by a factor until it is called again with 1.
-func (b *Box) Slowed(now time.Duration, factor float64) {
+// SetSlowdown makes the box slower by a factor until it is called again with 1.
+func (b *Backend) SetSlowdown(now time.Duration, factor float64) {
 	b.Advance(now)
-	b.forced = max(factor, 0.01)
+	b.slowdown = max(factor, 0.01)
 	if factor == 1 {
-		b.changes = append(b.changes, Changed{now, TurnedNormal})
+		b.changes = append(b.changes, Change{now, BecameNormal})
 	} else {
-		b.changes = append(b.changes, Changed{now, TurnedSlow})
+		b.changes = append(b.changes, Change{now, BecameSlow})
 	}
 }
 
 // Arrive hands in a request. It ends at once where there is no room for it; every request that was handed in ends
 // exactly once, as the results of Advance tell.
-func (b *Box) Arrive(now time.Duration, j Job) {
+func (b *Backend) Arrive(now time.Duration, j Job) {
 	b.Advance(now)
 	if b.down {
-		b.end(j.ID, Lost)
+		b.finish(j.ID, Lost)
 		return
 	}
 	if b.budget != nil && !b.warm {
-		if b.budget.Add(now, j.Work+j.Extra, true) != nil {
-			b.changes = append(b.changes, Changed{now, FellOver})
-			b.end(j.ID, Lost)
+		if b.budget.Add(now, j.Work+j.Overhead, true) != nil {
+			b.changes = append(b.changes, Change{now, Collapsed})
+			b.finish(j.ID, Lost)
 			b.Stop(now)
 			return
 		}
@@ -216,35 +216,35 @@
 		s2 := math.Log(1 + b.spec.Noise*b.spec.Noise)
 		work *= math.Exp(b.rng.NormFloat64()*math.Sqrt(s2) - s2/2)
 	}
-	n := &job{Job: j, left: work + j.Extra}
+	n := &activeJob{Job: j, remaining: work + j.Overhead}
 	switch {
-	case len(b.run) < b.spec.Slots:
-		b.run = append(b.run, n)
-	case len(b.queue) < b.spec.Queue:
-		b.queue = append(b.queue, n)
+	case len(b.running) < b.spec.Slots:
+		b.running = append(b.running, n)
+	case len(b.waiting) < b.spec.Queue:
+		b.waiting = append(b.waiting, n)
 	default:
-		b.end(j.ID, Full)
+		b.finish(j.ID, QueueFull)
 	}
 }
 
 // Cancel drops a request whose sender has gone, where the box does that. It tells nothing where the request is over.
-func (b *Box) Cancel(now time.Duration, id uint64) {
+func (b *Backend) Cancel(now time.Duration, id uint64) {
 	b.Advance(now)
 	if b.spec.CancelQueued {
-		for i, j := range b.queue {
+		for i, j := range b.waiting {
 			if j.ID == id {
-				b.queue = append(b.queue[:i], b.queue[i+1:]...)
-				b.end(id, Cancelled)
+				b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
+				b.finish(id, Cancelled)
 				return
 			}
 		}
 	}
 	if b.spec.CancelRuns {
-		for i, j := range b.run {
+		for i, j := range b.running {
 			if j.ID == id {
-				b.run = append(b.run[:i], b.run[i+1:]...)
-				b.end(id, Cancelled)
-				b.fill()
+				b.running = append(b.running[:i], b.running[i+1:]...)
+				b.finish(id, Cancelled)
+				b.startWaiting()
 				return
 			}
 		}
@@ -252,58 +252,58 @@
 }
 
 // Stop ends the box: all that it holds is lost.
-func (b *Box) Stop(now time.Duration) {
+func (b *Backend) Stop(now time.Duration) {
 	b.down = true
-	for _, j := range b.run {
-		b.end(j.ID, Lost)
+	for _, j := range b.running {
+		b.finish(j.ID, Lost)
 	}
-	for _, j := range b.queue {
-		b.end(j.ID, Lost)
+	for _, j := range b.waiting {
+		b.finish(j.ID, Lost)
 	}
-	b.run, b.queue = nil, nil
+	b.running, b.waiting = nil, nil
 }
 
-func (b *Box) end(id uint64, o Outcome) {
+func (b *Backend) finish(id uint64, o Outcome) {
 	b.results = append(b.results, Result{id, b.now, o})
 }
 
-func (b *Box) fill() {
-	for len(b.run) < b.spec.Slots && len(b.queue) > 0 {
-		j := b.queue[0]
-		b.queue = b.queue[1:]
-		if b.spec.DropsExpired && j.Until > 0 && b.now >= j.Until {
-			b.end(j.ID, Expired)
+func (b *Backend) startWaiting() {
+	for len(b.running) < b.spec.Slots && len(b.waiting) > 0 {
+		j := b.waiting[0]
+		b.waiting = b.waiting[1:]
+		if b.spec.DropsExpired && j.Deadline > 0 && b.now >= j.Deadline {
+			b.finish(j.ID, Expired)
 			continue
 		}
-		b.run = append(b.run, j)
+		b.running = append(b.running, j)
 	}
 }
 
 // rate is the work done for each running request in a second.
-func (b *Box) rate() float64 {
-	if len(b.run) == 0 || b.now < b.pauseEnd {
+func (b *Backend) rate() float64 {
+	if len(b.running) == 0 || b.now < b.pauseEnd {
 		return 0
 	}
 	c := b.Capacity()
-	if over := float64(b.Held())/float64(b.spec.Cores) - b.spec.ThrashAt; b.spec.ThrashAt > 0 && over > 0 {
+	if over := float64(b.InFlight())/float64(b.spec.Cores) - b.spec.ThrashAt; b.spec.ThrashAt > 0 && over > 0 {
 		c *= 1 - b.spec.Thrash*min(1, over/b.spec.ThrashAt)
 	}
-	return min(c/float64(len(b.run)), c/float64(b.spec.Cores))
+	return min(c/float64(len(b.running)), c/float64(b.spec.Cores))
 }
 
 // Next is when the box wants to be advanced at the latest. The second result is false while nothing is due.
-func (b *Box) Next() (time.Duration, bool) {
+func (b *Backend) Next() (time.Duration, bool) {
 	if b.down {
 		return 0, false
 	}
-	if len(b.run) == 0 {
-		return b.now + Step, b.choked || !b.warm
+	if len(b.running) == 0 {
+		return b.now + Step, b.slow || !b.warm
 	}
-	return b.now + b.until(), true
+	return b.now + b.rateInterval(), true
 }
 
-// until is how long the present rates hold: to the next end of a request, pause or step.
-func (b *Box) until() time.Duration {
+// rateInterval is how long the present rates hold: to the next end of a request, pause or step.
+func (b *Backend) rateInterval() time.Duration {
 	d := Step
 	if b.now < b.pauseEnd {
 		return min(d, b.pauseEnd-b.now)
@@ -311,8 +311,8 @@
 	d = min(d, max(b.pauseAt-b.now, 1))
 	if r := b.rate(); r > 0 {
 		least := math.Inf(1)
-		for _, j := range b.run {
-			least = min(least, j.left)
+		for _, j := range b.running {
+			least = min(least, j.remaining)
 		}
 		d = min(d, max(time.Duration(math.Ceil(least/r*1e9)), 1))
 	}
@@ -320,43 +320,43 @@
 }
 
 // Advance brings the box up to now; a time that has passed already changes nothing.
-func (b *Box) Advance(now time.Duration) {
+func (b *Backend) Advance(now time.Duration) {
 	for b.now < now && !b.down {
-		if len(b.run) == 0 && !b.choked && b.warm && b.now >= b.pauseEnd {
+		if len(b.running) == 0 && !b.slow && b.warm && b.now >= b.pauseEnd {
 			// Nothing can happen before now but the passing of time.
 			d := now - b.now
-			b.crowd.add(b.now, d, 0)
-			b.busy.add(b.now, d, 0)
+			b.occupancy.add(b.now, d, 0)
+			b.utilization.add(b.now, d, 0)
 			b.now = now
 			for b.pauseAt < now {
-				b.pauseAt = b.drawPause(b.pauseAt)
+				b.pauseAt = b.nextPause(b.pauseAt)
 			}
-			b.chokes()
+			b.updateSlow()
 			return
 		}
-		b.step(min(b.until(), now-b.now))
+		b.step(min(b.rateInterval(), now-b.now))
 	}
 	b.now = max(b.now, now)
 }
 
-func (b *Box) step(d time.Duration) {
+func (b *Backend) step(d time.Duration) {
 	r := b.rate()
-	b.crowd.add(b.now, d, float64(b.Held()))
-	b.busy.add(b.now, d, min(1, float64(len(b.run))/float64(b.spec.Cores)))
+	b.occupancy.add(b.now, d, float64(b.InFlight()))
+	b.utilization.add(b.now, d, min(1, float64(len(b.running))/float64(b.spec.Cores)))
 	b.now += d
-	ended := false
+	anyFinished := false
 	if r > 0 {
-		for _, j := range b.run {
+		for _, j := range b.running {
 			w := r * d.Seconds()
-			j.left -= w
-			b.done += w
-			ended = ended || j.left <= 1e-9
+			j.remaining -= w
+			b.workDone += w
+			anyFinished = anyFinished || j.remaining <= 1e-9
 		}
 	}
-	if ended {
-		keep := b.run[:0]
-		for _, j := range b.run {
-			if j.left > 1e-9 {
+	if anyFinished {
+		keep := b.running[:0]
+		for _, j := range b.running {
+			if j.remaining > 1e-9 {
 				keep = append(keep, j)
 				continue
 			}
@@ -364,74 +364,74 @@
 			if b.spec.ErrorRate > 0 && b.rng.Float64() < b.spec.ErrorRate {
 				o = Failed
 			}
-			b.end(j.ID, o)
+			b.finish(j.ID, o)
 		}
-		b.run = keep
-		b.fill()
+		b.running = keep
+		b.startWaiting()
 	}
 	if b.now >= b.pauseAt {
 		b.pauseEnd = b.now + b.spec.Pause
-		b.pauseAt = b.drawPause(b.pauseEnd)
+		b.pauseAt = b.nextPause(b.pauseEnd)
 	}
 	if !b.warm {
-		if b.warmth() >= 1 {
+		if b.warmFraction() >= 1 {
 			b.warm, b.budget = true, nil
-			b.changes = append(b.changes, Changed{b.now, TurnedWarm})
+			b.changes = append(b.changes, Change{b.now, BecameWarm})
 		} else if b.budget != nil {
 			b.budget.SetCapacity(b.now, b.Capacity())
 		}
 	}
-	b.chokes()
+	b.updateSlow()
 }
 
-// chokes turns the box slow, or normal again.
-func (b *Box) chokes() {
+// updateSlow turns the box slow, or normal again.
+func (b *Backend) updateSlow() {
 	c := b.spec.Choke
 	if c.At <= 0 {
 		return
 	}
 	switch {
-	case b.choked:
-		calm := b.now-b.chokedAt >= c.Rest && b.busy.mean(b.now) < c.Below
-		if calm || b.now-b.chokedAt >= c.Most {
-			b.choked = false
-			b.changes = append(b.changes, Changed{b.now, TurnedNormal})
+	case b.slow:
+		calm := b.now-b.slowSince >= c.Rest && b.utilization.mean(b.now) < c.Below
+		if calm || b.now-b.slowSince >= c.Most {
+			b.slow = false
+			b.changes = append(b.changes, Change{b.now, BecameNormal})
 		}
-	case !b.chokeSpent && b.now-b.started >= c.Over &&
-		b.crowd.mean(b.now) > float64(b.spec.Cores)+c.At*math.Sqrt(float64(b.spec.Cores)):
-		b.choked, b.chokeSpent, b.chokedAt = true, true, b.now
-		b.changes = append(b.changes, Changed{b.now, TurnedSlow})
+	case !b.wasSlow && b.now-b.started >= c.Over &&
+		b.occupancy.mean(b.now) > float64(b.spec.Cores)+c.At*math.Sqrt(float64(b.spec.Cores)):
+		b.slow, b.wasSlow, b.slowSince = true, true, b.now
+		b.changes = append(b.changes, Change{b.now, BecameSlow})
 	}
 }
 
-// Take returns what has ended and changed since the last call.
-func (b *Box) Take() ([]Result, []Changed) {
+// TakeResults returns what has ended and changed since the last call.
+func (b *Backend) TakeResults() ([]Result, []Change) {
 	r, c := b.results, b.changes
 	b.results, b.changes = nil, nil
 	return r, c
 }
 
-// window is the mean of a figure over the last span, in cells of a thirtieth of it.
-type window struct {
-	span  time.Duration
-	cells [30]struct {
+// movingMean is the mean of a figure over the last span, in cells of a thirtieth of it.
+type movingMean struct {
+	span    time.Duration
+	buckets [30]struct {
 		at  int64
 		sum float64 // figure x seconds
 	}
 }
 
-func (w *window) add(from, d time.Duration, figure float64) {
+func (w *movingMean) add(from, d time.Duration, figure float64) {
 	if w.span <= 0 {
 		return
 	}
-	width := w.span / time.Duration(len(w.cells))
+	width := w.span / time.Duration(len(w.buckets))
 	if d > w.span {
 		from, d = from+d-w.span, w.span
 	}
 	for d > 0 {
 		n := int64(from / width)
 		part := min(d, time.Duration(n+1)*width-from)
-		c := &w.cells[n%int64(len(w.cells))]
+		c := &w.buckets[n%int64(len(w.buckets))]
 		if c.at != n {
 			c.at, c.sum = n, 0
 		}
@@ -440,16 +440,16 @@
 	}
 }
 
-func (w *window) mean(now time.Duration) float64 {
+func (w *movingMean) mean(now time.Duration) float64 {
 	if w.span <= 0 {
 		return 0
 	}
-	width := w.span / time.Duration(len(w.cells))
-	first := int64(now/width) - int64(len(w.cells))
+	width := w.span / time.Duration(len(w.buckets))
+	first := int64(now/width) - int64(len(w.buckets))
 	sum := 0.0
-	for i := range w.cells {
-		if w.cells[i].at > first {
-			sum += w.cells[i].sum
+	for i := range w.buckets {
+		if w.buckets[i].at > first {
+			sum += w.buckets[i].sum
 		}
 	}
 	return sum / w.span.Seconds()
--- a/internal/kit/boxmodel/boxmodel_test.go
+++ b/internal/kit/boxmodel/boxmodel_test.go
@@ -14,10 +14,10 @@
 	return Spec{Cores: 4, Speed: 1, Slots: 4, Queue: 10, ColdFrom: 1, CancelQueued: true}
 }
 
-// until advances a box and returns what ended by then.
-func until(b *Box, at time.Duration) []Result {
+// advance advances a box and returns what ended by then.
+func advance(b *Backend, at time.Duration) []Result {
 	b.Advance(at)
-	r, _ := b.Take()
+	r, _ := b.TakeResults()
 	return r
 }
 
@@ -38,9 +38,9 @@
 	for i := range 6 { // four run, two wait
 		b.Arrive(0, Job{ID: uint64(i), Work: 0.1})
 	}
-	want(t, until(b, 99*ms))
-	want(t, until(b, 101*ms), 0, 1, 2, 3)
-	got := until(b, 300*ms)
+	want(t, advance(b, 99*ms))
+	want(t, advance(b, 101*ms), 0, 1, 2, 3)
+	got := advance(b, 300*ms)
 	want(t, got, 4, 5)
 	if d := got[0].At - 200*ms; d.Abs() > ms {
 		t.Errorf("the fifth ended at %v, want 200ms", got[0].At)
@@ -52,15 +52,15 @@
 	s.Speed = 0.5
 	b := New(s, 1, 0)
 	b.Arrive(0, Job{ID: 1, Work: 0.1})
-	want(t, until(b, 199*ms))
-	want(t, until(b, 201*ms), 1)
-	b.Slowed(300*ms, 2.5)
+	want(t, advance(b, 199*ms))
+	want(t, advance(b, 201*ms), 1)
+	b.SetSlowdown(300*ms, 2.5)
 	b.Arrive(300*ms, Job{ID: 2, Work: 0.1})
-	want(t, until(b, 795*ms))
-	want(t, until(b, 805*ms), 2)
-	b.Slowed(900*ms, 1)
-	_, changes := b.Take()
-	if len(changes) != 1 || changes[0].What != TurnedNormal {
+	want(t, advance(b, 795*ms))
+	want(t, advance(b, 805*ms), 2)
+	b.SetSlowdown(900*ms, 1)
+	_, changes := b.TakeResults()
+	if len(changes) != 1 || changes[0].Kind != BecameNormal {
 		t.Errorf("changes: %+v", changes)
 	}
 }
@@ -70,17 +70,17 @@
 	for i := range 15 {
 		b.Arrive(0, Job{ID: uint64(i), Work: 1})
 	}
-	got := until(b, ms)
+	got := advance(b, ms)
 	want(t, got, 14)
-	if got[0].Outcome != Full {
+	if got[0].Outcome != QueueFull {
 		t.Errorf("the fifteenth: %v, want Full", got[0].Outcome)
 	}
 	b.Cancel(2*ms, 10) // waits: dropped
 	b.Cancel(2*ms, 0)  // runs: goes on
-	got = until(b, 3*ms)
+	got = advance(b, 3*ms)
 	want(t, got, 10)
-	if got[0].Outcome != Cancelled || b.Held() != 13 {
-		t.Errorf("%+v, held %d", got, b.Held())
+	if got[0].Outcome != Cancelled || b.InFlight() != 13 {
+		t.Errorf("%+v, held %d", got, b.InFlight())
 	}
 }
 
@@ -91,8 +91,8 @@
 	for i := range 4 {
 		b.Arrive(0, Job{ID: uint64(i), Work: 0.2})
 	}
-	b.Arrive(0, Job{ID: 9, Work: 0.2, Until: 150 * ms})
-	for _, r := range until(b, time.Second) {
+	b.Arrive(0, Job{ID: 9, Work: 0.2, Deadline: 150 * ms})
+	for _, r := range advance(b, time.Second) {
 		if (r.ID == 9) != (r.Outcome == Expired) {
 			t.Errorf("%+v", r)
 		}
@@ -112,7 +112,7 @@
 			t.Errorf("at %v it can do %.2f, want %.2f", x.at, got, x.want)
 		}
 	}
-	if _, c := b.Take(); len(c) != 1 || c[0].What != TurnedWarm {
+	if _, c := b.TakeResults(); len(c) != 1 || c[0].Kind != BecameWarm {
 		t.Errorf("changes: %+v", c)
 	}
 }
@@ -145,12 +145,12 @@
 			b.Arrive(at, Job{ID: n, Work: 0.06})
 		}
 		b.Advance(at)
-		_, changes := b.Take()
+		_, changes := b.TakeResults()
 		for _, c := range changes {
-			switch c.What {
-			case TurnedSlow:
+			switch c.Kind {
+			case BecameSlow:
 				slow = c.At
-			case TurnedNormal:
+			case BecameNormal:
 				normal = c.At
 			}
 		}
@@ -168,7 +168,7 @@
 	s.PauseEvery, s.Pause = 50*ms, 100*ms
 	b := New(s, 3, 0)
 	b.Arrive(0, Job{ID: 1, Work: 1})
-	got := until(b, 10*time.Second)
+	got := advance(b, 10*time.Second)
 	want(t, got, 1)
 	if got[0].At < 1500*ms {
 		t.Errorf("a second's work with pauses two thirds of the time took %v", got[0].At)
@@ -183,9 +183,9 @@
 	for i := 0; i < 1000 && fell == 0; i++ { // 20 cores' work a second on 1.6
 		at := time.Duration(i) * 5 * ms
 		b.Arrive(at, Job{ID: uint64(i), Work: 0.1})
-		_, changes := b.Take()
+		_, changes := b.TakeResults()
 		for _, c := range changes {
-			if c.What == FellOver {
+			if c.Kind == Collapsed {
 				fell = c.At
 			}
 		}
@@ -194,7 +194,7 @@
 		t.Fatal("it stood what must push it over")
 	}
 	b.Arrive(fell+ms, Job{ID: 5000, Work: 0.1})
-	got, _ := b.Take()
+	got, _ := b.TakeResults()
 	want(t, got, 5000)
 	if got[0].Outcome != Lost {
 		t.Errorf("a fallen box: %+v", got)
@@ -261,17 +261,17 @@
 			for _, o := range ops {
 				switch o.what {
 				case 'a':
-					b.Arrive(o.at, Job{ID: o.id, Work: o.work, Until: o.at + 200*ms})
+					b.Arrive(o.at, Job{ID: o.id, Work: o.work, Deadline: o.at + 200*ms})
 				case 'c':
 					b.Cancel(o.at, o.id)
 				case 's':
-					b.Slowed(o.at, o.work)
+					b.SetSlowdown(o.at, o.work)
 				}
-				r, _ := b.Take()
+				r, _ := b.TakeResults()
 				all = append(all, r...)
 			}
 			b.Advance(at + time.Hour)
-			r, _ := b.Take()
+			r, _ := b.TakeResults()
 			return append(all, r...)
 		}
 		one, two := play(), play()
@@ -298,6 +298,6 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		x.Arrive(time.Duration(i)*20*ms, Job{ID: uint64(i), Work: 0.07})
-		x.Take()
+		x.TakeResults()
 	}
 }
--- a/internal/kit/lab/client.go
+++ b/internal/kit/lab/client.go
@@ -10,31 +10,31 @@
 	"craneglade/policy"
 )
 
-// want begins what one client needs.
-func (w *world) want(need plan.Operation) {
+// startOperation begins what one client needs.
+func (w *simulation) startOperation(need plan.Operation) {
 	first := w.id()
-	rec := w.rec(&need)
+	rec := w.newRecord(&need)
 	rec.Kind, rec.ID = trace.Want, first
 	w.note(rec)
-	w.try(&request{id: first, need: &need, first: first})
+	w.tryRequest(&request{id: first, op: &need, firstID: first})
 }
 
-func (w *world) rec(need *plan.Operation) trace.Record {
+func (w *simulation) newRecord(need *plan.Operation) trace.Record {
 	s := w.plan.Scenario
 	return trace.Record{Class: s.Classes[need.Class].Name, Tenant: s.Tenants[need.Tenant].Name, Site: s.Sites[need.Site].Name,
 		Over: need.Over}
 }
 
-// front deals out a node for a client of a site.
-func (w *world) front(site string) *node {
+// pickNode deals out a node for a client of a site.
+func (w *simulation) pickNode(site string) *node {
 	var near []*node
 	for _, n := range w.nodes {
-		if n.Site == site && !n.out {
+		if n.Site == site && !n.markedDown {
 			near = append(near, n)
 		}
 	}
 	if len(near) == 0 {
-		near = slices.DeleteFunc(slices.Clone(w.nodes), func(n *node) bool { return n.out })
+		near = slices.DeleteFunc(slices.Clone(w.nodes), func(n *node) bool { return n.markedDown })
 	}
 	if len(near) == 0 {
 		return nil
@@ -42,35 +42,35 @@
 	return near[w.rng.IntN(len(near))]
 }
 
-// try sends a request to a node, or gives the need up.
-func (w *world) try(r *request) {
-	r.sentAt, r.wait = w.now, w.plan.Patience(r.need, w.now)
-	if r.wait == 0 {
-		w.done(r, plan.Refused)
+// tryRequest sends a request to a node, or gives the need up.
+func (w *simulation) tryRequest(r *request) {
+	r.sentAt, r.timeout = w.now, w.plan.TryTimeout(r.op, w.now)
+	if r.timeout == 0 {
+		w.finishOperation(r, plan.Refused)
 		return
 	}
-	n := w.front(w.plan.Scenario.Sites[r.need.Site].Name)
+	n := w.pickNode(w.plan.Scenario.Sites[r.op.Site].Name)
 	if n == nil || !n.up { // its port is closed
-		w.ended(r, plan.Unreachable, 0)
+		w.endTry(r, plan.Unreachable, 0)
 		return
 	}
-	r.life = n.life
-	rec := w.rec(r.need)
-	rec.Kind, rec.ID, rec.Of, rec.Try, rec.Wait, rec.Node = trace.Sent, r.id, r.first, r.try, trace.US(r.wait), n.Name
+	r.incarnation = n.incarnation
+	rec := w.newRecord(r.op)
+	rec.Kind, rec.ID, rec.Of, rec.Try, rec.Wait, rec.Node = trace.Sent, r.id, r.firstID, r.try, trace.US(r.timeout), n.Name
 	if last := len(n.idle) - 1; last >= 0 {
 		r.conn, n.idle, rec.Reused = n.idle[last], n.idle[:last], true
 	} else {
-		w.conns++
-		r.conn = w.conns
+		w.connCount++
+		r.conn = w.connCount
 	}
 	rec.Conn = r.conn
 	w.note(rec)
 	w.after(w.delay(n.Site, n.Site), func() {
-		if r.answered {
+		if r.ended {
 			return // its client left at once
 		}
-		if n.life != r.life {
-			n.cut(r)
+		if n.incarnation != r.incarnation {
+			n.breakClientConn(r)
 			return
 		}
 		n.requests[r.id] = r
@@ -78,58 +78,58 @@
 			n.shared.CountRequest(epoch+w.now, rec.Tenant)
 		}
 		n.handle(&policy.Event{Kind: policy.EvRequest, ID: r.id, Class: rec.Class, Tenant: rec.Tenant,
-			Remaining: max(0, r.wait-(w.now-r.sentAt)-transit)})
+			Remaining: max(0, r.timeout-(w.now-r.sentAt)-returnTransit)})
 	})
-	w.at(r.sentAt+r.wait+deployment.AnswerSlack+deployment.LimitSlack+overtime, func() { w.leave(n, r, "time", plan.Failed) })
-	if r.need.Impatient > 0 && r.try == 0 {
-		w.after(r.need.Impatient, func() { w.leave(n, r, "impatient", plan.Abandoned) })
+	w.at(r.sentAt+r.timeout+deployment.AnswerSlack+deployment.LimitSlack+lingerTime, func() { w.abandon(n, r, "time", plan.Failed) })
+	if r.op.Impatient > 0 && r.try == 0 {
+		w.after(r.op.Impatient, func() { w.abandon(n, r, "impatient", plan.Abandoned) })
 	}
 }
 
-// leave is a client that closes its connection before it has its answer.
-func (w *world) leave(n *node, r *request, why, how string) {
-	if r.answered {
+// abandon is a client that closes its connection before it has its answer.
+func (w *simulation) abandon(n *node, r *request, why, how string) {
+	if r.ended {
 		return
 	}
-	r.answered = true
-	rec := w.rec(r.need)
+	r.ended = true
+	rec := w.newRecord(r.op)
 	rec.Kind, rec.ID, rec.Node, rec.Conn, rec.Why = trace.GaveUp, r.id, n.Name, r.conn, why
 	w.note(rec)
-	if n.life == r.life {
+	if n.incarnation == r.incarnation {
 		n.handle(&policy.Event{Kind: policy.EvDisconnected, ID: r.id})
 		n.forget(r)
 	}
-	w.done(r, how)
+	w.finishOperation(r, how)
 }
 
-// answered is a final answer that has come to its client.
-func (w *world) answered(n *node, r *request, status int, sum string, retryAfter time.Duration) {
-	rec := w.rec(r.need)
+// deliverResponse is a final answer that has come to its client.
+func (w *simulation) deliverResponse(n *node, r *request, status int, sum string, retryAfter time.Duration) {
+	rec := w.newRecord(r.op)
 	rec.Kind, rec.ID, rec.Node, rec.Conn, rec.Status, rec.Sum = trace.Got, r.id, n.Name, r.conn, status, sum
 	w.note(rec)
-	if n.life == r.life {
+	if n.incarnation == r.incarnation {
 		n.idle = append(n.idle, r.conn)
 	}
 	how := map[int]string{200: plan.Served, 503: plan.Refused}[status]
 	if how == "" {
 		how = plan.Failed
 	}
-	w.ended(r, how, retryAfter)
+	w.endTry(r, how, retryAfter)
 }
 
-// ended is the end of one try: its client tries again or has done.
-func (w *world) ended(r *request, how string, retryAfter time.Duration) {
-	pause, again := w.plan.Again(r.need, r.try, how, retryAfter)
-	if !again || w.now+pause >= r.need.At+w.plan.Scenario.Classes[r.need.Class].Deadline.D() {
-		w.done(r, how)
+// endTry is the end of one try: its client tries again or has done.
+func (w *simulation) endTry(r *request, how string, retryAfter time.Duration) {
+	pause, again := w.plan.Retry(r.op, r.try, how, retryAfter)
+	if !again || w.now+pause >= r.op.At+w.plan.Scenario.Classes[r.op.Class].Deadline.D() {
+		w.finishOperation(r, how)
 		return
 	}
-	w.after(pause, func() { w.try(&request{id: w.id(), need: r.need, first: r.first, try: r.try + 1}) })
+	w.after(pause, func() { w.tryRequest(&request{id: w.id(), op: r.op, firstID: r.firstID, try: r.try + 1}) })
 }
 
-// done is the end of a need.
-func (w *world) done(r *request, how string) {
-	rec := w.rec(r.need)
-	rec.Kind, rec.ID, rec.How, rec.Took = trace.Done, r.first, how, trace.US(w.now-r.need.At)
+// finishOperation is the end of a need.
+func (w *simulation) finishOperation(r *request, how string) {
+	rec := w.newRecord(r.op)
+	rec.Kind, rec.ID, rec.How, rec.Took = trace.Done, r.firstID, how, trace.US(w.now-r.op.At)
 	w.note(rec)
 }
--- a/internal/kit/lab/counts.go
+++ b/internal/kit/lab/counts.go
@@ -24,14 +24,14 @@
 	SharedBytesPerNodeSecond float64 `json:"shared_bytes_a_node_a_second"`
 	LoadP99ToMean            float64 `json:"work_p99_to_mean"` // of the work that warm boxes got in a second, for each core's speed
 
-	starts  []time.Duration
-	opens   []float64
-	uneven  []float64
-	calls   float64 // after starts
-	away    float64
-	sentAll time.Duration
-	shaken  time.Duration
-	got     map[*box]time.Duration // work sent in this second
+	nodeStarts         []time.Duration
+	openSamples        []float64
+	loadSpreads        []float64
+	callsAfterStart    float64 // after starts
+	rejectedAfterStart float64
+	workSent           time.Duration
+	handshakeWork      time.Duration
+	workThisSecond     map[*backend]time.Duration // work sent in this second
 }
 
 // Second is one second of a play, over the whole fleet.
@@ -55,56 +55,56 @@
 	InFlight             float64 `json:"held"` // requests at a box, in truth: mean
 	BelievedInFlight     float64 `json:"held_believed"`
 
-	ages float64
+	reportAgeSum float64
 }
 
-func (c *Counts) begin(w *world) {
-	for at := range int((w.plan.Scenario.Length.D() + settle) / time.Second) {
+func (c *Counts) begin(w *simulation) {
+	for at := range int((w.plan.Scenario.Length.D() + drainTime) / time.Second) {
 		c.Seconds = append(c.Seconds, Second{At: at})
 	}
-	c.got = map[*box]time.Duration{}
+	c.workThisSecond = map[*backend]time.Duration{}
 }
 
-// now is the second that a play is in.
-func (c *Counts) now(w *world) *Second {
+// current is the second that a play is in.
+func (c *Counts) current(w *simulation) *Second {
 	return &c.Seconds[min(int(w.now/time.Second), len(c.Seconds)-1)]
 }
 
-// sent counts an attempt whose connection has been chosen.
-func (c *Counts) sent(a *attempt) {
-	w, s := a.node.w, c.now(a.node.w)
+// recordAttempt counts an attempt whose connection has been chosen.
+func (c *Counts) recordAttempt(a *attempt) {
+	w, s := a.node.sim, c.current(a.node.sim)
 	s.Attempts++
-	if a.box.silent || w.apart(a.node.Site, a.box.plan.Site) {
+	if a.backend.isolated || w.partitioned(a.node.Site, a.backend.plan.Site) {
 		c.AttemptsToIsolated++
 	}
-	work := a.req.need.Work
-	if a.fresh {
+	work := a.request.op.Work
+	if a.newConn {
 		shake := w.plan.Scenario.Conn.Handshake.D()
 		s.NewConns++
 		s.HandshakeCoreSeconds += shake.Seconds()
-		c.shaken += shake
+		c.handshakeWork += shake
 		work += shake
 	}
-	c.sentAll += work
-	c.got[a.box] += work
-	if a.box.plan.Site != a.node.Site {
+	c.workSent += work
+	c.workThisSecond[a.backend] += work
+	if a.backend.plan.Site != a.node.Site {
 		s.CrossSite++
 	}
-	if at, ok := a.node.heard[a.box]; ok {
-		s.ages += (w.now - at).Seconds()
+	if at, ok := a.node.reportedAt[a.backend]; ok {
+		s.reportAgeSum += (w.now - at).Seconds()
 	} else {
 		s.WithoutReport++
 	}
 }
 
-func (c *Counts) cold(b *box, work time.Duration) {
-	s := c.now(b.w)
+func (c *Counts) recordColdWork(b *backend, work time.Duration) {
+	s := c.current(b.sim)
 	s.ColdCoreSeconds += work.Seconds()
 	c.ColdBudgetMax = max(c.ColdBudgetMax, b.budget.MaxFraction())
 }
 
-func (c *Counts) refused(n *node, id string) {
-	r, s := n.requests[id], c.now(n.w)
+func (c *Counts) recordRefusal(n *node, id string) {
+	r, s := n.requests[id], c.current(n.sim)
 	if r != nil && len(r.attempts) > 0 {
 		s.RefusedTried++
 	} else {
@@ -112,55 +112,55 @@
 	}
 }
 
-func (c *Counts) asked(l *listCall) {
-	s := c.now(l.n.w)
+func (c *Counts) recordListCall(l *listCall) {
+	s := c.current(l.node.sim)
 	s.ListCalls++
 	if l.since < 0 {
 		s.FullLists++
 	}
-	if c.starting(l.n.w.now) {
-		c.calls++
+	if c.nodesStarting(l.node.sim.now) {
+		c.callsAfterStart++
 	}
 }
 
-func (c *Counts) turned(l *listCall) {
-	c.now(l.n.w).ListCallsRejected++
-	if c.starting(l.n.w.now) {
-		c.away++
+func (c *Counts) recordRejectedCall(l *listCall) {
+	c.current(l.node.sim).ListCallsRejected++
+	if c.nodesStarting(l.node.sim.now) {
+		c.rejectedAfterStart++
 	}
 }
 
-// starting tells whether nodes have started in the last 10 s; in a play in which none does, it always holds.
-func (c *Counts) starting(now time.Duration) bool {
-	return len(c.starts) == 0 || now-c.starts[len(c.starts)-1] < 10*time.Second
+// nodesStarting tells whether nodes have started in the last 10 s; in a play in which none does, it always holds.
+func (c *Counts) nodesStarting(now time.Duration) bool {
+	return len(c.nodeStarts) == 0 || now-c.nodeStarts[len(c.nodeStarts)-1] < 10*time.Second
 }
 
-// sample looks at all boxes once a second.
-func (w *world) sample() {
+// sampleBackends looks at all boxes once a second.
+func (w *simulation) sampleBackends() {
 	c := w.counts
-	s := c.now(w)
+	s := c.current(w)
 	var open, load []float64
 	held, up := 0.0, 0.0
-	for _, b := range w.boxes {
-		if b == nil || !b.up || b.silent {
+	for _, b := range w.backends {
+		if b == nil || !b.up || b.isolated {
 			continue
 		}
-		b.sweep()
+		b.closeAllExpired()
 		open = append(open, float64(b.conns))
-		held, up = held+float64(b.model.Held()), up+1
+		held, up = held+float64(b.model.InFlight()), up+1
 		if b.budget == nil && !b.draining && !b.slow {
-			load = append(load, c.got[b].Seconds()/b.model.Full())
+			load = append(load, c.workThisSecond[b].Seconds()/b.model.FullCapacity())
 		}
 	}
-	clear(c.got)
+	clear(c.workThisSecond)
 	if len(open) > 0 {
 		slices.Sort(open)
 		s.Open, s.OpenP99, s.InFlight = stat.Mean(open, nil), stat.Quantile(0.99, stat.Empirical, open, nil), held/up
-		c.opens = append(c.opens, open...)
+		c.openSamples = append(c.openSamples, open...)
 	}
 	if mean := stat.Mean(load, nil); len(load) > 0 && mean > 0 && w.now <= w.plan.Scenario.Length.D() {
 		slices.Sort(load)
-		c.uneven = append(c.uneven, stat.Quantile(0.99, stat.Empirical, load, nil)/mean)
+		c.loadSpreads = append(c.loadSpreads, stat.Quantile(0.99, stat.Empirical, load, nil)/mean)
 	}
 	s.ColdBudgetUsed = c.ColdBudgetMax
 	believed, seen := 0.0, 0.0
@@ -168,36 +168,36 @@
 		if !n.up {
 			continue
 		}
-		for _, x := range n.bal.Snapshot(epoch + w.now) {
+		for _, x := range n.balancer.Snapshot(epoch + w.now) {
 			if !x.Wide {
 				believed, seen = believed+x.Held, seen+1
 			}
 		}
 	}
 	s.BelievedInFlight = believed / max(1, seen)
-	w.after(time.Second, w.sample)
+	w.after(time.Second, w.sampleBackends)
 }
 
 // finish works out what is over the whole play.
-func (c *Counts) finish(w *world) {
+func (c *Counts) finish(w *simulation) {
 	attempts, conns := 0, 0
 	for i := range c.Seconds {
 		s := &c.Seconds[i]
 		attempts, conns = attempts+s.Attempts, conns+s.NewConns
 		if heard := s.Attempts - s.WithoutReport; heard > 0 {
-			s.ReportAgeSeconds = s.ages / float64(heard)
+			s.ReportAgeSeconds = s.reportAgeSum / float64(heard)
 		}
 	}
 	c.NewConns = float64(conns) / float64(max(1, attempts))
-	c.HandshakeFraction = c.shaken.Seconds() / math.Max(1e-9, c.sentAll.Seconds())
-	slices.Sort(c.opens)
-	if len(c.opens) > 0 {
-		c.OpenMean, c.OpenP99, c.OpenMax = stat.Mean(c.opens, nil), stat.Quantile(0.99, stat.Empirical, c.opens, nil), c.opens[len(c.opens)-1]
+	c.HandshakeFraction = c.handshakeWork.Seconds() / math.Max(1e-9, c.workSent.Seconds())
+	slices.Sort(c.openSamples)
+	if len(c.openSamples) > 0 {
+		c.OpenMean, c.OpenP99, c.OpenMax = stat.Mean(c.openSamples, nil), stat.Quantile(0.99, stat.Empirical, c.openSamples, nil), c.openSamples[len(c.openSamples)-1]
 	}
-	if len(c.uneven) > 0 {
-		c.LoadP99ToMean = stat.Mean(c.uneven, nil)
+	if len(c.loadSpreads) > 0 {
+		c.LoadP99ToMean = stat.Mean(c.loadSpreads, nil)
 	}
-	c.ListCalls, c.ListCallsRejected = c.calls/float64(len(w.nodes)), c.away/float64(len(w.nodes))
+	c.ListCalls, c.ListCallsRejected = c.callsAfterStart/float64(len(w.nodes)), c.rejectedAfterStart/float64(len(w.nodes))
 	c.SharedBytesPerNodeSecond /= float64(len(w.nodes)) * max(1, w.now.Seconds())
-	c.opens, c.uneven, c.got = nil, nil, nil
+	c.openSamples, c.loadSpreads, c.workThisSecond = nil, nil, nil
 }
--- a/internal/kit/lab/fleet_test.go
+++ b/internal/kit/lab/fleet_test.go
@@ -9,8 +9,8 @@
 	"craneglade/policy"
 )
 
-// twin is a short day of a large fleet: 40 nodes, 30 boxes, half of the traffic, events two seconds in.
-func twin(t *testing.T, name string, change ...func(*scenario.Scenario)) *scenario.Scenario {
+// smallFleet is a short day of a large fleet: 40 nodes, 30 boxes, half of the traffic, events two seconds in.
+func smallFleet(t *testing.T, name string, change ...func(*scenario.Scenario)) *scenario.Scenario {
 	return load(t, name, append([]func(*scenario.Scenario){func(s *scenario.Scenario) {
 		s.Length = scenario.Duration(10 * time.Second)
 		s.Nodes.Count, s.Traffic.Rate, s.List.Calls = 40, s.Traffic.Rate/2, s.List.Calls/2
@@ -33,11 +33,11 @@
 	}}, change...)...)
 }
 
-// play plays a day that must keep the rules and returns its counts; tell changes what nodes are told.
-func play(t *testing.T, s *scenario.Scenario, seed uint64, tell func(*policy.Settings)) *Counts {
+// playClean plays a day that must keep the rules and returns its counts; tell changes what nodes are told.
+func playClean(t *testing.T, s *scenario.Scenario, seed uint64, tell func(*policy.Settings)) *Counts {
 	t.Helper()
-	o := Options{Name: "twin", Plan: plan.New(s, seed), Tuning: policy.DefaultTuning(), Counts: &Counts{}, tell: tell}
-	v := judged(t, o)
+	o := Options{Name: "twin", Plan: plan.New(s, seed), Tuning: policy.DefaultTuning(), Counts: &Counts{}, changeSettings: tell}
+	v := playJudged(t, o)
 	for _, x := range v.Violations {
 		t.Errorf("rule %d at %v: %s %s", x.Rule, time.Duration(x.At)*time.Microsecond, x.Name, x.Text)
 	}
@@ -54,7 +54,7 @@
 		"fleet-herd": {0.95, 0.15, 36}, "fleet-zone": {0.85, 0.22, 52}, "fleet-join": {0.96, 0.18, 50}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := twin(t, name)
+			s := smallFleet(t, name)
 			d, err := PlayOnce(name, s, 3, policy.DefaultTuning())
 			if err != nil {
 				t.Fatal(err)
@@ -80,7 +80,7 @@
 
 // Nodes that disagree on how many they are keep to the cold budget together: half of them believe in half as many.
 func TestTheColdBudgetHoldsWhereNodesDisagree(t *testing.T) {
-	c := play(t, twin(t, "fleet-join"), 3, func(s *policy.Settings) {
+	c := playClean(t, smallFleet(t, "fleet-join"), 3, func(s *policy.Settings) {
 		if s.Number%2 == 0 {
 			s.Nodes /= 2
 		}
@@ -93,11 +93,11 @@
 // A list that turns every call away for 10 s after most nodes have started together: they go on with the list that
 // they had, and do not call without end.
 func TestAListTurnedAwayAfterAStart(t *testing.T) {
-	s := twin(t, "fleet-herd", func(s *scenario.Scenario) {
+	s := smallFleet(t, "fleet-herd", func(s *scenario.Scenario) {
 		s.Length = scenario.Duration(14 * time.Second)
 		s.List.Calls = 1e-3 // one call in all
 	})
-	c := play(t, s, 3, nil)
+	c := playClean(t, s, 3, nil)
 	if c.ListCallsRejected == 0 || c.ListCalls > 10 {
 		t.Errorf("%.1f calls a node in 10 s, %.1f of them turned away", c.ListCalls, c.ListCallsRejected)
 	}
@@ -115,11 +115,11 @@
 func TestAllNodesStartTogether(t *testing.T) {
 	refused, attempts := 0, 0
 	for seed := range uint64(8) {
-		s := twin(t, "fleet-herd", func(s *scenario.Scenario) {
+		s := smallFleet(t, "fleet-herd", func(s *scenario.Scenario) {
 			s.Events = nil
 			s.Length = scenario.Duration(3 * time.Second)
 		})
-		c := play(t, s, 5+seed, nil)
+		c := playClean(t, s, 5+seed, nil)
 		first := c.Seconds[0]
 		refused, attempts = refused+first.RefusedUntried+first.RefusedTried, attempts+first.Attempts
 		if c.LoadP99ToMean > 2.5 {
--- a/internal/kit/lab/lab_test.go
+++ b/internal/kit/lab/lab_test.go
@@ -27,10 +27,10 @@
 	return s
 }
 
-func short(s *scenario.Scenario) { s.Length = scenario.Duration(12 * time.Second) }
+func shorten(s *scenario.Scenario) { s.Length = scenario.Duration(12 * time.Second) }
 
-// text plays a day and returns its trace as it would be written.
-func text(t *testing.T, s *scenario.Scenario, seed uint64) string {
+// traceText plays a day and returns its trace as it would be written.
+func traceText(t *testing.T, s *scenario.Scenario, seed uint64) string {
 	t.Helper()
 	var b strings.Builder
 	o := Options{Name: "x", Plan: plan.New(s, seed), Tuning: policy.DefaultTuning()}
@@ -45,8 +45,8 @@
 	return b.String()
 }
 
-// judged plays a day and returns what the judge says of it.
-func judged(t *testing.T, o Options) *judge.Verdict {
+// playJudged plays a day and returns what the judge says of it.
+func playJudged(t *testing.T, o Options) *judge.Verdict {
 	t.Helper()
 	j := judge.New(Head(&o))
 	line := 1
@@ -59,10 +59,10 @@
 
 func TestSameSeedSameTrace(t *testing.T) {
 	for _, name := range []string{"rolling-deploy", "lost-requests", "late-list"} {
-		s := load(t, name, short)
-		if a, b := text(t, s, 7), text(t, s, 7); a != b {
+		s := load(t, name, shorten)
+		if a, b := traceText(t, s, 7), traceText(t, s, 7); a != b {
 			t.Errorf("%s: two plays of seed 7 differ", name)
-		} else if c := text(t, s, 8); a == c {
+		} else if c := traceText(t, s, 8); a == c {
 			t.Errorf("%s: seeds 7 and 8 give the same trace", name)
 		}
 	}
@@ -100,15 +100,15 @@
 			func(e policy.Entry) bool { return e.State == policy.Draining }},
 		{"half-cold", judge.ColdKept, func(s *scenario.Scenario) { s.Rules.FallFactor = 0.3 },
 			func(p *policy.Settings) { p.ColdShare, p.FallFactor = 1, 40 }, nil},
-		{"lost-requests", judge.NoEffect2, short, func(p *policy.Settings) {
+		{"lost-requests", judge.NoEffect2, shorten, func(p *policy.Settings) {
 			for i := range p.Classes {
 				p.Classes[i].Effect = policy.Safe
 			}
 		}, nil},
 	} {
 		s := load(t, c.name, c.change)
-		o := Options{Name: c.name, Plan: plan.New(s, 5), Tuning: policy.DefaultTuning(), tell: c.tell, hide: c.hide}
-		if v := judged(t, o); !v.Broken(c.rule) {
+		o := Options{Name: c.name, Plan: plan.New(s, 5), Tuning: policy.DefaultTuning(), changeSettings: c.tell, hideUpdate: c.hide}
+		if v := playJudged(t, o); !v.Broken(c.rule) {
 			t.Errorf("%s with a module that was told wrongly: rule %d is not named as broken", c.name, c.rule)
 		}
 	}
@@ -124,7 +124,7 @@
 }
 
 func TestBeliefsStandBesideTheTruth(t *testing.T) {
-	s := load(t, "calm", short)
+	s := load(t, "calm", shorten)
 	seen, off := 0, 0.0
 	o := Options{Name: "calm", Plan: plan.New(s, 1), Tuning: policy.DefaultTuning(), Record: func(*trace.Record) {},
 		Belief: func(b Belief) {
@@ -146,7 +146,7 @@
 }
 
 func TestSweep(t *testing.T) {
-	s := load(t, "peak-short", short)
+	s := load(t, "peak-short", shorten)
 	worse := policy.DefaultTuning()
 	worse.H = 0.5
 	sweep := &Sweep{Name: "peak-short", Scenario: s, Seeds: []uint64{1, 2, 3}, Settings: []Setting{{Name: "in service", Tuning: policy.DefaultTuning()}, {Name: "h=0.5", Tuning: worse}}}
--- a/internal/kit/lab/node.go
+++ b/internal/kit/lab/node.go
@@ -18,115 +18,115 @@
 // node is one node: the decision module, and what carries out its actions.
 type node struct {
 	trace.Node
-	w        *world
-	bal      *policy.Balancer
-	actions  []policy.Action
-	requests map[string]*request
-	flying   []*attempt // without an end, in the order of their sends
-	index    int
-	up       bool
-	out      bool                    // clients know that it is down
-	life     int                     // counts its processes
-	known    map[uint32]policy.Entry // what the list has told it
-	version  int64                   // of the list, where it asks for it
-	watching bool
-	heard    map[*box]time.Duration   // when its latest report came in
-	ages     *admission.IdleEstimator // for how long boxes keep connections, from all of them together
-	pool     map[*box]*pool
-	idle     []int64 // clients' connections that wait for a request
-	lastTold time.Duration
-	held     []policy.Entry  // news that came while the list was silent
-	timeout  time.Duration   // for a connection to a box
-	shared   *shared.Replica // nil where nothing is shared
-	keys     map[judgement.Key]uint32
-	sites    *siting.Adapter // nil where sites are not watched
+	sim            *simulation
+	balancer       *policy.Balancer
+	actions        []policy.Action
+	requests       map[string]*request
+	inFlight       []*attempt // without an end, in the order of their sends
+	index          int
+	up             bool
+	markedDown     bool                    // clients know that it is down
+	incarnation    int                     // counts its processes
+	known          map[uint32]policy.Entry // what the list has told it
+	version        int64                   // of the list, where it asks for it
+	watching       bool
+	reportedAt     map[*backend]time.Duration // when its latest report came in
+	idleEstimator  *admission.IdleEstimator   // for how long boxes keep connections, from all of them together
+	pool           map[*backend]*idlePool
+	idle           []int64 // clients' connections that wait for a request
+	lastNotified   time.Duration
+	pendingUpdates []policy.Entry  // news that came while the list was silent
+	connectTimeout time.Duration   // for a connection to a box
+	shared         *shared.Replica // nil where nothing is shared
+	keys           map[judgement.Key]uint32
+	sites          *siting.Adapter // nil where sites are not watched
 }
 
-// pool are a node's idle connections to one box: since when each has rested, the latest last.
-type pool struct {
-	life int
-	idle []time.Duration
-	ages *admission.IdleEstimator
+// idlePool are a node's idle connections to one box: since when each has rested, the latest last.
+type idlePool struct {
+	connEpoch     int
+	idleSince     []time.Duration
+	idleEstimator *admission.IdleEstimator
 }
 
 // request is one try of a client at a node.
 type request struct {
-	id       string
-	need     *plan.Operation
-	try      int
-	first    string
-	sentAt   time.Duration
-	wait     time.Duration
-	conn     int64
-	life     int // of its node
-	attempts []*attempt
-	answered bool
+	id          string
+	op          *plan.Operation
+	try         int
+	firstID     string
+	sentAt      time.Duration
+	timeout     time.Duration
+	conn        int64
+	incarnation int // of its node
+	attempts    []*attempt
+	ended       bool
 }
 
 // attempt is one send to a box.
 type attempt struct {
-	att    uint64
-	node   *node
-	box    *box
-	life   int           // of the box when the connection was opened
-	rested time.Duration // for how long its connection had, before it was used again
-	req    *request
-	index  int
-	sent   time.Duration
-	wait   time.Duration
-	fresh  bool // on a new connection
-	extra  bool // past the connections that the box accepts
-	begun  bool // its last byte is written
-	dead   bool // it is reset, not answered
-	over   bool
-	load   policy.Load
+	number    uint64
+	node      *node
+	backend   *backend
+	connEpoch int           // of the box when the connection was opened
+	idleFor   time.Duration // for how long its connection had, before it was used again
+	request   *request
+	index     int
+	sent      time.Duration
+	timeout   time.Duration
+	newConn   bool // on a new connection
+	overLimit bool // past the connections that the box accepts
+	written   bool // its last byte is written
+	willReset bool // it is reset, not answered
+	ended     bool
+	load      policy.Load
 }
 
-// sum stands for the digest of a body that was made for this attempt's request.
-func (a *attempt) sum() string { return fmt.Sprintf("%s/%d", a.req.id, a.att) }
+// digest stands for the digest of a body that was made for this attempt's request.
+func (a *attempt) digest() string { return fmt.Sprintf("%s/%d", a.request.id, a.number) }
 
-func (w *world) addNode(i int, t trace.Node) error {
-	n := &node{Node: t, w: w, index: i, known: map[uint32]policy.Entry{}}
+func (w *simulation) addNode(i int, t trace.Node) error {
+	n := &node{Node: t, sim: w, index: i, known: map[uint32]policy.Entry{}}
 	w.nodes = append(w.nodes, n)
 	for i := range w.plan.Initial {
 		n.known[uint32(i+1)] = w.entry(i, policy.Active)
 		w.note(trace.Record{Kind: trace.Told, Node: t.Name, Box: w.plan.Backends[i].ID, State: trace.Ready})
 	}
-	return n.begin()
+	return n.start()
 }
 
-// begin starts the node's process, with the list that it was told before.
-func (n *node) begin() error {
-	w := n.w
+// start starts the node's process, with the list that it was told before.
+func (n *node) start() error {
+	w := n.sim
 	set, err := settings(w.plan, n.index, n.Site)
 	if err != nil {
 		return err
 	}
-	if w.opt.tell != nil {
-		w.opt.tell(&set.Policy)
+	if w.opt.changeSettings != nil {
+		w.opt.changeSettings(&set.Policy)
 	}
-	n.bal, err = policy.NewWithTuning(set.Policy, w.plan.Seed<<8+uint64(n.index)+uint64(n.life)<<40, w.opt.Tuning)
+	n.balancer, err = policy.NewWithTuning(set.Policy, w.plan.Seed<<8+uint64(n.index)+uint64(n.incarnation)<<40, w.opt.Tuning)
 	if err != nil {
 		return err
 	}
-	if n.life > 0 && (len(w.counts.starts) == 0 || !w.counts.starting(w.now)) {
-		w.counts.calls, w.counts.away = 0, 0 // those before were no start's
+	if n.incarnation > 0 && (len(w.counts.nodeStarts) == 0 || !w.counts.nodesStarting(w.now)) {
+		w.counts.callsAfterStart, w.counts.rejectedAfterStart = 0, 0 // those before were no start's
 	}
-	if n.life > 0 {
-		w.counts.starts = append(w.counts.starts, w.now)
+	if n.incarnation > 0 {
+		w.counts.nodeStarts = append(w.counts.nodeStarts, w.now)
 	}
-	n.up, n.out, n.watching, n.timeout = true, false, false, set.ConnectTimeout
-	n.requests, n.pool, n.heard = map[string]*request{}, map[*box]*pool{}, map[*box]time.Duration{}
-	n.ages = admission.NewIdleEstimator(w.plan.Scenario.Conn.Idle.D(), nil)
+	n.up, n.markedDown, n.watching, n.connectTimeout = true, false, false, set.ConnectTimeout
+	n.requests, n.pool, n.reportedAt = map[string]*request{}, map[*backend]*idlePool{}, map[*backend]time.Duration{}
+	n.idleEstimator = admission.NewIdleEstimator(w.plan.Scenario.Conn.Idle.D(), nil)
 	w.note(trace.Record{Kind: trace.Proc, Node: n.Name, State: trace.Started})
 	w.note(trace.Record{Kind: trace.Proc, Node: n.Name, State: trace.Up})
 	var known []policy.Entry
 	for _, id := range slices.Sorted(maps.Keys(n.known)) {
 		known = append(known, n.known[id])
 	}
-	n.share(&set.Policy)
-	n.site(&set.Policy)
-	n.listed()
+	n.startSharing(&set.Policy)
+	n.startSites(&set.Policy)
+	n.backendsChanged()
 	n.handle(&policy.Event{Kind: policy.EvList, List: policy.ListCached, Entries: known})
 	return nil
 }
@@ -136,39 +136,39 @@
 	if !n.up {
 		return
 	}
-	w := n.w
+	w := n.sim
 	w.note(trace.Record{Kind: trace.Proc, Node: n.Name, State: trace.Kill})
-	n.died()
+	n.notifyDead()
 	n.up, n.idle = false, nil
-	n.life++
-	life := n.life
-	w.after(w.plan.Scenario.Clients.Notice.D(), func() { n.out = n.out || !n.up && n.life == life })
-	for _, a := range n.flying {
-		a.over = true
-		if a.begun {
-			a.hangUp()
+	n.incarnation++
+	life := n.incarnation
+	w.after(w.plan.Scenario.Clients.Notice.D(), func() { n.markedDown = n.markedDown || !n.up && n.incarnation == life })
+	for _, a := range n.inFlight {
+		a.ended = true
+		if a.written {
+			a.closeWritten()
 		}
 	}
-	n.flying = nil
+	n.inFlight = nil
 	for b, p := range n.pool {
-		if p.life == b.life {
-			b.conns -= len(p.idle)
+		if p.connEpoch == b.connEpoch {
+			b.conns -= len(p.idleSince)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(n.requests)) {
-		if r := n.requests[id]; !r.answered {
-			n.cut(r)
+		if r := n.requests[id]; !r.ended {
+			n.breakClientConn(r)
 		}
 	}
 }
 
-// cut breaks a client's connection under a request.
-func (n *node) cut(r *request) {
-	r.answered = true
-	rec := n.w.rec(r.need)
+// breakClientConn breaks a client's connection under a request.
+func (n *node) breakClientConn(r *request) {
+	r.ended = true
+	rec := n.sim.newRecord(r.op)
 	rec.Kind, rec.ID, rec.Node, rec.Conn, rec.Why = trace.Broke, r.id, n.Name, r.conn, "closed"
-	n.w.note(rec)
-	n.w.ended(r, plan.Failed, 0)
+	n.sim.note(rec)
+	n.sim.endTry(r, plan.Failed, 0)
 }
 
 // revive starts the process again. Where lists are pushed, the agent beside it has kept what it was not told.
@@ -176,35 +176,35 @@
 	if n.up {
 		return
 	}
-	if err := n.begin(); err != nil {
+	if err := n.start(); err != nil {
 		panic(err) // the same settings were taken at the start
 	}
-	n.w.after(n.w.spread(), func() {
-		if n.up && !n.w.hushes(n) && len(n.held) > 0 {
-			n.told(n.held)
-			n.held = nil
+	n.sim.after(n.sim.drawListSpread(), func() {
+		if n.up && !n.sim.listPausedFor(n) && len(n.pendingUpdates) > 0 {
+			n.applyDelta(n.pendingUpdates)
+			n.pendingUpdates = nil
 		}
 	})
 }
 
-// told hands in news of the list.
-func (n *node) told(news []policy.Entry) { n.take(policy.ListDelta, news) }
+// applyDelta hands in news of the list.
+func (n *node) applyDelta(news []policy.Entry) { n.applyList(policy.ListDelta, news) }
 
-func (n *node) take(kind policy.ListKind, news []policy.Entry) {
+func (n *node) applyList(kind policy.ListKind, news []policy.Entry) {
 	for _, e := range news {
 		n.known[e.ID] = e
-		for name, s := range states {
+		for name, s := range listStates {
 			if s == e.State {
-				n.w.note(trace.Record{Kind: trace.Told, Node: n.Name, Box: n.w.plan.Backends[e.ID-1].ID, State: name})
+				n.sim.note(trace.Record{Kind: trace.Told, Node: n.Name, Box: n.sim.plan.Backends[e.ID-1].ID, State: name})
 			}
 		}
 		if e.State == policy.Removed {
 			delete(n.known, e.ID)
 		}
 	}
-	n.listed()
-	if n.w.opt.hide != nil {
-		news = slices.DeleteFunc(news, n.w.opt.hide)
+	n.backendsChanged()
+	if n.sim.opt.hideUpdate != nil {
+		news = slices.DeleteFunc(news, n.sim.opt.hideUpdate)
 	}
 	if len(news) > 0 || kind != policy.ListDelta {
 		n.handle(&policy.Event{Kind: policy.EvList, List: kind, Entries: news})
@@ -213,8 +213,8 @@
 
 // handle hands one event to the module and carries out what it wants.
 func (n *node) handle(ev *policy.Event) {
-	now := epoch + n.w.now
-	acts := n.bal.Handle(now, ev, n.actions[:0])
+	now := epoch + n.sim.now
+	acts := n.balancer.Handle(now, ev, n.actions[:0])
 	n.actions = nil // carrying out may hand in the next event
 	for i := range acts {
 		a := &acts[i]
@@ -223,17 +223,17 @@
 			n.send(a)
 		case policy.ActCancel:
 			if r := n.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
-				r.attempts[a.Attempt].giveUp(policy.Canceled)
+				r.attempts[a.Attempt].abandon(policy.Canceled)
 			}
 		case policy.ActRefuse:
-			n.w.counts.refused(n, a.ID)
+			n.sim.counts.recordRefusal(n, a.ID)
 			n.finish(a.ID, 503, "", a.Wait)
 		case policy.ActFail:
 			n.finish(a.ID, 500, "", 0)
 		case policy.ActTimer:
-			token, life := a.Token, n.life
-			n.w.at(a.At-epoch, func() {
-				if n.life == life {
+			token, life := a.Token, n.incarnation
+			n.sim.at(a.At-epoch, func() {
+				if n.incarnation == life {
 					n.handle(&policy.Event{Kind: policy.EvTimer, Token: token})
 				}
 			})
@@ -252,46 +252,46 @@
 	if r == nil {
 		return
 	}
-	w, b := n.w, n.w.boxes[act.Backend-1]
-	w.atts++
-	a := &attempt{att: uint64(w.atts), node: n, box: b, req: r, index: len(r.attempts), sent: w.now,
-		wait: min(act.Wait, r.sentAt+r.wait-transit-w.now), load: policy.Load{Queue: -1, Occupancy: -1}}
+	w, b := n.sim, n.sim.backends[act.Backend-1]
+	w.attemptCount++
+	a := &attempt{number: uint64(w.attemptCount), node: n, backend: b, request: r, index: len(r.attempts), sent: w.now,
+		timeout: min(act.Wait, r.sentAt+r.timeout-returnTransit-w.now), load: policy.Load{Queue: -1, Occupancy: -1}}
 	r.attempts = append(r.attempts, a)
-	n.flying = append(n.flying, a)
-	w.after(a.wait, func() { a.giveUp(policy.TimedOut) })
+	n.inFlight = append(n.inFlight, a)
+	w.after(a.timeout, func() { a.abandon(policy.TimedOut) })
 	if n.sites != nil {
 		n.sites.RecordSend(epoch+w.now, act.Backend)
 		if n.shared != nil && n.sites.Node.IsOverflow(b.plan.Site) {
 			n.shared.CountCrossSite(epoch+w.now, b.plan.Site)
 		}
 	}
-	a.life = b.life
-	a.fresh = !n.reuse(a)
-	w.counts.sent(a)
-	if !a.fresh {
+	a.connEpoch = b.connEpoch
+	a.newConn = !n.reuse(a)
+	w.counts.recordAttempt(a)
+	if !a.newConn {
 		a.write()
 		return
 	}
 	way := w.delay(n.Site, b.plan.Site)
-	if b.silent || w.apart(n.Site, b.plan.Site) {
-		w.after(n.timeout, func() { a.giveUp(policy.ConnectFailed) })
+	if b.isolated || w.partitioned(n.Site, b.plan.Site) {
+		w.after(n.connectTimeout, func() { a.abandon(policy.ConnectFailed) })
 		return
 	}
 	w.after(way, func() {
-		if a.over || b.silent || w.apart(n.Site, b.plan.Site) {
+		if a.ended || b.isolated || w.partitioned(n.Site, b.plan.Site) {
 			return
 		}
-		up := b.up && b.life == a.life
+		up := b.up && b.connEpoch == a.connEpoch
 		if up {
-			b.sweep()
+			b.closeAllExpired()
 			b.conns++
-			a.extra = b.conns > w.plan.Scenario.Conn.Max
+			a.overLimit = b.conns > w.plan.Scenario.Conn.Max
 		}
 		w.after(w.delay(b.plan.Site, n.Site), func() {
 			switch {
-			case a.over && up:
-				a.drop()
-			case a.over:
+			case a.ended && up:
+				a.releaseConn()
+			case a.ended:
 			case !up:
 				a.end(policy.ConnectFailed)
 			default:
@@ -304,156 +304,156 @@
 // reuse takes an idle connection to the attempt's box, by the rules of the daemon's pool: the latest used, and for what
 // must not be sent twice none that has rested for longer than boxes are sure to keep one.
 func (n *node) reuse(a *attempt) bool {
-	p := n.pool[a.box]
-	if p == nil || p.life != a.box.life {
-		p = &pool{life: a.box.life, ages: admission.NewIdleEstimator(n.w.plan.Scenario.Conn.Idle.D(), n.ages)}
-		n.pool[a.box] = p
+	p := n.pool[a.backend]
+	if p == nil || p.connEpoch != a.backend.connEpoch {
+		p = &idlePool{connEpoch: a.backend.connEpoch, idleEstimator: admission.NewIdleEstimator(n.sim.plan.Scenario.Conn.Idle.D(), n.idleEstimator)}
+		n.pool[a.backend] = p
 	}
-	a.box.trim(p)
-	last := len(p.idle) - 1
+	a.backend.closeExpired(p)
+	last := len(p.idleSince) - 1
 	if last < 0 {
 		return false
 	}
-	rested := n.w.now - p.idle[last]
-	if n.w.plan.Scenario.Classes[a.req.need.Class].Effect == "unsafe" && rested > p.ages.SafeIdle() {
+	rested := n.sim.now - p.idleSince[last]
+	if n.sim.plan.Scenario.Classes[a.request.op.Class].Effect == "unsafe" && rested > p.idleEstimator.SafeIdle() {
 		return false
 	}
-	p.idle, a.rested = p.idle[:last], max(rested, 1)
+	p.idleSince, a.idleFor = p.idleSince[:last], max(rested, 1)
 	return true
 }
 
-// trim closes the connections that a node has kept for as long as its pool does: a tenth before boxes close them.
-func (b *box) trim(p *pool) {
-	keep := b.w.plan.Scenario.Conn.Idle.D() * 9 / 10
-	for p.life == b.life && len(p.idle) > 0 && b.w.now-p.idle[0] >= keep {
-		p.idle = p.idle[1:]
+// closeExpired closes the connections that a node has kept for as long as its pool does: a tenth before boxes close them.
+func (b *backend) closeExpired(p *idlePool) {
+	keep := b.sim.plan.Scenario.Conn.Idle.D() * 9 / 10
+	for p.connEpoch == b.connEpoch && len(p.idleSince) > 0 && b.sim.now-p.idleSince[0] >= keep {
+		p.idleSince = p.idleSince[1:]
 		b.conns--
 	}
 }
 
-// sweep trims all nodes' connections to the box.
-func (b *box) sweep() {
-	for _, n := range b.w.nodes {
+// closeAllExpired trims all nodes' connections to the box.
+func (b *backend) closeAllExpired() {
+	for _, n := range b.sim.nodes {
 		if p := n.pool[b]; n.up && p != nil {
-			b.trim(p)
+			b.closeExpired(p)
 		}
 	}
 }
 
 // write sends the request on the connection that the attempt has.
 func (a *attempt) write() {
-	w, b := a.node.w, a.box
-	a.begun = true
+	w, b := a.node.sim, a.backend
+	a.written = true
 	lost := w.cut(a.node.Site, b.plan.Site)
-	if b.up && b.life == a.life && !b.silent && !lost {
-		work := a.req.need.Work
-		if a.fresh {
+	if b.up && b.connEpoch == a.connEpoch && !b.isolated && !lost {
+		work := a.request.op.Work
+		if a.newConn {
 			work += w.plan.Scenario.Conn.Handshake.D()
 		}
 		if b.budget != nil {
 			b.budget.Add(w.now, work.Seconds(), true)
-			w.counts.cold(b, work)
+			w.counts.recordColdWork(b, work)
 		}
-		w.note(trace.Record{Kind: trace.Recv, Box: b.plan.ID, Node: a.node.Name, ID: a.req.id, Att: int64(a.att), T0: trace.US(w.now),
-			Class: w.plan.Scenario.Classes[a.req.need.Class].Name, Work: trace.US(work)})
+		w.note(trace.Record{Kind: trace.Recv, Box: b.plan.ID, Node: a.node.Name, ID: a.request.id, Att: int64(a.number), T0: trace.US(w.now),
+			Class: w.plan.Scenario.Classes[a.request.op.Class].Name, Work: trace.US(work)})
 	}
 	w.after(w.delay(a.node.Site, b.plan.Site), func() {
 		switch {
-		case a.over || lost:
-		case !b.up || b.life != a.life:
+		case a.ended || lost:
+		case !b.up || b.connEpoch != a.connEpoch:
 			a.end(policy.Reset)
 		default:
-			b.arrive(a)
+			b.handleArrival(a)
 		}
 	})
 }
 
-// giveUp closes the attempt's connection.
-func (a *attempt) giveUp(o policy.Outcome) {
-	if a.over {
+// abandon closes the attempt's connection.
+func (a *attempt) abandon(o policy.Outcome) {
+	if a.ended {
 		return
 	}
-	if !a.begun && o == policy.TimedOut {
+	if !a.written && o == policy.TimedOut {
 		o = policy.ConnectFailed
 	}
-	if a.begun {
-		a.hangUp()
+	if a.written {
+		a.closeWritten()
 	}
 	a.end(o)
 }
 
-// hangUp closes the connection under a request that the box has been sent.
-func (a *attempt) hangUp() {
-	w, b := a.node.w, a.box
-	w.note(trace.Record{Kind: trace.Drop, Box: b.plan.ID, Node: a.node.Name, Att: int64(a.att), ID: a.req.id})
-	a.drop()
+// closeWritten closes the connection under a request that the box has been sent.
+func (a *attempt) closeWritten() {
+	w, b := a.node.sim, a.backend
+	w.note(trace.Record{Kind: trace.Drop, Box: b.plan.ID, Node: a.node.Name, Att: int64(a.number), ID: a.request.id})
+	a.releaseConn()
 	w.after(w.delay(a.node.Site, b.plan.Site), func() {
-		if b.up && b.life == a.life && !b.silent && !w.cut(a.node.Site, b.plan.Site) {
-			b.model.Cancel(w.now, a.att)
-			b.drive()
+		if b.up && b.connEpoch == a.connEpoch && !b.isolated && !w.cut(a.node.Site, b.plan.Site) {
+			b.model.Cancel(w.now, a.number)
+			b.advance()
 		}
 	})
 }
 
-// drop takes the attempt's connection off the box's count.
-func (a *attempt) drop() {
-	if a.box.life == a.life {
-		a.box.conns--
+// releaseConn takes the attempt's connection off the box's count.
+func (a *attempt) releaseConn() {
+	if a.backend.connEpoch == a.connEpoch {
+		a.backend.conns--
 	}
 }
 
 // end hands in the attempt's outcome, and passes on the answer of one that was served.
 func (a *attempt) end(o policy.Outcome) {
-	n, r := a.node, a.req
-	a.over = true
-	n.flying = slices.DeleteFunc(n.flying, func(x *attempt) bool { return x == a })
-	if p := n.pool[a.box]; p != nil && p.life == a.life && a.box.life == a.life {
+	n, r := a.node, a.request
+	a.ended = true
+	n.inFlight = slices.DeleteFunc(n.inFlight, func(x *attempt) bool { return x == a })
+	if p := n.pool[a.backend]; p != nil && p.connEpoch == a.connEpoch && a.backend.connEpoch == a.connEpoch {
 		switch o {
 		case policy.OK, policy.Failed, policy.Full:
-			if a.extra {
-				a.drop()
+			if a.overLimit {
+				a.releaseConn()
 			} else {
-				p.idle = append(p.idle, n.w.now)
+				p.idleSince = append(p.idleSince, n.sim.now)
 			}
-			if a.rested > 0 {
-				p.ages.RecordReuse(n.w.now, a.rested)
+			if a.idleFor > 0 {
+				p.idleEstimator.RecordReuse(n.sim.now, a.idleFor)
 			}
 		case policy.Reset:
-			a.drop()
+			a.releaseConn()
 		}
 	}
-	if o == policy.OK && !r.answered {
-		n.finish(r.id, 200, a.sum(), 0)
+	if o == policy.OK && !r.ended {
+		n.finish(r.id, 200, a.digest(), 0)
 	}
 	if a.load.Known {
-		n.heard[a.box] = n.w.now
+		n.reportedAt[a.backend] = n.sim.now
 	}
 	if n.shared != nil {
 		if tells, failed := shared.Evidence(o); tells {
-			n.shared.RecordOutcome(epoch+n.w.now, n.key(a.box), failed)
+			n.shared.RecordOutcome(epoch+n.sim.now, n.key(a.backend), failed)
 		}
 	}
 	if n.sites != nil {
-		n.sites.RecordOutcome(epoch+n.w.now, uint32(n.w.number[a.box.plan.ID]+1), o, n.w.now-a.sent)
+		n.sites.RecordOutcome(epoch+n.sim.now, uint32(n.sim.backendIndex[a.backend.plan.ID]+1), o, n.sim.now-a.sent)
 	}
-	n.handle(&policy.Event{Kind: policy.EvOutcome, ID: r.id, Backend: uint32(n.w.number[a.box.plan.ID] + 1), Attempt: a.index,
-		Took: n.w.now - a.sent, Finished: r.answered, Outcome: o, Load: a.load})
+	n.handle(&policy.Event{Kind: policy.EvOutcome, ID: r.id, Backend: uint32(n.sim.backendIndex[a.backend.plan.ID] + 1), Attempt: a.index,
+		Took: n.sim.now - a.sent, Finished: r.ended, Outcome: o, Load: a.load})
 	n.forget(r)
 }
 
 // finish gives a request its final answer, unless it has one.
 func (n *node) finish(id string, status int, sum string, retryAfter time.Duration) {
 	r := n.requests[id]
-	if r == nil || r.answered {
+	if r == nil || r.ended {
 		return
 	}
-	r.answered = true
-	n.w.after(n.w.delay(n.Site, n.Site), func() { n.w.answered(n, r, status, sum, retryAfter) })
+	r.ended = true
+	n.sim.after(n.sim.delay(n.Site, n.Site), func() { n.sim.deliverResponse(n, r, status, sum, retryAfter) })
 	n.forget(r)
 }
 
 func (n *node) forget(r *request) {
-	if r.answered && !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.over }) {
+	if r.ended && !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.ended }) {
 		delete(n.requests, r.id)
 	}
 }
--- a/internal/kit/lab/page.go
+++ b/internal/kit/lab/page.go
@@ -16,8 +16,8 @@
 // colours tell the settings of a page apart; they come round again after the last.
 var colours = []string{"#1f5fa8", "#d07b2a", "#1a7f37", "#8250df", "#b5474f", "#57606a", "#9a6700", "#0f7b8a"}
 
-// drawn is how many settings a chart shows: more can't be told apart by eye. The table has all.
-const drawn = 8
+// maxChartLines is how many settings a chart shows: more can't be told apart by eye. The table has all.
+const maxChartLines = 8
 
 // Page writes the outcomes of a sweep as one page that needs nothing else.
 func (s *Sweep) Page(w io.Writer, out []Outcome) error {
@@ -35,7 +35,7 @@
 		Outcomes []Outcome
 		Drawn    int
 		Chart    template.HTML
-	}{s, out, min(drawn, len(out)), template.HTML(s.chart(out))})
+	}{s, out, min(maxChartLines, len(out)), template.HTML(s.chart(out))})
 }
 
 // chart shows, for each setting, the requests answered in time in each second, over all seeds, below those asked for.
@@ -69,7 +69,7 @@
 		c.F(`<polyline fill="none" %s points="%s"/>`, style, strings.Join(at, " "))
 	}
 	line(asked, `stroke="#1b1f24" stroke-dasharray="4 3"`)
-	for i := range out[:min(drawn, len(out))] {
+	for i := range out[:min(maxChartLines, len(out))] {
 		line(mean(&out[i], func(d *PlayResult) []float64 { return d.Served }), fmt.Sprintf(`stroke="%s" stroke-width="2"`, colours[i]))
 	}
 	c.F(`</svg>`)
--- a/internal/kit/lab/share.go
+++ b/internal/kit/lab/share.go
@@ -21,21 +21,21 @@
 }
 
 const (
-	shareStep   = 250 * time.Millisecond
-	gossipEvery = 200 * time.Millisecond
-	gossipTo    = 3
-	datagram    = 1400
-	wholeEvery  = 10 * time.Second
-	deadAfter   = 3 * time.Second
+	shareStepInterval = 250 * time.Millisecond
+	gossipInterval    = 200 * time.Millisecond
+	gossipFanout      = 3
+	datagramBytes     = 1400
+	fullStateInterval = 10 * time.Second
+	deadNoticeDelay   = 3 * time.Second
 )
 
-func (n *node) key(b *box) judgement.Key {
+func (n *node) key(b *backend) judgement.Key {
 	return shared.Key(b.plan.ID, int64(b.started/time.Millisecond))
 }
 
-// share gives the node's new life a replica.
-func (n *node) share(set *policy.Settings) {
-	o := n.w.opt.Sharing
+// startSharing gives the node's new life a replica.
+func (n *node) startSharing(set *policy.Settings) {
+	o := n.sim.opt.Sharing
 	if o == nil {
 		return
 	}
@@ -43,53 +43,53 @@
 	for _, t := range set.Tenants {
 		quotas[t.Name] = t.QuotaPerS
 	}
-	n.shared = shared.New(shared.Config{Name: n.Name, Self: escrow.Node{Number: n.index, Incarnation: uint64(n.life) + 1}, Nodes: set.Nodes, Site: n.Site,
-		Quotas: quotas, OverflowSites: planned(n.w.opt.Sites), Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: o.Use, BytesPerSecond: o.BytesPS, DatagramBytes: datagram}, epoch+n.w.now)
-	life := n.life
-	n.every(life, shareStep, func() {
-		n.speak(n.shared.Step(epoch + n.w.now))
-		n.view()
+	n.shared = shared.New(shared.Config{Name: n.Name, Self: escrow.Node{Number: n.index, Incarnation: uint64(n.incarnation) + 1}, Nodes: set.Nodes, Site: n.Site,
+		Quotas: quotas, OverflowSites: plannedSites(n.sim.opt.Sites), Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: o.Use, BytesPerSecond: o.BytesPS, DatagramBytes: datagramBytes}, epoch+n.sim.now)
+	life := n.incarnation
+	n.repeat(life, shareStepInterval, func() {
+		n.sendMessages(n.shared.Step(epoch + n.sim.now))
+		n.applyView()
 	})
-	n.every(life, gossipEvery, n.gossip)
-	n.every(life, wholeEvery, func() {
-		if p := n.peer(); p != nil {
-			mine, theirs := n.shared.State(epoch+n.w.now), p.shared.State(epoch+n.w.now)
-			n.w.carry(p, mine)
-			n.w.carry(n, theirs)
+	n.repeat(life, gossipInterval, n.gossip)
+	n.repeat(life, fullStateInterval, func() {
+		if p := n.randomPeer(); p != nil {
+			mine, theirs := n.shared.State(epoch+n.sim.now), p.shared.State(epoch+n.sim.now)
+			n.sim.deliver(p, mine)
+			n.sim.deliver(n, theirs)
 		}
 	})
-	n.w.after(gossipEvery, func() {
-		for _, p := range n.w.nodes {
-			if p != n && p.up && p.shared != nil && n.life == life {
-				n.meet(p)
-				p.meet(n)
+	n.sim.after(gossipInterval, func() {
+		for _, p := range n.sim.nodes {
+			if p != n && p.up && p.shared != nil && n.incarnation == life {
+				n.addMember(p)
+				p.addMember(n)
 			}
 		}
 	})
 }
 
-func (n *node) meet(p *node) {
-	if err := n.shared.MemberJoined(epoch+n.w.now, p.Name, p.shared.Meta()); err != nil {
+func (n *node) addMember(p *node) {
+	if err := n.shared.MemberJoined(epoch+n.sim.now, p.Name, p.shared.Meta()); err != nil {
 		panic(err) // it was written by this very program
 	}
 }
 
-// every calls f in turns, from somewhere in the first one on, while the node's life lasts.
-func (n *node) every(life int, turn time.Duration, f func()) {
+// repeat calls f in turns, from somewhere in the first one on, while the node's life lasts.
+func (n *node) repeat(life int, turn time.Duration, f func()) {
 	var next func()
 	next = func() {
-		if n.up && n.life == life {
+		if n.up && n.incarnation == life {
 			f()
-			n.w.after(turn, next)
+			n.sim.after(turn, next)
 		}
 	}
-	n.w.after(time.Duration(n.w.rng.Float64()*float64(turn)), next)
+	n.sim.after(time.Duration(n.sim.rng.Float64()*float64(turn)), next)
 }
 
-// peer is another node that is up, by chance; nil where there is none.
-func (n *node) peer() *node {
+// randomPeer is another node that is up, by chance; nil where there is none.
+func (n *node) randomPeer() *node {
 	for range 8 {
-		if p := n.w.nodes[n.w.rng.IntN(len(n.w.nodes))]; p != n && p.up && p.shared != nil {
+		if p := n.sim.nodes[n.sim.rng.IntN(len(n.sim.nodes))]; p != n && p.up && p.shared != nil {
 			return p
 		}
 	}
@@ -97,52 +97,54 @@
 }
 
 func (n *node) gossip() {
-	for range gossipTo {
-		if p := n.peer(); p != nil {
-			for _, frame := range n.shared.Broadcasts(epoch+n.w.now, 2, datagram) {
-				n.w.gossiped(frame)
-				n.w.carry(p, frame)
+	for range gossipFanout {
+		if p := n.randomPeer(); p != nil {
+			for _, frame := range n.shared.Broadcasts(epoch+n.sim.now, 2, datagramBytes) {
+				n.sim.countShared(frame)
+				n.sim.deliver(p, frame)
 			}
 		}
 	}
 }
 
-// speak sends messages to the members that they are for.
-func (n *node) speak(all []shared.Message) {
+// sendMessages sends messages to the members that they are for.
+func (n *node) sendMessages(all []shared.Message) {
 	for _, m := range all {
-		if m.To >= 0 && m.To < len(n.w.nodes) {
-			n.w.gossiped(m.Payload)
-			n.w.carry(n.w.nodes[m.To], m.Payload)
+		if m.To >= 0 && m.To < len(n.sim.nodes) {
+			n.sim.countShared(m.Payload)
+			n.sim.deliver(n.sim.nodes[m.To], m.Payload)
 		}
 	}
 }
 
-func (w *world) gossiped(frame []byte) { w.counts.SharedBytesPerNodeSecond += float64(len(frame)) }
+func (w *simulation) countShared(frame []byte) {
+	w.counts.SharedBytesPerNodeSecond += float64(len(frame))
+}
 
-// carry takes a frame to a node, or loses it.
-func (w *world) carry(to *node, frame []byte) {
+// deliver takes a frame to a node, or loses it.
+func (w *simulation) deliver(to *node, frame []byte) {
 	if w.rng.Float64() < w.opt.Sharing.Loss {
 		return
 	}
-	life := to.life
+	life := to.incarnation
 	w.after(w.delay(to.Site, to.Site), func() {
-		if !to.up || to.life != life || to.shared == nil {
+		if !to.up || to.incarnation != life || to.shared == nil {
 			return
 		}
 		answers, err := to.shared.Receive(epoch+w.now, frame)
 		if err != nil {
 			panic(err) // it was written by this very program
 		}
-		to.speak(answers)
+		to.sendMessages(answers)
 	})
 }
 
-// view hands in what the node may act on now.
-func (n *node) view() {
-	v := n.shared.View(epoch + n.w.now)
+// applyView hands in what the node may act on now.
+func (n *node) applyView() {
+	v := n.shared.View(epoch + n.sim.now)
 	for _, note := range n.shared.Notes() {
-		if n.w.opt.note != nil {
-			n.w.opt.note(n.Name, note)
+		if n.sim.opt.onNote != nil {
+			n.sim.opt.onNote(n.Name, note)
 		}
 	}
 	if n.sites != nil {
@@ -152,9 +154,9 @@
 	n.handle(v.Event(func(k judgement.Key) (uint32, bool) { x, ok := n.keys[k]; return x, ok }))
 }
 
-// listed tells the replica which boxes there are.
-func (n *node) listed() {
-	n.sited()
+// backendsChanged tells the replica which boxes there are.
+func (n *node) backendsChanged() {
+	n.updateSiteBackends()
 	if n.shared == nil {
 		return
 	}
@@ -162,25 +164,25 @@
 	var all []judgement.Backend
 	for _, id := range slices.Sorted(maps.Keys(n.known)) {
 		e := n.known[id]
-		if e.State == policy.Active && n.w.boxes[id-1] != nil {
-			k := n.key(n.w.boxes[id-1])
+		if e.State == policy.Active && n.sim.backends[id-1] != nil {
+			k := n.key(n.sim.backends[id-1])
 			n.keys[k] = id
-			all = append(all, judgement.Backend{Key: k, Name: n.w.plan.Backends[id-1].ID, Site: e.Zone})
+			all = append(all, judgement.Backend{Key: k, Name: n.sim.plan.Backends[id-1].ID, Site: e.Zone})
 		}
 	}
 	n.shared.SetBackends(all)
 }
 
-// died tells the others that a node has ended.
-func (n *node) died() {
+// notifyDead tells the others that a node has ended.
+func (n *node) notifyDead() {
 	if n.shared == nil {
 		return
 	}
-	meta, life := n.shared.Meta(), n.life
-	n.w.after(deadAfter, func() {
-		for _, p := range n.w.nodes {
-			if p != n && p.up && p.shared != nil && (n.life == life || !n.up) {
-				p.shared.MemberDown(epoch+n.w.now, meta, roster.Dead)
+	meta, life := n.shared.Meta(), n.incarnation
+	n.sim.after(deadNoticeDelay, func() {
+		for _, p := range n.sim.nodes {
+			if p != n && p.up && p.shared != nil && (n.incarnation == life || !n.up) {
+				p.shared.MemberDown(epoch+n.sim.now, meta, roster.Dead)
 			}
 		}
 	})
--- a/internal/kit/lab/site.go
+++ b/internal/kit/lab/site.go
@@ -15,8 +15,8 @@
 	Note func(node string, n sites.Note)
 }
 
-// planned are the sites of a plan.
-func planned(o *Siting) (out []string) {
+// plannedSites are the sites of a plan.
+func plannedSites(o *Siting) (out []string) {
 	if o == nil || o.Plan == nil {
 		return nil
 	}
@@ -26,15 +26,15 @@
 	return out
 }
 
-// site gives the node's new life its view of the sites.
-func (n *node) site(set *policy.Settings) {
-	o := n.w.opt.Sites
+// startSites gives the node's new life its view of the sites.
+func (n *node) startSites(set *policy.Settings) {
+	o := n.sim.opt.Sites
 	if o == nil {
 		return
 	}
 	n.sites = siting.New(set, o.Plan)
-	n.every(n.life, siting.StepInterval, func() {
-		ev, probe := n.sites.Step(epoch+n.w.now, n.bal)
+	n.repeat(n.incarnation, siting.StepInterval, func() {
+		ev, probe := n.sites.Step(epoch+n.sim.now, n.balancer)
 		if ev != nil {
 			n.handle(ev)
 		}
@@ -49,8 +49,8 @@
 	})
 }
 
-// sited tells which boxes there are.
-func (n *node) sited() {
+// updateSiteBackends tells which boxes there are.
+func (n *node) updateSiteBackends() {
 	if n.sites == nil {
 		return
 	}
@@ -59,27 +59,27 @@
 		e := n.known[id]
 		all = append(all, sites.Backend{ID: id, Site: e.Zone, Ready: e.State == policy.Active, Launched: e.Launched.Seconds()})
 	}
-	n.sites.ApplyList(epoch+n.w.now, all)
+	n.sites.ApplyList(epoch+n.sim.now, all)
 }
 
 // probe opens a connection to a box, and keeps it for requests where it comes up.
 func (n *node) probe(id uint32) {
-	w, b, life := n.w, n.w.boxes[id-1], n.life
+	w, b, life := n.sim, n.sim.backends[id-1], n.incarnation
 	tell := func(up bool) {
-		if n.up && n.life == life {
+		if n.up && n.incarnation == life {
 			n.sites.RecordProbe(epoch+w.now, id, up)
 		}
 	}
-	if b.silent || w.apart(n.Site, b.plan.Site) {
-		w.after(n.timeout, func() { tell(false) })
+	if b.isolated || w.partitioned(n.Site, b.plan.Site) {
+		w.after(n.connectTimeout, func() { tell(false) })
 		return
 	}
 	way := w.delay(n.Site, b.plan.Site)
 	w.after(2*way, func() {
-		up := b.up && !b.silent
-		if p := n.pool[b]; up && p != nil && p.life == b.life {
+		up := b.up && !b.isolated
+		if p := n.pool[b]; up && p != nil && p.connEpoch == b.connEpoch {
 			b.conns++
-			p.idle = append(p.idle, w.now)
+			p.idleSince = append(p.idleSince, w.now)
 		}
 		tell(up)
 	})
--- a/internal/kit/lab/sweep.go
+++ b/internal/kit/lab/sweep.go
@@ -55,7 +55,7 @@
 	Estimate Estimate `json:"is"`
 }
 
-var costs = []struct {
+var costMetrics = []struct {
 	name string
 	of   func(*Counts) float64
 }{
@@ -80,17 +80,17 @@
 
 // PlayResult is one play's figures.
 type PlayResult struct {
-	Seed    uint64    `json:"seed"`
-	Figure  float64   `json:"figure"`
-	Share   float64   `json:"worth_in_time"`
-	Windows []float64 `json:"windows"`
-	Broken  string    `json:"broken,omitempty"` // the first rule broken, and how
-	Served  []float64 `json:"served_a_second"`
-	Asked   []float64 `json:"asked_a_second"`
-	Counts  *Counts   `json:"counts"`
-	report  *report.Report
-	refused float64
-	twice   float64
+	Seed                 uint64    `json:"seed"`
+	Figure               float64   `json:"figure"`
+	Share                float64   `json:"worth_in_time"`
+	Windows              []float64 `json:"windows"`
+	Broken               string    `json:"broken,omitempty"` // the first rule broken, and how
+	Served               []float64 `json:"served_a_second"`
+	Asked                []float64 `json:"asked_a_second"`
+	Counts               *Counts   `json:"counts"`
+	report               *report.Report
+	refusedFraction      float64
+	refusedTwiceFraction float64
 }
 
 // Estimate is a mean with its 95% confidence interval, from Student's t over the seeds.
@@ -228,8 +228,8 @@
 			twice++
 		}
 	}
-	p.refused = float64(rep.Whole.Refused) / float64(max(1, rep.Whole.Asked))
-	p.twice = float64(twice) / float64(max(1, len(tries)))
+	p.refusedFraction = float64(rep.Whole.Refused) / float64(max(1, rep.Whole.Asked))
+	p.refusedTwiceFraction = float64(twice) / float64(max(1, len(tries)))
 	return p, nil
 }
 
@@ -244,10 +244,10 @@
 	}
 	o.Figure = of(func(p *PlayResult) float64 { return p.Figure })
 	o.Share = of(func(p *PlayResult) float64 { return p.Share })
-	o.Refused = of(func(p *PlayResult) float64 { return p.refused })
-	o.Twice = of(func(p *PlayResult) float64 { return p.twice })
+	o.Refused = of(func(p *PlayResult) float64 { return p.refusedFraction })
+	o.Twice = of(func(p *PlayResult) float64 { return p.refusedTwiceFraction })
 	o.Attempts = of(func(p *PlayResult) float64 { return p.report.Attempts.Per })
-	for _, c := range costs {
+	for _, c := range costMetrics {
 		o.Costs = append(o.Costs, Cost{c.name, of(func(p *PlayResult) float64 { return c.of(p.Counts) })})
 	}
 	for i := range plays[0].report.Windows {
--- a/internal/kit/lab/world.go
+++ b/internal/kit/lab/world.go
@@ -29,16 +29,16 @@
 const (
 	// epoch is the clock time at which a play begins: boxes of the first list started long before.
 	epoch = time.Hour
-	// transit is what a node leaves for the answer's way back, as the daemon does.
-	transit = 10 * time.Millisecond
-	// overtime is how much longer than its time a client stays, so that a late answer is told from none.
-	overtime = 200 * time.Millisecond
-	// beliefEvery is how often what the nodes believe is noted.
-	beliefEvery = time.Second
-	loadEvery   = 500 * time.Millisecond
-	capEvery    = 100 * time.Millisecond
-	// settle is how long a play goes on after its last request.
-	settle = 5 * time.Second
+	// returnTransit is what a node leaves for the answer's way back, as the daemon does.
+	returnTransit = 10 * time.Millisecond
+	// lingerTime is how much longer than its time a client stays, so that a late answer is told from none.
+	lingerTime = 200 * time.Millisecond
+	// beliefInterval is how often what the nodes believe is noted.
+	beliefInterval   = time.Second
+	loadInterval     = 500 * time.Millisecond
+	capacityInterval = 100 * time.Millisecond
+	// drainTime is how long a play goes on after its last request.
+	drainTime = 5 * time.Second
 )
 
 // Options say what to play.
@@ -53,9 +53,9 @@
 	Sites   *Siting             // nil for nodes that do not watch sites
 
 	// For tests of the judging: what changes the settings that nodes are told, and which news of the list they miss.
-	tell func(*policy.Settings)
-	hide func(policy.Entry) bool
-	note func(node string, n shared.Note)
+	changeSettings func(*policy.Settings)
+	hideUpdate     func(policy.Entry) bool
+	onNote         func(node string, n shared.Note)
 }
 
 // Belief is what a node believes of a box at one moment, beside what is true.
@@ -72,10 +72,10 @@
 
 // Head is the head of a play's trace.
 func Head(o *Options) trace.Head {
-	return deployment.Head(o.Plan, o.Name, "", nodesOf(o.Plan))
+	return deployment.Head(o.Plan, o.Name, "", planNodes(o.Plan))
 }
 
-func nodesOf(p *plan.Plan) []trace.Node {
+func planNodes(p *plan.Plan) []trace.Node {
 	var out []trace.Node
 	for i := range p.Scenario.Nodes.Count {
 		out = append(out, trace.Node{Name: fmt.Sprintf("n%d", i+1), Site: p.Scenario.Sites[i%len(p.Scenario.Sites)].Name})
@@ -83,46 +83,46 @@
 	return out
 }
 
-// world is one play.
-type world struct {
-	opt    *Options
-	plan   *plan.Plan
-	rng    *rand.Rand // of delays and chance outside boxes and nodes
-	now    time.Duration
-	todo   agenda
-	seq    int64
-	nodes  []*node
-	boxes  []*box // in the order of the plan; nil before they start
-	number map[string]int
-	late   time.Duration // that the list is behind its usual lag
-	hushed bool
-	list   listd
-	counts *Counts
-	resets float64
-	dark   map[string]bool // ways between sites that are cut, as "from>to"
-	hushAt map[string]bool // sites whose nodes the list says nothing to
-	atts   int64
-	conns  int64
-	ids    uint64
-	quiet  time.Duration // when the play ends
+// simulation is one play.
+type simulation struct {
+	opt           *Options
+	plan          *plan.Plan
+	rng           *rand.Rand // of delays and chance outside boxes and nodes
+	now           time.Duration
+	queue         eventQueue
+	seq           int64
+	nodes         []*node
+	backends      []*backend // in the order of the plan; nil before they start
+	backendIndex  map[string]int
+	extraListLag  time.Duration // that the list is behind its usual lag
+	listPaused    bool
+	listService   listServer
+	counts        *Counts
+	resetFraction float64
+	cutLinks      map[string]bool // ways between sites that are cut, as "from>to"
+	pausedSites   map[string]bool // sites whose nodes the list says nothing to
+	attemptCount  int64
+	connCount     int64
+	ids           uint64
+	end           time.Duration // when the play ends
 }
 
 // event is something that is to happen.
 type event struct {
 	at  time.Duration
 	seq int64 // equal times: in the order in which they were set
-	do  func()
+	run func()
 }
 
-type agenda []event
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
+func (a *eventQueue) Pop() any {
 	old := *a
 	x := old[len(old)-1]
 	old[len(old)-1] = event{}
@@ -130,26 +130,26 @@
 	return x
 }
 
-func (w *world) at(t time.Duration, do func()) {
+func (w *simulation) at(t time.Duration, do func()) {
 	w.seq++
-	heap.Push(&w.todo, event{max(t, w.now), w.seq, do})
+	heap.Push(&w.queue, event{max(t, w.now), w.seq, do})
 }
 
-func (w *world) after(d time.Duration, do func()) { w.at(w.now+d, do) }
+func (w *simulation) after(d time.Duration, do func()) { w.at(w.now+d, do) }
 
-func (w *world) note(r trace.Record) {
+func (w *simulation) note(r trace.Record) {
 	r.T = trace.US(w.now)
 	w.opt.Record(&r)
 }
 
 // id is a fresh request id.
-func (w *world) id() string {
+func (w *simulation) id() string {
 	w.ids++
 	return fmt.Sprintf("%016x", w.ids)
 }
 
 // delay is a one-way delay between two sites.
-func (w *world) delay(from, to string) time.Duration {
+func (w *simulation) delay(from, to string) time.Duration {
 	n := &w.plan.Scenario.Net
 	d := n.Cross
 	if from == to {
@@ -160,16 +160,16 @@
 
 // Play plays a day. Its error names an event that the laboratory does not play, or a setting that makes no sense.
 func Play(o Options) error {
-	w := &world{opt: &o, plan: o.Plan, rng: rand.New(rand.NewPCG(o.Plan.Seed, 11)), number: map[string]int{}, counts: o.Counts,
-		dark: map[string]bool{}, hushAt: map[string]bool{}}
+	w := &simulation{opt: &o, plan: o.Plan, rng: rand.New(rand.NewPCG(o.Plan.Seed, 11)), backendIndex: map[string]int{}, counts: o.Counts,
+		cutLinks: map[string]bool{}, pausedSites: map[string]bool{}}
 	if w.counts == nil {
 		w.counts = &Counts{}
 	}
-	w.list.w = w
+	w.listService.sim = w
 	w.counts.begin(w)
 	s := o.Plan.Scenario
 	for i, b := range o.Plan.Backends {
-		w.number[b.ID] = i
+		w.backendIndex[b.ID] = i
 	}
 	for _, st := range o.Plan.Steps {
 		switch st.Do {
@@ -178,55 +178,55 @@
 		}
 	}
 	w.note(trace.Record{Kind: trace.Event, How: trace.Begin, Text: "traffic begins"})
-	w.boxes = make([]*box, len(o.Plan.Backends))
+	w.backends = make([]*backend, len(o.Plan.Backends))
 	for i := range o.Plan.Initial {
-		w.start(i, true)
+		w.startBackend(i, true)
 	}
-	for i, n := range nodesOf(o.Plan) {
+	for i, n := range planNodes(o.Plan) {
 		if err := w.addNode(i, n); err != nil {
 			return err
 		}
 	}
-	w.sample()
+	w.sampleBackends()
 	for _, st := range o.Plan.Steps {
-		w.at(st.At, func() { w.step(&st) })
+		w.at(st.At, func() { w.applyStep(&st) })
 	}
-	w.arrivals(o.Plan.Operations())
+	w.scheduleOperations(o.Plan.Operations())
 	if o.Belief != nil {
-		w.beliefs()
+		w.reportBeliefs()
 	}
-	w.quiet = s.Length.D() + settle
-	for len(w.todo) > 0 {
-		e := heap.Pop(&w.todo).(event)
-		if e.at > w.quiet {
+	w.end = s.Length.D() + drainTime
+	for len(w.queue) > 0 {
+		e := heap.Pop(&w.queue).(event)
+		if e.at > w.end {
 			break
 		}
 		w.now = e.at
-		e.do()
+		e.run()
 	}
 	w.note(trace.Record{Kind: trace.End})
 	w.counts.finish(w)
 	return nil
 }
 
-// arrivals hands in the needs, one at a time.
-func (w *world) arrivals(n *plan.Operations) {
+// scheduleOperations hands in the needs, one at a time.
+func (w *simulation) scheduleOperations(n *plan.Operations) {
 	need, ok := n.Next()
 	if !ok {
 		return
 	}
 	w.at(need.At, func() {
-		w.want(need)
-		w.arrivals(n)
+		w.startOperation(need)
+		w.scheduleOperations(n)
 	})
 }
 
-// step takes one step of the plan's time table.
-func (w *world) step(st *plan.Step) {
-	i, known := w.number[st.Box]
-	var b *box
+// applyStep takes one step of the plan's time table.
+func (w *simulation) applyStep(st *plan.Step) {
+	i, known := w.backendIndex[st.Box]
+	var b *backend
 	if known {
-		b = w.boxes[i]
+		b = w.backends[i]
 	}
 	if b != nil && !b.up && st.Do != plan.Restart {
 		return // it has gone meanwhile
@@ -236,118 +236,118 @@
 	case plan.Announce:
 		w.note(trace.Record{Kind: trace.Event, Text: st.Text})
 	case plan.Start, plan.Restart:
-		w.start(i, false)
+		w.startBackend(i, false)
 		w.publish(i, trace.Ready, list.Add.D())
 	case plan.Drain:
-		runs := b.runs
-		w.after(time.Duration(st.By*float64(time.Second)), func() { b.draining = b.draining || b.runs == runs })
+		runs := b.incarnation
+		w.after(time.Duration(st.By*float64(time.Second)), func() { b.draining = b.draining || b.incarnation == runs })
 		w.publish(i, trace.Terminating, list.Lag.D())
 	case plan.Exit, plan.Crash:
 		b.stop()
 		w.publish(i, trace.Gone, list.Lag.D())
 	case plan.Slow:
-		b.model.Slowed(w.now, st.By)
-		b.drive()
+		b.model.SetSlowdown(w.now, st.By)
+		b.advance()
 	case plan.Isolate:
-		b.silent = true
-		b.state(trace.Silent)
+		b.isolated = true
+		b.recordState(trace.Silent)
 	case plan.Reconnect:
-		b.silent = false
-		b.state(trace.Back)
-		b.reset()
+		b.isolated = false
+		b.recordState(trace.Back)
+		b.resetConns()
 	case plan.DropRequests:
-		b.loses = st.By
+		b.dropFraction = st.By
 	case plan.FailClass:
-		b.fails = ""
+		b.failingClass = ""
 		if st.By > 0 {
-			b.fails = st.Text
+			b.failingClass = st.Text
 		}
 	case plan.ResetRequests:
-		w.resets = st.By
+		w.resetFraction = st.By
 	case plan.CutLink:
-		w.dark[st.Text] = st.By > 0
+		w.cutLinks[st.Text] = st.By > 0
 	case plan.PauseList:
-		w.hushAt[st.Text] = true
-		w.hushed = w.hushAt[""]
+		w.pausedSites[st.Text] = true
+		w.listPaused = w.pausedSites[""]
 	case plan.ResumeList:
-		delete(w.hushAt, st.Text)
-		w.hushed = w.hushAt[""]
+		delete(w.pausedSites, st.Text)
+		w.listPaused = w.pausedSites[""]
 		for _, n := range w.nodes {
-			if n.up && len(n.held) > 0 && !w.hushes(n) {
-				n.told(n.held)
-				n.held = nil
+			if n.up && len(n.pendingUpdates) > 0 && !w.listPausedFor(n) {
+				n.applyDelta(n.pendingUpdates)
+				n.pendingUpdates = nil
 			}
 		}
-		w.list.wake()
+		w.listService.answerWaiting()
 	case plan.Kill:
 		w.nodes[st.Node-1].kill()
 	case plan.Revive:
 		w.nodes[st.Node-1].revive()
 	case plan.DelayList:
-		w.late = time.Duration(st.By * float64(time.Second))
+		w.extraListLag = time.Duration(st.By * float64(time.Second))
 	}
 }
 
 // entry is a box as the list has it.
-func (w *world) entry(i int, state policy.State) policy.Entry {
+func (w *simulation) entry(i int, state policy.State) policy.Entry {
 	p := &w.plan.Backends[i]
 	e := policy.Entry{ID: uint32(i + 1), Hash: subset.Hash(p.ID), Zone: p.Site, Cell: int64(p.Cell), Kind: p.Kind, State: state}
-	if b := w.boxes[i]; b != nil && b.started > 0 {
+	if b := w.backends[i]; b != nil && b.started > 0 {
 		e.Launched = epoch + b.started
 	}
 	return e
 }
 
 // publish tells all nodes of a box's state, after the list's lag and in the order of the changes.
-func (w *world) publish(i int, state string, lag time.Duration) {
-	e := w.entry(i, states[state])
+func (w *simulation) publish(i int, state string, lag time.Duration) {
+	e := w.entry(i, listStates[state])
 	if w.plan.Scenario.List.Mode == "ask" {
-		w.list.publish(e, w.now+lag+w.late)
+		w.listService.publish(e, w.now+lag+w.extraListLag)
 		return
 	}
 	for _, n := range w.nodes {
-		n.lastTold = max(n.lastTold, w.now+lag+w.late+w.spread())
-		w.at(n.lastTold, func() {
-			if w.hushes(n) || !n.up {
-				n.held = append(n.held, e)
+		n.lastNotified = max(n.lastNotified, w.now+lag+w.extraListLag+w.drawListSpread())
+		w.at(n.lastNotified, func() {
+			if w.listPausedFor(n) || !n.up {
+				n.pendingUpdates = append(n.pendingUpdates, e)
 				return
 			}
-			n.told([]policy.Entry{e})
+			n.applyDelta([]policy.Entry{e})
 		})
 	}
 }
 
-// hushes tells whether the list says nothing to a node.
-func (w *world) hushes(n *node) bool { return w.hushed || w.hushAt[n.Site] }
+// listPausedFor tells whether the list says nothing to a node.
+func (w *simulation) listPausedFor(n *node) bool { return w.listPaused || w.pausedSites[n.Site] }
 
 // cut tells whether what goes from one site to another is lost.
-func (w *world) cut(from, to string) bool { return w.dark[from+">"+to] }
+func (w *simulation) cut(from, to string) bool { return w.cutLinks[from+">"+to] }
 
-// apart tells whether no connection comes up between two sites.
-func (w *world) apart(a, b string) bool { return w.cut(a, b) || w.cut(b, a) }
+// partitioned tells whether no connection comes up between two sites.
+func (w *simulation) partitioned(a, b string) bool { return w.cut(a, b) || w.cut(b, a) }
 
-// spread is by how much later than the first a node is told.
-func (w *world) spread() time.Duration {
+// drawListSpread is by how much later than the first a node is told.
+func (w *simulation) drawListSpread() time.Duration {
 	return time.Duration(w.rng.Float64() * float64(w.plan.Scenario.List.Spread.D()))
 }
 
-var states = map[string]policy.State{trace.Ready: policy.Active, trace.Terminating: policy.Draining, trace.Gone: policy.Removed}
+var listStates = map[string]policy.State{trace.Ready: policy.Active, trace.Terminating: policy.Draining, trace.Gone: policy.Removed}
 
-// beliefs notes once a second what every node believes of every box.
-func (w *world) beliefs() {
+// reportBeliefs notes once a second what every node believes of every box.
+func (w *simulation) reportBeliefs() {
 	for _, n := range w.nodes {
 		if !n.up {
 			continue
 		}
-		for _, x := range n.bal.Snapshot(epoch + w.now) {
-			b := w.boxes[x.ID-1]
+		for _, x := range n.balancer.Snapshot(epoch + w.now) {
+			b := w.backends[x.ID-1]
 			b.model.Advance(w.now)
-			w.opt.Belief(Belief{At: w.now, Node: n.Name, Box: b.plan.ID, Belief: x, TrueHeld: b.model.Held(),
+			w.opt.Belief(Belief{At: w.now, Node: n.Name, Box: b.plan.ID, Belief: x, TrueHeld: b.model.InFlight(),
 				TrueWaiting: b.model.Waiting(), TrueCapacity: b.model.Capacity(), Slow: b.slow})
-			b.drive()
+			b.advance()
 		}
 	}
-	w.after(beliefEvery, w.beliefs)
+	w.after(beliefInterval, w.reportBeliefs)
 }
 
 // settings are what the daemon would read of its configuration file.
--- a/internal/kit/plan/plan.go
+++ b/internal/kit/plan/plan.go
@@ -86,20 +86,20 @@
 
 // Plan is what is to happen.
 type Plan struct {
-	Scenario *scenario.Scenario
-	Seed     uint64
-	Backends []Backend // all that ever start; the first Initial are there from the beginning, warm
-	Initial  int
-	Steps    []Step // in the order of their times
-	levels   []level
-	greedy   []level // requests a second that the first tenant adds
-	peak     float64
-	bursts   []float64
+	Scenario     *scenario.Scenario
+	Seed         uint64
+	Backends     []Backend // all that ever start; the first Initial are there from the beginning, warm
+	Initial      int
+	Steps        []Step // in the order of their times
+	rateFactors  []ratePeriod
+	greedyRates  []ratePeriod // requests a second that the first tenant adds
+	peakRate     float64
+	burstFactors []float64
 }
 
-type level struct {
+type ratePeriod struct {
 	from, to time.Duration
-	by       func(t time.Duration) float64
+	value    func(t time.Duration) float64
 }
 
 // New makes the plan.
@@ -108,7 +108,7 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for _, f := range s.Fleet {
 		for range f.Count {
-			p.add(rng, f.Kind, s.Sites[len(p.Backends)%len(s.Sites)].Name)
+			p.addBackend(rng, f.Kind, s.Sites[len(p.Backends)%len(s.Sites)].Name)
 		}
 	}
 	// Kinds and sites must not go hand in hand: deal the sites out anew.
@@ -118,23 +118,23 @@
 		p.Backends[k].Cell = i % len(s.Sites)
 	}
 	p.Initial = len(p.Backends)
-	p.table(rng)
+	p.buildSteps(rng)
 	slices.SortStableFunc(p.Steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	if s.Traffic.Shape == "bursty" {
 		cells := int(s.Length.D()/(s.Traffic.Period.D()/4)) + 2
 		for range cells {
-			p.bursts = append(p.bursts, 1+s.Traffic.Swing*(2*rng.Float64()-1)*1.5)
+			p.burstFactors = append(p.burstFactors, 1+s.Traffic.Swing*(2*rng.Float64()-1)*1.5)
 		}
 	}
 	for t := time.Duration(0); t <= s.Length.D(); t += 50 * time.Millisecond {
-		p.peak = max(p.peak, p.Rate(t))
+		p.peakRate = max(p.peakRate, p.Rate(t))
 	}
-	p.peak *= 1.05
+	p.peakRate *= 1.05
 	return p
 }
 
-// add makes a box of a kind.
-func (p *Plan) add(rng *rand.Rand, kind, site string) *Backend {
+// addBackend makes a box of a kind.
+func (p *Plan) addBackend(rng *rand.Rand, kind, site string) *Backend {
 	s := p.Scenario
 	k := s.Kind(kind)
 	speed := k.Speed * math.Exp(rng.NormFloat64()*k.Spread)
@@ -154,22 +154,22 @@
 	return &p.Backends[len(p.Backends)-1]
 }
 
-// life is when a box is in service, for the choice of boxes that events touch.
-type life struct{ from, to time.Duration }
+// lifetime is when a box is in service, for the choice of boxes that events touch.
+type lifetime struct{ from, to time.Duration }
 
 const forever = time.Duration(math.MaxInt64)
 
-// table turns the scenario's events into steps. Deploys and growth come first, so that what touches single boxes finds
+// buildSteps turns the scenario's events into steps. Deploys and growth come first, so that what touches single boxes finds
 // those that are there.
-func (p *Plan) table(rng *rand.Rand) {
+func (p *Plan) buildSteps(rng *rand.Rand) {
 	s := p.Scenario
-	lives := map[string]life{}
+	lives := map[string]lifetime{}
 	for _, b := range p.Backends {
-		lives[b.ID] = life{0, forever}
+		lives[b.ID] = lifetime{0, forever}
 	}
 	step := func(st Step) { p.Steps = append(p.Steps, st) }
 	// there lists the boxes in service for the whole of a time, in the order of the plan.
-	there := func(from, to time.Duration) []int {
+	inService := func(from, to time.Duration) []int {
 		var out []int
 		for i, b := range p.Backends {
 			if l := lives[b.ID]; l.from <= from && l.to > to {
@@ -178,10 +178,10 @@
 		}
 		return out
 	}
-	some := func(from, to time.Duration, n int) []int {
-		can := there(from, to)
+	choose := func(from, to time.Duration, n int) []int {
+		can := inService(from, to)
 		if len(can) == 0 { // none lives through all of it: those at its start
-			can = there(from, from)
+			can = inService(from, from)
 		}
 		rng.Shuffle(len(can), func(a, b int) { can[a], can[b] = can[b], can[a] })
 		return can[:min(n, len(can))]
@@ -191,7 +191,7 @@
 		switch e.Do {
 		case "deploy":
 			step(Step{At: at, Do: Announce, Text: fmt.Sprintf("deploy of %.0f%% over %v", 100*e.Part, e.Over)})
-			old := there(at, at)
+			old := inService(at, at)
 			rng.Shuffle(len(old), func(a, b int) { old[a], old[b] = old[b], old[a] })
 			old = old[:min(len(old), int(math.Round(e.Part*float64(len(old)))))]
 			batch := max(1, int(math.Round(e.Batch*float64(s.Boxes()))))
@@ -203,36 +203,36 @@
 			for i, k := range old {
 				t := at + time.Duration(i/batch)*gap
 				id, kind, site := p.Backends[k].ID, p.Backends[k].Kind, p.Backends[k].Site
-				n := p.add(rng, kind, site)
+				n := p.addBackend(rng, kind, site)
 				exit := t + e.Drain.D()
 				begin := t
 				if e.Reuse && i%2 == 0 { // the successor needs the address
 					n.After, begin = id, exit+20*time.Millisecond
 				}
-				lives[id] = life{lives[id].from, t}
-				lives[n.ID] = life{begin, forever}
+				lives[id] = lifetime{lives[id].from, t}
+				lives[n.ID] = lifetime{begin, forever}
 				step(Step{At: t, Do: Drain, Box: id, By: e.Serves.S()})
 				step(Step{At: exit, Do: Exit, Box: id})
 				step(Step{At: begin, Do: Start, Box: n.ID})
 			}
 		case "grow":
 			step(Step{At: at, Do: Announce, Text: fmt.Sprintf("the fleet grows %.1f times over %v", e.By, e.Over)})
-			now := there(at, at)
+			now := inService(at, at)
 			more := int(math.Round((e.By - 1) * float64(len(now))))
 			for i := range more {
 				like := p.Backends[now[i%len(now)]]
-				n := p.add(rng, like.Kind, s.Sites[i%len(s.Sites)].Name)
+				n := p.addBackend(rng, like.Kind, s.Sites[i%len(s.Sites)].Name)
 				t := at + time.Duration(float64(e.Over.D())*float64(i+1)/float64(more))
-				lives[n.ID] = life{t, forever}
+				lives[n.ID] = lifetime{t, forever}
 				step(Step{At: t, Do: Start, Box: n.ID})
 			}
 			grown := (e.By - 1) * e.Follow
-			p.levels = append(p.levels, level{at, forever, func(t time.Duration) float64 {
+			p.rateFactors = append(p.rateFactors, ratePeriod{at, forever, func(t time.Duration) float64 {
 				return 1 + grown*min(1, (t-at).Seconds()/e.Over.S())
 			}})
 		}
 	}
-	part := func(p float64) []int { // so many nodes, from 1
+	chooseNodes := func(p float64) []int { // so many nodes, from 1
 		nodes := rng.Perm(s.Nodes.Count)[:max(1, int(math.Round(p*float64(s.Nodes.Count))))]
 		slices.Sort(nodes)
 		for i := range nodes {
@@ -241,7 +241,7 @@
 		return nodes
 	}
 	cuts := 0.0
-	lost := map[string][]life{} // by site, when it is lost
+	lost := map[string][]lifetime{} // by site, when it is lost
 	for _, e := range s.Events {
 		at, end := e.At.D(), e.At.D()+e.For.D()
 		announce := func(format string, args ...any) {
@@ -250,32 +250,32 @@
 		switch e.Do {
 		case "slow":
 			announce("%d boxes %.1f times slower for %v", e.Boxes, e.By, e.For)
-			for _, i := range some(at, end, e.Boxes) {
+			for _, i := range choose(at, end, e.Boxes) {
 				step(Step{At: at, Do: Slow, Box: p.Backends[i].ID, By: e.By})
 				step(Step{At: end, Do: Slow, Box: p.Backends[i].ID, By: 1})
 			}
 		case "vanish":
 			announce("%d boxes cut off for %v", e.Boxes, e.For)
-			for _, i := range some(at, end, e.Boxes) {
+			for _, i := range choose(at, end, e.Boxes) {
 				step(Step{At: at, Do: Isolate, Box: p.Backends[i].ID})
 				step(Step{At: end, Do: Reconnect, Box: p.Backends[i].ID})
 			}
 		case "crash":
 			announce("%d boxes crash", e.Boxes)
-			for _, i := range some(at, at+e.Down.D(), e.Boxes) {
+			for _, i := range choose(at, at+e.Down.D(), e.Boxes) {
 				step(Step{At: at, Do: Crash, Box: p.Backends[i].ID})
 				step(Step{At: at + e.Down.D(), Do: Restart, Box: p.Backends[i].ID})
 			}
 		case "lose":
 			n := cmp.Or(e.Boxes, len(p.Backends))
 			announce("boxes lose %.0f%% of their requests for %v", 100*e.Part, e.For)
-			for _, i := range some(at, end, n) {
+			for _, i := range choose(at, end, n) {
 				step(Step{At: at, Do: DropRequests, Box: p.Backends[i].ID, By: e.Part})
 				step(Step{At: end, Do: DropRequests, Box: p.Backends[i].ID})
 			}
 		case "fail-class":
 			announce("%d boxes fail %s for %v", e.Boxes, e.Class, e.For)
-			for _, i := range some(at, end, e.Boxes) {
+			for _, i := range choose(at, end, e.Boxes) {
 				step(Step{At: at, Do: FailClass, Box: p.Backends[i].ID, Text: e.Class, By: 1})
 				step(Step{At: end, Do: FailClass, Box: p.Backends[i].ID, Text: e.Class})
 			}
@@ -288,7 +288,7 @@
 			do := map[string]string{"kill": Kill, "term": Term, "stall": Stall}[e.Do]
 			nodes := []int{e.Node}
 			if e.Part > 0 {
-				nodes = part(e.Part)
+				nodes = chooseNodes(e.Part)
 				announce("%s %d nodes", e.Do, len(nodes))
 			} else {
 				announce("%s node %d", e.Do, e.Node)
@@ -304,7 +304,7 @@
 		case "cut-nodes":
 			var nodes []int
 			if e.Site == "" {
-				nodes = part(e.Part)
+				nodes = chooseNodes(e.Part)
 			}
 			for n := range s.Nodes.Count {
 				if e.Site != "" && s.Sites[n%len(s.Sites)].Name == e.Site {
@@ -323,8 +323,8 @@
 			step(Step{At: end, Do: MessageFault, Text: e.Do})
 		case "lose-site":
 			announce("site %s is lost for %v", e.Site, e.For)
-			lost[e.Site] = append(lost[e.Site], life{at, end})
-			for _, i := range there(at, at) {
+			lost[e.Site] = append(lost[e.Site], lifetime{at, end})
+			for _, i := range inService(at, at) {
 				if id := p.Backends[i].ID; p.Backends[i].Site == e.Site {
 					step(Step{At: at, Do: Isolate, Box: id})
 					step(Step{At: at + scenario.LostKnown, Do: Crash, Box: id})
@@ -350,7 +350,7 @@
 			step(Step{At: end, Do: ResumeList, Text: e.Site})
 		case "cut-links":
 			announce("links of %s to %s are cut, %s, for %v", cmp.Or(e.Site, "each site"), cmp.Or(e.To, "all others"), e.Way, e.For)
-			for _, way := range p.dark(e) {
+			for _, way := range p.linksToCut(e) {
 				step(Step{At: at, Do: CutLink, Text: way, By: 1})
 				step(Step{At: end, Do: CutLink, Text: way})
 			}
@@ -360,10 +360,10 @@
 			step(Step{At: end, Do: DelayList})
 		case "surge":
 			announce("traffic times %.1f for %v", e.By, e.For)
-			p.levels = append(p.levels, level{at, end, func(time.Duration) float64 { return e.By }})
+			p.rateFactors = append(p.rateFactors, ratePeriod{at, end, func(time.Duration) float64 { return e.By }})
 		case "greedy":
 			announce("the first tenant asks for %.0f more a second, for %v", e.Rate, e.For)
-			p.greedy = append(p.greedy, level{at, end, func(time.Duration) float64 { return e.Rate }})
+			p.greedyRates = append(p.greedyRates, ratePeriod{at, end, func(time.Duration) float64 { return e.Rate }})
 		case "bad-clients":
 			announce("%.0f bad clients a second for %v", e.Rate, e.For)
 			kinds := e.Kinds
@@ -384,12 +384,12 @@
 		site[b.ID] = b.Site
 	}
 	p.Steps = slices.DeleteFunc(p.Steps, func(st Step) bool { // what crashed there starts again with its site
-		return st.Do == Restart && slices.ContainsFunc(lost[site[st.Box]], func(l life) bool { return st.At >= l.from && st.At < l.to })
+		return st.Do == Restart && slices.ContainsFunc(lost[site[st.Box]], func(l lifetime) bool { return st.At >= l.from && st.At < l.to })
 	})
 }
 
-// dark lists the ways between sites that an event cuts, each as "from>to".
-func (p *Plan) dark(e scenario.Event) (ways []string) {
+// linksToCut lists the ways between sites that an event cuts, each as "from>to".
+func (p *Plan) linksToCut(e scenario.Event) (ways []string) {
 	for _, a := range p.Scenario.Sites {
 		for _, b := range p.Scenario.Sites {
 			out := (e.Site == "" || a.Name == e.Site) && (e.To == "" || b.Name == e.To)
@@ -412,22 +412,22 @@
 	case "wave":
 		r *= 1 + tr.Swing*math.Sin(2*math.Pi*t.Seconds()/tr.Period.S())
 	case "bursty":
-		r *= max(0.05, p.bursts[min(int(t/(tr.Period.D()/4)), len(p.bursts)-1)])
+		r *= max(0.05, p.burstFactors[min(int(t/(tr.Period.D()/4)), len(p.burstFactors)-1)])
 	}
-	for _, l := range p.levels {
+	for _, l := range p.rateFactors {
 		if t >= l.from && t < l.to {
-			r *= l.by(t)
+			r *= l.value(t)
 		}
 	}
-	return r + p.Greed(t)
+	return r + p.GreedyRate(t)
 }
 
-// Greed is the part of Rate that the first tenant adds.
-func (p *Plan) Greed(t time.Duration) float64 {
+// GreedyRate is the part of Rate that the first tenant adds.
+func (p *Plan) GreedyRate(t time.Duration) float64 {
 	r := 0.0
-	for _, l := range p.greedy {
+	for _, l := range p.greedyRates {
 		if t >= l.from && t < l.to {
-			r += l.by(t)
+			r += l.value(t)
 		}
 	}
 	return r
@@ -435,15 +435,15 @@
 
 // Operations is the stream of needs, in the order of their times. It holds no more than one at a time.
 type Operations struct {
-	p       *Plan
-	rng     *rand.Rand
-	t       time.Duration
-	n       int
-	class   []float64
-	tenant  []float64
-	site    []float64
-	credits []float64 // of each tenant, in requests; a second's worth at most
-	at      time.Duration
+	p             *Plan
+	rng           *rand.Rand
+	now           time.Duration
+	count         int
+	classWeights  []float64
+	tenantWeights []float64
+	siteWeights   []float64
+	credits       []float64 // of each tenant, in requests; a second's worth at most
+	creditedAt    time.Duration
 }
 
 // Operations returns the stream from its start. Each call gives the same.
@@ -451,14 +451,14 @@
 	s := p.Scenario
 	n := &Operations{p: p, rng: rand.New(rand.NewPCG(p.Seed, 2))}
 	for _, c := range s.Classes {
-		n.class = append(n.class, c.Share)
+		n.classWeights = append(n.classWeights, c.Share)
 	}
 	for _, t := range s.Tenants {
-		n.tenant = append(n.tenant, t.Share*t.Usage)
+		n.tenantWeights = append(n.tenantWeights, t.Share*t.Usage)
 		n.credits = append(n.credits, p.Quota(len(n.credits)))
 	}
 	for _, x := range s.Sites {
-		n.site = append(n.site, x.Share)
+		n.siteWeights = append(n.siteWeights, x.Share)
 	}
 	return n
 }
@@ -477,32 +477,32 @@
 func (n *Operations) Next() (Operation, bool) {
 	s := n.p.Scenario
 	for {
-		n.t += time.Duration(n.rng.ExpFloat64() / n.p.peak * 1e9)
-		if n.t >= s.Length.D() {
+		n.now += time.Duration(n.rng.ExpFloat64() / n.p.peakRate * 1e9)
+		if n.now >= s.Length.D() {
 			return Operation{}, false
 		}
-		if n.rng.Float64()*n.p.peak < n.p.Rate(n.t) {
+		if n.rng.Float64()*n.p.peakRate < n.p.Rate(n.now) {
 			break
 		}
 	}
-	class := pick(n.rng, n.class)
+	class := pickWeighted(n.rng, n.classWeights)
 	c := s.Classes[class]
 	work := c.Work.S()
 	if c.Spread > 0 {
 		s2 := math.Log(1 + c.Spread*c.Spread)
 		work *= math.Exp(n.rng.NormFloat64()*math.Sqrt(s2) - s2/2)
 	}
-	d := Operation{N: n.n, At: n.t, Class: class, Tenant: pick(n.rng, n.tenant), Site: pick(n.rng, n.site),
+	d := Operation{N: n.count, At: n.now, Class: class, Tenant: pickWeighted(n.rng, n.tenantWeights), Site: pickWeighted(n.rng, n.siteWeights),
 		Work: time.Duration(work * 1e9).Round(time.Microsecond), Honours: n.rng.Float64() < s.Clients.Honour, Seed: n.rng.Uint64()}
 	if n.rng.Float64() < s.Clients.Impatient {
 		d.Impatient = time.Duration(n.rng.Float64() * 0.3 * float64(c.Deadline.D()))
 	}
 	for i := range n.credits {
 		q := n.p.Quota(i)
-		n.credits[i] = min(q, n.credits[i]+q*(n.t-n.at).Seconds())
+		n.credits[i] = min(q, n.credits[i]+q*(n.now-n.creditedAt).Seconds())
 	}
-	n.at = n.t
-	if g := n.p.Greed(n.t); g > 0 && n.rng.Float64()*n.p.Rate(n.t) < g {
+	n.creditedAt = n.now
+	if g := n.p.GreedyRate(n.now); g > 0 && n.rng.Float64()*n.p.Rate(n.now) < g {
 		d.Tenant = 0
 	}
 	d.Once = n.rng.Float64() < s.Clients.Once
@@ -511,7 +511,7 @@
 	} else {
 		d.Over = true
 	}
-	n.n++
+	n.count++
 	return d, true
 }
 
@@ -524,9 +524,9 @@
 	Abandoned   = "left"        // its client lost patience
 )
 
-// Patience is how long a client waits for the answer to a try that it begins now; 0 where it begins none any more.
+// TryTimeout is how long a client waits for the answer to a try that it begins now; 0 where it begins none any more.
 // now is on the clock that Need.At is on.
-func (p *Plan) Patience(n *Operation, now time.Duration) time.Duration {
+func (p *Plan) TryTimeout(n *Operation, now time.Duration) time.Duration {
 	deadline := p.Scenario.Classes[n.Class].Deadline.D()
 	wait := min(time.Duration(float64(deadline)*p.Scenario.Clients.TryShare), n.At+deadline-now)
 	if wait < 5*time.Millisecond {
@@ -535,9 +535,9 @@
 	return wait
 }
 
-// Again tells whether a client tries again after its try number try, from 0, ended so, and after which pause.
+// Retry tells whether a client tries again after its try number try, from 0, ended so, and after which pause.
 // retryAfter is what a refusal asked for; 0 for nothing.
-func (p *Plan) Again(n *Operation, try int, how string, retryAfter time.Duration) (pause time.Duration, again bool) {
+func (p *Plan) Retry(n *Operation, try int, how string, retryAfter time.Duration) (pause time.Duration, again bool) {
 	c := &p.Scenario.Clients
 	if how == Served || how == Abandoned || try >= c.Retries ||
 		how == Failed && p.Scenario.Classes[n.Class].Effect != "safe" {
@@ -555,7 +555,7 @@
 	return pause, true
 }
 
-func pick(rng *rand.Rand, weights []float64) int {
+func pickWeighted(rng *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
--- a/internal/kit/stand/bad.go
+++ b/internal/kit/stand/bad.go
@@ -21,60 +21,60 @@
 	c.wg.Add(1)
 	go func() {
 		defer c.wg.Done()
-		c.bad(ctx, node, kind)
+		c.runBadClient(ctx, node, kind)
 	}()
 }
 
-const badHead = "POST /api?key=bad&w=1000 HTTP/1.1\r\nHost: backend.local\r\nX-Tenant: nobody\r\n"
+const badRequestHead = "POST /api?key=bad&w=1000 HTTP/1.1\r\nHost: backend.local\r\nX-Tenant: nobody\r\n"
 
-// badText is what a bad client sends first, and whether it goes on with noise.
-func (c *Clients) badText(kind, stolen string) (string, bool) {
+// badRequest is what a bad client sends first, and whether it goes on with noise.
+func (c *Clients) badRequest(kind, stolenID string) (string, bool) {
 	s := c.plan.Scenario
 	class := s.Classes[0]
-	head := badHead + "X-Class: " + class.Name + "\r\n"
+	head := badRequestHead + "X-Class: " + class.Name + "\r\n"
 	if class.Effect == "keyed" {
 		head += "Idempotency-Key: bad\r\n"
 	}
-	id, wait := "X-Request-Id: bad-"+stolen+"\r\n", "X-Deadline: 800m\r\n"
+	id, deadline := "X-Request-Id: bad-"+stolenID+"\r\n", "X-Deadline: 800m\r\n"
 	switch kind {
 	case "garbage":
 		return "\x16\x03\x01 not a request at all\r\n\r\n", false
 	case "endless-head":
 		return head, true
 	case "negative-length":
-		return head + id + wait + "Content-Length: -1\r\n\r\n", false
+		return head + id + deadline + "Content-Length: -1\r\n\r\n", false
 	case "huge-length":
-		return head + id + wait + "Content-Length: 60000000\r\n\r\n", true
+		return head + id + deadline + "Content-Length: 60000000\r\n\r\n", true
 	case "both-lengths":
-		hidden := head + "X-Request-Id: hidden-" + stolen + "\r\n" + wait + "Content-Length: 0\r\n\r\n"
-		return head + id + wait + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden, false
+		hidden := head + "X-Request-Id: hidden-" + stolenID + "\r\n" + deadline + "Content-Length: 0\r\n\r\n"
+		return head + id + deadline + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden, false
 	case "no-id":
-		return head + wait + "Content-Length: 0\r\n\r\n", false
+		return head + deadline + "Content-Length: 0\r\n\r\n", false
 	case "no-class":
-		return badHead + "X-Class: no-such-class\r\n" + id + wait + "Content-Length: 0\r\n\r\n", false
+		return badRequestHead + "X-Class: no-such-class\r\n" + id + deadline + "Content-Length: 0\r\n\r\n", false
 	case "bad-deadline":
 		return head + id + "X-Deadline: soon\r\nContent-Length: 0\r\n\r\n", false
 	case "half":
-		return head + id + wait + "Content-Length: 50\r\n\r\nhalf of it", false
+		return head + id + deadline + "Content-Length: 50\r\n\r\nhalf of it", false
 	case scenario.HealthCheck:
 		return "GET /ready HTTP/1.1\r\nHost: backend.local\r\n\r\n", false
 	case "open-id":
-		return head + "X-Request-Id: " + stolen + "\r\n" + wait + "Content-Length: 0\r\n\r\n", false
+		return head + "X-Request-Id: " + stolenID + "\r\n" + deadline + "Content-Length: 0\r\n\r\n", false
 	}
 	return "", false // silent
 }
 
-func (c *Clients) bad(ctx context.Context, node int, kind string) {
+func (c *Clients) runBadClient(ctx context.Context, node int, kind string) {
 	c.mu.Lock()
-	f := c.nodes[node-1]
-	addr, stolen := f.addr, "none"
-	if n := len(f.ids); n > 0 {
-		stolen = f.ids[n-1]
+	target := c.nodes[node-1]
+	addr, stolenID := target.addr, "none"
+	if n := len(target.openIDs); n > 0 {
+		stolenID = target.openIDs[n-1]
 	} else if kind == "open-id" {
 		kind = "no-id" // there is none to steal
 	}
 	c.mu.Unlock()
-	dialing, cancel := context.WithTimeout(ctx, connectTime)
+	dialing, cancel := context.WithTimeout(ctx, connectTimeout)
 	conn, err := c.dial(dialing, addr)
 	cancel()
 	if err != nil {
@@ -82,10 +82,10 @@
 	}
 	defer conn.Close()
 	start := time.Now()
-	text, on := c.badText(kind, stolen)
+	text, keepSending := c.badRequest(kind, stolenID)
 	how := "nothing"
 	if text != "" {
-		conn.SetDeadline(start.Add(badTime))
+		conn.SetDeadline(start.Add(badClientTimeout))
 		if _, err := io.WriteString(conn, text); err != nil {
 			how = "closed"
 		}
@@ -95,11 +95,11 @@
 			}
 		}
 	}
-	if on {
-		go flood(conn)
+	if keepSending {
+		go floodHeaders(conn)
 	}
 	// A silent one is owed a close; it must not give up first, nor is it watched for longer than that takes.
-	conn.SetReadDeadline(start.Add(badTime))
+	conn.SetReadDeadline(start.Add(badClientTimeout))
 	in := bufio.NewReader(conn)
 	status := 0
 	if resp, err := http.ReadResponse(in, nil); err == nil {
@@ -124,14 +124,14 @@
 	}
 	id := ""
 	if kind == "open-id" {
-		id = stolen
+		id = stolenID
 	}
-	c.out.Add(&trace.Record{Kind: trace.Bad, T: c.clock.us(), Node: f.Name, How: how, Why: kind, ID: id, Status: status,
+	c.out.Add(&trace.Record{Kind: trace.Bad, T: c.clock.us(), Node: target.Name, How: how, Why: kind, ID: id, Status: status,
 		Took: time.Since(start).Microseconds()})
 }
 
-// flood goes on sending until the connection ends.
-func flood(conn net.Conn) {
+// floodHeaders goes on sending until the connection ends.
+func floodHeaders(conn net.Conn) {
 	noise := strings.Repeat("X-Noise: noise\r\n", 512)
 	for range 8000 { // 60 MB
 		if _, err := io.WriteString(conn, noise); err != nil {
--- a/internal/kit/stand/chunked_test.go
+++ b/internal/kit/stand/chunked_test.go
@@ -18,8 +18,8 @@
 	extended, trailed, cut := false, false, false
 	for seed := range uint64(200) {
 		body := strings.Repeat("window ", int(seed))
-		sent := inChunks(chunkDraws(seed, 1), body)
-		if again := inChunks(chunkDraws(seed, 1), body); !slices.Equal(again, sent) {
+		sent := encodeChunked(chunkRand(seed, 1), body)
+		if again := encodeChunked(chunkRand(seed, 1), body); !slices.Equal(again, sent) {
 			t.Fatalf("seed %d: other pieces the second time", seed)
 		}
 		text := strings.Join(sent, "")
@@ -40,9 +40,9 @@
 
 // Clients that are told so send every body in chunks, whole, and note that they do; a request without a body has none.
 func TestClientsSendChunks(t *testing.T) {
-	b := newBook()
+	b := newTraceBuffer()
 	bodies := make(chan *http.Request, 10)
-	c := clients(t, b, "chunked = 1.0\n"+quick, func(conn net.Conn, in *bufio.Reader) {
+	c := clients(t, b, "chunked = 1.0\n"+quickClasses, func(conn net.Conn, in *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(in)
 			if err != nil {
@@ -54,11 +54,11 @@
 			}
 			r.Body = io.NopCloser(strings.NewReader(string(body)))
 			bodies <- r
-			say(conn, 200, "", "body")
+			writeResponse(conn, 200, "", "body")
 		}
 	})
 	for class, kind := range c.plan.Scenario.Classes {
-		if done := one(t, b, c, class); done.How != "served" {
+		if done := runOne(t, b, c, class); done.How != "served" {
 			t.Fatalf("%s: %s", kind.Name, done.How)
 		}
 		r := <-bodies
--- a/internal/kit/stand/client.go
+++ b/internal/kit/stand/client.go
@@ -25,32 +25,32 @@
 
 const (
 	// A client of the kit stays for longer than its time, so that a late answer is told from none.
-	overtime    = 200 * time.Millisecond
-	connectTime = time.Second
-	idleKeep    = 30 * time.Second
-	resetTime   = 10 * time.Millisecond // for a reset to come behind an end
-	badTime     = 3 * time.Second       // within which a bad client is owed an error or a close
+	lingerTime       = 200 * time.Millisecond
+	connectTimeout   = time.Second
+	idleTimeout      = 30 * time.Second
+	resetWait        = 10 * time.Millisecond // for a reset to come behind an end
+	badClientTimeout = 3 * time.Second       // within which a bad client is owed an error or a close
 )
 
-var errNoConnection = errors.New("clients hold as many connections to this node as they can")
+var errConnLimit = errors.New("clients hold as many connections to this node as they can")
 
 // Clients are all clients of a rehearsal, with the front that deals their connections out among the nodes.
 type Clients struct {
-	plan  *plan.Plan
-	dial  Dial
-	clock Clock
-	out   *trace.Writer
-	slack time.Duration
-	begin time.Duration
-	most  int // connections to a node
-	wg    sync.WaitGroup
-	conns atomic.Int64
-	Count Counts
-
-	mu    sync.Mutex
-	nodes []*front
-	rng   *rand.Rand
-	pads  []string // a body's filler by class
+	plan            *plan.Plan
+	dial            Dial
+	clock           Clock
+	out             *trace.Writer
+	slack           time.Duration
+	start           time.Duration
+	maxConnsPerNode int // connections to a node
+	wg              sync.WaitGroup
+	conns           atomic.Int64
+	Count           Counts
+
+	mu       sync.Mutex
+	nodes    []*nodeState
+	rng      *rand.Rand
+	bodyPads []string // a body's filler by class
 }
 
 // Counts are figures for the eye, since the start.
@@ -68,8 +68,8 @@
 	Draining                 // by those that they have alone, for as long as these stay open
 )
 
-// front is what the front layer knows of a node.
-type front struct {
+// nodeState is what the front layer knows of a node.
+type nodeState struct {
 	trace.Node
 	addr    string
 	rpcAddr string
@@ -78,24 +78,24 @@
 	idleRPC []*clientConn
 
 	dialing int
-	all     map[*clientConn]struct{}
-	ids     []string // of open requests, the latest last: what a bad client steals
+	conns   map[*clientConn]struct{}
+	openIDs []string // of open requests, the latest last: what a bad client steals
 }
 
 // NewClients returns the clients of a plan. slack is how much later than its client's deadline an answer still counts.
 func NewClients(p *plan.Plan, nodes []trace.Node, dial Dial, clock Clock, out *trace.Writer, slack time.Duration) *Clients {
-	c := &Clients{plan: p, dial: dial, clock: clock, out: out, slack: slack, most: p.Scenario.Clients.Conns, rng: rand.New(rand.NewPCG(p.Seed, 4))}
+	c := &Clients{plan: p, dial: dial, clock: clock, out: out, slack: slack, maxConnsPerNode: p.Scenario.Clients.Conns, rng: rand.New(rand.NewPCG(p.Seed, 4))}
 	for _, n := range nodes {
-		c.nodes = append(c.nodes, &front{Node: n, all: map[*clientConn]struct{}{}})
+		c.nodes = append(c.nodes, &nodeState{Node: n, conns: map[*clientConn]struct{}{}})
 	}
 	for _, k := range p.Scenario.Classes {
-		c.pads = append(c.pads, strings.Repeat("window ", max(0, k.Bytes-60)/7+1))
+		c.bodyPads = append(c.bodyPads, strings.Repeat("window ", max(0, k.Bytes-60)/7+1))
 	}
 	return c
 }
 
 // SetStart says when the plan's time begins, since the start of the rehearsal. It is called before Play.
-func (c *Clients) SetStart(at time.Duration) { c.begin = at }
+func (c *Clients) SetStart(at time.Duration) { c.start = at }
 
 // SetNode tells the front of a node's address and how clients are to go there.
 func (c *Clients) SetNode(i int, addr string, reach Reach) {
@@ -104,20 +104,20 @@
 	c.nodes[i].addr, c.nodes[i].reach = addr, reach
 }
 
-// takes tells whether a request may go to a node. Clients.mu is held.
-func (f *front) takes() bool {
+// accepting tells whether a request may go to a node. Clients.mu is held.
+func (f *nodeState) accepting() bool {
 	if f.reach != Draining {
 		return f.reach == Reachable
 	}
-	f.idle = slices.DeleteFunc(f.idle, (*clientConn).isDead)
+	f.idle = slices.DeleteFunc(f.idle, (*clientConn).hasEnded)
 	return len(f.idle) > 0
 }
 
-// isDead tells whether a connection has ended.
-func (k *clientConn) isDead() bool {
+// hasEnded tells whether a connection has ended.
+func (k *clientConn) hasEnded() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.dead
+	return k.ended
 }
 
 // Play sends what the plan's needs say, each at its time, until the last or until ctx ends. It returns when the last
@@ -130,7 +130,7 @@
 		if !ok {
 			return
 		}
-		n.At += c.begin
+		n.At += c.start
 		if d := n.At - c.clock.Now(); d > 0 {
 			timer.Reset(d)
 			select {
@@ -145,7 +145,7 @@
 		c.wg.Add(1)
 		go func() {
 			defer c.wg.Done()
-			c.need(ctx, n)
+			c.runOperation(ctx, n)
 		}()
 	}
 }
@@ -158,7 +158,7 @@
 	c.mu.Lock()
 	var all []*clientConn
 	for _, n := range c.nodes {
-		for k := range n.all {
+		for k := range n.conns {
 			all = append(all, k)
 		}
 	}
@@ -169,14 +169,14 @@
 	}
 }
 
-// pick deals out a node for a client of a site.
-func (c *Clients) pick(site string) *front {
+// pickNode deals out a node for a client of a site.
+func (c *Clients) pickNode(site string) *nodeState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var near, far []*front
+	var near, far []*nodeState
 	for _, n := range c.nodes {
 		switch {
-		case !n.takes():
+		case !n.accepting():
 		case n.Site == site:
 			near = append(near, n)
 		default:
@@ -198,8 +198,8 @@
 	retryAfter time.Duration
 }
 
-// need is one client's: its tries, and what became of them.
-func (c *Clients) need(ctx context.Context, n plan.Operation) {
+// runOperation is one client's: its tries, and what became of them.
+func (c *Clients) runOperation(ctx context.Context, n plan.Operation) {
 	s := c.plan.Scenario
 	class := &s.Classes[n.Class]
 	rng := rand.New(rand.NewPCG(n.Seed, 5))
@@ -219,15 +219,15 @@
 	this := first
 	rpc := rand.New(rand.NewPCG(n.Seed, 6)).Float64() < s.Clients.RPC
 	for try := 0; ; try++ {
-		wait := c.plan.Patience(&n, c.clock.Now())
+		wait := c.plan.TryTimeout(&n, c.clock.Now())
 		if wait == 0 {
 			break
 		}
-		chunked := !rpc && class.Effect != "safe" && chunkDraws(n.Seed, try).Float64() < s.Clients.Chunked
-		t := &sending{rpc: rpc, chunked: chunked, need: &n, class: class, id: this, of: first, try: try, wait: wait, key: key, idem: idem, rec: rec}
+		chunked := !rpc && class.Effect != "safe" && chunkRand(n.Seed, try).Float64() < s.Clients.Chunked
+		t := &clientTry{rpc: rpc, chunked: chunked, op: &n, class: class, id: this, firstID: first, try: try, timeout: wait, key: key, idempotencyKey: idem, rec: rec}
 		res = c.attempt(ctx, t)
-		pause, again := c.plan.Again(&n, try, res.how, res.retryAfter)
-		if !again || ctx.Err() != nil || c.clock.Now()+pause >= end {
+		pause, retry := c.plan.Retry(&n, try, res.how, res.retryAfter)
+		if !retry || ctx.Err() != nil || c.clock.Now()+pause >= end {
 			break
 		}
 		if !timing.Sleep(ctx, pause) {
@@ -257,24 +257,24 @@
 	}
 }
 
-// sending is one request.
-type sending struct {
-	need    *plan.Operation
-	class   *scenario.Class
-	id, of  string
-	try     int
-	wait    time.Duration
-	key     string
-	idem    string
-	rpc     bool // it goes as a JSON-RPC call
-	chunked bool // its body goes in chunks
-	rec     trace.Record
-	conn    *clientConn
-	ended   chan ending // holds one
+// clientTry is one request.
+type clientTry struct {
+	op             *plan.Operation
+	class          *scenario.Class
+	id, firstID    string
+	try            int
+	timeout        time.Duration
+	key            string
+	idempotencyKey string
+	rpc            bool // it goes as a JSON-RPC call
+	chunked        bool // its body goes in chunks
+	rec            trace.Record
+	conn           *clientConn
+	ended          chan tryEnd // holds one
 }
 
-// ending is what a connection saw of a request's end.
-type ending struct {
+// tryEnd is what a connection saw of a request's end.
+type tryEnd struct {
 	status     int // 0: the connection ended without an answer
 	bytes      int64
 	retryAfter time.Duration
@@ -282,18 +282,18 @@
 }
 
 // attempt sends a request, once more on a new connection where a kept one had closed, and waits for its end.
-func (c *Clients) attempt(ctx context.Context, t *sending) result {
-	for again := false; ; again = true {
-		f := c.pick(t.rec.Site)
+func (c *Clients) attempt(ctx context.Context, t *clientTry) result {
+	for resend := false; ; resend = true {
+		f := c.pickNode(t.rec.Site)
 		if f == nil {
 			return result{how: "unreachable"}
 		}
-		conn, reused, err := c.connect(ctx, f, again || t.need.Once, t.rpc)
+		conn, reused, err := c.connect(ctx, f, resend || t.op.Once, t.rpc)
 		if err != nil {
 			return result{how: "unreachable"}
 		}
-		res, crossed := c.exchange(ctx, t, conn, reused, again)
-		if !crossed || again {
+		res, closedUnread := c.exchange(ctx, t, conn, reused, resend)
+		if !closedUnread || resend {
 			return res
 		}
 	}
@@ -301,30 +301,30 @@
 
 // exchange sends a request on a connection. The second result tells that the connection was a kept one that ended
 // without a word.
-func (c *Clients) exchange(ctx context.Context, t *sending, conn *clientConn, reused, again bool) (result, bool) {
-	t.conn, t.ended = conn, make(chan ending, 1)
+func (c *Clients) exchange(ctx context.Context, t *clientTry, conn *clientConn, reused, resend bool) (result, bool) {
+	t.conn, t.ended = conn, make(chan tryEnd, 1)
 	rec := t.rec
-	rec.ID, rec.Node, rec.Conn = t.id, conn.front.Name, conn.n
+	rec.ID, rec.Node, rec.Conn = t.id, conn.node.Name, conn.number
 	left := time.Duration(0)
-	if t.need.Impatient > 0 && t.try == 0 {
-		left = t.need.Impatient
+	if t.op.Impatient > 0 && t.try == 0 {
+		left = t.op.Impatient
 	}
 	sent := rec
-	sent.Kind, sent.T, sent.Of, sent.Try, sent.Wait, sent.Reused, sent.Again = trace.Sent, c.clock.us(), t.of, t.try, trace.US(t.wait), reused, again
+	sent.Kind, sent.T, sent.Of, sent.Try, sent.Wait, sent.Reused, sent.Again = trace.Sent, c.clock.us(), t.firstID, t.try, trace.US(t.timeout), reused, resend
 	if t.try == 0 {
-		sent.Plan = trace.US(t.need.At)
+		sent.Plan = trace.US(t.op.At)
 	}
 	if t.chunked {
 		sent.How = trace.Chunked
 	}
-	conn.begin(t)
-	c.note(conn.front, t.id, true)
-	defer c.note(conn.front, t.id, false)
+	conn.setCurrent(t)
+	c.trackID(conn.node, t.id, true)
+	defer c.trackID(conn.node, t.id, false)
 	c.out.Add(&sent)
-	conn.SetWriteDeadline(time.Now().Add(t.wait))
-	err := t.write(conn, c.pads[t.need.Class])
-	over := time.NewTimer(t.wait + c.slack + overtime)
-	defer over.Stop()
+	conn.SetWriteDeadline(time.Now().Add(t.timeout))
+	err := t.write(conn, c.bodyPads[t.op.Class])
+	expired := time.NewTimer(t.timeout + c.slack + lingerTime)
+	defer expired.Stop()
 	var leave <-chan time.Time
 	if left > 0 {
 		timer := time.NewTimer(left)
@@ -333,10 +333,10 @@
 	}
 	end := rec
 	why := ""
-	var e ending
+	var e tryEnd
 	select {
 	case e = <-t.ended:
-	case <-over.C:
+	case <-expired.C:
 		why = "time"
 	case <-leave:
 		why = "impatient"
@@ -344,7 +344,7 @@
 		why = "over"
 	}
 	if why != "" {
-		if conn.finish(t) {
+		if conn.abandon(t) {
 			end.Kind, end.T, end.Why = trace.GaveUp, c.clock.us(), why
 			c.out.Add(&end)
 			conn.Close()
@@ -363,8 +363,8 @@
 		return result{how: "failed"}, reused && e.bytes == 0
 	}
 	if e.why == "keep" {
-		if !t.need.Once { // else it stays open, and nobody uses it
-			c.keep(conn)
+		if !t.op.Once { // else it stays open, and nobody uses it
+			c.putIdle(conn)
 		}
 	} else {
 		conn.Close()
@@ -378,34 +378,34 @@
 	return result{how: "failed"}, false
 }
 
-// note keeps the ids of a node's open requests.
-func (c *Clients) note(f *front, id string, open bool) {
+// trackID keeps the ids of a node's open requests.
+func (c *Clients) trackID(f *nodeState, id string, open bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if open {
-		f.ids = append(f.ids, id)
+		f.openIDs = append(f.openIDs, id)
 		return
 	}
-	for i, x := range f.ids {
+	for i, x := range f.openIDs {
 		if x == id {
-			f.ids = append(f.ids[:i], f.ids[i+1:]...)
+			f.openIDs = append(f.openIDs[:i], f.openIDs[i+1:]...)
 			return
 		}
 	}
 }
 
 // write sends the request, in pieces where its body goes in chunks.
-func (t *sending) write(to io.Writer, pad string) error {
+func (t *clientTry) write(to io.Writer, pad string) error {
 	var all []string
 	if t.rpc {
-		all = []string{t.call(pad)}
+		all = []string{t.rpcCall(pad)}
 	} else {
-		head, body := t.text(pad)
+		head, body := t.httpText(pad)
 		all = []string{head + body}
 		if t.chunked {
-			draws := chunkDraws(t.need.Seed, t.try)
+			draws := chunkRand(t.op.Seed, t.try)
 			draws.Float64() // told whether it is in chunks
-			all = append([]string{head}, inChunks(draws, body)...)
+			all = append([]string{head}, encodeChunked(draws, body)...)
 		}
 	}
 	for _, piece := range all {
@@ -416,19 +416,19 @@
 	return nil
 }
 
-// text is the request as PROTOCOL has it: its head and its body.
-func (t *sending) text(pad string) (head, body string) {
+// httpText is the request as PROTOCOL has it: its head and its body.
+func (t *clientTry) httpText(pad string) (head, body string) {
 	method := "POST"
 	if t.class.Effect == "safe" {
 		method = "GET"
 	} else {
-		body = fmt.Sprintf(`{"id":%q,"of":%q,"pad":%q}`, t.id, t.of, pad)
+		body = fmt.Sprintf(`{"id":%q,"of":%q,"pad":%q}`, t.id, t.firstID, pad)
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s /api?key=%s&w=%d HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: %s\r\nX-Deadline: %du\r\n",
-		method, t.key, t.need.Work.Microseconds(), t.id, t.class.Name, t.rec.Tenant, t.wait.Microseconds())
+		method, t.key, t.op.Work.Microseconds(), t.id, t.class.Name, t.rec.Tenant, t.timeout.Microseconds())
 	if t.class.Effect == "keyed" {
-		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", t.idem)
+		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", t.idempotencyKey)
 	}
 	switch {
 	case t.chunked:
@@ -444,28 +444,28 @@
 // nothing is asked for is seen when it comes.
 type clientConn struct {
 	net.Conn
-	n     int64
-	rpc   bool
-	c     *Clients
-	front *front
-	used  bool
-	since time.Time
-	done  chan struct{}
-
-	mu   sync.Mutex
-	open *sending
-	last string // the id of the latest request
-	dead bool
+	number    int64
+	rpc       bool
+	clients   *Clients
+	node      *nodeState
+	used      bool
+	idleSince time.Time
+	done      chan struct{}
+
+	mu      sync.Mutex
+	current *clientTry
+	lastID  string // the id of the latest request
+	ended   bool
 }
 
 // connect returns a connection to a node: one that is kept, unless fresh, or a new one.
-func (c *Clients) connect(ctx context.Context, f *front, fresh, rpc bool) (*clientConn, bool, error) {
+func (c *Clients) connect(ctx context.Context, f *nodeState, fresh, rpc bool) (*clientConn, bool, error) {
 	c.mu.Lock()
-	idle := f.resting(rpc)
+	idle := f.idleConns(rpc)
 	for !fresh && len(*idle) > 0 {
 		k := (*idle)[len(*idle)-1]
 		*idle = (*idle)[:len(*idle)-1]
-		if !k.isDead() {
+		if !k.hasEnded() {
 			c.mu.Unlock()
 			return k, true, nil
 		}
@@ -474,91 +474,91 @@
 	if rpc {
 		addr = f.rpcAddr
 	}
-	full := c.most > 0 && len(f.all)+f.dialing >= c.most || f.reach == Draining
+	full := c.maxConnsPerNode > 0 && len(f.conns)+f.dialing >= c.maxConnsPerNode || f.reach == Draining
 	if !full {
 		f.dialing++
 	}
 	c.mu.Unlock()
 	if full {
-		return nil, false, errNoConnection
+		return nil, false, errConnLimit
 	}
 	defer func() {
 		c.mu.Lock()
 		f.dialing--
 		c.mu.Unlock()
 	}()
-	ctx, cancel := context.WithTimeout(ctx, connectTime)
+	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	conn, err := c.dial(ctx, addr)
 	if err != nil {
 		return nil, false, err
 	}
-	k := &clientConn{Conn: conn, n: c.conns.Add(1), rpc: rpc, c: c, front: f, done: make(chan struct{})}
+	k := &clientConn{Conn: conn, number: c.conns.Add(1), rpc: rpc, clients: c, node: f, done: make(chan struct{})}
 	c.mu.Lock()
-	f.all[k] = struct{}{}
+	f.conns[k] = struct{}{}
 	c.mu.Unlock()
 	go func() {
 		defer close(k.done)
-		k.read()
+		k.readHTTP()
 	}()
 	return k, false, nil
 }
 
-func (c *Clients) keep(k *clientConn) {
+func (c *Clients) putIdle(k *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k.used, k.since = true, time.Now()
-	idle := k.front.resting(k.rpc)
+	k.used, k.idleSince = true, time.Now()
+	idle := k.node.idleConns(k.rpc)
 	*idle = append(*idle, k)
 	// Those that have not been needed for long are closed, the oldest first.
-	for len(*idle) > 0 && time.Since((*idle)[0].since) > idleKeep {
+	for len(*idle) > 0 && time.Since((*idle)[0].idleSince) > idleTimeout {
 		(*idle)[0].Close()
 		*idle = (*idle)[1:]
 	}
 }
 
-// resting are the connections of a protocol that carry nothing. Clients.mu is held.
-func (f *front) resting(rpc bool) *[]*clientConn {
+// idleConns are the connections of a protocol that carry nothing. Clients.mu is held.
+func (f *nodeState) idleConns(rpc bool) *[]*clientConn {
 	if rpc {
 		return &f.idleRPC
 	}
 	return &f.idle
 }
 
-func (k *clientConn) begin(t *sending) {
+func (k *clientConn) setCurrent(t *clientTry) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.open, k.last = t, t.id
+	k.current, k.lastID = t, t.id
 }
 
-// finish takes a request off its connection; false if its end has come.
-func (k *clientConn) finish(t *sending) bool {
+// abandon takes a request off its connection; false if its end has come.
+func (k *clientConn) abandon(t *clientTry) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.open != t {
+	if k.current != t {
 		return false
 	}
-	k.open, k.dead = nil, true
+	k.current, k.ended = nil, true
 	return true
 }
 
-// take takes the open request, if there is one.
-func (k *clientConn) take() *sending {
+// takeCurrent takes the open request, if there is one.
+func (k *clientConn) takeCurrent() *clientTry {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	t := k.open
-	k.open = nil
+	t := k.current
+	k.current = nil
 	return t
 }
 
-func (k *clientConn) read() {
+func (k *clientConn) readHTTP() {
 	defer func() {
-		k.c.mu.Lock()
-		delete(k.front.all, k)
-		k.c.mu.Unlock()
+		k.clients.mu.Lock()
+		delete(k.node.conns, k)
+		k.clients.mu.Unlock()
 		k.Close()
 	}()
-	counted := &counter{r: k.Conn}
+	counted := &byteCounter{r: k.Conn}
 	in := bufio.NewReaderSize(counted, 4096)
 	if k.rpc {
 		k.readRPC(in, counted)
@@ -566,18 +566,18 @@
 	}
 	for {
 		_, err := in.Peek(1)
-		first := k.c.clock.us()
+		first := k.clients.clock.us()
 		counted.n = int64(in.Buffered())
 		if err == nil {
 			k.mu.Lock()
-			idle := k.open == nil
-			last, dead := k.last, k.dead
+			idle := k.current == nil
+			last, dead := k.lastID, k.ended
 			k.mu.Unlock()
 			if idle {
 				if !dead { // we left it: what comes now is nobody's
-					k.c.out.Add(&trace.Record{Kind: trace.Extra, T: first, Node: k.front.Name, Conn: k.n, ID: last, Bytes: int64(in.Buffered())})
+					k.clients.out.Add(&trace.Record{Kind: trace.Extra, T: first, Node: k.node.Name, Conn: k.number, ID: last, Bytes: int64(in.Buffered())})
 				}
-				k.end(err, 0)
+				k.handleEnd(err, 0)
 				return
 			}
 		}
@@ -590,24 +590,24 @@
 			body, err = io.ReadAll(io.LimitReader(resp.Body, 1<<20))
 		}
 		if err != nil {
-			k.end(err, counted.n)
+			k.handleEnd(err, counted.n)
 			return
 		}
 		if resp.StatusCode < 200 { // informational: the answer follows
 			continue
 		}
-		t := k.take()
+		t := k.takeCurrent()
 		if t == nil {
 			return // its client has left at this moment
 		}
-		e := ending{status: resp.StatusCode, bytes: counted.n}
+		e := tryEnd{status: resp.StatusCode, bytes: counted.n}
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 {
 			e.retryAfter = time.Duration(s * float64(time.Second))
 		}
 		if !resp.Close {
 			e.why = "keep"
 		}
-		k.c.out.Add(&trace.Record{Kind: trace.Got, T: k.c.clock.us(), T0: first, Node: k.front.Name, Conn: k.n, ID: t.id,
+		k.clients.out.Add(&trace.Record{Kind: trace.Got, T: k.clients.clock.us(), T0: first, Node: k.node.Name, Conn: k.number, ID: t.id,
 			Status: resp.StatusCode, Sum: digest(body), Bytes: int64(len(body))})
 		t.ended <- e
 		if resp.Close {
@@ -616,33 +616,33 @@
 	}
 }
 
-// end notes the end of a connection for the request that is open on it.
-func (k *clientConn) end(err error, bytes int64) {
-	at := k.c.clock.us()
+// handleEnd notes the end of a connection for the request that is open on it.
+func (k *clientConn) handleEnd(err error, bytes int64) {
+	at := k.clients.clock.us()
 	k.mu.Lock()
-	t := k.open
-	k.open, k.dead = nil, true
+	t := k.current
+	k.current, k.ended = nil, true
 	k.mu.Unlock()
 	if t == nil {
 		return
 	}
 	how := ""
-	if errors.Is(err, io.EOF) && bytes == 0 && k.taken() {
+	if errors.Is(err, io.EOF) && bytes == 0 && k.requestWasRead() {
 		how = trace.Taken
 	}
 	why := "closed"
 	if err != nil && !errors.Is(err, io.EOF) {
 		why = err.Error()
 	}
-	k.c.out.Add(&trace.Record{Kind: trace.Broke, T: at, Node: k.front.Name, Conn: k.n, ID: t.id, Bytes: bytes, Why: why, How: how})
-	t.ended <- ending{bytes: bytes, why: why}
+	k.clients.out.Add(&trace.Record{Kind: trace.Broke, T: at, Node: k.node.Name, Conn: k.number, ID: t.id, Bytes: bytes, Why: why, How: how})
+	t.ended <- tryEnd{bytes: bytes, why: why}
 }
 
-// taken tells whether the other side, which has closed, had read what was sent. Where it had not, its network answers
+// requestWasRead tells whether the other side, which has closed, had read what was sent. Where it had not, its network answers
 // the bytes with a reset (RFC 9293, 3.10.7.1), which comes a moment behind the end. A read tells nothing of it: Linux
 // goes on to say that the stream has ended. The socket's pending error does.
-func (k *clientConn) taken() bool {
-	time.Sleep(resetTime)
+func (k *clientConn) requestWasRead() bool {
+	time.Sleep(resetWait)
 	s, ok := k.Conn.(syscall.Conn)
 	if !ok {
 		return false // a network that does not tell: in the node's favour
@@ -660,13 +660,13 @@
 	return pending == 0
 }
 
-// counter counts the bytes of one answer.
-type counter struct {
+// byteCounter counts the bytes of one answer.
+type byteCounter struct {
 	r io.Reader
 	n int64
 }
 
-func (c *counter) Read(p []byte) (int, error) {
+func (c *byteCounter) Read(p []byte) (int, error) {
 	n, err := c.r.Read(p)
 	c.n += int64(n)
 	return n, err
--- a/internal/kit/stand/list.go
+++ b/internal/kit/stand/list.go
@@ -38,62 +38,62 @@
 // Agent is the box list as one node sees it: in push mode the agent on its machine, which has what it was sent; in ask
 // mode the service, which counts as telling a change when it has written it.
 type Agent struct {
-	node  string
-	ask   bool
-	clock Clock
-	out   *trace.Writer
+	node   string
+	polled bool
+	clock  Clock
+	out    *trace.Writer
 
-	mu      sync.Mutex
-	version int64
-	entries map[string]versioned
-	changed chan struct{} // closed at the next change
-	hush    chan struct{} // closed when it speaks again; nil while it speaks
-	held    []Entry       // changes that came while it was silent
-	settled time.Duration // what it is told before this counts as told then
-	told    map[string]string
-	noted   map[string]time.Duration // by box, the latest time at which something counts as told
+	mu         sync.Mutex
+	version    int64
+	entries    map[string]versionedEntry
+	changed    chan struct{} // closed at the next change
+	paused     chan struct{} // closed when it speaks again; nil while it speaks
+	pending    []Entry       // changes that came while it was silent
+	notBefore  time.Duration // what it is told before this counts as told then
+	notified   map[string]string
+	notifiedAt map[string]time.Duration // by box, the latest time at which something counts as told
 }
 
-type versioned struct {
+type versionedEntry struct {
 	Entry
 	version int64
 }
 
 // NewAgent returns the list of one node, with what the node has had from the start.
 func NewAgent(node string, ask bool, clock Clock, out *trace.Writer, known []Entry) *Agent {
-	a := &Agent{node: node, ask: ask, clock: clock, out: out, version: 1, entries: map[string]versioned{},
-		changed: make(chan struct{}), told: map[string]string{}, noted: map[string]time.Duration{}}
+	a := &Agent{node: node, polled: ask, clock: clock, out: out, version: 1, entries: map[string]versionedEntry{},
+		changed: make(chan struct{}), notified: map[string]string{}, notifiedAt: map[string]time.Duration{}}
 	for _, e := range known {
-		a.entries[e.ID] = versioned{e, 1}
-		a.tell(&e)
+		a.entries[e.ID] = versionedEntry{e, 1}
+		a.recordNotified(&e)
 	}
 	return a
 }
 
-// tell notes that the node has been told of a box's state. a.mu is held, or nobody else knows a.
-func (a *Agent) tell(e *Entry) {
+// recordNotified notes that the node has been told of a box's state. a.mu is held, or nobody else knows a.
+func (a *Agent) recordNotified(e *Entry) {
 	state := e.State + " " + strconv.FormatInt(e.Started, 10)
-	if a.told[e.ID] == state {
+	if a.notified[e.ID] == state {
 		return
 	}
-	a.told[e.ID] = state
+	a.notified[e.ID] = state
 	now := a.clock.Now()
 	if e.State != trace.Ready {
-		a.noteTold(max(now, a.settled), e)
+		a.recordNotifiedAt(max(now, a.notBefore), e)
 		return
 	}
 	// A box that takes requests may get them as soon as its node can know. What was told before and counts later does not
 	// outlast that: it is told again behind it.
-	pending := a.noted[e.ID]
-	a.noteTold(now, e)
+	pending := a.notifiedAt[e.ID]
+	a.recordNotifiedAt(now, e)
 	if pending > now {
-		a.noteTold(pending, e)
+		a.recordNotifiedAt(pending, e)
 	}
 }
 
-// noteTold notes that a box's state counts as told at a time.
-func (a *Agent) noteTold(at time.Duration, e *Entry) {
-	a.noted[e.ID] = max(a.noted[e.ID], at)
+// recordNotifiedAt notes that a box's state counts as told at a time.
+func (a *Agent) recordNotifiedAt(at time.Duration, e *Entry) {
+	a.notifiedAt[e.ID] = max(a.notifiedAt[e.ID], at)
 	a.out.Add(&trace.Record{Kind: trace.Told, T: trace.US(at), Node: a.node, Box: e.ID, State: e.State})
 }
 
@@ -101,8 +101,8 @@
 func (a *Agent) Apply(e Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.hush != nil {
-		a.held = append(a.held, e)
+	if a.paused != nil {
+		a.pending = append(a.pending, e)
 		return
 	}
 	a.apply(e)
@@ -110,9 +110,9 @@
 
 func (a *Agent) apply(e Entry) {
 	a.version++
-	a.entries[e.ID] = versioned{e, a.version}
-	if !a.ask {
-		a.tell(&e)
+	a.entries[e.ID] = versionedEntry{e, a.version}
+	if !a.polled {
+		a.recordNotified(&e)
 	}
 	close(a.changed)
 	a.changed = make(chan struct{})
@@ -122,8 +122,8 @@
 func (a *Agent) Pause() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.hush == nil {
-		a.hush = make(chan struct{})
+	if a.paused == nil {
+		a.paused = make(chan struct{})
 	}
 }
 
@@ -131,15 +131,15 @@
 func (a *Agent) Resume() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.hush == nil {
+	if a.paused == nil {
 		return
 	}
-	for _, e := range a.held {
+	for _, e := range a.pending {
 		a.apply(e)
 	}
-	a.held = nil
-	close(a.hush)
-	a.hush = nil
+	a.pending = nil
+	close(a.paused)
+	a.paused = nil
 }
 
 // DelayNotifications says that what the list has to tell counts as told after d at the earliest: a node that has just been given
@@ -147,7 +147,7 @@
 func (a *Agent) DelayNotifications(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.settled = a.clock.Now() + d
+	a.notBefore = a.clock.Now() + d
 }
 
 // InitialList is the list that a new process of the node is started with. All of it counts as told then: what an earlier process had
@@ -155,24 +155,24 @@
 func (a *Agent) InitialList() List {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.settled = 0
+	a.notBefore = 0
 	for _, id := range slices.Sorted(maps.Keys(a.entries)) {
 		e := a.entries[id].Entry
-		delete(a.told, id)
-		a.tell(&e)
+		delete(a.notified, id)
+		a.recordNotified(&e)
 	}
-	return a.since(0, true)
+	return a.changesSince(0, true)
 }
 
 // List is the whole list.
 func (a *Agent) List() List {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.since(0, true)
+	return a.changesSince(0, true)
 }
 
-// since is what has changed after a version, or the whole list. a.mu is held.
-func (a *Agent) since(version int64, full bool) List {
+// changesSince is what has changed after a version, or the whole list. a.mu is held.
+func (a *Agent) changesSince(version int64, full bool) List {
 	l := List{Version: a.version, Full: full, Servers: []Entry{}}
 	for _, e := range a.entries {
 		if full && e.State != trace.Gone || !full && e.version > version {
@@ -196,19 +196,19 @@
 	defer cancel()
 	for {
 		a.mu.Lock()
-		hush, changed, newer := a.hush, a.changed, !watch || a.version > since
+		paused, changed, newer := a.paused, a.changed, !watch || a.version > since
 		var l List
-		if hush == nil && (newer || ctx.Err() != nil) {
-			l = a.since(since, !watch || since > a.version)
+		if paused == nil && (newer || ctx.Err() != nil) {
+			l = a.changesSince(since, !watch || since > a.version)
 		}
 		a.mu.Unlock()
-		if hush != nil {
-			if a.ask {
+		if paused != nil {
+			if a.polled {
 				http.Error(w, "the list is down", http.StatusServiceUnavailable)
 				return
 			}
 			select {
-			case <-hush:
+			case <-paused:
 			case <-r.Context().Done():
 				return
 			}
@@ -230,13 +230,13 @@
 
 func (a *Agent) write(w http.ResponseWriter, l List) {
 	w.Header().Set("Content-Type", "application/json")
-	if json.NewEncoder(w).Encode(l) != nil || !a.ask {
+	if json.NewEncoder(w).Encode(l) != nil || !a.polled {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for i := range l.Servers {
-		a.tell(&l.Servers[i])
+		a.recordNotified(&l.Servers[i])
 	}
 }
 
--- a/internal/kit/stand/rpc.go
+++ b/internal/kit/stand/rpc.go
@@ -22,8 +22,8 @@
 // nothing of it: a call is a request, an error "refused" is a 503, any other error of the node a 500.
 
 const (
-	rpcMember  = "craneglade" // what node and box tell one another beside a call
-	rpcRefused = -32001       // of the node: nothing has run
+	rpcMember      = "craneglade" // what node and box tell one another beside a call
+	rpcCodeRefused = -32001       // of the node: nothing has run
 )
 
 // rpcParams are a call's params. Body is as HTTP's, byte for byte.
@@ -38,22 +38,22 @@
 	Idem     string          `json:"idem,omitempty"`
 }
 
-// talkRPC reads the calls of one connection, which share it. Each has a place of its own among the connections for as long
+// serveRPC reads the calls of one connection, which share it. Each has a place of its own among the connections for as long
 // as it is open.
-func (b *Backend) talkRPC(c *boxConn, in *bufio.Reader) {
+func (b *Backend) serveRPC(c *backendConn, in *bufio.Reader) {
 	r := jsonrpc.NewReader(in)
 	defer func() {
 		b.mu.Lock()
-		var left []*boxConn
+		var open []*backendConn
 		for o := range b.conns {
 			if o.shared == c {
-				left = append(left, o)
+				open = append(open, o)
 				delete(b.conns, o)
 			}
 		}
 		b.mu.Unlock()
-		for _, o := range left {
-			b.gone(o)
+		for _, o := range open {
+			b.handleDisconnect(o)
 		}
 	}()
 	for {
@@ -62,7 +62,7 @@
 		}
 		first := b.clock.us()
 		frame, err := r.Next()
-		if !b.wait(c) {
+		if !b.waitReachable(c) {
 			return // what came while it was cut off came nowhere
 		}
 		if err != nil {
@@ -71,20 +71,20 @@
 		}
 		m, err := jsonrpc.Parse(frame, rpcMember)
 		var p rpcParams
-		var beside struct {
+		var extension struct {
 			DeadlineUS int64 `json:"deadline_us"`
 		}
 		if err == nil {
 			err = json.Unmarshal(m.Params, &p)
 		}
 		if err == nil && m.Extra != nil {
-			err = json.Unmarshal(m.Extra, &beside)
+			err = json.Unmarshal(m.Extra, &extension)
 		}
 		if err != nil {
 			return
 		}
-		v := &boxConn{Conn: c.Conn, link: c.link, node: c.node, fresh: c.fresh, extra: c.extra, shared: c, rpc: string(m.ID)}
-		c.fresh = false
+		v := &backendConn{Conn: c.Conn, link: c.link, node: c.node, isNew: c.isNew, overLimit: c.overLimit, shared: c, rpcID: string(m.ID)}
+		c.isNew = false
 		b.mu.Lock()
 		b.conns[v] = struct{}{}
 		b.mu.Unlock()
@@ -93,8 +93,8 @@
 			method = http.MethodGet
 		}
 		text := fmt.Sprintf("%s /api?key=%s&w=%d HTTP/1.1\r\nHost: box\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Deadline: %du\r\nContent-Length: %d\r\n\r\n%s",
-			method, p.Key, p.Work, p.Request, p.Class, beside.DeadlineUS, len(p.Body), p.Body)
-		if !b.request(v, bufio.NewReader(strings.NewReader(text)), first) {
+			method, p.Key, p.Work, p.Request, p.Class, extension.DeadlineUS, len(p.Body), p.Body)
+		if !b.handleRequest(v, bufio.NewReader(strings.NewReader(text)), first) {
 			return
 		}
 	}
@@ -110,58 +110,58 @@
 	if err != nil {
 		return text
 	}
-	beside := ""
+	extension := ""
 	if load := resp.Header.Get("X-Load"); load != "" {
-		beside = `"load":` + load
+		extension = `"load":` + load
 	}
 	if resp.Header.Get("X-Not-Run") == "1" {
-		beside = strings.TrimPrefix(beside+`,"not_run":true`, ",")
+		extension = strings.TrimPrefix(extension+`,"not_run":true`, ",")
 	}
-	if beside != "" {
-		beside = `,"` + rpcMember + `":{` + beside + "}"
+	if extension != "" {
+		extension = `,"` + rpcMember + `":{` + extension + "}"
 	}
 	if resp.StatusCode == http.StatusOK {
-		return fmt.Sprintf(`{"jsonrpc":"2.0","id":%s,"result":%s%s}`+"\n", id, body, beside)
+		return fmt.Sprintf(`{"jsonrpc":"2.0","id":%s,"result":%s%s}`+"\n", id, body, extension)
 	}
-	return fmt.Sprintf(`{"jsonrpc":"2.0","id":%s,"error":{"code":-32000,"message":%q}%s}`+"\n", id, strings.TrimSpace(string(body)), beside)
+	return fmt.Sprintf(`{"jsonrpc":"2.0","id":%s,"error":{"code":-32000,"message":%q}%s}`+"\n", id, strings.TrimSpace(string(body)), extension)
 }
 
-// call is the request as a JSON-RPC call.
-func (t *sending) call(pad string) string {
-	p := rpcParams{Request: t.id, Class: t.class.Name, Key: t.key, Work: t.need.Work.Microseconds(), Tenant: t.rec.Tenant,
-		Deadline: float64(t.wait.Microseconds()) / 1000}
+// rpcCall is the request as a JSON-RPC call.
+func (t *clientTry) rpcCall(pad string) string {
+	p := rpcParams{Request: t.id, Class: t.class.Name, Key: t.key, Work: t.op.Work.Microseconds(), Tenant: t.rec.Tenant,
+		Deadline: float64(t.timeout.Microseconds()) / 1000}
 	if t.class.Effect != "safe" {
-		p.Body = json.RawMessage(fmt.Sprintf(`{"id":%q,"of":%q,"pad":%q}`, t.id, t.of, pad))
+		p.Body = json.RawMessage(fmt.Sprintf(`{"id":%q,"of":%q,"pad":%q}`, t.id, t.firstID, pad))
 	}
 	if t.class.Effect == "keyed" {
-		p.Idem = t.idem
+		p.Idem = t.idempotencyKey
 	}
 	params, err := json.Marshal(p)
 	if err != nil {
 		panic(err) // nothing in it can fail
 	}
 	text := fmt.Sprintf(`{"jsonrpc":"2.0","id":%q,"method":%q,"params":%s}`, t.id, t.class.Name, params)
-	if t.need.Seed%2 == 0 { // half of them in a batch, beside a notification that is owed nothing
+	if t.op.Seed%2 == 0 { // half of them in a batch, beside a notification that is owed nothing
 		text = `[` + text + `,{"jsonrpc":"2.0","method":"nobody's"}]`
 	}
 	return text + "\n"
 }
 
 // readRPC reads answers; see read.
-func (k *clientConn) readRPC(in *bufio.Reader, counted *counter) {
+func (k *clientConn) readRPC(in *bufio.Reader, counted *byteCounter) {
 	r := jsonrpc.NewReader(in)
 	for {
 		err := r.Wait()
-		first := k.c.clock.us()
+		first := k.clients.clock.us()
 		counted.n = int64(in.Buffered())
 		k.mu.Lock()
-		idle, last, dead := k.open == nil, k.last, k.dead
+		idle, last, dead := k.current == nil, k.lastID, k.ended
 		k.mu.Unlock()
 		if err == nil && idle {
 			if !dead {
-				k.c.out.Add(&trace.Record{Kind: trace.Extra, T: first, Node: k.front.Name, Conn: k.n, ID: last, Bytes: int64(in.Buffered())})
+				k.clients.out.Add(&trace.Record{Kind: trace.Extra, T: first, Node: k.node.Name, Conn: k.number, ID: last, Bytes: int64(in.Buffered())})
 			}
-			k.end(nil, 0)
+			k.handleEnd(nil, 0)
 			return
 		}
 		var frame []byte
@@ -179,14 +179,14 @@
 			}
 		}
 		if err != nil {
-			k.end(err, counted.n)
+			k.handleEnd(err, counted.n)
 			return
 		}
-		t := k.take()
+		t := k.takeCurrent()
 		if t == nil {
 			return // its client has left at this moment
 		}
-		e := ending{status: http.StatusOK, bytes: counted.n, why: "keep"}
+		e := tryEnd{status: http.StatusOK, bytes: counted.n, why: "keep"}
 		body := m.Result
 		if m.Error != nil {
 			var object struct {
@@ -196,14 +196,14 @@
 				}
 			}
 			e.status = http.StatusInternalServerError
-			if json.Unmarshal(m.Error, &object) == nil && object.Code == rpcRefused {
+			if json.Unmarshal(m.Error, &object) == nil && object.Code == rpcCodeRefused {
 				e.status, e.retryAfter = http.StatusServiceUnavailable, time.Duration(object.Data.After*float64(time.Second))
 			}
 		}
-		if told, ok := jsonrpc.Text(m.ID); !ok || told != t.id {
+		if id, ok := jsonrpc.Text(m.ID); !ok || id != t.id {
 			body = slices.Concat(body, m.ID) // an answer that is not this call's
 		}
-		k.c.out.Add(&trace.Record{Kind: trace.Got, T: k.c.clock.us(), T0: first, Node: k.front.Name, Conn: k.n, ID: t.id,
+		k.clients.out.Add(&trace.Record{Kind: trace.Got, T: k.clients.clock.us(), T0: first, Node: k.node.Name, Conn: k.number, ID: t.id,
 			Status: e.status, Sum: digest(body), Bytes: int64(len(body))})
 		t.ended <- e
 	}
--- a/internal/kit/stand/stand.go
+++ b/internal/kit/stand/stand.go
@@ -32,12 +32,12 @@
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// resetter is what a connection can do that can be broken without a word; *net.TCPConn is one.
-type resetter interface{ SetLinger(sec int) error }
+// lingerSetter is what a connection can do that can be broken without a word; *net.TCPConn is one.
+type lingerSetter interface{ SetLinger(sec int) error }
 
 // reset breaks a connection so that the other side sees a reset where the network knows such a thing.
 func reset(c net.Conn) {
-	if r, ok := c.(resetter); ok {
+	if r, ok := c.(lingerSetter); ok {
 		r.SetLinger(0)
 	}
 	c.Close()
--- a/internal/kit/stand/stand_test.go
+++ b/internal/kit/stand/stand_test.go
@@ -24,30 +24,30 @@
 	"craneglade/internal/kit/trace"
 )
 
-// patience is how long a test waits for what must come: far longer than it takes on a busy machine.
-const patience = 30 * time.Second
+// waitTimeout is how long a test waits for what must come: far longer than it takes on a busy machine.
+const waitTimeout = 30 * time.Second
 
-// book is a trace that a test reads while it grows.
-type book struct {
+// traceBuffer is a trace that a test reads while it grows.
+type traceBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 	w    *trace.Writer
 }
 
-func (b *book) Write(p []byte) (int, error) {
+func (b *traceBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(p)
 }
 
-func newBook() *book {
-	b := &book{}
+func newTraceBuffer() *traceBuffer {
+	b := &traceBuffer{}
 	b.w = trace.NewWriter(b, trace.Head{})
 	return b
 }
 
 // records returns those of a kind so far.
-func (b *book) records(t *testing.T, kind string) []trace.Record {
+func (b *traceBuffer) records(t *testing.T, kind string) []trace.Record {
 	t.Helper()
 	if err := b.w.Close(); err != nil { // flushes
 		t.Fatal(err)
@@ -72,10 +72,10 @@
 	}
 }
 
-// until waits until ok holds.
-func until(t *testing.T, what string, ok func() bool) {
+// waitFor waits until ok holds.
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%s did not come", what)
 		}
@@ -91,8 +91,8 @@
 	return ln
 }
 
-// newBox starts a box that one node sees.
-func newBox(t *testing.T, b *book, change func(*BackendConfig)) (*Backend, string) {
+// newTestBackend starts a box that one node sees.
+func newTestBackend(t *testing.T, b *traceBuffer, change func(*BackendConfig)) (*Backend, string) {
 	t.Helper()
 	cfg := BackendConfig{ID: "b1", Site: "a", Kind: "k", Seed: 1, Delay: func(string) time.Duration { return 0 },
 		Spec: boxmodel.Spec{Cores: 2, Speed: 1, Slots: 2, Queue: 1, ColdFrom: 1, CancelQueued: true, CancelRuns: true}}
@@ -107,20 +107,20 @@
 	return x, ln.Addr().String()
 }
 
-type peer struct {
+type testConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func dial(t *testing.T, addr string) *peer {
+func dial(t *testing.T, addr string) *testConn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
-	return &peer{c, bufio.NewReader(c)}
+	c.SetDeadline(time.Now().Add(waitTimeout))
+	return &testConn{c, bufio.NewReader(c)}
 }
 
 func post(id string, work time.Duration) string {
@@ -129,7 +129,7 @@
 		work.Microseconds(), id, len(body), body)
 }
 
-func (p *peer) ask(t *testing.T, text string) (*http.Response, string) {
+func (p *testConn) roundTrip(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
 	if _, err := io.WriteString(p, text); err != nil {
 		t.Fatal(err)
@@ -146,10 +146,10 @@
 }
 
 func TestBoxServesAndNotes(t *testing.T) {
-	b := newBook()
-	x, addr := newBox(t, b, nil)
+	b := newTraceBuffer()
+	x, addr := newTestBackend(t, b, nil)
 	p := dial(t, addr)
-	resp, body := p.ask(t, post("r1", 2*time.Millisecond))
+	resp, body := p.roundTrip(t, post("r1", 2*time.Millisecond))
 	var answer struct{ For, Box string }
 	if err := json.Unmarshal([]byte(body), &answer); err != nil || answer.For != "r1" || answer.Box != "b1" || resp.StatusCode != 200 {
 		t.Errorf("%d %s", resp.StatusCode, body)
@@ -157,16 +157,16 @@
 	if !strings.Contains(resp.Header.Get("X-Load"), `"queue":0`) {
 		t.Errorf("X-Load: %q", resp.Header.Get("X-Load"))
 	}
-	if resp, body := p.ask(t, post("r2", time.Millisecond)); resp.StatusCode != 200 || !strings.Contains(body, `"for":"r2"`) {
+	if resp, body := p.roundTrip(t, post("r2", time.Millisecond)); resp.StatusCode != 200 || !strings.Contains(body, `"for":"r2"`) {
 		t.Errorf("the second: %d %s", resp.StatusCode, body)
 	}
 	// Half a request is no request.
 	q := dial(t, addr)
 	io.WriteString(q, post("r3", 0)[:60])
 	q.Close()
-	until(t, "the half request's record", func() bool { return len(b.records(t, trace.Part)) == 1 })
+	waitFor(t, "the half request's record", func() bool { return len(b.records(t, trace.Part)) == 1 })
 	x.Drain()
-	resp, _ = p.ask(t, post("r4", time.Millisecond))
+	resp, _ = p.roundTrip(t, post("r4", time.Millisecond))
 	if resp.StatusCode != 503 || resp.Header.Get("X-Not-Run") != "1" {
 		t.Errorf("draining: %d %v", resp.StatusCode, resp.Header)
 	}
@@ -183,14 +183,14 @@
 }
 
 func TestBoxRefusesOtherForms(t *testing.T) {
-	b := newBook()
-	_, addr := newBox(t, b, nil)
+	b := newTraceBuffer()
+	_, addr := newTestBackend(t, b, nil)
 	for _, text := range []string{
 		strings.Replace(post("r1", 0), `{"id":"r1"}`, `{"id":"r2"}`, 1),
 		strings.Replace(post("r1", 0), "X-Request-Id: r1\r\n", "", 1),
 		strings.Replace(post("r1", 0), "w=0", "w=x", 1),
 	} {
-		if resp, _ := dial(t, addr).ask(t, text); resp.StatusCode != 400 {
+		if resp, _ := dial(t, addr).roundTrip(t, text); resp.StatusCode != 400 {
 			t.Errorf("%d for %q", resp.StatusCode, text)
 		}
 	}
@@ -202,35 +202,35 @@
 }
 
 func TestBoxDropsWhatIsCancelled(t *testing.T) {
-	b := newBook()
-	x, addr := newBox(t, b, nil)
+	b := newTraceBuffer()
+	x, addr := newTestBackend(t, b, nil)
 	p := dial(t, addr)
 	io.WriteString(p, post("r1", 50*time.Second))
-	until(t, "the request", func() bool { return x.Status().InFlight == 1 })
+	waitFor(t, "the request", func() bool { return x.Status().InFlight == 1 })
 	p.Close()
-	until(t, "its end", func() bool { return x.Status().InFlight == 0 })
-	until(t, "the record", func() bool { return len(b.records(t, trace.Drop)) == 1 })
+	waitFor(t, "its end", func() bool { return x.Status().InFlight == 0 })
+	waitFor(t, "the record", func() bool { return len(b.records(t, trace.Drop)) == 1 })
 }
 
 func TestBoxTurnsAwayWhatIsTooMuch(t *testing.T) {
-	b := newBook()
-	x, addr := newBox(t, b, func(c *BackendConfig) { c.MaxConns = 4 })
+	b := newTraceBuffer()
+	x, addr := newTestBackend(t, b, func(c *BackendConfig) { c.MaxConns = 4 })
 	for i := range 3 { // two run, one waits
 		io.WriteString(dial(t, addr), post(fmt.Sprint("r", i), 50*time.Second))
-		until(t, "the request", func() bool { return x.Status().InFlight == i+1 })
+		waitFor(t, "the request", func() bool { return x.Status().InFlight == i+1 })
 	}
-	if resp, _ := dial(t, addr).ask(t, post("r8", 0)); resp.StatusCode != 503 || resp.Header.Get("X-Not-Run") != "1" {
+	if resp, _ := dial(t, addr).roundTrip(t, post("r8", 0)); resp.StatusCode != 503 || resp.Header.Get("X-Not-Run") != "1" {
 		t.Errorf("no room: %d", resp.StatusCode)
 	}
-	resp, _ := dial(t, addr).ask(t, post("r9", 0))
+	resp, _ := dial(t, addr).roundTrip(t, post("r9", 0))
 	if resp.StatusCode != 503 || resp.Header.Get("X-Not-Run") != "1" {
 		t.Errorf("too many connections: %d", resp.StatusCode)
 	}
 }
 
 func TestBoxTroubles(t *testing.T) {
-	b := newBook()
-	x, addr := newBox(t, b, nil)
+	b := newTraceBuffer()
+	x, addr := newTestBackend(t, b, nil)
 	x.SetFaults(1, 0)
 	p := dial(t, addr)
 	io.WriteString(p, post("r1", time.Millisecond))
@@ -245,19 +245,19 @@
 	}
 	x.SetFaults(0, 0)
 	p = dial(t, addr)
-	p.ask(t, post("r3", time.Millisecond))
+	p.roundTrip(t, post("r3", time.Millisecond))
 	x.Isolate()
 	io.WriteString(p, post("r4", time.Millisecond))
 	x.Reconnect()
 	if _, err := p.in.ReadByte(); err == nil {
 		t.Error("a connection outlived the silence")
 	}
-	if resp, _ := dial(t, addr).ask(t, post("r5", 0)); resp.StatusCode != 200 {
+	if resp, _ := dial(t, addr).roundTrip(t, post("r5", 0)); resp.StatusCode != 200 {
 		t.Errorf("after the silence: %d", resp.StatusCode)
 	}
 	p = dial(t, addr)
 	io.WriteString(p, post("r6", 50*time.Second))
-	until(t, "the request", func() bool { return x.Status().InFlight == 1 })
+	waitFor(t, "the request", func() bool { return x.Status().InFlight == 1 })
 	x.Stop()
 	if _, err := p.in.ReadByte(); err == nil || err == io.EOF {
 		t.Errorf("a process that dies reads as %v", err)
@@ -278,17 +278,17 @@
 // What one direction of a link loses, the other does not; no new connection comes up meanwhile, and those from before are
 // reset when the link is whole again.
 func TestLinkCut(t *testing.T) {
-	b := newBook()
-	x, addr := newBox(t, b, nil)
+	b := newTraceBuffer()
+	x, addr := newTestBackend(t, b, nil)
 	cut := func(in, out bool) { x.SetCuts(func(trace.Node) (bool, bool) { return in, out }) }
 	p := dial(t, addr)
-	p.ask(t, post("r1", 0))
+	p.roundTrip(t, post("r1", 0))
 	cut(false, true)
 	io.WriteString(p, post("r2", time.Millisecond))
-	until(t, "the request", func() bool { return len(b.records(t, trace.Recv)) == 2 })
-	until(t, "its end", func() bool { return x.Status().InFlight == 0 })
+	waitFor(t, "the request", func() bool { return len(b.records(t, trace.Recv)) == 2 })
+	waitFor(t, "its end", func() bool { return x.Status().InFlight == 0 })
 	cut(true, true)
-	until(t, "a connection that does not come up", func() bool {
+	waitFor(t, "a connection that does not come up", func() bool {
 		c, err := net.DialTimeout("tcp", addr, 100*time.Millisecond)
 		if err == nil {
 			t.Cleanup(func() { c.Close() })
@@ -299,11 +299,11 @@
 	if _, err := p.in.ReadByte(); err == nil || err == io.EOF {
 		t.Errorf("a connection from before reads as %v", err)
 	}
-	if resp, _ := dial(t, addr).ask(t, post("r3", 0)); resp.StatusCode != 200 {
+	if resp, _ := dial(t, addr).roundTrip(t, post("r3", 0)); resp.StatusCode != 200 {
 		t.Errorf("after the cut: %d", resp.StatusCode)
 	}
 	q := dial(t, addr)
-	q.ask(t, post("r4", 0))
+	q.roundTrip(t, post("r4", 0))
 	cut(true, false)
 	io.WriteString(q, post("r5", 0))
 	cut(false, false)
@@ -322,11 +322,11 @@
 
 // Of a process that ends while it is cut off nobody hears.
 func TestCrashUnheard(t *testing.T) {
-	b := newBook()
-	x, addr := newBox(t, b, nil)
+	b := newTraceBuffer()
+	x, addr := newTestBackend(t, b, nil)
 	p := dial(t, addr)
 	io.WriteString(p, post("r1", 50*time.Second))
-	until(t, "the request", func() bool { return x.Status().InFlight == 1 })
+	waitFor(t, "the request", func() bool { return x.Status().InFlight == 1 })
 	x.Isolate()
 	x.Crash()
 	p.SetDeadline(time.Now().Add(50 * time.Millisecond))
@@ -334,7 +334,7 @@
 		t.Errorf("its connection reads as %v", err)
 	}
 	x.Stop()
-	p.SetDeadline(time.Now().Add(patience))
+	p.SetDeadline(time.Now().Add(waitTimeout))
 	if _, err := p.in.ReadByte(); err == nil || err == io.EOF {
 		t.Errorf("once it is back its connection reads as %v", err)
 	}
@@ -342,14 +342,14 @@
 
 // A request that is lost is read, and nothing comes of it; the next ones are served.
 func TestBoxLosesRequests(t *testing.T) {
-	b := newBook()
-	x, addr := newBox(t, b, nil)
+	b := newTraceBuffer()
+	x, addr := newTestBackend(t, b, nil)
 	x.SetDropFraction(1)
 	lost := dial(t, addr)
 	io.WriteString(lost, post("r1", time.Millisecond))
-	until(t, "the request", func() bool { return len(b.records(t, trace.Recv)) == 1 })
+	waitFor(t, "the request", func() bool { return len(b.records(t, trace.Recv)) == 1 })
 	x.SetDropFraction(0)
-	if resp, _ := dial(t, addr).ask(t, post("r2", time.Millisecond)); resp.StatusCode != 200 {
+	if resp, _ := dial(t, addr).roundTrip(t, post("r2", time.Millisecond)); resp.StatusCode != 200 {
 		t.Errorf("the next one: %d", resp.StatusCode)
 	}
 	if n := len(b.records(t, trace.Reply)); n != 1 || x.Status().InFlight != 0 {
@@ -358,8 +358,8 @@
 }
 
 func TestBoxFallsOver(t *testing.T) {
-	b := newBook()
-	x, addr := newBox(t, b, func(c *BackendConfig) {
+	b := newTraceBuffer()
+	x, addr := newTestBackend(t, b, func(c *BackendConfig) {
 		c.Spec.ColdFrom, c.Spec.Cold, c.Spec.Queue, c.Spec.Fall = 0.1, time.Hour, 1000, boxmodel.Fall{Factor: 2, For: time.Second}
 	})
 	for i := 0; !x.Status().Collapsed && i < 500; i++ {
@@ -369,8 +369,8 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	until(t, "the fall", func() bool { return x.Status().Collapsed })
-	until(t, "its record", func() bool {
+	waitFor(t, "the fall", func() bool { return x.Status().Collapsed })
+	waitFor(t, "its record", func() bool {
 		for _, r := range b.records(t, trace.Box) {
 			if r.State == trace.Fallen {
 				return true
@@ -401,7 +401,7 @@
 }
 
 func TestAgentWatches(t *testing.T) {
-	b := newBook()
+	b := newTraceBuffer()
 	a := NewAgent("n1", false, Clock{time.Now()}, b.w, []Entry{entry("b1", "Ready"), entry("b2", "Ready")})
 	s := ServeAgent(a, listen(t))
 	defer s.Close()
@@ -449,7 +449,7 @@
 }
 
 func TestAgentThatIsAsked(t *testing.T) {
-	b := newBook()
+	b := newTraceBuffer()
 	a := NewAgent("n1", true, Clock{time.Now()}, b.w, []Entry{entry("b1", "Ready")})
 	s := ServeAgent(a, listen(t))
 	defer s.Close()
@@ -458,7 +458,7 @@
 		t.Errorf("%d told before anybody asked", n)
 	}
 	fetch(t, s.Addr, "?since=1&timeout_ms=5")
-	until(t, "the record", func() bool { return len(b.records(t, trace.Told)) == 2 })
+	waitFor(t, "the record", func() bool { return len(b.records(t, trace.Told)) == 2 })
 	a.Pause()
 	if _, status := fetch(t, s.Addr, ""); status != 503 {
 		t.Errorf("while it is down: %d", status)
@@ -466,7 +466,7 @@
 }
 
 // clients starts the kit's clients against a node that a test plays.
-func clients(t *testing.T, b *book, settings string, handle func(c net.Conn, in *bufio.Reader)) *Clients {
+func clients(t *testing.T, b *traceBuffer, settings string, handle func(c net.Conn, in *bufio.Reader)) *Clients {
 	t.Helper()
 	s, err := scenario.Parse("t.toml", []byte("length = \"1s\"\n[clients]\nbackoff = \"none\"\nimpatient = 0.0\nretries = 2\n"+settings))
 	if err != nil {
@@ -503,25 +503,25 @@
 	return c
 }
 
-// one plays one need and returns what became of it.
-func one(t *testing.T, b *book, c *Clients, class int) trace.Record {
+// runOne plays one need and returns what became of it.
+func runOne(t *testing.T, b *traceBuffer, c *Clients, class int) trace.Record {
 	t.Helper()
 	n := len(b.records(t, trace.Done))
-	c.need(context.Background(), plan.Operation{At: c.clock.Now(), Class: class, Work: time.Millisecond, Seed: uint64(n + 1)})
+	c.runOperation(context.Background(), plan.Operation{At: c.clock.Now(), Class: class, Work: time.Millisecond, Seed: uint64(n + 1)})
 	return b.records(t, trace.Done)[n]
 }
 
-func say(c net.Conn, status int, headers, body string) {
+func writeResponse(c net.Conn, status int, headers, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 %d X\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
 }
 
-const quick = "[[class]]\nname = \"quote\"\neffect = \"unsafe\"\naim = \"100ms\"\ndeadline = \"300ms\"\n[[class]]\nname = \"view\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"9s\"\n"
+const quickClasses = "[[class]]\nname = \"quote\"\neffect = \"unsafe\"\naim = \"100ms\"\ndeadline = \"300ms\"\n[[class]]\nname = \"view\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"9s\"\n"
 
 func TestClientsRetryOnlyWhatIsHarmless(t *testing.T) {
-	b := newBook()
+	b := newTraceBuffer()
 	var status atomic.Int64
 	var ids sync.Map
-	c := clients(t, b, quick, func(c net.Conn, in *bufio.Reader) {
+	c := clients(t, b, quickClasses, func(c net.Conn, in *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(in)
 			if err != nil {
@@ -531,7 +531,7 @@
 			if _, twice := ids.LoadOrStore(r.Header.Get("X-Request-Id"), true); twice {
 				t.Error("an id came twice")
 			}
-			say(c, int(status.Load()), "", "body")
+			writeResponse(c, int(status.Load()), "", "body")
 		}
 	})
 	for _, x := range []struct {
@@ -541,7 +541,7 @@
 	}{{0, 200, "served", 1}, {0, 503, "refused", 3}, {0, 500, "failed", 1}, {1, 500, "failed", 3}, {1, 429, "refused", 3}} {
 		status.Store(int64(x.status))
 		before := len(b.records(t, trace.Sent))
-		done := one(t, b, c, x.class)
+		done := runOne(t, b, c, x.class)
 		sent := b.records(t, trace.Sent)[before:]
 		if done.How != x.how || len(sent) != x.tries {
 			t.Errorf("%+v: %s after %d tries", x, done.How, len(sent))
@@ -561,11 +561,11 @@
 // A request that crosses the close of a kept connection goes once more, under its id; one that was read does not pass
 // for that.
 func TestClientsSendOnceMoreOnACrossedClose(t *testing.T) {
-	b := newBook()
+	b := newTraceBuffer()
 	var n atomic.Int64
-	c := clients(t, b, quick, func(c net.Conn, in *bufio.Reader) {
+	c := clients(t, b, quickClasses, func(c net.Conn, in *bufio.Reader) {
 		http.ReadRequest(in)
-		say(c, 200, "", "body")
+		writeResponse(c, 200, "", "body")
 		if n.Add(1) == 1 {
 			in.Peek(1)
 			c.(*net.TCPConn).SetLinger(0) // as the kernel does for a close on bytes that nobody read
@@ -576,7 +576,7 @@
 		}
 	})
 	for range 2 {
-		if how := one(t, b, c, 1).How; how != "served" {
+		if how := runOne(t, b, c, 1).How; how != "served" {
 			t.Fatalf("%s, and not served", how)
 		}
 	}
@@ -584,7 +584,7 @@
 	if len(sent) != 3 || sent[1].ID != sent[2].ID || !sent[1].Reused || !sent[2].Again || sent[2].Reused || len(broke) != 1 || broke[0].How == trace.Taken {
 		t.Fatalf("%+v\n%+v", sent, broke)
 	}
-	one(t, b, c, 1)
+	runOne(t, b, c, 1)
 	if broke := b.records(t, trace.Broke); len(broke) < 2 || broke[1].How != trace.Taken {
 		t.Errorf("a close after the request was read: %+v", broke)
 	}
@@ -615,36 +615,36 @@
 			t.Fatalf("%v, want the end", err)
 		}
 		io.WriteString(c, "a request that crosses the close")
-		if k := (&clientConn{Conn: c}); k.taken() != read {
+		if k := (&clientConn{Conn: c}); k.requestWasRead() != read {
 			t.Errorf("read by the other side: %v, and seen as %v", read, !read)
 		}
 	}
 }
 
 func TestClientsSeeWhatNobodyAskedFor(t *testing.T) {
-	b := newBook()
-	c := clients(t, b, quick, func(c net.Conn, in *bufio.Reader) {
+	b := newTraceBuffer()
+	c := clients(t, b, quickClasses, func(c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err != nil {
 			return
 		}
-		say(c, 200, "", "body")
+		writeResponse(c, 200, "", "body")
 		time.Sleep(5 * time.Millisecond)
-		say(c, 200, "", "more")
+		writeResponse(c, 200, "", "more")
 		in.Peek(1)
 	})
-	one(t, b, c, 1)
-	until(t, "the record", func() bool { return len(b.records(t, trace.Extra)) == 1 })
+	runOne(t, b, c, 1)
+	waitFor(t, "the record", func() bool { return len(b.records(t, trace.Extra)) == 1 })
 }
 
 func TestClientsLeaveWhenTheirTimeIsUp(t *testing.T) {
-	b := newBook()
+	b := newTraceBuffer()
 	left := make(chan struct{}, 1)
-	c := clients(t, b, quick, func(c net.Conn, in *bufio.Reader) {
+	c := clients(t, b, quickClasses, func(c net.Conn, in *bufio.Reader) {
 		http.ReadRequest(in)
 		io.Copy(io.Discard, in) // until the client leaves
 		left <- struct{}{}
 	})
-	if done := one(t, b, c, 0); done.How != "failed" {
+	if done := runOne(t, b, c, 0); done.How != "failed" {
 		t.Errorf("%+v", done)
 	}
 	<-left
@@ -656,7 +656,7 @@
 		t.Errorf("left %d us after sending, with %d to wait: a late answer would pass for none", gave[0].T-sent.T, sent.Wait)
 	}
 	c.SetNode(0, "127.0.0.1:1", Unreachable)
-	if done := one(t, b, c, 0); done.How != "unreachable" {
+	if done := runOne(t, b, c, 0); done.How != "unreachable" {
 		t.Errorf("with no node: %+v", done)
 	}
 }
@@ -666,14 +666,14 @@
 		name, how string
 		handle    func(c net.Conn, in *bufio.Reader)
 	}{
-		{"an error", "error", func(c net.Conn, in *bufio.Reader) { say(c, 400, "Connection: close\r\n", "bad") }},
+		{"an error", "error", func(c net.Conn, in *bufio.Reader) { writeResponse(c, 400, "Connection: close\r\n", "bad") }},
 		{"a close", "closed", func(c net.Conn, in *bufio.Reader) {}},
-		{"served", "served", func(c net.Conn, in *bufio.Reader) { say(c, 200, "", "thanks") }},
+		{"served", "served", func(c net.Conn, in *bufio.Reader) { writeResponse(c, 200, "", "thanks") }},
 	} {
-		b := newBook()
-		c := clients(t, b, quick, x.handle)
+		b := newTraceBuffer()
+		c := clients(t, b, quickClasses, x.handle)
 		for _, kind := range scenario.BadKinds {
-			c.bad(context.Background(), 1, kind)
+			c.runBadClient(context.Background(), 1, kind)
 		}
 		bad := b.records(t, trace.Bad)
 		if len(bad) != len(scenario.BadKinds) {
