--- a/internal/kit/boxmodel/boxmodel.go
+++ b/internal/kit/boxmodel/boxmodel.go
@@ -1,10 +1,9 @@
-// Package boxmodel is a box's insides: cores, slots, a waiting room, a cold start, pauses, and the way an overloaded
-// one turns slow and stays so. It has no clock, no goroutine and no I/O: its caller tells it the time and asks when
-// it wants to be told again. The same spec, seed and calls give the same results.
+// Package boxmodel models the capacity of a backend: cores, slots, a queue, a cold start, pauses, and overload that
+// leaves it slow for a while. It has no clock, no goroutines and no I/O: the caller passes the time and asks with Next
+// when to advance the model again. The same spec, seed and calls give the same results.
 //
-// The model is one of rates. Between two calls every request in work gets an equal part of what the box can do at
-// that moment, which is at most one core; the rate is held for at most Step, so that warming, pauses and slow spells
-// are followed closely.
+// All running requests progress at the same rate, an equal share of the current capacity but at most one core each. A
+// rate is kept for at most Step, so that warm-up, pauses and slow periods are followed closely.
 package boxmodel
 
 import (
@@ -13,42 +12,43 @@
 	"time"
 )
 
-// Step is the longest time for which the model holds a rate.
+// Step is the longest time for which the model keeps a rate.
 const Step = 20 * time.Millisecond
 
-// Spec says what a box is. Work is in core-seconds: seconds on one core of speed 1.
+// Spec describes a backend. Work is in core-seconds: seconds on one core of speed 1.
 type Spec struct {
 	Cores        int
-	Speed        float64 // of a core; 1 is the usual one
-	Slots        int     // requests in work at a time
-	Queue        int     // requests that may wait; more are turned away
-	Thrash       float64 // part of the capacity that is lost when it holds twice ThrashAt a core; less in proportion
-	ThrashAt     float64 // requests held for each core from which it works less well; 0: never
-	ColdFrom     float64 // part of the capacity at the start; 1 for one that starts warm
+	Speed        float64 // of a core; 1 is normal
+	Slots        int     // requests that run at a time
+	Queue        int     // requests that may wait; more are rejected
+	Thrash       float64 // fraction of the capacity that is lost with 2*ThrashAt requests per core; proportionally less below that
+	ThrashAt     float64 // requests in flight per core above which capacity is lost; 0: never
+	ColdFrom     float64 // fraction of the capacity at the start; 1: starts warm
 	Cold         time.Duration
-	WarmByWork   bool          // it warms with the work it does, but no slower than evenly over Cold
-	PauseEvery   time.Duration // on average; 0: never
-	Pause        time.Duration // all work stands still for this long
-	ErrorRate    float64       // part of the requests that end in an error after their work
-	Noise        float64       // spread of the work of one attempt about what was asked: a standard deviation
-	CancelQueued bool          // a cancelled request that waits is dropped
-	CancelRuns   bool          // one that runs is, too
-	DropsExpired bool          // one that waits past its deadline is turned away
+	WarmByWork   bool          // work done speeds up the warm-up, which otherwise is linear over Cold
+	PauseEvery   time.Duration // mean time between pauses; 0: no pauses
+	Pause        time.Duration // duration of a pause, in which no work is done
+	ErrorRate    float64       // fraction of the requests that end in an error after their work
+	Noise        float64       // relative standard deviation of the work of an attempt
+	CancelQueued bool          // a waiting request can be cancelled
+	CancelRuns   bool          // a running request can be cancelled
+	DropsExpired bool          // a request that is past its deadline when it would start is rejected
 	Choke        Choke
 	Fall         Fall
 }
 
-// Choke makes a box that is crowded for too long slow, and keeps it so.
+// Choke is a slowdown that sustained overload causes and that outlasts it. It happens at most once.
 type Choke struct {
-	At     float64       // crowded is holding more than cores + At x sqrt(cores), in the mean of Over; 0: never
-	Over   time.Duration // the time that counts for it
-	Slower float64       // by this factor
-	Below  float64       // it recovers when its cores were busy below this part
-	Rest   time.Duration // for this long,
-	Most   time.Duration // or after this at the latest
+	At     float64       // overload is a mean occupancy above cores + At*sqrt(cores); 0: never
+	Over   time.Duration // the time over which the mean is taken
+	Slower float64       // factor by which the backend gets slower
+	Below  float64       // it recovers once the mean utilization of its cores is below this
+	Rest   time.Duration // over this time,
+	Most   time.Duration // or after this time at the latest
 }
 
-// Fall is how a cold box is pushed over: more than Factor times what it can do, sent for For.
+// Fall is the overload at which a cold backend collapses: more than Factor times the work that it can do within any
+// window of For; see Budget.
 type Fall struct {
 	Factor float64 // 0: never
 	For    time.Duration
@@ -56,10 +56,10 @@
 
 // Job is one request.
 type Job struct {
-	ID       uint64 // the caller's own name for it
+	ID       uint64 // chosen by the caller
 	Work     float64
-	Overhead float64       // work beside it that nobody answers for, such as a handshake
-	Deadline time.Duration // its deadline; 0 for none
+	Overhead float64       // further work, such as a handshake; no noise applies to it
+	Deadline time.Duration // 0: none
 }
 
 // Outcome says how a request ended.
@@ -67,11 +67,11 @@
 
 const (
 	Served    Outcome = iota // its work is done
-	Failed                   // its work is done and an error came of it
-	QueueFull                // turned away: no room
-	Expired                  // turned away: its time was up while it waited
-	Cancelled                // dropped at its sender's wish
-	Lost                     // the box stopped
+	Failed                   // its work is done and it ended in an error
+	QueueFull                // rejected: no slot is free and the queue is full
+	Expired                  // rejected: its deadline passed while it waited
+	Cancelled                // cancelled by its sender
+	Lost                     // the backend had stopped, or stopped before the end
 )
 
 // Result is how and when a request ended.
@@ -81,14 +81,14 @@
 	Outcome Outcome
 }
 
-// ChangeKind is something that happened to the box as a whole.
+// ChangeKind is a change of the state of a backend.
 type ChangeKind uint8
 
 const (
-	BecameSlow   ChangeKind = iota // it works at a part of its speed
-	BecameNormal                   // it works at its own speed again
+	BecameSlow   ChangeKind = iota // it works at a fraction of its speed
+	BecameNormal                   // it works at its normal speed again
 	BecameWarm                     // it has reached its full capacity
-	Collapsed                      // it failed under its load
+	Collapsed                      // it failed under overload while cold
 )
 
 // Change is a Change and its time.
@@ -102,7 +102,7 @@
 	remaining float64
 }
 
-// Backend is a box's state.
+// Backend is the state of a modelled backend.
 type Backend struct {
 	spec     Spec
 	rng      *rand.Rand
@@ -119,7 +119,7 @@
 	slowSince              time.Duration // 0: not slow
 	slow                   bool
 	wasSlow                bool
-	slowdown               float64 // a factor from outside
+	slowdown               float64 // factor set by SetSlowdown
 	occupancy, utilization movingMean
 	budget                 *Budget
 
@@ -127,7 +127,7 @@
 	changes []Change
 }
 
-// New returns a box that starts at now. One with ColdFrom 1 is warm.
+// New returns a backend that starts at now. It is warm if ColdFrom is 1 or more, or Cold is 0.
 func New(spec Spec, seed uint64, now time.Duration) *Backend {
 	b := &Backend{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), started: now, now: now, slowdown: 1}
 	b.warm = spec.ColdFrom >= 1 || spec.Cold <= 0
@@ -147,10 +147,10 @@
 	return now + time.Duration(b.rng.ExpFloat64()*float64(b.spec.PauseEvery))
 }
 
-// FullCapacity is what the box can do when it is warm and nothing ails it, in cores of speed 1.
+// FullCapacity is the capacity of the warm backend without slowdown, in cores of speed 1.
 func (b *Backend) FullCapacity() float64 { return float64(b.spec.Cores) * b.spec.Speed }
 
-// Capacity is what it can do now, in cores of speed 1; crowding and pauses do not count.
+// Capacity is the current capacity, in cores of speed 1. Losses to thrashing and pauses are not included.
 func (b *Backend) Capacity() float64 {
 	c := b.FullCapacity() * b.warmFraction() / b.slowdown
 	if b.slow {
@@ -159,32 +159,32 @@
 	return c
 }
 
-// warmFraction is the part of the full capacity that warming leaves.
+// warmFraction is the fraction of the full capacity that the warm-up has reached.
 func (b *Backend) warmFraction() float64 {
 	if b.warm {
 		return 1
 	}
 	s := float64(b.now-b.started) / float64(b.spec.Cold)
 	if b.spec.WarmByWork {
-		// The work that takes a box with all to do from cold to warm in half the stated time.
+		// A fully loaded backend gets warm in about half of Cold.
 		s = max(s, b.workDone/(b.FullCapacity()*(1+b.spec.ColdFrom)/2*b.spec.Cold.Seconds()/2))
 	}
 	return min(1, b.spec.ColdFrom+(1-b.spec.ColdFrom)*s)
 }
 
-// Warm tells whether the box is at its full capacity.
+// Warm reports whether the warm-up is complete.
 func (b *Backend) Warm() bool { return b.warm }
 
-// Down tells whether the box has fallen over or was stopped.
+// Down reports whether the backend has collapsed or was stopped.
 func (b *Backend) Down() bool { return b.down }
 
-// InFlight is the number of requests in work or waiting.
+// InFlight is the number of requests that run or wait.
 func (b *Backend) InFlight() int { return len(b.running) + len(b.waiting) }
 
-// Waiting is the number of requests that wait for a worker.
+// Waiting is the number of requests that wait for a slot.
 func (b *Backend) Waiting() int { return len(b.waiting) }
 
-// SetSlowdown makes the box slower by a factor until it is called again with 1.
+// SetSlowdown makes the backend slower by a factor, until it is called with 1.
 func (b *Backend) SetSlowdown(now time.Duration, factor float64) {
 	b.Advance(now)
 	b.slowdown = max(factor, 0.01)
@@ -195,8 +195,8 @@
 	}
 }
 
-// Arrive hands in a request. It ends at once where there is no room for it; every request that was handed in ends
-// exactly once, as the results of Advance tell.
+// Arrive adds a request. It ends at once if it is rejected. Every request ends exactly once, with one Result in
+// TakeResults.
 func (b *Backend) Arrive(now time.Duration, j Job) {
 	b.Advance(now)
 	if b.down {
@@ -227,7 +227,7 @@
 	}
 }
 
-// Cancel drops a request whose sender has gone, where the box does that. It tells nothing where the request is over.
+// Cancel cancels a request if the spec allows it. It does nothing if the request has ended.
 func (b *Backend) Cancel(now time.Duration, id uint64) {
 	b.Advance(now)
 	if b.spec.CancelQueued {
@@ -251,7 +251,7 @@
 	}
 }
 
-// Stop ends the box: all that it holds is lost.
+// Stop stops the backend: all requests in flight are lost.
 func (b *Backend) Stop(now time.Duration) {
 	b.down = true
 	for _, j := range b.running {
@@ -279,7 +279,7 @@
 	}
 }
 
-// rate is the work done for each running request in a second.
+// rate is the work done for each running request, in core-seconds per second.
 func (b *Backend) rate() float64 {
 	if len(b.running) == 0 || b.now < b.pauseEnd {
 		return 0
@@ -291,7 +291,7 @@
 	return min(c/float64(len(b.running)), c/float64(b.spec.Cores))
 }
 
-// Next is when the box wants to be advanced at the latest. The second result is false while nothing is due.
+// Next returns the latest time at which Advance has to be called next. The second result is false while nothing is due.
 func (b *Backend) Next() (time.Duration, bool) {
 	if b.down {
 		return 0, false
@@ -302,7 +302,8 @@
 	return b.now + b.rateInterval(), true
 }
 
-// rateInterval is how long the present rates hold: to the next end of a request, pause or step.
+// rateInterval is how long the current rate holds: to the next end of a request, the next start or end of a pause, or
+// for Step.
 func (b *Backend) rateInterval() time.Duration {
 	d := Step
 	if b.now < b.pauseEnd {
@@ -319,11 +320,11 @@
 	return d
 }
 
-// Advance brings the box up to now; a time that has passed already changes nothing.
+// Advance advances the model to now. A time in the past changes nothing.
 func (b *Backend) Advance(now time.Duration) {
 	for b.now < now && !b.down {
 		if len(b.running) == 0 && !b.slow && b.warm && b.now >= b.pauseEnd {
-			// Nothing can happen before now but the passing of time.
+			// Idle, warm and at normal speed: skip the steps.
 			d := now - b.now
 			b.occupancy.add(b.now, d, 0)
 			b.utilization.add(b.now, d, 0)
@@ -384,7 +385,7 @@
 	b.updateSlow()
 }
 
-// updateSlow turns the box slow, or normal again.
+// updateSlow starts or ends the slowdown that Choke describes.
 func (b *Backend) updateSlow() {
 	c := b.spec.Choke
 	if c.At <= 0 {
@@ -404,14 +405,14 @@
 	}
 }
 
-// TakeResults returns what has ended and changed since the last call.
+// TakeResults returns the requests that have ended and the state changes since the last call.
 func (b *Backend) TakeResults() ([]Result, []Change) {
 	r, c := b.results, b.changes
 	b.results, b.changes = nil, nil
 	return r, c
 }
 
-// movingMean is the mean of a figure over the last span, in cells of a thirtieth of it.
+// movingMean is the mean of a figure over the last span, kept in 30 buckets.
 type movingMean struct {
 	span    time.Duration
 	buckets [30]struct {
--- a/internal/kit/boxmodel/boxmodel_test.go
+++ b/internal/kit/boxmodel/boxmodel_test.go
@@ -10,18 +10,18 @@
 
 const ms = time.Millisecond
 
-func plain() Spec {
+func testSpec() Spec {
 	return Spec{Cores: 4, Speed: 1, Slots: 4, Queue: 10, ColdFrom: 1, CancelQueued: true}
 }
 
-// advance advances a box and returns what ended by then.
+// advance advances a backend and returns the requests that have ended.
 func advance(b *Backend, at time.Duration) []Result {
 	b.Advance(at)
 	r, _ := b.TakeResults()
 	return r
 }
 
-func want(t *testing.T, got []Result, ids ...uint64) {
+func wantEnded(t *testing.T, got []Result, ids ...uint64) {
 	t.Helper()
 	if len(got) != len(ids) {
 		t.Fatalf("ended: %+v, want %v", got, ids)
@@ -33,31 +33,31 @@
 	}
 }
 
-func TestWorkTakesItsTime(t *testing.T) {
-	b := New(plain(), 1, 0)
+func TestServiceTime(t *testing.T) {
+	b := New(testSpec(), 1, 0)
 	for i := range 6 { // four run, two wait
 		b.Arrive(0, Job{ID: uint64(i), Work: 0.1})
 	}
-	want(t, advance(b, 99*ms))
-	want(t, advance(b, 101*ms), 0, 1, 2, 3)
+	wantEnded(t, advance(b, 99*ms))
+	wantEnded(t, advance(b, 101*ms), 0, 1, 2, 3)
 	got := advance(b, 300*ms)
-	want(t, got, 4, 5)
+	wantEnded(t, got, 4, 5)
 	if d := got[0].At - 200*ms; d.Abs() > ms {
 		t.Errorf("the fifth ended at %v, want 200ms", got[0].At)
 	}
 }
 
 func TestSpeedAndSlowdown(t *testing.T) {
-	s := plain()
+	s := testSpec()
 	s.Speed = 0.5
 	b := New(s, 1, 0)
 	b.Arrive(0, Job{ID: 1, Work: 0.1})
-	want(t, advance(b, 199*ms))
-	want(t, advance(b, 201*ms), 1)
+	wantEnded(t, advance(b, 199*ms))
+	wantEnded(t, advance(b, 201*ms), 1)
 	b.SetSlowdown(300*ms, 2.5)
 	b.Arrive(300*ms, Job{ID: 2, Work: 0.1})
-	want(t, advance(b, 795*ms))
-	want(t, advance(b, 805*ms), 2)
+	wantEnded(t, advance(b, 795*ms))
+	wantEnded(t, advance(b, 805*ms), 2)
 	b.SetSlowdown(900*ms, 1)
 	_, changes := b.TakeResults()
 	if len(changes) != 1 || changes[0].Kind != BecameNormal {
@@ -65,27 +65,27 @@
 	}
 }
 
-func TestFullAndCancelled(t *testing.T) {
-	b := New(plain(), 1, 0)
+func TestQueueFullAndCancel(t *testing.T) {
+	b := New(testSpec(), 1, 0)
 	for i := range 15 {
 		b.Arrive(0, Job{ID: uint64(i), Work: 1})
 	}
 	got := advance(b, ms)
-	want(t, got, 14)
+	wantEnded(t, got, 14)
 	if got[0].Outcome != QueueFull {
-		t.Errorf("the fifteenth: %v, want Full", got[0].Outcome)
+		t.Errorf("the fifteenth: %v, want QueueFull", got[0].Outcome)
 	}
-	b.Cancel(2*ms, 10) // waits: dropped
-	b.Cancel(2*ms, 0)  // runs: goes on
+	b.Cancel(2*ms, 10) // waits: cancelled
+	b.Cancel(2*ms, 0)  // runs: not cancelled, as CancelRuns is not set
 	got = advance(b, 3*ms)
-	want(t, got, 10)
+	wantEnded(t, got, 10)
 	if got[0].Outcome != Cancelled || b.InFlight() != 13 {
-		t.Errorf("%+v, held %d", got, b.InFlight())
+		t.Errorf("%+v, %d in flight", got, b.InFlight())
 	}
 }
 
 func TestExpiredWhileWaiting(t *testing.T) {
-	s := plain()
+	s := testSpec()
 	s.DropsExpired = true
 	b := New(s, 1, 0)
 	for i := range 4 {
@@ -100,7 +100,7 @@
 }
 
 func TestWarmsByTime(t *testing.T) {
-	s := plain()
+	s := testSpec()
 	s.ColdFrom, s.Cold = 0.4, 6*time.Second
 	b := New(s, 1, time.Second)
 	for _, x := range []struct {
@@ -109,7 +109,7 @@
 	}{{time.Second, 1.6}, {4 * time.Second, 2.8}, {8 * time.Second, 4}} {
 		b.Advance(x.at)
 		if got := b.Capacity(); math.Abs(got-x.want) > 0.05 {
-			t.Errorf("at %v it can do %.2f, want %.2f", x.at, got, x.want)
+			t.Errorf("capacity at %v: %.2f, want %.2f", x.at, got, x.want)
 		}
 	}
 	if _, c := b.TakeResults(); len(c) != 1 || c[0].Kind != BecameWarm {
@@ -118,7 +118,7 @@
 }
 
 func TestWarmsFasterWithWork(t *testing.T) {
-	s := plain()
+	s := testSpec()
 	s.ColdFrom, s.Cold, s.WarmByWork = 0.4, 6*time.Second, true
 	idle, busy := New(s, 1, 0), New(s, 1, 0)
 	for i := range 14 {
@@ -127,20 +127,20 @@
 	idle.Advance(2 * time.Second)
 	busy.Advance(2 * time.Second)
 	if busy.Capacity() <= idle.Capacity() {
-		t.Errorf("busy %.2f, idle %.2f", busy.Capacity(), idle.Capacity())
+		t.Errorf("capacity busy %.2f, idle %.2f", busy.Capacity(), idle.Capacity())
 	}
 }
 
-// A crowded box turns slow, stays so while it is busy, and recovers after a rest, once.
-func TestChokes(t *testing.T) {
-	s := plain()
+// An overloaded backend becomes slow, stays slow while it is busy, and recovers only after Choke.Rest.
+func TestOverloadSlowdownAndRecovery(t *testing.T) {
+	s := testSpec()
 	s.Queue = 1000
 	s.Choke = Choke{At: 4, Over: 1500 * ms, Slower: 2.5, Below: 0.3, Rest: 2 * time.Second, Most: 20 * time.Second}
 	b := New(s, 1, 0)
 	var slow, normal time.Duration
 	n := uint64(0)
 	for at := time.Duration(0); at < 20*time.Second; at += 10 * ms {
-		if at < 4*time.Second { // 100 a second of 60 ms are 6 cores' work on 4
+		if at < 4*time.Second { // 100 per second with 60 ms of work each load 4 cores with the work of 6
 			n++
 			b.Arrive(at, Job{ID: n, Work: 0.06})
 		}
@@ -156,76 +156,76 @@
 		}
 	}
 	if slow == 0 || slow > 4*time.Second {
-		t.Fatalf("turned slow at %v", slow)
+		t.Fatalf("became slow at %v", slow)
 	}
 	if normal < slow+2*time.Second {
-		t.Errorf("slow at %v, normal at %v: sooner than it can rest", slow, normal)
+		t.Errorf("slow at %v, normal at %v: earlier than after Choke.Rest", slow, normal)
 	}
 }
 
-func TestPausesStandStill(t *testing.T) {
-	s := plain()
+func TestPausesStopWork(t *testing.T) {
+	s := testSpec()
 	s.PauseEvery, s.Pause = 50*ms, 100*ms
 	b := New(s, 3, 0)
 	b.Arrive(0, Job{ID: 1, Work: 1})
 	got := advance(b, 10*time.Second)
-	want(t, got, 1)
+	wantEnded(t, got, 1)
 	if got[0].At < 1500*ms {
-		t.Errorf("a second's work with pauses two thirds of the time took %v", got[0].At)
+		t.Errorf("1 s of work with pauses two thirds of the time took %v", got[0].At)
 	}
 }
 
-func TestColdBoxFallsOver(t *testing.T) {
-	s := plain()
+func TestColdBackendCollapses(t *testing.T) {
+	s := testSpec()
 	s.ColdFrom, s.Cold, s.Queue, s.Fall = 0.4, 8*time.Second, 10000, Fall{4, 1500 * ms}
 	b := New(s, 1, 0)
-	fell := time.Duration(0)
-	for i := 0; i < 1000 && fell == 0; i++ { // 20 cores' work a second on 1.6
+	collapsedAt := time.Duration(0)
+	for i := 0; i < 1000 && collapsedAt == 0; i++ { // 20 core-seconds per second, on a capacity of 1.6 cores
 		at := time.Duration(i) * 5 * ms
 		b.Arrive(at, Job{ID: uint64(i), Work: 0.1})
 		_, changes := b.TakeResults()
 		for _, c := range changes {
 			if c.Kind == Collapsed {
-				fell = c.At
+				collapsedAt = c.At
 			}
 		}
 	}
-	if fell == 0 || !b.Down() {
-		t.Fatal("it stood what must push it over")
+	if collapsedAt == 0 || !b.Down() {
+		t.Fatal("no collapse under an overload that must cause one")
 	}
-	b.Arrive(fell+ms, Job{ID: 5000, Work: 0.1})
+	b.Arrive(collapsedAt+ms, Job{ID: 5000, Work: 0.1})
 	got, _ := b.TakeResults()
-	want(t, got, 5000)
+	wantEnded(t, got, 5000)
 	if got[0].Outcome != Lost {
-		t.Errorf("a fallen box: %+v", got)
+		t.Errorf("a request after the collapse: %+v", got)
 	}
 }
 
 func TestBudgetCountsEveryWindow(t *testing.T) {
 	b := NewBudget(4, 1500*ms)
-	b.SetCapacity(0, 1) // 6 core-seconds a window
+	b.SetCapacity(0, 1) // 6 core-seconds per window
 	for i := range 60 {
-		if e := b.AddTagged(time.Duration(i)*25*ms, 0.1, i%4 != 0, i); e != nil { // 4 a second
-			t.Fatalf("a stream within the budget: %+v", e)
+		if e := b.AddTagged(time.Duration(i)*25*ms, 0.1, i%4 != 0, i); e != nil { // 4 core-seconds per second
+			t.Fatalf("a stream within the budget is reported: %+v", e)
 		}
 	}
-	// A burst at once spends what is left before the window has passed.
+	// A burst within the same window uses up the rest of the budget.
 	var e *Excess
 	for i := 0; i < 200 && e == nil; i++ {
 		e = b.AddTagged(1500*ms, 0.1, true, 1000+i)
 	}
 	if e == nil {
-		t.Fatal("the burst was not seen")
+		t.Fatal("the burst is not reported")
 	}
 	if e.Sent <= 6 || e.Budget < 6 || e.To != 1500*ms || e.NotifiedFraction < 0.7 || e.NotifiedFraction == 1 || len(e.Tags) < 60 {
 		t.Errorf("%+v", e)
 	}
 	if e := b.AddTagged(4*time.Second, 0.1, true, 0); e != nil {
-		t.Errorf("the window has passed: %+v", e)
+		t.Errorf("a send after the window is reported: %+v", e)
 	}
 }
 
-// Whatever comes in what order: each request ends exactly once, never before its time, and the same calls give the
+// For random specs and calls: each request ends exactly once, none ends that never arrived, and the same calls give the
 // same results.
 func TestEveryRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -278,7 +278,7 @@
 		seen := map[uint64]bool{}
 		for i, r := range one {
 			if seen[r.ID] || r.ID == 0 || r.ID > id {
-				t.Fatalf("%d ended twice, or never came", r.ID)
+				t.Fatalf("%d ended twice, or never arrived", r.ID)
 			}
 			seen[r.ID] = true
 			if two[i] != r {
@@ -286,13 +286,13 @@
 			}
 		}
 		if len(seen) != int(id) || len(two) != len(one) {
-			t.Fatalf("%d came, %d ended", id, len(seen))
+			t.Fatalf("%d arrived, %d ended", id, len(seen))
 		}
 	})
 }
 
-func BenchmarkBox(b *testing.B) {
-	s := plain()
+func BenchmarkBackend(b *testing.B) {
+	s := testSpec()
 	s.Queue = 1000
 	x := New(s, 1, 0)
 	b.ReportAllocs()
--- a/internal/kit/boxmodel/budget.go
+++ b/internal/kit/boxmodel/budget.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Budget is the fourth rule's account of one cold box: the work sent to it within any window must stay under a
-// multiple of what it could do meanwhile. Requests come by chance, so that a window may hold more than its mean:
-// three standard deviations of a Poisson stream of the same works (three times the root of the sum of their squares)
-// are left as slack. Work counts when it arrives, whatever becomes of it.
+// Budget checks rule 4 of the judge for one cold backend: the work sent to it within any window must not exceed a
+// multiple of the work that it can do in that window. Arrivals are random, so the limit has a slack of three standard
+// deviations of a Poisson stream of the same works: three times the square root of the sum of their squares. Work
+// counts when it arrives, whatever its outcome.
 //
-// Times must not go backwards by more than the caller can bear: what is older than the window is forgotten.
+// Times should not go backwards: what is older than the window is discarded.
 type Budget struct {
 	factor      float64
 	window      time.Duration
@@ -31,21 +31,21 @@
 	cores float64
 }
 
-// Excess is a window whose budget was overspent.
+// Excess is a window in which more work was sent than the budget allows.
 type Excess struct {
 	From, To         time.Duration
 	Sent             float64 // core-seconds
 	Budget           float64 // core-seconds, slack included
-	NotifiedFraction float64 // part of Sent that came from senders told of the box's start
-	Tags             []int   // of the sends in the window
+	NotifiedFraction float64 // fraction of Sent from senders that were notified of the backend's start
+	Tags             []int   // tags of the sends in the window
 }
 
-// NewBudget returns the account of a box that starts now.
+// NewBudget returns the budget of a backend that has just started.
 func NewBudget(factor float64, window time.Duration) *Budget {
 	return &Budget{factor: factor, window: window}
 }
 
-// SetCapacity notes what the box can do from at on, in cores of speed 1.
+// SetCapacity records the backend's capacity from at on, in cores of speed 1.
 func (b *Budget) SetCapacity(at time.Duration, cores float64) {
 	if n := len(b.capacities); n > 0 && b.capacities[n-1].cores == cores {
 		return
@@ -56,13 +56,13 @@
 	}
 }
 
-// Add notes work sent by a sender that had, or had not, been told of the box's start. Where the window that ends
-// here is overspent it returns that window.
+// Add records work sent by a sender that had, or had not, been notified of the backend's start. It returns the window
+// that ends at at if its budget is exceeded, else nil.
 func (b *Budget) Add(at time.Duration, work float64, notified bool) *Excess {
 	return b.AddTagged(at, work, notified, 0)
 }
 
-// AddTagged is Send with a mark of the caller's that an Excess gives back.
+// AddTagged is Add with a tag of the caller's that Excess returns.
 func (b *Budget) AddTagged(at time.Duration, work float64, notified bool, tag int) *Excess {
 	b.sends = append(b.sends, send{at, work, notified, tag})
 	for len(b.sends) > 0 && b.sends[0].at <= at-b.window {
@@ -88,11 +88,11 @@
 	return e
 }
 
-// MaxFraction is the largest part of its budget that any window so far was sent: above 1 it was overspent.
+// MaxFraction is the largest ratio of work sent to budget over all windows so far; above 1 a budget was exceeded.
 func (b *Budget) MaxFraction() float64 { return b.maxFraction }
 
-// availableWork is the work that the box could do between two moments. Before its first level it counts as that level: the
-// window of a box that has just started is not cut short by its start.
+// availableWork is the work that the backend could do between two moments. The first capacity counts for the time
+// before it too, so that the window of a backend that has just started is not shorter than others.
 func (b *Budget) availableWork(from, to time.Duration) float64 {
 	sum := 0.0
 	for i, l := range b.capacities {
--- a/internal/kit/boxmodel/reports.go
+++ b/internal/kit/boxmodel/reports.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Reports are a box's load reports as its answers carry them: taken now and then, a little noisy, rounded, and late.
+// Reports are the load reports of a backend as its responses carry them: sampled at intervals, noisy, rounded and late.
 type Reports struct {
 	delay   time.Duration
 	noise   float64
@@ -18,13 +18,13 @@
 	inFlight, waiting int
 }
 
-// NewReports returns the reports of one box. late is how old a report is at the least when an answer carries it; noise
-// the standard deviation of each figure, as a part of it.
+// NewReports returns the reports of one backend. delay is the least age at which a sample replaces an older one in
+// responses; noise is the relative standard deviation of each figure.
 func NewReports(delay time.Duration, noise float64, rng *rand.Rand) *Reports {
 	return &Reports{delay: delay, noise: noise, rng: rng}
 }
 
-// Sample takes a report of the box as it stands.
+// Sample takes a report of the current state of a backend.
 func (r *Reports) Sample(now time.Duration, b *Backend) {
 	noisy := func(n int) int { return max(0, int(float64(n)*(1+r.noise*r.rng.NormFloat64())+0.5)) }
 	r.samples = append(r.samples, report{now, noisy(b.InFlight()), noisy(b.Waiting())})
@@ -33,8 +33,8 @@
 	}
 }
 
-// Due is the report that an answer carries: the requests held and those of them that wait. It is false before the
-// first one was taken.
+// Due returns the report that a response carries: the requests in flight, and how many of them wait. The last result is
+// false before the first sample.
 func (r *Reports) Due() (inFlight, waiting int, ok bool) {
 	if len(r.samples) == 0 {
 		return 0, 0, false
--- a/internal/kit/lab/box.go
+++ b/internal/kit/lab/box.go
@@ -32,45 +32,45 @@
 }
 
 // startBackend starts the process of a box, for the first time or again.
-func (w *simulation) startBackend(i int, warm bool) {
-	p := &w.plan.Backends[i]
+func (sim *simulation) startBackend(i int, warm bool) {
+	p := &sim.plan.Backends[i]
 	spec := p.Spec
 	if warm {
 		spec.ColdFrom = 1
 	}
-	b := w.backends[i]
+	b := sim.backends[i]
 	if b == nil {
-		b = &backend{sim: w, plan: p}
-		w.backends[i] = b
+		b = &backend{sim: sim, plan: p}
+		sim.backends[i] = b
 	}
 	rng := rand.New(rand.NewPCG(p.Seed, 3))
-	r := &w.plan.Scenario.Report
+	r := &sim.plan.Scenario.Report
 	b.connEpoch++
 	b.incarnation++
 	b.up, b.draining, b.isolated, b.slow, b.dropFraction, b.failingClass, b.conns = true, false, false, false, 0, "", 0
 	b.open = map[uint64]*attempt{}
-	b.model = boxmodel.New(spec, p.Seed+uint64(b.incarnation), w.now)
+	b.model = boxmodel.New(spec, p.Seed+uint64(b.incarnation), sim.now)
 	b.reports = boxmodel.NewReports(r.Late.D(), r.Noise, rng)
 	if !warm {
-		b.started = max(w.now, 1)
+		b.started = max(sim.now, 1)
 	}
 	b.budget = nil
 	if !warm {
-		b.budget = boxmodel.NewBudget(w.plan.Scenario.Rules.FallFactor, w.plan.Scenario.Rules.FallFor.D())
-		b.budget.SetCapacity(w.now, b.model.Capacity())
+		b.budget = boxmodel.NewBudget(sim.plan.Scenario.Rules.FallFactor, sim.plan.Scenario.Rules.FallFor.D())
+		b.budget.SetCapacity(sim.now, b.model.Capacity())
 	}
 	b.recordState(trace.Ready)
 	first := time.Duration(rng.Float64() * float64(r.Every.D()))
-	b.repeat(first, r.Every.D(), func() bool { b.reports.Sample(w.now, b.model); return true })
+	b.repeat(first, r.Every.D(), func() bool { b.reports.Sample(sim.now, b.model); return true })
 	b.repeat(0, loadInterval, func() bool {
-		w.note(trace.Record{Kind: trace.Load, Box: p.ID, Held: b.model.InFlight(), Queue: b.model.Waiting(), Conns: b.conns,
+		sim.note(trace.Record{Kind: trace.Load, Box: p.ID, Held: b.model.InFlight(), Queue: b.model.Waiting(), Conns: b.conns,
 			Cores: b.model.Capacity()})
 		return true
 	})
 	b.repeat(0, capacityInterval, func() bool {
 		if b.budget != nil && !b.model.Warm() {
-			w.note(trace.Record{Kind: trace.Cap, Box: p.ID, Cores: b.model.Capacity()})
-			b.budget.SetCapacity(w.now, b.model.Capacity())
+			sim.note(trace.Record{Kind: trace.Cap, Box: p.ID, Cores: b.model.Capacity()})
+			b.budget.SetCapacity(sim.now, b.model.Capacity())
 		}
 		return !b.model.Warm()
 	})
@@ -82,10 +82,10 @@
 	if gap <= 0 {
 		return
 	}
-	runs := b.incarnation
+	incarnation := b.incarnation
 	var tick func()
 	tick = func() {
-		if b.incarnation != runs || !b.up {
+		if b.incarnation != incarnation || !b.up {
 			return
 		}
 		b.advance()
@@ -105,7 +105,7 @@
 func (b *backend) advance() {
 	b.model.Advance(b.sim.now)
 	results, changes := b.model.TakeResults()
-	fell := false
+	collapsed := false
 	for _, c := range changes {
 		switch c.Kind {
 		case boxmodel.BecameSlow:
@@ -119,7 +119,7 @@
 			b.recordState(trace.Warm)
 		case boxmodel.Collapsed:
 			b.recordState(trace.Fallen)
-			b.up, fell = false, true
+			b.up, collapsed = false, true
 		}
 	}
 	for _, r := range results {
@@ -140,7 +140,7 @@
 			b.reply(a, policy.Full)
 		}
 	}
-	if fell {
+	if collapsed {
 		b.resetConns()
 	}
 	if !b.up {
@@ -148,9 +148,9 @@
 	}
 	if at, ok := b.model.Next(); ok {
 		b.wakeSeq++
-		mine := b.wakeSeq
+		seq := b.wakeSeq
 		b.sim.at(at, func() {
-			if b.wakeSeq == mine && b.up {
+			if b.wakeSeq == seq && b.up {
 				b.advance()
 			}
 		})
@@ -200,9 +200,9 @@
 	if b.isolated {
 		return // what comes while it is cut off comes nowhere
 	}
-	extra := time.Duration(0)
+	overhead := time.Duration(0)
 	if a.newConn {
-		extra = b.sim.plan.Scenario.Conn.Handshake.D()
+		overhead = b.sim.plan.Scenario.Conn.Handshake.D()
 	}
 	if b.draining || a.overLimit {
 		b.reply(a, policy.Full)
@@ -215,7 +215,7 @@
 		b.reply(a, policy.Failed)
 		return
 	}
-	job := boxmodel.Job{ID: a.number, Work: a.request.op.Work.Seconds(), Overhead: extra.Seconds(), Deadline: b.sim.now + a.timeout}
+	job := boxmodel.Job{ID: a.number, Work: a.request.op.Work.Seconds(), Overhead: overhead.Seconds(), Deadline: b.sim.now + a.timeout}
 	b.open[a.number] = a
 	if b.sim.resetFraction > 0 && b.sim.rng.Float64() < b.sim.resetFraction {
 		a.willReset = true
@@ -230,8 +230,8 @@
 // reply answers an attempt once its answer has come as far as the node.
 func (b *backend) reply(a *attempt, o policy.Outcome) {
 	load := policy.Load{Queue: -1, Occupancy: -1}
-	if held, queue, ok := b.reports.Due(); ok {
-		load = policy.Load{Known: true, Queue: float64(queue), Occupancy: float64(held)}
+	if inFlight, waiting, ok := b.reports.Due(); ok {
+		load = policy.Load{Known: true, Queue: float64(waiting), Occupancy: float64(inFlight)}
 	}
 	b.sim.after(b.sim.delay(b.plan.Site, a.node.Site), func() {
 		if a.ended || b.sim.cut(b.plan.Site, a.node.Site) {
--- a/internal/kit/lab/class_test.go
+++ b/internal/kit/lab/class_test.go
@@ -12,20 +12,20 @@
 
 // Boxes that fail one class and answer all others are the whole of this day's trouble: nodes keep that class from them,
 // lose few of its requests to it, and go on using them for the rest.
-func TestABoxThatFailsOneClass(t *testing.T) {
+func TestBackendThatFailsOneClass(t *testing.T) {
 	s, err := scenario.Load("one-class-fails")
 	if err != nil {
 		t.Fatal(err)
 	}
 	o := Options{Name: "one-class-fails", Plan: plan.New(s, 4), Tuning: policy.DefaultTuning()}
-	sick := map[string]bool{}
+	failing := map[string]bool{}
 	for _, st := range o.Plan.Steps {
 		if st.Do == plan.FailClass && st.By > 0 {
-			sick[st.Box] = true
+			failing[st.Box] = true
 		}
 	}
-	if len(sick) != 3 {
-		t.Fatalf("%d boxes fail a class, want 3", len(sick))
+	if len(failing) != 3 {
+		t.Fatalf("%d boxes fail a class, want 3", len(failing))
 	}
 	failed, quotes, line := 0, 0, 1
 	j := judge.New(Head(&o))
@@ -37,7 +37,7 @@
 		case trace.Recv:
 			class[r.Att] = r.Class
 		case trace.Reply:
-			if !sick[r.Box] || r.T < trace.US(8e9) || r.T > trace.US(16e9) {
+			if !failing[r.Box] || r.T < trace.US(8e9) || r.T > trace.US(16e9) {
 				break // before the nodes could know, and after it is over
 			}
 			if r.How == trace.Failed && class[r.Att] == "save-config" {
--- a/internal/kit/lab/counts.go
+++ b/internal/kit/lab/counts.go
@@ -58,32 +58,32 @@
 	reportAgeSum float64
 }
 
-func (c *Counts) begin(w *simulation) {
-	for at := range int((w.plan.Scenario.Length.D() + drainTime) / time.Second) {
+func (c *Counts) begin(sim *simulation) {
+	for at := range int((sim.plan.Scenario.Length.D() + drainTime) / time.Second) {
 		c.Seconds = append(c.Seconds, Second{At: at})
 	}
 	c.workThisSecond = map[*backend]time.Duration{}
 }
 
 // current is the second that a play is in.
-func (c *Counts) current(w *simulation) *Second {
-	return &c.Seconds[min(int(w.now/time.Second), len(c.Seconds)-1)]
+func (c *Counts) current(sim *simulation) *Second {
+	return &c.Seconds[min(int(sim.now/time.Second), len(c.Seconds)-1)]
 }
 
 // recordAttempt counts an attempt whose connection has been chosen.
 func (c *Counts) recordAttempt(a *attempt) {
-	w, s := a.node.sim, c.current(a.node.sim)
+	sim, s := a.node.sim, c.current(a.node.sim)
 	s.Attempts++
-	if a.backend.isolated || w.partitioned(a.node.Site, a.backend.plan.Site) {
+	if a.backend.isolated || sim.partitioned(a.node.Site, a.backend.plan.Site) {
 		c.AttemptsToIsolated++
 	}
 	work := a.request.op.Work
 	if a.newConn {
-		shake := w.plan.Scenario.Conn.Handshake.D()
+		handshake := sim.plan.Scenario.Conn.Handshake.D()
 		s.NewConns++
-		s.HandshakeCoreSeconds += shake.Seconds()
-		c.handshakeWork += shake
-		work += shake
+		s.HandshakeCoreSeconds += handshake.Seconds()
+		c.handshakeWork += handshake
+		work += handshake
 	}
 	c.workSent += work
 	c.workThisSecond[a.backend] += work
@@ -91,7 +91,7 @@
 		s.CrossSite++
 	}
 	if at, ok := a.node.reportedAt[a.backend]; ok {
-		s.reportAgeSum += (w.now - at).Seconds()
+		s.reportAgeSum += (sim.now - at).Seconds()
 	} else {
 		s.WithoutReport++
 	}
@@ -115,7 +115,7 @@
 func (c *Counts) recordListCall(l *listCall) {
 	s := c.current(l.node.sim)
 	s.ListCalls++
-	if l.since < 0 {
+	if l.sinceVersion < 0 {
 		s.FullLists++
 	}
 	if c.nodesStarting(l.node.sim.now) {
@@ -136,18 +136,18 @@
 }
 
 // sampleBackends looks at all boxes once a second.
-func (w *simulation) sampleBackends() {
-	c := w.counts
-	s := c.current(w)
+func (sim *simulation) sampleBackends() {
+	c := sim.counts
+	s := c.current(sim)
 	var open, load []float64
-	held, up := 0.0, 0.0
-	for _, b := range w.backends {
+	inFlight, up := 0.0, 0.0
+	for _, b := range sim.backends {
 		if b == nil || !b.up || b.isolated {
 			continue
 		}
 		b.closeAllExpired()
 		open = append(open, float64(b.conns))
-		held, up = held+float64(b.model.InFlight()), up+1
+		inFlight, up = inFlight+float64(b.model.InFlight()), up+1
 		if b.budget == nil && !b.draining && !b.slow {
 			load = append(load, c.workThisSecond[b].Seconds()/b.model.FullCapacity())
 		}
@@ -155,31 +155,31 @@
 	clear(c.workThisSecond)
 	if len(open) > 0 {
 		slices.Sort(open)
-		s.Open, s.OpenP99, s.InFlight = stat.Mean(open, nil), stat.Quantile(0.99, stat.Empirical, open, nil), held/up
+		s.Open, s.OpenP99, s.InFlight = stat.Mean(open, nil), stat.Quantile(0.99, stat.Empirical, open, nil), inFlight/up
 		c.openSamples = append(c.openSamples, open...)
 	}
-	if mean := stat.Mean(load, nil); len(load) > 0 && mean > 0 && w.now <= w.plan.Scenario.Length.D() {
+	if mean := stat.Mean(load, nil); len(load) > 0 && mean > 0 && sim.now <= sim.plan.Scenario.Length.D() {
 		slices.Sort(load)
 		c.loadSpreads = append(c.loadSpreads, stat.Quantile(0.99, stat.Empirical, load, nil)/mean)
 	}
 	s.ColdBudgetUsed = c.ColdBudgetMax
 	believed, seen := 0.0, 0.0
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		if !n.up {
 			continue
 		}
-		for _, x := range n.balancer.Snapshot(epoch + w.now) {
+		for _, x := range n.balancer.Snapshot(epoch + sim.now) {
 			if !x.Wide {
 				believed, seen = believed+x.Held, seen+1
 			}
 		}
 	}
 	s.BelievedInFlight = believed / max(1, seen)
-	w.after(time.Second, w.sampleBackends)
+	sim.after(time.Second, sim.sampleBackends)
 }
 
 // finish works out what is over the whole play.
-func (c *Counts) finish(w *simulation) {
+func (c *Counts) finish(sim *simulation) {
 	attempts, conns := 0, 0
 	for i := range c.Seconds {
 		s := &c.Seconds[i]
@@ -197,7 +197,7 @@
 	if len(c.loadSpreads) > 0 {
 		c.LoadP99ToMean = stat.Mean(c.loadSpreads, nil)
 	}
-	c.ListCalls, c.ListCallsRejected = c.callsAfterStart/float64(len(w.nodes)), c.rejectedAfterStart/float64(len(w.nodes))
-	c.SharedBytesPerNodeSecond /= float64(len(w.nodes)) * max(1, w.now.Seconds())
+	c.ListCalls, c.ListCallsRejected = c.callsAfterStart/float64(len(sim.nodes)), c.rejectedAfterStart/float64(len(sim.nodes))
+	c.SharedBytesPerNodeSecond /= float64(len(sim.nodes)) * max(1, sim.now.Seconds())
 	c.openSamples, c.loadSpreads, c.workThisSecond = nil, nil, nil
 }
--- a/internal/kit/lab/fleet_test.go
+++ b/internal/kit/lab/fleet_test.go
@@ -34,9 +34,9 @@
 }
 
 // playClean plays a day that must keep the rules and returns its counts; tell changes what nodes are told.
-func playClean(t *testing.T, s *scenario.Scenario, seed uint64, tell func(*policy.Settings)) *Counts {
+func playClean(t *testing.T, s *scenario.Scenario, seed uint64, changeSettings func(*policy.Settings)) *Counts {
 	t.Helper()
-	o := Options{Name: "twin", Plan: plan.New(s, seed), Tuning: policy.DefaultTuning(), Counts: &Counts{}, changeSettings: tell}
+	o := Options{Name: "twin", Plan: plan.New(s, seed), Tuning: policy.DefaultTuning(), Counts: &Counts{}, changeSettings: changeSettings}
 	v := playJudged(t, o)
 	for _, x := range v.Violations {
 		t.Errorf("rule %d at %v: %s %s", x.Rule, time.Duration(x.At)*time.Microsecond, x.Name, x.Text)
@@ -79,7 +79,7 @@
 }
 
 // Nodes that disagree on how many they are keep to the cold budget together: half of them believe in half as many.
-func TestTheColdBudgetHoldsWhereNodesDisagree(t *testing.T) {
+func TestColdBudgetWithDisagreeingNodeCounts(t *testing.T) {
 	c := playClean(t, smallFleet(t, "fleet-join"), 3, func(s *policy.Settings) {
 		if s.Number%2 == 0 {
 			s.Nodes /= 2
@@ -92,7 +92,7 @@
 
 // A list that turns every call away for 10 s after most nodes have started together: they go on with the list that
 // they had, and do not call without end.
-func TestAListTurnedAwayAfterAStart(t *testing.T) {
+func TestListRejectedAfterNodeStart(t *testing.T) {
 	s := smallFleet(t, "fleet-herd", func(s *scenario.Scenario) {
 		s.Length = scenario.Duration(14 * time.Second)
 		s.List.Calls = 1e-3 // one call in all
--- a/internal/kit/lab/lab_test.go
+++ b/internal/kit/lab/lab_test.go
@@ -88,13 +88,13 @@
 }
 
 // The judge is not blind here: a node that resends unsafe work, goes on to drained boxes or floods cold ones is named.
-func TestBrokenRulesAreNamed(t *testing.T) {
+func TestViolationsAreDetected(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		rule   judge.Rule
-		change func(*scenario.Scenario)
-		tell   func(*policy.Settings)
-		hide   func(policy.Entry) bool
+		name           string
+		rule           judge.Rule
+		change         func(*scenario.Scenario)
+		changeSettings func(*policy.Settings)
+		hideUpdate     func(policy.Entry) bool
 	}{
 		{"rolling-deploy", judge.DrainsKept, func(s *scenario.Scenario) { s.Events[0].Drain = 8 * scenario.Duration(time.Second) }, nil,
 			func(e policy.Entry) bool { return e.State == policy.Draining }},
@@ -107,14 +107,14 @@
 		}, nil},
 	} {
 		s := load(t, c.name, c.change)
-		o := Options{Name: c.name, Plan: plan.New(s, 5), Tuning: policy.DefaultTuning(), changeSettings: c.tell, hideUpdate: c.hide}
+		o := Options{Name: c.name, Plan: plan.New(s, 5), Tuning: policy.DefaultTuning(), changeSettings: c.changeSettings, hideUpdate: c.hideUpdate}
 		if v := playJudged(t, o); !v.Broken(c.rule) {
 			t.Errorf("%s with a module that was told wrongly: rule %d is not named as broken", c.name, c.rule)
 		}
 	}
 }
 
-func TestWhatIsNotPlayed(t *testing.T) {
+func TestUnsupportedEvents(t *testing.T) {
 	for name, want := range map[string]string{"kill": `"term"`, "reload": `"reload"`, "bad-boxes": `"spoil"`} {
 		_, err := PlayOnce(name, load(t, name), 1, policy.DefaultTuning())
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestBeliefsStandBesideTheTruth(t *testing.T) {
+func TestBeliefsAgainstTrueState(t *testing.T) {
 	s := load(t, "calm", shorten)
 	seen, off := 0, 0.0
 	o := Options{Name: "calm", Plan: plan.New(s, 1), Tuning: policy.DefaultTuning(), Record: func(*trace.Record) {},
@@ -190,7 +190,7 @@
 	}
 }
 
-func BenchmarkDay(b *testing.B) {
+func BenchmarkPlay(b *testing.B) {
 	s, err := scenario.Load("peak-short")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/kit/lab/list.go
+++ b/internal/kit/lab/list.go
@@ -29,11 +29,11 @@
 
 // listCall is one call of a node.
 type listCall struct {
-	node        *node
-	incarnation int
-	since       int64 // -1 for the whole list
-	ended       bool
-	onEnd       func(kind policy.ListKind, news []policy.Entry, version int64, ok bool)
+	node         *node
+	incarnation  int
+	sinceVersion int64 // -1 for the whole list
+	ended        bool
+	onEnd        func(kind policy.ListKind, updates []policy.Entry, version int64, ok bool)
 }
 
 // publish takes in a change that the service knows of from a time on.
@@ -53,7 +53,7 @@
 	waiting := l.waiting
 	l.waiting = nil
 	for _, c := range waiting {
-		if c.since >= 0 && c.since == int64(len(l.updates)) {
+		if c.sinceVersion >= 0 && c.sinceVersion == int64(len(l.updates)) {
 			l.waiting = append(l.waiting, c)
 			continue
 		}
@@ -63,10 +63,10 @@
 
 // arrive takes in a call.
 func (l *listServer) arrive(c *listCall) {
-	if most := l.sim.plan.Scenario.List.Calls; most > 0 {
-		l.tokens = min(most, l.tokens+most*(l.sim.now-l.refilledAt).Seconds())
+	if limit := l.sim.plan.Scenario.List.Calls; limit > 0 {
+		l.tokens = min(limit, l.tokens+limit*(l.sim.now-l.refilledAt).Seconds())
 		if l.refilledAt == 0 {
-			l.tokens = most
+			l.tokens = limit
 		}
 		l.refilledAt = max(l.sim.now, 1)
 		if l.tokens < 1 {
@@ -76,7 +76,7 @@
 		}
 		l.tokens--
 	}
-	if l.sim.listPaused || c.since >= 0 && c.since == int64(len(l.updates)) {
+	if l.sim.listPaused || c.sinceVersion >= 0 && c.sinceVersion == int64(len(l.updates)) {
 		l.waiting = append(l.waiting, c)
 		return
 	}
@@ -88,41 +88,41 @@
 // answer sends what a call asks for.
 func (l *listServer) answer(c *listCall) {
 	kind, version := policy.ListDelta, int64(len(l.updates))
-	var news []policy.Entry
-	if c.since >= 0 {
-		news = slices.Clone(l.updates[c.since:])
+	var updates []policy.Entry
+	if c.sinceVersion >= 0 {
+		updates = slices.Clone(l.updates[c.sinceVersion:])
 	} else {
 		kind = policy.ListFull
-		now := map[uint32]policy.Entry{}
+		entries := map[uint32]policy.Entry{}
 		for i := range l.sim.plan.Initial {
 			e := l.sim.entry(i, policy.Active)
 			e.Launched = 0
-			now[e.ID] = e
+			entries[e.ID] = e
 		}
 		for _, e := range l.updates {
-			now[e.ID] = e
+			entries[e.ID] = e
 		}
-		for _, id := range slices.Sorted(maps.Keys(now)) {
-			if now[id].State != policy.Removed {
-				news = append(news, now[id])
+		for _, id := range slices.Sorted(maps.Keys(entries)) {
+			if entries[id].State != policy.Removed {
+				updates = append(updates, entries[id])
 			}
 		}
 	}
-	l.sim.after(l.sim.delay(l.site(), c.node.Site), func() { c.end(kind, news, version, true) })
+	l.sim.after(l.sim.delay(l.site(), c.node.Site), func() { c.end(kind, updates, version, true) })
 }
 
 // end hands the call's end to its node, once.
-func (c *listCall) end(kind policy.ListKind, news []policy.Entry, version int64, ok bool) {
+func (c *listCall) end(kind policy.ListKind, updates []policy.Entry, version int64, ok bool) {
 	if c.ended || c.incarnation != c.node.incarnation {
 		return
 	}
 	c.ended = true
-	c.onEnd(kind, news, version, ok)
+	c.onEnd(kind, updates, version, ok)
 }
 
 // callList asks the service; done is called once, unless the process ends before.
 func (n *node) callList(since int64, wait time.Duration, done func(policy.ListKind, []policy.Entry, int64, bool)) {
-	c := &listCall{node: n, incarnation: n.incarnation, since: since, onEnd: done}
+	c := &listCall{node: n, incarnation: n.incarnation, sinceVersion: since, onEnd: done}
 	l := &n.sim.listService
 	n.sim.counts.recordListCall(c)
 	n.sim.after(n.sim.delay(n.Site, l.site()), func() { l.arrive(c) })
@@ -145,8 +145,8 @@
 }
 
 func (n *node) nextWatch() {
-	begun := n.sim.now
-	n.callList(n.version, watchTimeout, func(kind policy.ListKind, news []policy.Entry, version int64, ok bool) {
+	startedAt := n.sim.now
+	n.callList(n.version, watchTimeout, func(kind policy.ListKind, updates []policy.Entry, version int64, ok bool) {
 		if !ok {
 			n.watching = false
 			n.handle(&policy.Event{Kind: policy.EvList, List: policy.ListFailed})
@@ -154,11 +154,11 @@
 		}
 		if version > n.version {
 			n.version = version
-			n.applyList(kind, news)
+			n.applyList(kind, updates)
 		}
-		life := n.incarnation
-		n.sim.at(begun+minWatchInterval, func() {
-			if n.incarnation == life {
+		incarnation := n.incarnation
+		n.sim.at(startedAt+minWatchInterval, func() {
+			if n.incarnation == incarnation {
 				n.nextWatch()
 			}
 		})
@@ -170,7 +170,7 @@
 	if n.sim.plan.Scenario.List.Mode != "ask" {
 		return
 	}
-	n.callList(-1, callGrace, func(kind policy.ListKind, news []policy.Entry, version int64, ok bool) {
+	n.callList(-1, callGrace, func(kind policy.ListKind, updates []policy.Entry, version int64, ok bool) {
 		if !ok {
 			n.handle(&policy.Event{Kind: policy.EvList, List: policy.ListFailed})
 			return
@@ -180,11 +180,11 @@
 		}
 		n.version = version
 		for id := range n.known {
-			if !slices.ContainsFunc(news, func(e policy.Entry) bool { return e.ID == id }) {
+			if !slices.ContainsFunc(updates, func(e policy.Entry) bool { return e.ID == id }) {
 				delete(n.known, id)
 				n.sim.note(trace.Record{Kind: trace.Told, Node: n.Name, Box: n.sim.plan.Backends[id-1].ID, State: trace.Gone})
 			}
 		}
-		n.applyList(kind, news)
+		n.applyList(kind, updates)
 	})
 }
--- a/internal/kit/lab/node.go
+++ b/internal/kit/lab/node.go
@@ -85,41 +85,41 @@
 // digest stands for the digest of a body that was made for this attempt's request.
 func (a *attempt) digest() string { return fmt.Sprintf("%s/%d", a.request.id, a.number) }
 
-func (w *simulation) addNode(i int, t trace.Node) error {
-	n := &node{Node: t, sim: w, index: i, known: map[uint32]policy.Entry{}}
-	w.nodes = append(w.nodes, n)
-	for i := range w.plan.Initial {
-		n.known[uint32(i+1)] = w.entry(i, policy.Active)
-		w.note(trace.Record{Kind: trace.Told, Node: t.Name, Box: w.plan.Backends[i].ID, State: trace.Ready})
+func (sim *simulation) addNode(i int, t trace.Node) error {
+	n := &node{Node: t, sim: sim, index: i, known: map[uint32]policy.Entry{}}
+	sim.nodes = append(sim.nodes, n)
+	for i := range sim.plan.Initial {
+		n.known[uint32(i+1)] = sim.entry(i, policy.Active)
+		sim.note(trace.Record{Kind: trace.Told, Node: t.Name, Box: sim.plan.Backends[i].ID, State: trace.Ready})
 	}
 	return n.start()
 }
 
 // start starts the node's process, with the list that it was told before.
 func (n *node) start() error {
-	w := n.sim
-	set, err := settings(w.plan, n.index, n.Site)
+	sim := n.sim
+	set, err := settings(sim.plan, n.index, n.Site)
 	if err != nil {
 		return err
 	}
-	if w.opt.changeSettings != nil {
-		w.opt.changeSettings(&set.Policy)
+	if sim.opt.changeSettings != nil {
+		sim.opt.changeSettings(&set.Policy)
 	}
-	n.balancer, err = policy.NewWithTuning(set.Policy, w.plan.Seed<<8+uint64(n.index)+uint64(n.incarnation)<<40, w.opt.Tuning)
+	n.balancer, err = policy.NewWithTuning(set.Policy, sim.plan.Seed<<8+uint64(n.index)+uint64(n.incarnation)<<40, sim.opt.Tuning)
 	if err != nil {
 		return err
 	}
-	if n.incarnation > 0 && (len(w.counts.nodeStarts) == 0 || !w.counts.nodesStarting(w.now)) {
-		w.counts.callsAfterStart, w.counts.rejectedAfterStart = 0, 0 // those before were no start's
+	if n.incarnation > 0 && (len(sim.counts.nodeStarts) == 0 || !sim.counts.nodesStarting(sim.now)) {
+		sim.counts.callsAfterStart, sim.counts.rejectedAfterStart = 0, 0 // those before were no start's
 	}
 	if n.incarnation > 0 {
-		w.counts.nodeStarts = append(w.counts.nodeStarts, w.now)
+		sim.counts.nodeStarts = append(sim.counts.nodeStarts, sim.now)
 	}
 	n.up, n.markedDown, n.watching, n.connectTimeout = true, false, false, set.ConnectTimeout
 	n.requests, n.pool, n.reportedAt = map[string]*request{}, map[*backend]*idlePool{}, map[*backend]time.Duration{}
-	n.idleEstimator = admission.NewIdleEstimator(w.plan.Scenario.Conn.Idle.D(), nil)
-	w.note(trace.Record{Kind: trace.Proc, Node: n.Name, State: trace.Started})
-	w.note(trace.Record{Kind: trace.Proc, Node: n.Name, State: trace.Up})
+	n.idleEstimator = admission.NewIdleEstimator(sim.plan.Scenario.Conn.Idle.D(), nil)
+	sim.note(trace.Record{Kind: trace.Proc, Node: n.Name, State: trace.Started})
+	sim.note(trace.Record{Kind: trace.Proc, Node: n.Name, State: trace.Up})
 	var known []policy.Entry
 	for _, id := range slices.Sorted(maps.Keys(n.known)) {
 		known = append(known, n.known[id])
@@ -136,13 +136,13 @@
 	if !n.up {
 		return
 	}
-	w := n.sim
-	w.note(trace.Record{Kind: trace.Proc, Node: n.Name, State: trace.Kill})
+	sim := n.sim
+	sim.note(trace.Record{Kind: trace.Proc, Node: n.Name, State: trace.Kill})
 	n.notifyDead()
 	n.up, n.idle = false, nil
 	n.incarnation++
-	life := n.incarnation
-	w.after(w.plan.Scenario.Clients.Notice.D(), func() { n.markedDown = n.markedDown || !n.up && n.incarnation == life })
+	incarnation := n.incarnation
+	sim.after(sim.plan.Scenario.Clients.Notice.D(), func() { n.markedDown = n.markedDown || !n.up && n.incarnation == incarnation })
 	for _, a := range n.inFlight {
 		a.ended = true
 		if a.written {
@@ -188,10 +188,10 @@
 }
 
 // applyDelta hands in news of the list.
-func (n *node) applyDelta(news []policy.Entry) { n.applyList(policy.ListDelta, news) }
+func (n *node) applyDelta(updates []policy.Entry) { n.applyList(policy.ListDelta, updates) }
 
-func (n *node) applyList(kind policy.ListKind, news []policy.Entry) {
-	for _, e := range news {
+func (n *node) applyList(kind policy.ListKind, updates []policy.Entry) {
+	for _, e := range updates {
 		n.known[e.ID] = e
 		for name, s := range listStates {
 			if s == e.State {
@@ -204,10 +204,10 @@
 	}
 	n.backendsChanged()
 	if n.sim.opt.hideUpdate != nil {
-		news = slices.DeleteFunc(news, n.sim.opt.hideUpdate)
+		updates = slices.DeleteFunc(updates, n.sim.opt.hideUpdate)
 	}
-	if len(news) > 0 || kind != policy.ListDelta {
-		n.handle(&policy.Event{Kind: policy.EvList, List: kind, Entries: news})
+	if len(updates) > 0 || kind != policy.ListDelta {
+		n.handle(&policy.Event{Kind: policy.EvList, List: kind, Entries: updates})
 	}
 }
 
@@ -231,9 +231,9 @@
 		case policy.ActFail:
 			n.finish(a.ID, 500, "", 0)
 		case policy.ActTimer:
-			token, life := a.Token, n.incarnation
+			token, incarnation := a.Token, n.incarnation
 			n.sim.at(a.At-epoch, func() {
-				if n.incarnation == life {
+				if n.incarnation == incarnation {
 					n.handle(&policy.Event{Kind: policy.EvTimer, Token: token})
 				}
 			})
@@ -252,42 +252,42 @@
 	if r == nil {
 		return
 	}
-	w, b := n.sim, n.sim.backends[act.Backend-1]
-	w.attemptCount++
-	a := &attempt{number: uint64(w.attemptCount), node: n, backend: b, request: r, index: len(r.attempts), sent: w.now,
-		timeout: min(act.Wait, r.sentAt+r.timeout-returnTransit-w.now), load: policy.Load{Queue: -1, Occupancy: -1}}
+	sim, b := n.sim, n.sim.backends[act.Backend-1]
+	sim.attemptCount++
+	a := &attempt{number: uint64(sim.attemptCount), node: n, backend: b, request: r, index: len(r.attempts), sent: sim.now,
+		timeout: min(act.Wait, r.sentAt+r.timeout-returnTransit-sim.now), load: policy.Load{Queue: -1, Occupancy: -1}}
 	r.attempts = append(r.attempts, a)
 	n.inFlight = append(n.inFlight, a)
-	w.after(a.timeout, func() { a.abandon(policy.TimedOut) })
+	sim.after(a.timeout, func() { a.abandon(policy.TimedOut) })
 	if n.sites != nil {
-		n.sites.RecordSend(epoch+w.now, act.Backend)
+		n.sites.RecordSend(epoch+sim.now, act.Backend)
 		if n.shared != nil && n.sites.Node.IsOverflow(b.plan.Site) {
-			n.shared.CountCrossSite(epoch+w.now, b.plan.Site)
+			n.shared.CountCrossSite(epoch+sim.now, b.plan.Site)
 		}
 	}
 	a.connEpoch = b.connEpoch
 	a.newConn = !n.reuse(a)
-	w.counts.recordAttempt(a)
+	sim.counts.recordAttempt(a)
 	if !a.newConn {
 		a.write()
 		return
 	}
-	way := w.delay(n.Site, b.plan.Site)
-	if b.isolated || w.partitioned(n.Site, b.plan.Site) {
-		w.after(n.connectTimeout, func() { a.abandon(policy.ConnectFailed) })
+	delay := sim.delay(n.Site, b.plan.Site)
+	if b.isolated || sim.partitioned(n.Site, b.plan.Site) {
+		sim.after(n.connectTimeout, func() { a.abandon(policy.ConnectFailed) })
 		return
 	}
-	w.after(way, func() {
-		if a.ended || b.isolated || w.partitioned(n.Site, b.plan.Site) {
+	sim.after(delay, func() {
+		if a.ended || b.isolated || sim.partitioned(n.Site, b.plan.Site) {
 			return
 		}
 		up := b.up && b.connEpoch == a.connEpoch
 		if up {
 			b.closeAllExpired()
 			b.conns++
-			a.overLimit = b.conns > w.plan.Scenario.Conn.Max
+			a.overLimit = b.conns > sim.plan.Scenario.Conn.Max
 		}
-		w.after(w.delay(b.plan.Site, n.Site), func() {
+		sim.after(sim.delay(b.plan.Site, n.Site), func() {
 			switch {
 			case a.ended && up:
 				a.releaseConn()
@@ -314,11 +314,11 @@
 	if last < 0 {
 		return false
 	}
-	rested := n.sim.now - p.idleSince[last]
-	if n.sim.plan.Scenario.Classes[a.request.op.Class].Effect == "unsafe" && rested > p.idleEstimator.SafeIdle() {
+	idle := n.sim.now - p.idleSince[last]
+	if n.sim.plan.Scenario.Classes[a.request.op.Class].Effect == "unsafe" && idle > p.idleEstimator.SafeIdle() {
 		return false
 	}
-	p.idleSince, a.idleFor = p.idleSince[:last], max(rested, 1)
+	p.idleSince, a.idleFor = p.idleSince[:last], max(idle, 1)
 	return true
 }
 
@@ -342,22 +342,22 @@
 
 // write sends the request on the connection that the attempt has.
 func (a *attempt) write() {
-	w, b := a.node.sim, a.backend
+	sim, b := a.node.sim, a.backend
 	a.written = true
-	lost := w.cut(a.node.Site, b.plan.Site)
+	lost := sim.cut(a.node.Site, b.plan.Site)
 	if b.up && b.connEpoch == a.connEpoch && !b.isolated && !lost {
 		work := a.request.op.Work
 		if a.newConn {
-			work += w.plan.Scenario.Conn.Handshake.D()
+			work += sim.plan.Scenario.Conn.Handshake.D()
 		}
 		if b.budget != nil {
-			b.budget.Add(w.now, work.Seconds(), true)
-			w.counts.recordColdWork(b, work)
+			b.budget.Add(sim.now, work.Seconds(), true)
+			sim.counts.recordColdWork(b, work)
 		}
-		w.note(trace.Record{Kind: trace.Recv, Box: b.plan.ID, Node: a.node.Name, ID: a.request.id, Att: int64(a.number), T0: trace.US(w.now),
-			Class: w.plan.Scenario.Classes[a.request.op.Class].Name, Work: trace.US(work)})
+		sim.note(trace.Record{Kind: trace.Recv, Box: b.plan.ID, Node: a.node.Name, ID: a.request.id, Att: int64(a.number), T0: trace.US(sim.now),
+			Class: sim.plan.Scenario.Classes[a.request.op.Class].Name, Work: trace.US(work)})
 	}
-	w.after(w.delay(a.node.Site, b.plan.Site), func() {
+	sim.after(sim.delay(a.node.Site, b.plan.Site), func() {
 		switch {
 		case a.ended || lost:
 		case !b.up || b.connEpoch != a.connEpoch:
@@ -384,12 +384,12 @@
 
 // closeWritten closes the connection under a request that the box has been sent.
 func (a *attempt) closeWritten() {
-	w, b := a.node.sim, a.backend
-	w.note(trace.Record{Kind: trace.Drop, Box: b.plan.ID, Node: a.node.Name, Att: int64(a.number), ID: a.request.id})
+	sim, b := a.node.sim, a.backend
+	sim.note(trace.Record{Kind: trace.Drop, Box: b.plan.ID, Node: a.node.Name, Att: int64(a.number), ID: a.request.id})
 	a.releaseConn()
-	w.after(w.delay(a.node.Site, b.plan.Site), func() {
-		if b.up && b.connEpoch == a.connEpoch && !b.isolated && !w.cut(a.node.Site, b.plan.Site) {
-			b.model.Cancel(w.now, a.number)
+	sim.after(sim.delay(a.node.Site, b.plan.Site), func() {
+		if b.up && b.connEpoch == a.connEpoch && !b.isolated && !sim.cut(a.node.Site, b.plan.Site) {
+			b.model.Cancel(sim.now, a.number)
 			b.advance()
 		}
 	})
--- a/internal/kit/lab/plot.go
+++ b/internal/kit/lab/plot.go
@@ -53,16 +53,16 @@
 		g := charts.Chart{Width: panelWidth, Height: panelHeight, Background: charts.Style{Padding: charts.Box{Top: 16, Left: 170, Right: 16, Bottom: 8}},
 			XAxis: charts.XAxis{Name: "seconds since the traffic began", Ticks: ticks},
 			YAxis: charts.YAxis{Name: panel.unit, Range: &charts.ContinuousRange{}, ValueFormatter: charts.IntValueFormatter}}
-		most := 1.0
+		maxValue := 1.0
 		for k, l := range panel.lines {
 			s := charts.ContinuousSeries{Name: l.name, Style: charts.Style{StrokeColor: drawing.ColorFromHex(colours[k][1:]), StrokeWidth: 2}}
 			for j := range c.Seconds {
 				v := l.value(&c.Seconds[j])
-				s.XValues, s.YValues, most = append(s.XValues, float64(c.Seconds[j].At)), append(s.YValues, v), max(most, v)
+				s.XValues, s.YValues, maxValue = append(s.XValues, float64(c.Seconds[j].At)), append(s.YValues, v), max(maxValue, v)
 			}
 			g.Series = append(g.Series, s)
 		}
-		g.YAxis.Range.SetMax(most * 1.05)
+		g.YAxis.Range.SetMax(maxValue * 1.05)
 		g.Elements = []charts.Renderable{charts.LegendLeft(&g)}
 		fmt.Fprintf(&out, `<svg y="%d" width="%d" height="%d">`, i*panelHeight, panelWidth, panelHeight)
 		if err := g.Render(charts.SVG, &out); err != nil {
--- a/internal/kit/lab/share.go
+++ b/internal/kit/lab/share.go
@@ -45,13 +45,13 @@
 	}
 	n.shared = shared.New(shared.Config{Name: n.Name, Self: escrow.Node{Number: n.index, Incarnation: uint64(n.incarnation) + 1}, Nodes: set.Nodes, Site: n.Site,
 		Quotas: quotas, OverflowSites: plannedSites(n.sim.opt.Sites), Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: o.Use, BytesPerSecond: o.BytesPS, DatagramBytes: datagramBytes}, epoch+n.sim.now)
-	life := n.incarnation
-	n.repeat(life, shareStepInterval, func() {
+	incarnation := n.incarnation
+	n.repeat(incarnation, shareStepInterval, func() {
 		n.sendMessages(n.shared.Step(epoch + n.sim.now))
 		n.applyView()
 	})
-	n.repeat(life, gossipInterval, n.gossip)
-	n.repeat(life, fullStateInterval, func() {
+	n.repeat(incarnation, gossipInterval, n.gossip)
+	n.repeat(incarnation, fullStateInterval, func() {
 		if p := n.randomPeer(); p != nil {
 			mine, theirs := n.shared.State(epoch+n.sim.now), p.shared.State(epoch+n.sim.now)
 			n.sim.deliver(p, mine)
@@ -60,7 +60,7 @@
 	})
 	n.sim.after(gossipInterval, func() {
 		for _, p := range n.sim.nodes {
-			if p != n && p.up && p.shared != nil && n.incarnation == life {
+			if p != n && p.up && p.shared != nil && n.incarnation == incarnation {
 				n.addMember(p)
 				p.addMember(n)
 			}
@@ -75,15 +75,15 @@
 }
 
 // repeat calls f in turns, from somewhere in the first one on, while the node's life lasts.
-func (n *node) repeat(life int, turn time.Duration, f func()) {
+func (n *node) repeat(incarnation int, interval time.Duration, f func()) {
 	var next func()
 	next = func() {
-		if n.up && n.incarnation == life {
+		if n.up && n.incarnation == incarnation {
 			f()
-			n.sim.after(turn, next)
+			n.sim.after(interval, next)
 		}
 	}
-	n.sim.after(time.Duration(n.sim.rng.Float64()*float64(turn)), next)
+	n.sim.after(time.Duration(n.sim.rng.Float64()*float64(interval)), next)
 }
 
 // randomPeer is another node that is up, by chance; nil where there is none.
@@ -117,21 +117,21 @@
 	}
 }
 
-func (w *simulation) countShared(frame []byte) {
-	w.counts.SharedBytesPerNodeSecond += float64(len(frame))
+func (sim *simulation) countShared(frame []byte) {
+	sim.counts.SharedBytesPerNodeSecond += float64(len(frame))
 }
 
 // deliver takes a frame to a node, or loses it.
-func (w *simulation) deliver(to *node, frame []byte) {
-	if w.rng.Float64() < w.opt.Sharing.Loss {
+func (sim *simulation) deliver(to *node, frame []byte) {
+	if sim.rng.Float64() < sim.opt.Sharing.Loss {
 		return
 	}
-	life := to.incarnation
-	w.after(w.delay(to.Site, to.Site), func() {
-		if !to.up || to.incarnation != life || to.shared == nil {
+	incarnation := to.incarnation
+	sim.after(sim.delay(to.Site, to.Site), func() {
+		if !to.up || to.incarnation != incarnation || to.shared == nil {
 			return
 		}
-		answers, err := to.shared.Receive(epoch+w.now, frame)
+		answers, err := to.shared.Receive(epoch+sim.now, frame)
 		if err != nil {
 			panic(err) // it was written by this very program
 		}
@@ -141,17 +141,17 @@
 
 // applyView hands in what the node may act on now.
 func (n *node) applyView() {
-	v := n.shared.View(epoch + n.sim.now)
+	view := n.shared.View(epoch + n.sim.now)
 	for _, note := range n.shared.Notes() {
 		if n.sim.opt.onNote != nil {
 			n.sim.opt.onNote(n.Name, note)
 		}
 	}
 	if n.sites != nil {
-		n.sites.Node.SetHeadroomShares(v.OverflowShares)
-		n.sites.Node.SetLiveNodes(v.LiveNodes)
+		n.sites.Node.SetHeadroomShares(view.OverflowShares)
+		n.sites.Node.SetLiveNodes(view.LiveNodes)
 	}
-	n.handle(v.Event(func(k judgement.Key) (uint32, bool) { x, ok := n.keys[k]; return x, ok }))
+	n.handle(view.Event(func(k judgement.Key) (uint32, bool) { x, ok := n.keys[k]; return x, ok }))
 }
 
 // backendsChanged tells the replica which boxes there are.
@@ -178,10 +178,10 @@
 	if n.shared == nil {
 		return
 	}
-	meta, life := n.shared.Meta(), n.incarnation
+	meta, incarnation := n.shared.Meta(), n.incarnation
 	n.sim.after(deadNoticeDelay, func() {
 		for _, p := range n.sim.nodes {
-			if p != n && p.up && p.shared != nil && (n.incarnation == life || !n.up) {
+			if p != n && p.up && p.shared != nil && (n.incarnation == incarnation || !n.up) {
 				p.shared.MemberDown(epoch+n.sim.now, meta, roster.Dead)
 			}
 		}
--- a/internal/kit/lab/share_test.go
+++ b/internal/kit/lab/share_test.go
@@ -11,7 +11,7 @@
 
 // Nodes that share what they count keep a greedy tenant to its share, whatever is lost between them; the same seed gives the same
 // day.
-func TestSharing(t *testing.T) {
+func TestSharedQuotas(t *testing.T) {
 	s := load(t, "calm", func(s *scenario.Scenario) {
 		s.Length = scenario.Duration(14 * time.Second)
 		s.Nodes.Count = 6
--- a/internal/kit/lab/site.go
+++ b/internal/kit/lab/site.go
@@ -64,23 +64,23 @@
 
 // probe opens a connection to a box, and keeps it for requests where it comes up.
 func (n *node) probe(id uint32) {
-	w, b, life := n.sim, n.sim.backends[id-1], n.incarnation
-	tell := func(up bool) {
-		if n.up && n.incarnation == life {
-			n.sites.RecordProbe(epoch+w.now, id, up)
+	sim, b, incarnation := n.sim, n.sim.backends[id-1], n.incarnation
+	report := func(up bool) {
+		if n.up && n.incarnation == incarnation {
+			n.sites.RecordProbe(epoch+sim.now, id, up)
 		}
 	}
-	if b.isolated || w.partitioned(n.Site, b.plan.Site) {
-		w.after(n.connectTimeout, func() { tell(false) })
+	if b.isolated || sim.partitioned(n.Site, b.plan.Site) {
+		sim.after(n.connectTimeout, func() { report(false) })
 		return
 	}
-	way := w.delay(n.Site, b.plan.Site)
-	w.after(2*way, func() {
+	delay := sim.delay(n.Site, b.plan.Site)
+	sim.after(2*delay, func() {
 		up := b.up && !b.isolated
 		if p := n.pool[b]; up && p != nil && p.connEpoch == b.connEpoch {
 			b.conns++
-			p.idleSince = append(p.idleSince, w.now)
+			p.idleSince = append(p.idleSince, sim.now)
 		}
-		tell(up)
+		report(up)
 	})
 }
--- a/internal/kit/lab/site_test.go
+++ b/internal/kit/lab/site_test.go
@@ -11,7 +11,7 @@
 
 // The shipped loss of a site with its own plan and without: nodes that watch sites spend far fewer attempts on the lost one, say
 // so once each way, serve more worth in time, and break no rule.
-func TestALostSiteWithItsPlan(t *testing.T) {
+func TestSitePlanAfterSiteLoss(t *testing.T) {
 	s, err := scenario.Load("site-lost")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/kit/lab/world.go
+++ b/internal/kit/lab/world.go
@@ -130,46 +130,46 @@
 	return x
 }
 
-func (w *simulation) at(t time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.queue, event{max(t, w.now), w.seq, do})
+func (sim *simulation) at(t time.Duration, do func()) {
+	sim.seq++
+	heap.Push(&sim.queue, event{max(t, sim.now), sim.seq, do})
 }
 
-func (w *simulation) after(d time.Duration, do func()) { w.at(w.now+d, do) }
+func (sim *simulation) after(d time.Duration, do func()) { sim.at(sim.now+d, do) }
 
-func (w *simulation) note(r trace.Record) {
-	r.T = trace.US(w.now)
-	w.opt.Record(&r)
+func (sim *simulation) note(r trace.Record) {
+	r.T = trace.US(sim.now)
+	sim.opt.Record(&r)
 }
 
 // id is a fresh request id.
-func (w *simulation) id() string {
-	w.ids++
-	return fmt.Sprintf("%016x", w.ids)
+func (sim *simulation) id() string {
+	sim.ids++
+	return fmt.Sprintf("%016x", sim.ids)
 }
 
 // delay is a one-way delay between two sites.
-func (w *simulation) delay(from, to string) time.Duration {
-	n := &w.plan.Scenario.Net
+func (sim *simulation) delay(from, to string) time.Duration {
+	n := &sim.plan.Scenario.Net
 	d := n.Cross
 	if from == to {
 		d = n.Same
 	}
-	return time.Duration(float64(d) * max(0.1, 1+n.Jitter*w.rng.NormFloat64()))
+	return time.Duration(float64(d) * max(0.1, 1+n.Jitter*sim.rng.NormFloat64()))
 }
 
 // Play plays a day. Its error names an event that the laboratory does not play, or a setting that makes no sense.
 func Play(o Options) error {
-	w := &simulation{opt: &o, plan: o.Plan, rng: rand.New(rand.NewPCG(o.Plan.Seed, 11)), backendIndex: map[string]int{}, counts: o.Counts,
+	sim := &simulation{opt: &o, plan: o.Plan, rng: rand.New(rand.NewPCG(o.Plan.Seed, 11)), backendIndex: map[string]int{}, counts: o.Counts,
 		cutLinks: map[string]bool{}, pausedSites: map[string]bool{}}
-	if w.counts == nil {
-		w.counts = &Counts{}
+	if sim.counts == nil {
+		sim.counts = &Counts{}
 	}
-	w.listService.sim = w
-	w.counts.begin(w)
+	sim.listService.sim = sim
+	sim.counts.begin(sim)
 	s := o.Plan.Scenario
 	for i, b := range o.Plan.Backends {
-		w.backendIndex[b.ID] = i
+		sim.backendIndex[b.ID] = i
 	}
 	for _, st := range o.Plan.Steps {
 		switch st.Do {
@@ -177,76 +177,76 @@
 			return fmt.Errorf("%v: the laboratory plays no %q: use rehearse", st.At, st.Do)
 		}
 	}
-	w.note(trace.Record{Kind: trace.Event, How: trace.Begin, Text: "traffic begins"})
-	w.backends = make([]*backend, len(o.Plan.Backends))
+	sim.note(trace.Record{Kind: trace.Event, How: trace.Begin, Text: "traffic begins"})
+	sim.backends = make([]*backend, len(o.Plan.Backends))
 	for i := range o.Plan.Initial {
-		w.startBackend(i, true)
+		sim.startBackend(i, true)
 	}
 	for i, n := range planNodes(o.Plan) {
-		if err := w.addNode(i, n); err != nil {
+		if err := sim.addNode(i, n); err != nil {
 			return err
 		}
 	}
-	w.sampleBackends()
+	sim.sampleBackends()
 	for _, st := range o.Plan.Steps {
-		w.at(st.At, func() { w.applyStep(&st) })
+		sim.at(st.At, func() { sim.applyStep(&st) })
 	}
-	w.scheduleOperations(o.Plan.Operations())
+	sim.scheduleOperations(o.Plan.Operations())
 	if o.Belief != nil {
-		w.reportBeliefs()
+		sim.reportBeliefs()
 	}
-	w.end = s.Length.D() + drainTime
-	for len(w.queue) > 0 {
-		e := heap.Pop(&w.queue).(event)
-		if e.at > w.end {
+	sim.end = s.Length.D() + drainTime
+	for len(sim.queue) > 0 {
+		e := heap.Pop(&sim.queue).(event)
+		if e.at > sim.end {
 			break
 		}
-		w.now = e.at
+		sim.now = e.at
 		e.run()
 	}
-	w.note(trace.Record{Kind: trace.End})
-	w.counts.finish(w)
+	sim.note(trace.Record{Kind: trace.End})
+	sim.counts.finish(sim)
 	return nil
 }
 
 // scheduleOperations hands in the needs, one at a time.
-func (w *simulation) scheduleOperations(n *plan.Operations) {
-	need, ok := n.Next()
+func (sim *simulation) scheduleOperations(n *plan.Operations) {
+	op, ok := n.Next()
 	if !ok {
 		return
 	}
-	w.at(need.At, func() {
-		w.startOperation(need)
-		w.scheduleOperations(n)
+	sim.at(op.At, func() {
+		sim.startOperation(op)
+		sim.scheduleOperations(n)
 	})
 }
 
 // applyStep takes one step of the plan's time table.
-func (w *simulation) applyStep(st *plan.Step) {
-	i, known := w.backendIndex[st.Box]
+func (sim *simulation) applyStep(st *plan.Step) {
+	i, known := sim.backendIndex[st.Box]
 	var b *backend
 	if known {
-		b = w.backends[i]
+		b = sim.backends[i]
 	}
 	if b != nil && !b.up && st.Do != plan.Restart {
 		return // it has gone meanwhile
 	}
-	list := &w.plan.Scenario.List
+	list := &sim.plan.Scenario.List
 	switch st.Do {
 	case plan.Announce:
-		w.note(trace.Record{Kind: trace.Event, Text: st.Text})
+		sim.note(trace.Record{Kind: trace.Event, Text: st.Text})
 	case plan.Start, plan.Restart:
-		w.startBackend(i, false)
-		w.publish(i, trace.Ready, list.Add.D())
+		sim.startBackend(i, false)
+		sim.publish(i, trace.Ready, list.Add.D())
 	case plan.Drain:
-		runs := b.incarnation
-		w.after(time.Duration(st.By*float64(time.Second)), func() { b.draining = b.draining || b.incarnation == runs })
-		w.publish(i, trace.Terminating, list.Lag.D())
+		incarnation := b.incarnation
+		sim.after(time.Duration(st.By*float64(time.Second)), func() { b.draining = b.draining || b.incarnation == incarnation })
+		sim.publish(i, trace.Terminating, list.Lag.D())
 	case plan.Exit, plan.Crash:
 		b.stop()
-		w.publish(i, trace.Gone, list.Lag.D())
+		sim.publish(i, trace.Gone, list.Lag.D())
 	case plan.Slow:
-		b.model.SetSlowdown(w.now, st.By)
+		b.model.SetSlowdown(sim.now, st.By)
 		b.advance()
 	case plan.Isolate:
 		b.isolated = true
@@ -263,52 +263,52 @@
 			b.failingClass = st.Text
 		}
 	case plan.ResetRequests:
-		w.resetFraction = st.By
+		sim.resetFraction = st.By
 	case plan.CutLink:
-		w.cutLinks[st.Text] = st.By > 0
+		sim.cutLinks[st.Text] = st.By > 0
 	case plan.PauseList:
-		w.pausedSites[st.Text] = true
-		w.listPaused = w.pausedSites[""]
+		sim.pausedSites[st.Text] = true
+		sim.listPaused = sim.pausedSites[""]
 	case plan.ResumeList:
-		delete(w.pausedSites, st.Text)
-		w.listPaused = w.pausedSites[""]
-		for _, n := range w.nodes {
-			if n.up && len(n.pendingUpdates) > 0 && !w.listPausedFor(n) {
+		delete(sim.pausedSites, st.Text)
+		sim.listPaused = sim.pausedSites[""]
+		for _, n := range sim.nodes {
+			if n.up && len(n.pendingUpdates) > 0 && !sim.listPausedFor(n) {
 				n.applyDelta(n.pendingUpdates)
 				n.pendingUpdates = nil
 			}
 		}
-		w.listService.answerWaiting()
+		sim.listService.answerWaiting()
 	case plan.Kill:
-		w.nodes[st.Node-1].kill()
+		sim.nodes[st.Node-1].kill()
 	case plan.Revive:
-		w.nodes[st.Node-1].revive()
+		sim.nodes[st.Node-1].revive()
 	case plan.DelayList:
-		w.extraListLag = time.Duration(st.By * float64(time.Second))
+		sim.extraListLag = time.Duration(st.By * float64(time.Second))
 	}
 }
 
 // entry is a box as the list has it.
-func (w *simulation) entry(i int, state policy.State) policy.Entry {
-	p := &w.plan.Backends[i]
+func (sim *simulation) entry(i int, state policy.State) policy.Entry {
+	p := &sim.plan.Backends[i]
 	e := policy.Entry{ID: uint32(i + 1), Hash: subset.Hash(p.ID), Zone: p.Site, Cell: int64(p.Cell), Kind: p.Kind, State: state}
-	if b := w.backends[i]; b != nil && b.started > 0 {
+	if b := sim.backends[i]; b != nil && b.started > 0 {
 		e.Launched = epoch + b.started
 	}
 	return e
 }
 
 // publish tells all nodes of a box's state, after the list's lag and in the order of the changes.
-func (w *simulation) publish(i int, state string, lag time.Duration) {
-	e := w.entry(i, listStates[state])
-	if w.plan.Scenario.List.Mode == "ask" {
-		w.listService.publish(e, w.now+lag+w.extraListLag)
+func (sim *simulation) publish(i int, state string, lag time.Duration) {
+	e := sim.entry(i, listStates[state])
+	if sim.plan.Scenario.List.Mode == "ask" {
+		sim.listService.publish(e, sim.now+lag+sim.extraListLag)
 		return
 	}
-	for _, n := range w.nodes {
-		n.lastNotified = max(n.lastNotified, w.now+lag+w.extraListLag+w.drawListSpread())
-		w.at(n.lastNotified, func() {
-			if w.listPausedFor(n) || !n.up {
+	for _, n := range sim.nodes {
+		n.lastNotified = max(n.lastNotified, sim.now+lag+sim.extraListLag+sim.drawListSpread())
+		sim.at(n.lastNotified, func() {
+			if sim.listPausedFor(n) || !n.up {
 				n.pendingUpdates = append(n.pendingUpdates, e)
 				return
 			}
@@ -318,36 +318,36 @@
 }
 
 // listPausedFor tells whether the list says nothing to a node.
-func (w *simulation) listPausedFor(n *node) bool { return w.listPaused || w.pausedSites[n.Site] }
+func (sim *simulation) listPausedFor(n *node) bool { return sim.listPaused || sim.pausedSites[n.Site] }
 
 // cut tells whether what goes from one site to another is lost.
-func (w *simulation) cut(from, to string) bool { return w.cutLinks[from+">"+to] }
+func (sim *simulation) cut(from, to string) bool { return sim.cutLinks[from+">"+to] }
 
 // partitioned tells whether no connection comes up between two sites.
-func (w *simulation) partitioned(a, b string) bool { return w.cut(a, b) || w.cut(b, a) }
+func (sim *simulation) partitioned(a, b string) bool { return sim.cut(a, b) || sim.cut(b, a) }
 
 // drawListSpread is by how much later than the first a node is told.
-func (w *simulation) drawListSpread() time.Duration {
-	return time.Duration(w.rng.Float64() * float64(w.plan.Scenario.List.Spread.D()))
+func (sim *simulation) drawListSpread() time.Duration {
+	return time.Duration(sim.rng.Float64() * float64(sim.plan.Scenario.List.Spread.D()))
 }
 
 var listStates = map[string]policy.State{trace.Ready: policy.Active, trace.Terminating: policy.Draining, trace.Gone: policy.Removed}
 
 // reportBeliefs notes once a second what every node believes of every box.
-func (w *simulation) reportBeliefs() {
-	for _, n := range w.nodes {
+func (sim *simulation) reportBeliefs() {
+	for _, n := range sim.nodes {
 		if !n.up {
 			continue
 		}
-		for _, x := range n.balancer.Snapshot(epoch + w.now) {
-			b := w.backends[x.ID-1]
-			b.model.Advance(w.now)
-			w.opt.Belief(Belief{At: w.now, Node: n.Name, Box: b.plan.ID, Belief: x, TrueHeld: b.model.InFlight(),
+		for _, x := range n.balancer.Snapshot(epoch + sim.now) {
+			b := sim.backends[x.ID-1]
+			b.model.Advance(sim.now)
+			sim.opt.Belief(Belief{At: sim.now, Node: n.Name, Box: b.plan.ID, Belief: x, TrueHeld: b.model.InFlight(),
 				TrueWaiting: b.model.Waiting(), TrueCapacity: b.model.Capacity(), Slow: b.slow})
 			b.advance()
 		}
 	}
-	w.after(beliefInterval, w.reportBeliefs)
+	sim.after(beliefInterval, sim.reportBeliefs)
 }
 
 // settings are what the daemon would read of its configuration file.
--- a/internal/kit/plan/plan.go
+++ b/internal/kit/plan/plan.go
@@ -1,6 +1,6 @@
-// Package plan turns a scenario and a seed into what is to happen: the boxes, every step of the time table down to the
-// single box, and every client's need. It has no clock and does nothing itself. The same scenario and seed give the
-// same plan, to the byte of Write.
+// Package plan derives a rehearsal from a scenario and a seed: the backends, the schedule of every event down to the
+// single backend, and every client's operation. It has no clock and carries nothing out. The same scenario and seed give
+// the same plan, and the same bytes from Write.
 package plan
 
 import (
@@ -16,7 +16,8 @@
 	"craneglade/internal/kit/scenario"
 )
 
-// Backend is one box process. Its id stays with it when it restarts; its successor has another.
+// Backend is one backend process. It keeps its id when it restarts; the backend that replaces it in a deploy has
+// another. Write prints the field names.
 type Backend struct {
 	ID    string
 	Site  string
@@ -25,41 +26,41 @@
 	Seed  uint64
 	Speed float64
 	Spec  boxmodel.Spec
-	After string // the id of the box whose address it takes over, where it does
+	After string // id of the backend whose address it takes over; "" for none
 }
 
-// The steps of a time table.
+// The values of Step.Do. Write prints them and rehearsals report errors with them.
 const (
 	Start            = "start"    // Box starts, cold
-	Drain            = "drain"    // Box is taken off the list and, after By seconds, only finishes what it has
-	Exit             = "exit"     // its process ends
-	Crash            = "crash"    // its process dies
-	Restart          = "restart"  // and starts again under its id, cold
-	Slow             = "slow"     // it is slower by By; 1 is normal
-	Isolate          = "silence"  // it is cut off
-	Reconnect        = "return"   // it is back
-	ResetRequests    = "reset"    // part By of all requests are reset; 0 ends it
-	DropRequests     = "lose"     // Box loses part By of its requests: read, and neither run nor answered; 0 ends it
+	Drain            = "drain"    // Box is marked as draining in the list and rejects new requests after By seconds
+	Exit             = "exit"     // the process of Box ends
+	Crash            = "crash"    // the process of Box crashes
+	Restart          = "restart"  // Box starts again under its id, cold
+	Slow             = "slow"     // Box is slower by the factor By; 1 is normal
+	Isolate          = "silence"  // Box is cut off from all nodes
+	Reconnect        = "return"   // Box is reachable again
+	ResetRequests    = "reset"    // the fraction By of all requests is reset; 0 ends it
+	DropRequests     = "lose"     // Box reads the fraction By of its requests without running or answering them; 0 ends it
 	FailClass        = "fail"     // Box answers requests of the class Text with an error; By 0 ends it
-	CorruptResponses = "spoil"    // part By of all answers are spoilt; 0 ends it
-	Kill             = "kill"     // Node is killed
+	CorruptResponses = "spoil"    // the fraction By of all responses is corrupted; 0 ends it
+	Kill             = "kill"     // Node gets SIGKILL
 	Term             = "term"     // Node gets SIGTERM
 	Revive           = "revive"   // Node starts again
-	Reload           = "reload"   // Node gets another discovery and SIGHUP
-	Stall            = "stall"    // a node's process is stopped,
-	Resume           = "resume"   // and goes on
-	IsolateNode      = "cut-node" // a node is cut off from others, Text: which way; By: which cut
-	MessageFault     = "words"    // a trouble of what nodes say, Text: which, By: how much; By 0 ends it
-	HealNodes        = "mend"     // a cut is over; By: which
-	CutLink          = "dark"     // what goes from one site to another is lost, Text: "from>to"; By 0 ends it
-	PauseList        = "hush"     // the list says nothing, Text: to nodes of which site; "" to any
-	ResumeList       = "speak"    // the list speaks again
-	DelayList        = "lag"      // the list is By seconds later than usual
-	BadClient        = "bad"      // one bad client of kind Text comes to Node
-	Announce         = "announce" // an event of the scenario begins: Text
+	Reload           = "reload"   // Node gets another discovery address and SIGHUP
+	Stall            = "stall"    // the process of Node is suspended
+	Resume           = "resume"   // the process of Node continues
+	IsolateNode      = "cut-node" // Node is cut off from the other nodes; Text: in which direction, By: number of the cut
+	MessageFault     = "words"    // messages between nodes are faulty; Text: the fault, By: how much, 0 ends it
+	HealNodes        = "mend"     // a cut between nodes ends; By: number of the cut
+	CutLink          = "dark"     // traffic from one site to another is lost; Text: "from>to", By: 0 ends it
+	PauseList        = "hush"     // the list does not answer the nodes of site Text; "" for all nodes
+	ResumeList       = "speak"    // the list answers again
+	DelayList        = "lag"      // the list is By seconds later than normal
+	BadClient        = "bad"      // a bad client of kind Text connects to Node
+	Announce         = "announce" // an event of the scenario starts; Text describes it
 )
 
-// Step is one thing that happens.
+// Step is one scheduled event. Write prints the field names.
 type Step struct {
 	At   time.Duration
 	Do   string
@@ -69,7 +70,7 @@
 	Text string
 }
 
-// Operation is what one client wants: a request that it sends, and sends again as the scenario lets it.
+// Operation is one request of a client with all its tries. Write prints the field names.
 type Operation struct {
 	N         int
 	At        time.Duration
@@ -77,22 +78,22 @@
 	Tenant    int
 	Site      int
 	Work      time.Duration
-	Over      bool // past its tenant's share
-	Honours   bool // waits as Retry-After says
-	Once      bool // asks on a connection of its own, and keeps that
-	Impatient time.Duration
+	Over      bool          // over its tenant's quota
+	Honours   bool          // honours Retry-After
+	Once      bool          // uses a new connection, which then stays open unused
+	Impatient time.Duration // disconnects after this during its first try; 0: never
 	Seed      uint64
 }
 
-// Plan is what is to happen.
+// Plan is everything that happens in a rehearsal.
 type Plan struct {
 	Scenario     *scenario.Scenario
 	Seed         uint64
-	Backends     []Backend // all that ever start; the first Initial are there from the beginning, warm
+	Backends     []Backend // all that ever start; the first Initial run from the beginning, warm
 	Initial      int
 	Steps        []Step // in the order of their times
 	rateFactors  []ratePeriod
-	greedyRates  []ratePeriod // requests a second that the first tenant adds
+	greedyRates  []ratePeriod // requests per second that the first tenant adds
 	peakRate     float64
 	burstFactors []float64
 }
@@ -102,7 +103,7 @@
 	value    func(t time.Duration) float64
 }
 
-// New makes the plan.
+// New derives the plan of a scenario and a seed.
 func New(s *scenario.Scenario, seed uint64) *Plan {
 	p := &Plan{Scenario: s, Seed: seed}
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -111,7 +112,7 @@
 			p.addBackend(rng, f.Kind, s.Sites[len(p.Backends)%len(s.Sites)].Name)
 		}
 	}
-	// Kinds and sites must not go hand in hand: deal the sites out anew.
+	// The kind of a backend must not be tied to its site: reassign the sites at random.
 	order := rng.Perm(len(p.Backends))
 	for i, k := range order {
 		p.Backends[k].Site = s.Sites[i%len(s.Sites)].Name
@@ -133,7 +134,7 @@
 	return p
 }
 
-// addBackend makes a box of a kind.
+// addBackend adds a backend of a kind to the plan.
 func (p *Plan) addBackend(rng *rand.Rand, kind, site string) *Backend {
 	s := p.Scenario
 	k := s.Kind(kind)
@@ -154,13 +155,13 @@
 	return &p.Backends[len(p.Backends)-1]
 }
 
-// lifetime is when a box is in service, for the choice of boxes that events touch.
+// lifetime is the time in which a backend is in service and events may choose it.
 type lifetime struct{ from, to time.Duration }
 
 const forever = time.Duration(math.MaxInt64)
 
-// buildSteps turns the scenario's events into steps. Deploys and growth come first, so that what touches single boxes finds
-// those that are there.
+// buildSteps turns the scenario's events into steps. Deploys and growth come first, so that events that choose single
+// backends know which are in service.
 func (p *Plan) buildSteps(rng *rand.Rand) {
 	s := p.Scenario
 	lives := map[string]lifetime{}
@@ -168,7 +169,7 @@
 		lives[b.ID] = lifetime{0, forever}
 	}
 	step := func(st Step) { p.Steps = append(p.Steps, st) }
-	// there lists the boxes in service for the whole of a time, in the order of the plan.
+	// inService lists the backends that are in service from a time to another, in the order of the plan.
 	inService := func(from, to time.Duration) []int {
 		var out []int
 		for i, b := range p.Backends {
@@ -180,7 +181,7 @@
 	}
 	choose := func(from, to time.Duration, n int) []int {
 		can := inService(from, to)
-		if len(can) == 0 { // none lives through all of it: those at its start
+		if len(can) == 0 { // none is in service for all of it: those at its start
 			can = inService(from, from)
 		}
 		rng.Shuffle(len(can), func(a, b int) { can[a], can[b] = can[b], can[a] })
@@ -206,7 +207,7 @@
 				n := p.addBackend(rng, kind, site)
 				exit := t + e.Drain.D()
 				begin := t
-				if e.Reuse && i%2 == 0 { // the successor needs the address
+				if e.Reuse && i%2 == 0 { // the successor waits for the address
 					n.After, begin = id, exit+20*time.Millisecond
 				}
 				lives[id] = lifetime{lives[id].from, t}
@@ -232,7 +233,7 @@
 			}})
 		}
 	}
-	chooseNodes := func(p float64) []int { // so many nodes, from 1
+	chooseNodes := func(p float64) []int { // draws a fraction of the nodes, at least one, numbered from 1
 		nodes := rng.Perm(s.Nodes.Count)[:max(1, int(math.Round(p*float64(s.Nodes.Count))))]
 		slices.Sort(nodes)
 		for i := range nodes {
@@ -241,7 +242,7 @@
 		return nodes
 	}
 	cuts := 0.0
-	lost := map[string][]lifetime{} // by site, when it is lost
+	lost := map[string][]lifetime{} // by site, the times in which it is lost
 	for _, e := range s.Events {
 		at, end := e.At.D(), e.At.D()+e.For.D()
 		announce := func(format string, args ...any) {
@@ -331,7 +332,7 @@
 					step(Step{At: end, Do: Restart, Box: id})
 				}
 			}
-			for _, b := range p.Backends { // what starts there meanwhile is not heard of either
+			for _, b := range p.Backends { // backends that start there meanwhile are isolated too
 				if from := lives[b.ID].from; b.Site == e.Site && from > at && from < end {
 					step(Step{At: from, Do: Isolate, Box: b.ID})
 					step(Step{At: end, Do: Reconnect, Box: b.ID})
@@ -383,12 +384,12 @@
 	for _, b := range p.Backends {
 		site[b.ID] = b.Site
 	}
-	p.Steps = slices.DeleteFunc(p.Steps, func(st Step) bool { // what crashed there starts again with its site
+	p.Steps = slices.DeleteFunc(p.Steps, func(st Step) bool { // backends that had crashed in a lost site restart with the site
 		return st.Do == Restart && slices.ContainsFunc(lost[site[st.Box]], func(l lifetime) bool { return st.At >= l.from && st.At < l.to })
 	})
 }
 
-// linksToCut lists the ways between sites that an event cuts, each as "from>to".
+// linksToCut lists the directions between sites that an event cuts, each as "from>to".
 func (p *Plan) linksToCut(e scenario.Event) (ways []string) {
 	for _, a := range p.Scenario.Sites {
 		for _, b := range p.Scenario.Sites {
@@ -402,7 +403,7 @@
 	return ways
 }
 
-// Rate is the number of first tries planned for a second about t.
+// Rate is the planned rate of new operations at t, per second.
 func (p *Plan) Rate(t time.Duration) float64 {
 	tr := p.Scenario.Traffic
 	r := tr.Rate
@@ -422,7 +423,7 @@
 	return r + p.GreedyRate(t)
 }
 
-// GreedyRate is the part of Rate that the first tenant adds.
+// GreedyRate is the share of Rate that "greedy" events add for the first tenant.
 func (p *Plan) GreedyRate(t time.Duration) float64 {
 	r := 0.0
 	for _, l := range p.greedyRates {
@@ -433,7 +434,7 @@
 	return r
 }
 
-// Operations is the stream of needs, in the order of their times. It holds no more than one at a time.
+// Operations generates the operations of a plan one at a time, in the order of their times.
 type Operations struct {
 	p             *Plan
 	rng           *rand.Rand
@@ -442,11 +443,11 @@
 	classWeights  []float64
 	tenantWeights []float64
 	siteWeights   []float64
-	credits       []float64 // of each tenant, in requests; a second's worth at most
+	credits       []float64 // by tenant: unused quota in requests, at most that of one second
 	creditedAt    time.Duration
 }
 
-// Operations returns the stream from its start. Each call gives the same.
+// Operations returns the stream of operations from its start. Each call gives the same stream.
 func (p *Plan) Operations() *Operations {
 	s := p.Scenario
 	n := &Operations{p: p, rng: rand.New(rand.NewPCG(p.Seed, 2))}
@@ -463,7 +464,7 @@
 	return n
 }
 
-// Quota is a tenant's share in requests a second.
+// Quota is a tenant's quota in requests per second.
 func (p *Plan) Quota(tenant int) float64 {
 	s := p.Scenario
 	sum := 0.0
@@ -473,7 +474,7 @@
 	return s.Traffic.Rate * s.Traffic.QuotaShare * s.Tenants[tenant].Share / sum
 }
 
-// Next returns the next need; false after the last.
+// Next returns the next operation; false after the last.
 func (n *Operations) Next() (Operation, bool) {
 	s := n.p.Scenario
 	for {
@@ -515,17 +516,17 @@
 	return d, true
 }
 
-// Ends of one try, as its client sees them.
+// How a try ends for its client.
 const (
 	Served      = "served"
 	Refused     = "refused"     // 429 or 503
-	Failed      = "failed"      // any other answer, or none
+	Failed      = "failed"      // any other response, or none
 	Unreachable = "unreachable" // no connection to a node
-	Abandoned   = "left"        // its client lost patience
+	Abandoned   = "left"        // the client disconnected early
 )
 
-// TryTimeout is how long a client waits for the answer to a try that it begins now; 0 where it begins none any more.
-// now is on the clock that Need.At is on.
+// TryTimeout is how long a client waits for the response to a try that starts now; 0 if too little time is left for
+// another try. now is on the same clock as Operation.At.
 func (p *Plan) TryTimeout(n *Operation, now time.Duration) time.Duration {
 	deadline := p.Scenario.Classes[n.Class].Deadline.D()
 	wait := min(time.Duration(float64(deadline)*p.Scenario.Clients.TryShare), n.At+deadline-now)
@@ -535,8 +536,8 @@
 	return wait
 }
 
-// Retry tells whether a client tries again after its try number try, from 0, ended so, and after which pause.
-// retryAfter is what a refusal asked for; 0 for nothing.
+// Retry reports whether a client tries again after try number try (from 0) has ended as how, and after which pause.
+// retryAfter is the wait that a refusal asked for; 0 for none.
 func (p *Plan) Retry(n *Operation, try int, how string, retryAfter time.Duration) (pause time.Duration, again bool) {
 	c := &p.Scenario.Clients
 	if how == Served || how == Abandoned || try >= c.Retries ||
@@ -555,6 +556,7 @@
 	return pause, true
 }
 
+// pickWeighted draws an index with a probability proportional to its weight.
 func pickWeighted(rng *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
@@ -569,7 +571,7 @@
 	return len(weights) - 1
 }
 
-// Write writes all of the plan as text.
+// Write writes the whole plan as text, for comparison and for people to read.
 func (p *Plan) Write(w io.Writer) error {
 	for i, b := range p.Backends {
 		if _, err := fmt.Fprintf(w, "box %d %+v\n", i, b); err != nil {
--- a/internal/kit/plan/plan_test.go
+++ b/internal/kit/plan/plan_test.go
@@ -10,7 +10,7 @@
 	"craneglade/internal/kit/scenario"
 )
 
-func text(t *testing.T, s *scenario.Scenario, seed uint64) []byte {
+func planText(t *testing.T, s *scenario.Scenario, seed uint64) []byte {
 	t.Helper()
 	var b bytes.Buffer
 	if err := New(s, seed).Write(&b); err != nil {
@@ -19,8 +19,8 @@
 	return b.Bytes()
 }
 
-// short is a scenario with 8 s of its requests and all of its steps, which do not hang on the length.
-func short(t *testing.T, name string) *scenario.Scenario {
+// loadShort returns a scenario with 8 s of its requests and all of its steps, which do not depend on the length.
+func loadShort(t *testing.T, name string) *scenario.Scenario {
 	t.Helper()
 	s := load(t, name)
 	s.Length = min(s.Length, scenario.Duration(8*time.Second))
@@ -38,8 +38,8 @@
 
 func TestSameSeedSamePlan(t *testing.T) {
 	for _, name := range scenario.Names() {
-		s := short(t, name)
-		one, two, other := text(t, s, 5), text(t, short(t, name), 5), text(t, s, 6)
+		s := loadShort(t, name)
+		one, two, other := planText(t, s, 5), planText(t, loadShort(t, name), 5), planText(t, s, 6)
 		if !bytes.Equal(one, two) {
 			t.Errorf("%s: two plans of one seed differ", name)
 		}
@@ -49,14 +49,14 @@
 	}
 }
 
-// The opening replaces 93 percent of the fleet within 25 to 40 s, no box twice, and no more than a batch at a time.
-func TestDeployReplacesItsPart(t *testing.T) {
+// The deploy of the opening replaces 93 percent of the fleet within 20 to 40 s and drains no backend twice.
+func TestDeployReplacesItsFraction(t *testing.T) {
 	p := New(load(t, "opening"), 3)
 	drained, started := map[string]time.Duration{}, 0
 	var first, last time.Duration
 	for i, s := range p.Steps {
 		if i > 0 && s.At < p.Steps[i-1].At {
-			t.Fatalf("step %d is before the one above", i)
+			t.Fatalf("step %d is earlier than the one before", i)
 		}
 		switch s.Do {
 		case Drain:
@@ -80,7 +80,7 @@
 		t.Errorf("%d of %d drained, %d started", len(drained), p.Initial, started)
 	}
 	if d := last - first; d < 20*time.Second || d > 40*time.Second {
-		t.Errorf("it took %v", d)
+		t.Errorf("the deploy took %v", d)
 	}
 }
 
@@ -106,7 +106,7 @@
 	}
 	p := New(s, 1)
 	if n := len(p.Backends) - p.Initial; n != 20 { // 1.8 times 11
-		t.Errorf("%d boxes more", n)
+		t.Errorf("%d backends added, want 20", n)
 	}
 	for at, want := range map[time.Duration]float64{time.Second: 100, 10 * time.Second: 145, 16 * time.Second: 190, 18 * time.Second: 380} {
 		if got := p.Rate(at); math.Abs(got-want) > 1 {
@@ -124,11 +124,11 @@
 		}
 	}
 	if want := 5*100 + 10*145 + 5*190 + 2*190; math.Abs(float64(n-want)) > 5*math.Sqrt(float64(want)) {
-		t.Errorf("%d needs, want about %d", n, want)
+		t.Errorf("%d operations, want about %d", n, want)
 	}
 }
 
-func TestOverShareIsMarked(t *testing.T) {
+func TestOverQuotaIsMarked(t *testing.T) {
 	s, err := scenario.Parse("over.toml", []byte(`
 length = "30s"
 [traffic]
@@ -149,12 +149,12 @@
 		}
 	}
 	if part := float64(over) / float64(all); part < 0.4 || part > 0.6 {
-		t.Errorf("%.2f past the shares, want about half", part)
+		t.Errorf("%.2f over quota, want about half", part)
 	}
 }
 
-// Events that touch single boxes find ones that are there for all of it.
-func TestEventsFindLivingBoxes(t *testing.T) {
+// Guards against events for single backends that choose one that is already draining.
+func TestEventsChooseBackendsInService(t *testing.T) {
 	p := New(load(t, "opening"), 9)
 	gone := map[string]time.Duration{}
 	for _, s := range p.Steps {
@@ -177,8 +177,9 @@
 	}
 }
 
-// Of a site that is lost in the middle of a release nothing is heard: what starts there meanwhile is silent until it is back.
-func TestNothingIsHeardOfALostSite(t *testing.T) {
+// A site is lost in the middle of a deploy: backends that start there meanwhile must be isolated until the site is back,
+// and none that had crashed there may restart earlier.
+func TestBackendsStartedInLostSiteAreIsolated(t *testing.T) {
 	s, err := scenario.Load("site-lost-in-release")
 	if err != nil {
 		t.Fatal(err)
@@ -193,18 +194,18 @@
 		}
 		for _, st := range p.Steps {
 			if st.Do == Restart && site[st.Box] == "tacoma" && st.At >= lost && st.At < back {
-				t.Errorf("seed %d: box %s, which had crashed, starts again at %v", seed, st.Box, st.At)
+				t.Errorf("seed %d: backend %s, which had crashed, restarts at %v", seed, st.Box, st.At)
 			}
 			if st.Do != Start || site[st.Box] != "tacoma" || st.At <= lost || st.At >= back {
 				continue
 			}
 			found++
 			if !slices.ContainsFunc(p.Steps, func(x Step) bool { return x.Do == Isolate && x.Box == st.Box && x.At == st.At }) {
-				t.Errorf("seed %d: box %s starts at %v and is heard of", seed, st.Box, st.At)
+				t.Errorf("seed %d: backend %s starts at %v and is not isolated", seed, st.Box, st.At)
 			}
 		}
 	}
 	if found == 0 {
-		t.Error("no day has a box that starts there meanwhile")
+		t.Error("no seed starts a backend there meanwhile")
 	}
 }
--- a/internal/kit/stand/bad.go
+++ b/internal/kit/stand/bad.go
@@ -16,7 +16,8 @@
 	"craneglade/internal/kit/trace"
 )
 
-// StartBadClient plays one client that sends what is no request to a node. Within 3 s it is owed an error or a close.
+// StartBadClient runs one client that sends a malformed, incomplete or abusive request of a kind to a node (from 1).
+// The node has to answer with an error or close the connection within 3 s; one kind is a well-formed health check.
 func (c *Clients) StartBadClient(ctx context.Context, node int, kind string) {
 	c.wg.Add(1)
 	go func() {
@@ -27,7 +28,7 @@
 
 const badRequestHead = "POST /api?key=bad&w=1000 HTTP/1.1\r\nHost: backend.local\r\nX-Tenant: nobody\r\n"
 
-// badRequest is what a bad client sends first, and whether it goes on with noise.
+// badRequest returns what a bad client sends first, and whether it then floods the connection with header lines.
 func (c *Clients) badRequest(kind, stolenID string) (string, bool) {
 	s := c.plan.Scenario
 	class := s.Classes[0]
@@ -61,7 +62,7 @@
 	case "open-id":
 		return head + "X-Request-Id: " + stolenID + "\r\n" + deadline + "Content-Length: 0\r\n\r\n", false
 	}
-	return "", false // silent
+	return "", false // the client sends nothing
 }
 
 func (c *Clients) runBadClient(ctx context.Context, node int, kind string) {
@@ -71,7 +72,7 @@
 	if n := len(target.openIDs); n > 0 {
 		stolenID = target.openIDs[n-1]
 	} else if kind == "open-id" {
-		kind = "no-id" // there is none to steal
+		kind = "no-id" // no request is open, so there is no id to reuse
 	}
 	c.mu.Unlock()
 	dialing, cancel := context.WithTimeout(ctx, connectTimeout)
@@ -98,7 +99,7 @@
 	if keepSending {
 		go floodHeaders(conn)
 	}
-	// A silent one is owed a close; it must not give up first, nor is it watched for longer than that takes.
+	// A client that sends nothing has to be disconnected by the node; it waits just as long as the node may take.
 	conn.SetReadDeadline(start.Add(badClientTimeout))
 	in := bufio.NewReader(conn)
 	status := 0
@@ -116,7 +117,7 @@
 		if status == 200 || status == 503 {
 			how = "answered"
 		}
-		io.Copy(io.Discard, in) // it keeps its connection for as long as it may
+		io.Copy(io.Discard, in) // keeps the connection until the deadline
 	case status == 200:
 		how = "served"
 	case status >= 400:
@@ -130,7 +131,7 @@
 		Took: time.Since(start).Microseconds()})
 }
 
-// floodHeaders goes on sending until the connection ends.
+// floodHeaders sends header lines until the connection ends, 60 MB at most.
 func floodHeaders(conn net.Conn) {
 	noise := strings.Repeat("X-Noise: noise\r\n", 512)
 	for range 8000 { // 60 MB
--- a/internal/kit/stand/box.go
+++ b/internal/kit/stand/box.go
@@ -17,30 +17,30 @@
 	"craneglade/internal/kit/trace"
 )
 
-// loadInterval and capacityInterval say how often a box notes its load and, while it is cold, what it can do.
+// loadInterval and capacityInterval are how often a backend records its load and, while it is cold, its capacity.
 const (
 	loadInterval     = 500 * time.Millisecond
 	capacityInterval = 100 * time.Millisecond
 )
 
-// maxBodyBytes is the largest body of a request that a box reads, in bytes.
+// maxBodyBytes limits how much of a request body a backend reads.
 const maxBodyBytes = 32 << 20
 
-// BackendConfig is what a box is.
+// BackendConfig describes a backend.
 type BackendConfig struct {
 	ID, Site, Kind string
 	Cell           int
 	Seed           uint64
 	Spec           boxmodel.Spec
-	Handshake      time.Duration                           // work that a new connection costs, on a core of speed 1
-	MaxConns       int                                     // connections that it accepts; 0 for any number
-	IdleTimeout    time.Duration                           // a connection that stood idle for so long is closed
-	Delay          func(from string) time.Duration         // one way, between a site and this box
-	Report         struct{ Interval, Delay time.Duration } // of load reports
-	ReportNoise    float64                                 // of load reports, as a part
+	Handshake      time.Duration                           // work per new connection, on a core of speed 1
+	MaxConns       int                                     // requests on connections beyond this many are rejected; 0: no limit
+	IdleTimeout    time.Duration                           // after which an idle connection is closed; 0: never
+	Delay          func(from string) time.Duration         // one way, between a site and this backend
+	Report         struct{ Interval, Delay time.Duration } // of load reports: how often one is taken, and its least age when it is sent
+	ReportNoise    float64                                 // relative standard deviation of the reported figures
 }
 
-// Backend is a box process. It serves until Stop.
+// Backend is a stand-in for a backend process. It serves until Stop.
 type Backend struct {
 	cfg          BackendConfig
 	clock        Clock
@@ -57,42 +57,43 @@
 	conns           map[*backendConn]struct{}
 	links           []*link
 	draining        bool
-	stopped         bool // its process has ended
-	closed          bool // and its sockets with it, which a box that is cut off keeps until it is back
+	stopped         bool // the process has ended
+	closed          bool // its sockets are closed too; an isolated backend keeps them until Stop
 	isolated        bool
 	resetFraction   float64
 	corruptFraction float64
 	dropFraction    float64
-	failingClass    string // the class that it fails, if any
+	failingClass    string // requests of this class are answered with an error; "" for none
 	slow            bool
 	reports         *boxmodel.Reports
 }
 
-// request is one request at this box.
+// request is one request at this backend.
 type request struct {
 	conn      *backendConn
 	id        string
 	attempt   int64
-	response  string // that it is answered with
-	willReset bool   // it is reset when it ends, not answered
+	response  string // body of the response when it is served
+	willReset bool   // its connection is reset instead of a response
 }
 
+// backendConn is a connection from a node, or one JSON-RPC call on it.
 type backendConn struct {
 	net.Conn
 	link      *link
 	node      trace.Node
 	isNew     bool
-	overLimit bool // past the number that the box accepts
-	wasCut    bool // it was open when its link was whole again; guarded by Box.mu
+	overLimit bool // accepted beyond BackendConfig.MaxConns
+	wasCut    bool // it was open when its link was restored; guarded by Backend.mu
 	current   atomic.Pointer[request]
 
-	shared *backendConn // of a JSON-RPC call: the connection that it shares with others,
-	rpcID  string       // and its id there
+	shared *backendConn // for a JSON-RPC call: the connection that carries it
+	rpcID  string       // for a JSON-RPC call: its id
 }
 
-// NewBackend starts a box that listens nowhere yet. atts numbers the requests at all boxes of a rehearsal.
-func NewBackend(cfg BackendConfig, clock Clock, out *trace.Writer, atts *atomic.Int64) *Backend {
-	b := &Backend{cfg: cfg, clock: clock, out: out, attemptCount: atts, wake: make(chan struct{}, 1), quit: make(chan struct{}),
+// NewBackend starts a backend without a listener. attemptCount numbers the requests at all backends of a rehearsal.
+func NewBackend(cfg BackendConfig, clock Clock, out *trace.Writer, attemptCount *atomic.Int64) *Backend {
+	b := &Backend{cfg: cfg, clock: clock, out: out, attemptCount: attemptCount, wake: make(chan struct{}, 1), quit: make(chan struct{}),
 		rng: rand.New(rand.NewPCG(cfg.Seed, 3)), open: map[uint64]*request{}, conns: map[*backendConn]struct{}{}}
 	now := clock.Now()
 	b.model = boxmodel.New(cfg.Spec, cfg.Seed, now)
@@ -106,13 +107,13 @@
 	return b
 }
 
-// recordState notes a change of the box as a whole. b.mu is held, or nobody else knows the box.
+// recordState records a change of the backend's state. The caller holds b.mu or has the only reference.
 func (b *Backend) recordState(now time.Duration, state string) {
 	b.out.Add(&trace.Record{Kind: trace.Box, T: trace.US(now), Box: b.cfg.ID, Site: b.cfg.Site, Cell: b.cfg.Cell, Kit: b.cfg.Kind,
 		State: state, Cores: b.model.Capacity(), Full: b.model.FullCapacity()})
 }
 
-// Serve takes connections of one node from ln, and closes it when the box stops.
+// Serve accepts connections of one node from ln. The listener is closed when the backend stops.
 func (b *Backend) Serve(ln net.Listener, node trace.Node) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -133,7 +134,8 @@
 	})
 }
 
-// accept takes a connection. One that comes while its link is cut is taken, and nobody else's until it is whole again.
+// accept handles a new connection. While the link is cut, the first one blocks the accept loop until the link is
+// restored; it and all that wait behind it are then reset.
 func (b *Backend) accept(conn net.Conn, l *link) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -165,7 +167,7 @@
 	}()
 }
 
-// connCount is the number of connections. b.mu is held.
+// connCount returns the number of connections, JSON-RPC calls not counted. The caller holds b.mu.
 func (b *Backend) connCount() int {
 	n := 0
 	for c := range b.conns {
@@ -176,7 +178,7 @@
 	return n
 }
 
-// Drain makes the box finish what it has and turn new requests away.
+// Drain makes the backend finish the requests in flight and reject new ones.
 func (b *Backend) Drain() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -184,7 +186,7 @@
 	b.recordState(b.clock.Now(), trace.Terminating)
 }
 
-// Stop ends the process: connections are reset, new ones are refused. It returns when all of it has ended.
+// Stop ends the process: connections are reset and new ones are refused. It returns when all goroutines have ended.
 func (b *Backend) Stop() {
 	b.mu.Lock()
 	b.terminate()
@@ -206,20 +208,20 @@
 	b.wg.Wait()
 }
 
-// Crash ends the process. Of a box that is cut off nobody hears that: its connections stay as they are until Stop.
+// Crash ends the process. Nodes do not see this from an isolated backend: its connections stay open until Stop.
 func (b *Backend) Crash() {
 	b.mu.Lock()
-	silent := b.isolated
-	if silent {
+	isolated := b.isolated
+	if isolated {
 		b.terminate()
 	}
 	b.mu.Unlock()
-	if !silent {
+	if !isolated {
 		b.Stop()
 	}
 }
 
-// terminate ends what runs here. b.mu is held.
+// terminate ends the requests in flight and the model. The caller holds b.mu.
 func (b *Backend) terminate() {
 	if b.stopped {
 		return
@@ -232,9 +234,10 @@
 	close(b.quit)
 }
 
-// resetConn resets a connection, and notes so for the request on it. b.mu is held.
+// resetConn resets a connection and records that for its request, and for all JSON-RPC calls that share the
+// connection. The caller holds b.mu.
 func (b *Backend) resetConn(c *backendConn) {
-	for o := range b.conns { // all calls that share it
+	for o := range b.conns { // other calls on the same connection
 		if o != c && c.shared != nil && o.shared == c.shared {
 			b.recordReset(o)
 		}
@@ -245,14 +248,14 @@
 	}
 }
 
-// recordReset notes that a connection's request is reset. b.mu is held.
+// recordReset records that a connection's request is reset. The caller holds b.mu.
 func (b *Backend) recordReset(c *backendConn) {
 	if k := c.current.Swap(nil); k != nil {
 		b.out.Add(&trace.Record{Kind: trace.Reply, T: b.clock.us(), Box: b.cfg.ID, Att: k.attempt, ID: k.id, How: trace.Reset})
 	}
 }
 
-// Isolate cuts the box off; Return brings it back, with every connection from before reset.
+// Isolate cuts the backend off from all nodes until Reconnect, which resets every connection from before.
 func (b *Backend) Isolate() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -266,7 +269,7 @@
 	b.recordState(b.clock.Now(), trace.Silent)
 }
 
-// Reconnect ends Silence. Connections that begin after it come up.
+// Reconnect ends Isolate. New connections succeed from then on.
 func (b *Backend) Reconnect() {
 	var waits []<-chan struct{}
 	defer func() { waitAll(waits) }()
@@ -281,7 +284,7 @@
 	}
 }
 
-// SetSlowdown makes the box slower by a factor; 1 is its usual speed.
+// SetSlowdown slows the backend down by a factor; 1 is its normal speed.
 func (b *Backend) SetSlowdown(factor float64) {
 	b.mu.Lock()
 	b.model.SetSlowdown(b.clock.Now(), factor)
@@ -289,21 +292,21 @@
 	b.wakeLoop()
 }
 
-// SetFaults sets the parts of the requests that are reset and of the answers that are spoilt.
+// SetFaults sets the fractions of requests that are reset and of responses that are corrupted.
 func (b *Backend) SetFaults(resetFraction, corruptFraction float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.resetFraction, b.corruptFraction = resetFraction, corruptFraction
 }
 
-// SetDropFraction sets the part of the requests that the box reads and then forgets: they neither run nor get an answer.
+// SetDropFraction sets the fraction of requests that the backend reads and drops: they neither run nor get a response.
 func (b *Backend) SetDropFraction(fraction float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.dropFraction = fraction
 }
 
-// SetClassFailure makes the box answer requests of a class with an error, or ends that.
+// SetClassFailure makes the backend answer all requests of a class with an error, or ends that.
 func (b *Backend) SetClassFailure(class string, on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -313,19 +316,20 @@
 	}
 }
 
-// Status is what there is to show of a box.
+// Status is the state of a backend as progress displays show it.
 type Status struct {
 	Warm, Slow, Draining, Isolated, Collapsed bool
 	InFlight                                  int
 }
 
-// Status tells how the box stands.
+// Status returns the current state.
 func (b *Backend) Status() Status {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return Status{b.model.Warm(), b.slow, b.draining, b.isolated, b.model.Down(), b.model.InFlight()}
 }
 
+// wakeLoop makes run look at the model again.
 func (b *Backend) wakeLoop() {
 	select {
 	case b.wake <- struct{}{}:
@@ -333,7 +337,7 @@
 	}
 }
 
-// run keeps the model up to the time and answers what it has done.
+// run advances the model with the clock, sends the responses and records load, capacity and reports.
 func (b *Backend) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -374,7 +378,8 @@
 	}
 }
 
-// applyResults carries out what the model has done. b.mu is held.
+// applyResults records the model's state changes and responds to the requests that it has finished. The caller holds
+// b.mu.
 func (b *Backend) applyResults() {
 	results, changes := b.model.TakeResults()
 	for _, c := range changes {
@@ -421,7 +426,7 @@
 	}
 }
 
-// corruptResponses are things that are no answers.
+// corruptResponses are byte sequences that are not valid HTTP responses.
 var corruptResponses = []string{
 	"\x00\x01\x02 this is noise \xff\xfe\r\n\r\n",
 	"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nminus",
@@ -430,16 +435,17 @@
 	"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\nwhich",
 }
 
-// responseText is an answer's text with the load report that is due. b.mu is held.
+// responseText returns a response with the current load report in X-Load. The caller holds b.mu.
 func (b *Backend) responseText(status int, headers, body string) string {
-	if held, queue, ok := b.reports.Due(); ok && status != 400 && status != 404 {
-		headers += fmt.Sprintf("X-Load: {\"inflight\":%d,\"queue\":%d}\r\n", held, queue)
+	if inFlight, waiting, ok := b.reports.Due(); ok && status != 400 && status != 404 {
+		headers += fmt.Sprintf("X-Load: {\"inflight\":%d,\"queue\":%d}\r\n", inFlight, waiting)
 	}
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Type: application/json\r\n%sContent-Length: %d\r\n\r\n%s", status,
 		http.StatusText(status), headers, len(body), body)
 }
 
-// sendDelayed writes an answer once it has come as far as the node's site.
+// sendDelayed writes a response after the one-way delay to the node's site, unless its connection or its link has gone
+// by then.
 func (b *Backend) sendDelayed(k *request, how, text string) {
 	status := 0
 	if how != trace.Spoilt {
@@ -452,7 +458,7 @@
 		lost := !b.canSend(k.conn)
 		b.mu.Unlock()
 		if lost || !k.conn.current.CompareAndSwap(k, nil) {
-			return // the node has gone, or the box has, or what it says is lost on the way
+			return // the node has disconnected, the backend has ended, or the link loses the response
 		}
 		if k.conn.shared != nil {
 			text = rpcText(k.conn.rpcID, text)
@@ -472,8 +478,8 @@
 	})
 }
 
-// waitReachable returns once the box can be reached. It tells whether it could all along, as far as this connection goes: what
-// was read off it just before the box came back is none of the box's either.
+// waitReachable blocks while the node's traffic does not reach the backend. It reports whether this connection was
+// never under a cut: what was read from it just before the link was restored counts as lost too.
 func (b *Backend) waitReachable(c *backendConn) bool {
 	b.mu.Lock()
 	restored, reachable, wasCut := c.link.restored, b.canReceive(c), c.wasCut
@@ -485,7 +491,7 @@
 	return false
 }
 
-// serveConn reads the requests of one connection.
+// serveConn reads the requests of one connection. The first byte tells JSON-RPC from HTTP.
 func (b *Backend) serveConn(c *backendConn) {
 	if !b.waitReachable(c) {
 		reset(c.Conn)
@@ -499,7 +505,7 @@
 		next, err := in.Peek(1)
 		first := b.clock.us()
 		if !b.waitReachable(c) {
-			return // what came while it was cut off came nowhere
+			return // bytes that arrived during the cut are lost
 		}
 		if err != nil {
 			b.handleDisconnect(c)
@@ -516,7 +522,7 @@
 	}
 }
 
-// handleDisconnect is called when a node has closed a connection.
+// handleDisconnect records that a node has closed a connection, and cancels the request on it after the one-way delay.
 func (b *Backend) handleDisconnect(c *backendConn) {
 	k := c.current.Swap(nil)
 	if k == nil {
@@ -534,7 +540,8 @@
 	})
 }
 
-// handleRequest reads one request and hands it to the model. It returns false when the connection is of no further use.
+// handleRequest reads one request and gives it to the model after the one-way delay. It returns false when the
+// connection cannot be used any more.
 func (b *Backend) handleRequest(c *backendConn, in *bufio.Reader, first int64) bool {
 	r, err := http.ReadRequest(in)
 	var body []byte
@@ -558,31 +565,31 @@
 		return err == nil
 	}
 	rec.ID, rec.Class, rec.Att = r.Header.Get("X-Request-Id"), r.Header.Get("X-Class"), b.attemptCount.Add(1)
-	work, bad := checkRequest(r, body)
+	work, reason := checkRequest(r, body)
 	if r.URL.Query().Get("key") == "bad" {
 		rec.How = trace.BadClient
 	}
-	extra := time.Duration(0)
+	overhead := time.Duration(0)
 	if c.isNew {
-		extra, c.isNew = b.cfg.Handshake, false
+		overhead, c.isNew = b.cfg.Handshake, false
 	}
-	rec.Work = trace.US(work + extra)
+	rec.Work = trace.US(work + overhead)
 	k := &request{conn: c, id: rec.ID, attempt: rec.Att}
 	k.response = fmt.Sprintf(`{"for":%q,"box":%q,"run":%d,"saved":true,"price":"%d.00"}`, rec.ID, b.cfg.ID, rec.Att, 400+rec.Att%900)
 	if !c.current.CompareAndSwap(nil, k) {
 		return false // a second request before the first is answered
 	}
 	b.out.Add(&rec)
-	var until time.Duration
+	var deadline time.Duration
 	if wait, err := strconv.ParseFloat(deadlineMicroseconds(r.Header.Get("X-Deadline")), 64); err == nil {
-		until = b.clock.Now() + time.Duration(wait*1e3)
+		deadline = b.clock.Now() + time.Duration(wait*1e3)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if bad != "" {
-		b.out.Add(&trace.Record{Kind: trace.Reply, T: b.clock.us(), Box: b.cfg.ID, Att: k.attempt, ID: k.id, Status: 400, How: trace.Refused, Why: bad})
+	if reason != "" {
+		b.out.Add(&trace.Record{Kind: trace.Reply, T: b.clock.us(), Box: b.cfg.ID, Att: k.attempt, ID: k.id, Status: 400, How: trace.Refused, Why: reason})
 		c.current.Store(nil)
-		text := b.responseText(400, "", bad+"\n")
+		text := b.responseText(400, "", reason+"\n")
 		if c.shared != nil {
 			text = rpcText(c.rpcID, text)
 		}
@@ -594,7 +601,7 @@
 		return true
 	}
 	if b.dropFraction > 0 && b.rng.Float64() < b.dropFraction {
-		return true // until its node gives it up
+		return true // no response: the node has to time out
 	}
 	if b.failingClass != "" && rec.Class == b.failingClass {
 		b.sendDelayed(k, trace.Failed, b.responseText(500, "", "failed\n"))
@@ -603,7 +610,7 @@
 	if b.resetFraction > 0 && b.rng.Float64() < b.resetFraction {
 		k.willReset = true
 	}
-	job := boxmodel.Job{ID: uint64(k.attempt), Work: work.Seconds(), Overhead: extra.Seconds(), Deadline: until}
+	job := boxmodel.Job{ID: uint64(k.attempt), Work: work.Seconds(), Overhead: overhead.Seconds(), Deadline: deadline}
 	b.wg.Add(1)
 	time.AfterFunc(b.cfg.Delay(c.node.Site), func() {
 		defer b.wg.Done()
@@ -620,7 +627,8 @@
 	return true
 }
 
-// deadlineMicroseconds turns X-Deadline into microseconds, as text.
+// deadlineMicroseconds returns the value of X-Deadline, which has a unit of one letter, as a number of microseconds for
+// ParseFloat: "800m" gives "800e3".
 func deadlineMicroseconds(s string) string {
 	if n := len(s); n > 0 && s[n-1] == 'm' {
 		return s[:n-1] + "e3"
@@ -630,7 +638,7 @@
 	return s
 }
 
-// checkRequest tells a request's work, and what is wrong with it where a client of the kit can't have sent it so.
+// checkRequest returns a request's work, or what is wrong with a request that no client of the kit can have sent.
 func checkRequest(r *http.Request, body []byte) (time.Duration, string) {
 	id := r.Header.Get("X-Request-Id")
 	us, err := strconv.ParseInt(r.URL.Query().Get("w"), 10, 64)
--- a/internal/kit/stand/chunked.go
+++ b/internal/kit/stand/chunked.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// maxChunkBytes is the largest chunk that a client of the kit sends, in bytes.
+// maxChunkBytes is the largest chunk that a client sends.
 const maxChunkBytes = 400
 
-// chunkRand are the draws for how a try sends its body, apart from all others: a seed plays the same day whatever part
-// of its bodies comes in chunks.
+// chunkRand returns the generator that decides how a try sends its body. It is separate from all others, so that the
+// share of chunked bodies does not change anything else that a seed gives.
 func chunkRand(seed uint64, try int) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, 8+uint64(try)<<8))
 }
 
-// encodeChunked is a body in chunks (RFC 9112, 7.1), in the pieces in which it is written: now and then with extensions, with
-// trailers, with zeros before a size, and with pieces that end in the middle of a line.
+// encodeChunked encodes a body in chunks (RFC 9112, section 7.1) and returns the pieces in which it is written. At
+// random there are chunk extensions, a trailer, leading zeros in a size, and pieces that end in the middle of a line.
 func encodeChunked(rng *rand.Rand, body string) []string {
 	var text strings.Builder
 	for body != "" {
@@ -32,12 +32,12 @@
 	return splitRandomly(rng, text.String())
 }
 
-// randomExtension is what stands behind a chunk's size.
+// randomExtension returns a chunk extension, or none.
 func randomExtension(rng *rand.Rand) string {
 	return []string{"", "", "", ";part", ";part=1", `;part="one; two"`}[rng.IntN(6)]
 }
 
-// splitRandomly cuts a text in one to four.
+// splitRandomly splits a text into one to four pieces.
 func splitRandomly(rng *rand.Rand, text string) []string {
 	var all []string
 	for range rng.IntN(4) {
--- a/internal/kit/stand/chunked_test.go
+++ b/internal/kit/stand/chunked_test.go
@@ -12,8 +12,9 @@
 	"craneglade/internal/kit/trace"
 )
 
-// Whatever is drawn, a reader has the body back, and the same draws give the same pieces.
-func TestChunksHoldTheirBody(t *testing.T) {
+// Guards against chunked bodies that an HTTP reader cannot decode, and against a seed that gives other pieces the
+// second time.
+func TestChunkedBodyDecodes(t *testing.T) {
 	t.Parallel()
 	extended, trailed, cut := false, false, false
 	for seed := range uint64(200) {
@@ -38,8 +39,9 @@
 	}
 }
 
-// Clients that are told so send every body in chunks, whole, and note that they do; a request without a body has none.
-func TestClientsSendChunks(t *testing.T) {
+// With chunked = 1.0 clients send every body complete and in chunks and record that; a request without a body is not
+// chunked.
+func TestClientsSendChunkedBodies(t *testing.T) {
 	b := newTraceBuffer()
 	bodies := make(chan *http.Request, 10)
 	c := clients(t, b, "chunked = 1.0\n"+quickClasses, func(conn net.Conn, in *bufio.Reader) {
--- a/internal/kit/stand/client.go
+++ b/internal/kit/stand/client.go
@@ -24,17 +24,17 @@
 )
 
 const (
-	// A client of the kit stays for longer than its time, so that a late answer is told from none.
+	// Clients keep the connection for longer than their timeout, so that a late response can be told from none.
 	lingerTime       = 200 * time.Millisecond
 	connectTimeout   = time.Second
 	idleTimeout      = 30 * time.Second
-	resetWait        = 10 * time.Millisecond // for a reset to come behind an end
-	badClientTimeout = 3 * time.Second       // within which a bad client is owed an error or a close
+	resetWait        = 10 * time.Millisecond // time for a reset to arrive after the end of the stream
+	badClientTimeout = 3 * time.Second       // within which the node has to answer a bad client with an error or disconnect it
 )
 
 var errConnLimit = errors.New("clients hold as many connections to this node as they can")
 
-// Clients are all clients of a rehearsal, with the front that deals their connections out among the nodes.
+// Clients are all clients of a rehearsal, with the load balancer that distributes their connections over the nodes.
 type Clients struct {
 	plan            *plan.Plan
 	dial            Dial
@@ -42,7 +42,7 @@
 	out             *trace.Writer
 	slack           time.Duration
 	start           time.Duration
-	maxConnsPerNode int // connections to a node
+	maxConnsPerNode int // 0: no limit
 	wg              sync.WaitGroup
 	conns           atomic.Int64
 	Count           Counts
@@ -50,25 +50,25 @@
 	mu       sync.Mutex
 	nodes    []*nodeState
 	rng      *rand.Rand
-	bodyPads []string // a body's filler by class
+	bodyPads []string // by class, the padding of a body
 }
 
-// Counts are figures for the eye, since the start.
+// Counts are totals since the start, for progress displays.
 type Counts struct {
 	Started, InTime, Late, Refused, Failed, Unreachable, Abandoned atomic.Int64
 	Open                                                           atomic.Int64
 }
 
-// Reach tells how clients can reach a node.
+// Reach says how clients can reach a node.
 type Reach uint8
 
 const (
 	Unreachable Reach = iota // not at all
-	Reachable                // by connections that they have, and by new ones
-	Draining                 // by those that they have alone, for as long as these stay open
+	Reachable                // over existing and new connections
+	Draining                 // only over existing connections, while these stay open
 )
 
-// nodeState is what the front layer knows of a node.
+// nodeState is what the clients know of a node.
 type nodeState struct {
 	trace.Node
 	addr    string
@@ -79,10 +79,10 @@
 
 	dialing int
 	conns   map[*clientConn]struct{}
-	openIDs []string // of open requests, the latest last: what a bad client steals
+	openIDs []string // ids of open requests, the latest last; bad clients reuse one
 }
 
-// NewClients returns the clients of a plan. slack is how much later than its client's deadline an answer still counts.
+// NewClients returns the clients of a plan. slack is how long after its client's deadline a response still counts.
 func NewClients(p *plan.Plan, nodes []trace.Node, dial Dial, clock Clock, out *trace.Writer, slack time.Duration) *Clients {
 	c := &Clients{plan: p, dial: dial, clock: clock, out: out, slack: slack, maxConnsPerNode: p.Scenario.Clients.Conns, rng: rand.New(rand.NewPCG(p.Seed, 4))}
 	for _, n := range nodes {
@@ -94,17 +94,17 @@
 	return c
 }
 
-// SetStart says when the plan's time begins, since the start of the rehearsal. It is called before Play.
+// SetStart sets the moment, since the start of the rehearsal, at which the plan starts. It must be called before Play.
 func (c *Clients) SetStart(at time.Duration) { c.start = at }
 
-// SetNode tells the front of a node's address and how clients are to go there.
+// SetNode sets a node's address and how clients can reach it.
 func (c *Clients) SetNode(i int, addr string, reach Reach) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nodes[i].addr, c.nodes[i].reach = addr, reach
 }
 
-// accepting tells whether a request may go to a node. Clients.mu is held.
+// accepting reports whether a request may go to the node. The caller holds Clients.mu.
 func (f *nodeState) accepting() bool {
 	if f.reach != Draining {
 		return f.reach == Reachable
@@ -113,15 +113,15 @@
 	return len(f.idle) > 0
 }
 
-// hasEnded tells whether a connection has ended.
+// hasEnded reports whether the connection has ended.
 func (k *clientConn) hasEnded() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ended
 }
 
-// Play sends what the plan's needs say, each at its time, until the last or until ctx ends. It returns when the last
-// has begun; Wait waits for the rest.
+// Play starts the plan's operations, each at its time, until the last or until ctx is done. It returns when the last one
+// has started; Wait waits until they have ended.
 func (c *Clients) Play(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -150,10 +150,10 @@
 	}
 }
 
-// Wait returns when every request has its end.
+// Wait returns when every operation and every bad client has ended.
 func (c *Clients) Wait() { c.wg.Wait() }
 
-// Close closes all connections.
+// Close closes all connections and waits for their readers.
 func (c *Clients) Close() {
 	c.mu.Lock()
 	var all []*clientConn
@@ -169,7 +169,7 @@
 	}
 }
 
-// pickNode deals out a node for a client of a site.
+// pickNode returns a random node of the site, or of another site if none there is accepting; nil if there is none.
 func (c *Clients) pickNode(site string) *nodeState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,13 +192,13 @@
 	return near[c.rng.IntN(len(near))]
 }
 
-// result is how one try ended.
+// result is how one try ended for its client.
 type result struct {
 	how        string // served, refused, failed, unreachable, left
 	retryAfter time.Duration
 }
 
-// runOperation is one client's: its tries, and what became of them.
+// runOperation runs one client's operation: its tries, and the records of its start and end.
 func (c *Clients) runOperation(ctx context.Context, n plan.Operation) {
 	s := c.plan.Scenario
 	class := &s.Classes[n.Class]
@@ -257,7 +257,7 @@
 	}
 }
 
-// clientTry is one request.
+// clientTry is one try of an operation, with a request id of its own.
 type clientTry struct {
 	op             *plan.Operation
 	class          *scenario.Class
@@ -266,22 +266,23 @@
 	timeout        time.Duration
 	key            string
 	idempotencyKey string
-	rpc            bool // it goes as a JSON-RPC call
-	chunked        bool // its body goes in chunks
+	rpc            bool // sent as a JSON-RPC call
+	chunked        bool // body sent in chunks
 	rec            trace.Record
 	conn           *clientConn
-	ended          chan tryEnd // holds one
+	ended          chan tryEnd // has room for one
 }
 
-// tryEnd is what a connection saw of a request's end.
+// tryEnd is how a request ended on its connection.
 type tryEnd struct {
-	status     int // 0: the connection ended without an answer
+	status     int // 0: the connection ended without a response
 	bytes      int64
 	retryAfter time.Duration
 	why        string
 }
 
-// attempt sends a request, once more on a new connection where a kept one had closed, and waits for its end.
+// attempt sends a request and waits for its end. If a reused connection ended without a byte of a response, the request
+// is sent once more, on a new connection.
 func (c *Clients) attempt(ctx context.Context, t *clientTry) result {
 	for resend := false; ; resend = true {
 		f := c.pickNode(t.rec.Site)
@@ -299,8 +300,8 @@
 	}
 }
 
-// exchange sends a request on a connection. The second result tells that the connection was a kept one that ended
-// without a word.
+// exchange sends a request on a connection and waits for its end. The second result reports that the connection was a
+// reused one that ended without a byte of a response.
 func (c *Clients) exchange(ctx context.Context, t *clientTry, conn *clientConn, reused, resend bool) (result, bool) {
 	t.conn, t.ended = conn, make(chan tryEnd, 1)
 	rec := t.rec
@@ -353,7 +354,7 @@
 			}
 			return result{how: "left"}, false
 		}
-		e = <-t.ended // it came at this moment
+		e = <-t.ended // the end came just now
 	}
 	if e.status == 0 {
 		conn.Close()
@@ -363,7 +364,7 @@
 		return result{how: "failed"}, reused && e.bytes == 0
 	}
 	if e.why == "keep" {
-		if !t.op.Once { // else it stays open, and nobody uses it
+		if !t.op.Once { // the connection of a one-shot client stays open, unused
 			c.putIdle(conn)
 		}
 	} else {
@@ -378,7 +379,7 @@
 	return result{how: "failed"}, false
 }
 
-// trackID keeps the ids of a node's open requests.
+// trackID adds an id to a node's open requests, or removes it.
 func (c *Clients) trackID(f *nodeState, id string, open bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -394,7 +395,7 @@
 	}
 }
 
-// write sends the request, in pieces where its body goes in chunks.
+// write sends the request, in several pieces if its body is chunked.
 func (t *clientTry) write(to io.Writer, pad string) error {
 	var all []string
 	if t.rpc {
@@ -404,7 +405,7 @@
 		all = []string{head + body}
 		if t.chunked {
 			draws := chunkRand(t.op.Seed, t.try)
-			draws.Float64() // told whether it is in chunks
+			draws.Float64() // skips the draw that decided to send chunks
 			all = append([]string{head}, encodeChunked(draws, body)...)
 		}
 	}
@@ -416,7 +417,7 @@
 	return nil
 }
 
-// httpText is the request as PROTOCOL has it: its head and its body.
+// httpText returns the head and the body of the HTTP request.
 func (t *clientTry) httpText(pad string) (head, body string) {
 	method := "POST"
 	if t.class.Effect == "safe" {
@@ -440,8 +441,8 @@
 	return b.String(), body
 }
 
-// clientConn is a connection to a node. One goroutine reads it for as long as it is open, so that what comes when
-// nothing is asked for is seen when it comes.
+// clientConn is a connection to a node. A goroutine reads it for as long as it is open, so that bytes that arrive with
+// no request open are noticed at once.
 type clientConn struct {
 	net.Conn
 	number    int64
@@ -454,11 +455,11 @@
 
 	mu      sync.Mutex
 	current *clientTry
-	lastID  string // the id of the latest request
+	lastID  string // id of the latest request
 	ended   bool
 }
 
-// connect returns a connection to a node: one that is kept, unless fresh, or a new one.
+// connect returns a connection to a node and whether it is reused: an idle one unless fresh is set, else a new one.
 func (c *Clients) connect(ctx context.Context, f *nodeState, fresh, rpc bool) (*clientConn, bool, error) {
 	c.mu.Lock()
 	idle := f.idleConns(rpc)
@@ -504,20 +505,21 @@
 	return k, false, nil
 }
 
+// putIdle makes a connection available for reuse.
 func (c *Clients) putIdle(k *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k.used, k.idleSince = true, time.Now()
 	idle := k.node.idleConns(k.rpc)
 	*idle = append(*idle, k)
-	// Those that have not been needed for long are closed, the oldest first.
+	// Connections idle for longer than idleTimeout are closed, the oldest first.
 	for len(*idle) > 0 && time.Since((*idle)[0].idleSince) > idleTimeout {
 		(*idle)[0].Close()
 		*idle = (*idle)[1:]
 	}
 }
 
-// idleConns are the connections of a protocol that carry nothing. Clients.mu is held.
+// idleConns returns the list of idle connections of a protocol. The caller holds Clients.mu.
 func (f *nodeState) idleConns(rpc bool) *[]*clientConn {
 	if rpc {
 		return &f.idleRPC
@@ -531,7 +533,8 @@
 	k.current, k.lastID = t, t.id
 }
 
-// abandon takes a request off its connection; false if its end has come.
+// abandon detaches a request from its connection and marks the connection as ended. It returns false if the request
+// has ended.
 func (k *clientConn) abandon(t *clientTry) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -542,7 +545,7 @@
 	return true
 }
 
-// takeCurrent takes the open request, if there is one.
+// takeCurrent detaches and returns the open request; nil if there is none.
 func (k *clientConn) takeCurrent() *clientTry {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -551,6 +554,7 @@
 	return t
 }
 
+// readHTTP reads responses until the connection ends; it passes a JSON-RPC connection to readRPC.
 func (k *clientConn) readHTTP() {
 	defer func() {
 		k.clients.mu.Lock()
@@ -574,7 +578,7 @@
 			last, dead := k.lastID, k.ended
 			k.mu.Unlock()
 			if idle {
-				if !dead { // we left it: what comes now is nobody's
+				if !dead { // after the client disconnected, late bytes are expected
 					k.clients.out.Add(&trace.Record{Kind: trace.Extra, T: first, Node: k.node.Name, Conn: k.number, ID: last, Bytes: int64(in.Buffered())})
 				}
 				k.handleEnd(err, 0)
@@ -593,12 +597,12 @@
 			k.handleEnd(err, counted.n)
 			return
 		}
-		if resp.StatusCode < 200 { // informational: the answer follows
+		if resp.StatusCode < 200 { // informational: the final response follows
 			continue
 		}
 		t := k.takeCurrent()
 		if t == nil {
-			return // its client has left at this moment
+			return // the client has just disconnected
 		}
 		e := tryEnd{status: resp.StatusCode, bytes: counted.n}
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 {
@@ -616,7 +620,7 @@
 	}
 }
 
-// handleEnd notes the end of a connection for the request that is open on it.
+// handleEnd marks the connection as ended and, if a request is open on it, records that it broke.
 func (k *clientConn) handleEnd(err error, bytes int64) {
 	at := k.clients.clock.us()
 	k.mu.Lock()
@@ -638,21 +642,21 @@
 	t.ended <- tryEnd{bytes: bytes, why: why}
 }
 
-// requestWasRead tells whether the other side, which has closed, had read what was sent. Where it had not, its network answers
-// the bytes with a reset (RFC 9293, 3.10.7.1), which comes a moment behind the end. A read tells nothing of it: Linux
-// goes on to say that the stream has ended. The socket's pending error does.
+// requestWasRead reports whether the other side, which has closed the connection, had read what was sent. If it had
+// not, its kernel answers the bytes with a reset (RFC 9293, section 3.10.7.1) shortly after the end of the stream. Reads
+// on Linux still return the end of the stream then; only the socket's pending error shows the reset.
 func (k *clientConn) requestWasRead() bool {
 	time.Sleep(resetWait)
 	s, ok := k.Conn.(syscall.Conn)
 	if !ok {
-		return false // a network that does not tell: in the node's favour
+		return false // unknown on other kinds of connections: assume the case that is no fault of the node
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
 		return false
 	}
 	pending := -1
-	raw.Control(func(fd uintptr) { // an error means that it is closed here
+	raw.Control(func(fd uintptr) { // an error means that the socket is closed on this side
 		if e, err := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR); err == nil {
 			pending = e
 		}
@@ -660,7 +664,7 @@
 	return pending == 0
 }
 
-// byteCounter counts the bytes of one answer.
+// byteCounter counts the bytes of one response.
 type byteCounter struct {
 	r io.Reader
 	n int64
--- a/internal/kit/stand/link.go
+++ b/internal/kit/stand/link.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	maxFillers         = 8                     // connections that are tried until a queue of none is full,
-	fullAfterFailures  = 2                     // which it is after so many in a row that did not come up
-	fillerDialTimeout  = 30 * time.Millisecond // a connection that is not up by then does not come up
-	drainAcceptTimeout = 2 * time.Millisecond  // those that wait are there at once
-	defaultBacklog     = 128                   // connections that wait to be taken; what net.Listen gives is at least this
+	maxFillers         = 8                     // connections that are tried to fill a backlog of 0
+	fullAfterFailures  = 2                     // the backlog is full after this many failures in a row
+	fillerDialTimeout  = 30 * time.Millisecond // a connection that is not established by then will not be
+	drainAcceptTimeout = 2 * time.Millisecond  // connections that wait in the backlog are accepted at once
+	defaultBacklog     = 128                   // of a listener that is not blocked; net.Listen gives at least this
 )
 
-// link is the way between a box and one node. While either direction of it is cut, no new connection comes up, as the
-// kernel's replies would not arrive.
+// link is the network path between a backend and one node. While either direction is cut, no new connection is
+// established, as the handshake would not complete.
 type link struct {
 	ln            net.Listener
 	node          trace.Node
-	inCut, outCut bool          // what the node sends does not arrive, what the box sends does not
-	restored      chan struct{} // closed when the link is whole again; nil while it is
-	drained       chan struct{} // closed once what waited while it was cut is done away with; nil where nothing did
+	inCut, outCut bool          // traffic from the node, and to the node, is lost
+	restored      chan struct{} // closed when the link is restored; nil while it is not cut
+	drained       chan struct{} // closed once the connections that waited during the cut are reset; nil if there were none
 
-	mu      sync.Mutex // guards what follows; taken after Box.mu
+	mu      sync.Mutex // guards the fields below; locked after Backend.mu
 	blocked bool
 	fillers []net.Conn
 }
 
-// block has no connection come up: the listener keeps a queue of none, which the kit itself fills, so that the kernel
-// drops what else comes (listen(2); on Linux with tcp_abort_on_overflow as it comes).
+// block prevents new connections: it sets the listener's backlog to 0 and fills it with connections of its own, so
+// that the kernel drops all others (listen(2); on Linux with the default of tcp_abort_on_overflow).
 func (l *link) block() {
 	l.mu.Lock()
 	l.blocked = true
 	l.mu.Unlock()
 	if !l.setBacklog(0) {
-		return // connections come up, and nothing is heard on them
+		return // connections are still established, but nothing is read from them
 	}
 	for i, failures := 0, 0; i < maxFillers && failures < fullAfterFailures; i++ {
 		c, err := net.DialTimeout("tcp", l.ln.Addr().String(), fillerDialTimeout)
 		if err != nil {
-			failures++ // the first one may still stand in the queue, and be taken off it just after
+			failures++ // a connection still in the backlog may be accepted a moment later
 			continue
 		}
 		failures = 0
@@ -57,7 +57,7 @@
 	}
 }
 
-// unblock ends darken.
+// unblock ends block.
 func (l *link) unblock() {
 	l.mu.Lock()
 	l.blocked = false
@@ -70,8 +70,8 @@
 	}
 }
 
-// resetWaiting resets the connections that waited to be taken while the link was cut: on a real one none of them came up. It is
-// called by who takes connections.
+// resetWaiting resets the connections that waited in the backlog during the cut: over a real network none of them would
+// have been established. Only the accept loop calls it.
 func (l *link) resetWaiting() {
 	t, ok := l.ln.(*net.TCPListener)
 	if !ok || t.SetDeadline(time.Now().Add(drainAcceptTimeout)) != nil {
@@ -87,7 +87,7 @@
 	t.SetDeadline(time.Time{})
 }
 
-// setBacklog sets how many connections may wait to be taken, and tells whether that could be done.
+// setBacklog sets how many connections may wait to be accepted, and reports whether that succeeded.
 func (l *link) setBacklog(n int) bool {
 	t, ok := l.ln.(*net.TCPListener)
 	if !ok {
@@ -102,8 +102,8 @@
 	return err == nil && set
 }
 
-// SetCuts cuts the box off from nodes, as of tells for each: from what the node sends (in), what is sent to it (out), both or
-// neither. Connections that were open under a cut are reset when it ends, and those that begin after it come up.
+// SetCuts sets for each node which direction of its link is cut: from the node (in), to it (out), both or neither.
+// Connections that were open during a cut are reset when it ends; new ones succeed from then on.
 func (b *Backend) SetCuts(cut func(node trace.Node) (in, out bool)) {
 	var waits []<-chan struct{}
 	defer func() { waitAll(waits) }()
@@ -115,7 +115,7 @@
 	}
 }
 
-// waitAll waits for each channel's close; nil ones are none.
+// waitAll waits until each channel is closed; nil channels are skipped.
 func waitAll(all []<-chan struct{}) {
 	for _, c := range all {
 		if c != nil {
@@ -124,8 +124,8 @@
 	}
 }
 
-// updateLink brings a link to what is cut now. Where that makes it whole, what it returns is closed once what waited on it is
-// done away with; nil where nothing did. b.mu is held.
+// updateLink applies the current cuts to a link. If that restores it, the returned channel is closed once the
+// connections that waited during the cut are reset; nil if there were none. The caller holds b.mu.
 func (b *Backend) updateLink(l *link) (ended <-chan struct{}) {
 	cut := b.isolated || l.inCut || l.outCut
 	switch {
@@ -148,6 +148,7 @@
 	return nil
 }
 
-// canReceive tells whether what a node sends arrives, and says whether what the box sends does. b.mu is held.
+// canReceive reports whether traffic from the node arrives, and canSend whether traffic to it does. The caller holds
+// b.mu.
 func (b *Backend) canReceive(c *backendConn) bool { return !b.isolated && !c.link.inCut }
 func (b *Backend) canSend(c *backendConn) bool    { return !b.isolated && !c.link.outCut }
--- a/internal/kit/stand/list.go
+++ b/internal/kit/stand/list.go
@@ -15,7 +15,7 @@
 	"craneglade/internal/kit/trace"
 )
 
-// Entry is one box in the list, as PROTOCOL's discovery writes it.
+// Entry is one backend in the list, as the discovery protocol encodes it.
 type Entry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -24,19 +24,20 @@
 	Cell    int     `json:"cell"`
 	State   string  `json:"state"` // Ready, Terminating or Gone
 	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"`    // Unix time; 0 for long ago
-	RPC     string  `json:"rpc,omitempty"` // where it speaks JSON-RPC
+	Started int64   `json:"started_ms"`    // Unix time in ms; 0: unknown, long ago
+	RPC     string  `json:"rpc,omitempty"` // address for JSON-RPC, if any
 }
 
-// List is a list or a change of one, as PROTOCOL's discovery writes it.
+// List is a full list or a delta, as the discovery protocol encodes it.
 type List struct {
 	Version int64   `json:"version"`
 	Full    bool    `json:"full"`
 	Servers []Entry `json:"servers"`
 }
 
-// Agent is the box list as one node sees it: in push mode the agent on its machine, which has what it was sent; in ask
-// mode the service, which counts as telling a change when it has written it.
+// Agent is the list as one node sees it. In push mode it is the agent on the node's machine: a change counts as
+// notified when the agent gets it. In polled mode it is the service: a change counts as notified when a response with it
+// is written.
 type Agent struct {
 	node   string
 	polled bool
@@ -46,12 +47,12 @@
 	mu         sync.Mutex
 	version    int64
 	entries    map[string]versionedEntry
-	changed    chan struct{} // closed at the next change
-	paused     chan struct{} // closed when it speaks again; nil while it speaks
-	pending    []Entry       // changes that came while it was silent
-	notBefore  time.Duration // what it is told before this counts as told then
-	notified   map[string]string
-	notifiedAt map[string]time.Duration // by box, the latest time at which something counts as told
+	changed    chan struct{}            // closed at the next change
+	paused     chan struct{}            // closed by Resume; nil while not paused
+	pending    []Entry                  // changes that came while it was paused
+	notBefore  time.Duration            // a notification before this time counts as made at this time
+	notified   map[string]string        // by backend, the latest state and start time that was notified
+	notifiedAt map[string]time.Duration // by backend, the latest time at which a notification counts
 }
 
 type versionedEntry struct {
@@ -59,7 +60,7 @@
 	version int64
 }
 
-// NewAgent returns the list of one node, with what the node has had from the start.
+// NewAgent returns the list of one node. The node has the entries of known from the start.
 func NewAgent(node string, ask bool, clock Clock, out *trace.Writer, known []Entry) *Agent {
 	a := &Agent{node: node, polled: ask, clock: clock, out: out, version: 1, entries: map[string]versionedEntry{},
 		changed: make(chan struct{}), notified: map[string]string{}, notifiedAt: map[string]time.Duration{}}
@@ -70,7 +71,8 @@
 	return a
 }
 
-// recordNotified notes that the node has been told of a box's state. a.mu is held, or nobody else knows a.
+// recordNotified records that the node has been notified of a backend's state. The caller holds a.mu or has the only
+// reference.
 func (a *Agent) recordNotified(e *Entry) {
 	state := e.State + " " + strconv.FormatInt(e.Started, 10)
 	if a.notified[e.ID] == state {
@@ -82,8 +84,8 @@
 		a.recordNotifiedAt(max(now, a.notBefore), e)
 		return
 	}
-	// A box that takes requests may get them as soon as its node can know. What was told before and counts later does not
-	// outlast that: it is told again behind it.
+	// A backend that is ready may get requests as soon as the node can know of it. If an earlier state counts only later
+	// than now, ready is recorded a second time for that moment, so that it stays the latest state.
 	pending := a.notifiedAt[e.ID]
 	a.recordNotifiedAt(now, e)
 	if pending > now {
@@ -91,13 +93,13 @@
 	}
 }
 
-// recordNotifiedAt notes that a box's state counts as told at a time.
+// recordNotifiedAt records that a backend's state counts as notified at a time.
 func (a *Agent) recordNotifiedAt(at time.Duration, e *Entry) {
 	a.notifiedAt[e.ID] = max(a.notifiedAt[e.ID], at)
 	a.out.Add(&trace.Record{Kind: trace.Told, T: trace.US(at), Node: a.node, Box: e.ID, State: e.State})
 }
 
-// Apply takes in a change.
+// Apply applies a change to the list, after Resume if the list is paused.
 func (a *Agent) Apply(e Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -118,7 +120,7 @@
 	a.changed = make(chan struct{})
 }
 
-// Pause makes the list say nothing and hear nothing, until Speak.
+// Pause stops the list from answering and from applying changes, until Resume.
 func (a *Agent) Pause() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -127,7 +129,7 @@
 	}
 }
 
-// Resume ends Hush.
+// Resume ends Pause and applies the changes that came meanwhile.
 func (a *Agent) Resume() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -142,16 +144,16 @@
 	a.paused = nil
 }
 
-// DelayNotifications says that what the list has to tell counts as told after d at the earliest: a node that has just been given
-// another discovery gets that long to find it.
+// DelayNotifications makes drains and removals count as notified after d from now at the earliest: a node whose
+// discovery address has just changed gets that long to find the new one.
 func (a *Agent) DelayNotifications(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.notBefore = a.clock.Now() + d
 }
 
-// InitialList is the list that a new process of the node is started with. All of it counts as told then: what an earlier process had
-// still to find after a reload is over.
+// InitialList returns the list that a new process of the node is started with. All of it counts as notified now, even
+// within the delay that DelayNotifications gave an earlier process.
 func (a *Agent) InitialList() List {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -164,14 +166,14 @@
 	return a.changesSince(0, true)
 }
 
-// List is the whole list.
+// List returns the full list.
 func (a *Agent) List() List {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.changesSince(0, true)
 }
 
-// changesSince is what has changed after a version, or the whole list. a.mu is held.
+// changesSince returns what has changed after a version, or the full list. The caller holds a.mu.
 func (a *Agent) changesSince(version int64, full bool) List {
 	l := List{Version: a.version, Full: full, Servers: []Entry{}}
 	for _, e := range a.entries {
@@ -182,7 +184,7 @@
 	return l
 }
 
-// ServeHTTP answers GET /v1/endpoints.
+// ServeHTTP answers GET /v1/endpoints, as a fetch or as a long poll.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/v1/endpoints" {
 		http.NotFound(w, r)
@@ -240,7 +242,7 @@
 	}
 }
 
-// AgentServer is an Agent at one address.
+// AgentServer serves an Agent at one address.
 type AgentServer struct {
 	Addr string
 	srv  *http.Server
@@ -248,25 +250,25 @@
 	done chan struct{}
 }
 
-// ServeAgent serves a on ln until Close or Leave.
+// ServeAgent serves a on ln until Close or CloseAfter.
 func ServeAgent(a *Agent, ln net.Listener) *AgentServer {
 	s := &AgentServer{Addr: ln.Addr().String(), srv: &http.Server{Handler: a}, ln: ln, done: make(chan struct{})}
 	go func() {
 		defer close(s.done)
 		if err := s.srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-			return // nothing is answered any more: the node's calls tell
+			return // the server has ended: calls of the node fail from now on
 		}
 	}()
 	return s
 }
 
-// CloseAfter takes no new connection from now on, and closes the open ones after d.
+// CloseAfter stops accepting connections now and closes the open ones after d.
 func (s *AgentServer) CloseAfter(d time.Duration) {
 	s.ln.Close()
 	time.AfterFunc(d, func() { s.srv.Close() })
 }
 
-// Close ends it.
+// Close closes the listener and all connections, and waits for the server to end.
 func (s *AgentServer) Close() {
 	s.srv.Close()
 	s.ln.Close()
--- a/internal/kit/stand/rpc.go
+++ b/internal/kit/stand/rpc.go
@@ -17,16 +17,16 @@
 	"craneglade/internal/kit/trace"
 )
 
-// JSON-RPC at the stand-ins. A box tells a connection's protocol by its first byte, and takes a call for the HTTP request
-// that it would be; a client's try goes as a call on a connection of its own kind. So the trace and the judge need to know
-// nothing of it: a call is a request, an error "refused" is a 503, any other error of the node a 500.
+// JSON-RPC at the stand-ins. A backend tells a connection's protocol by its first byte and handles a call as the
+// equivalent HTTP request; a client sends a try as a call on a connection that carries only JSON-RPC. The trace and the
+// judge need no case for it: a call is a request, the error "refused" is a 503, any other error of the node a 500.
 
 const (
-	rpcMember      = "craneglade" // what node and box tell one another beside a call
-	rpcCodeRefused = -32001       // of the node: nothing has run
+	rpcMember      = "craneglade" // member of a message for data between node and backend
+	rpcCodeRefused = -32001       // error code of the node: refused, nothing has run
 )
 
-// rpcParams are a call's params. Body is as HTTP's, byte for byte.
+// rpcParams is the params object of a call. Body has the same bytes as the body of the HTTP request.
 type rpcParams struct {
 	Body     json.RawMessage `json:"body,omitempty"`
 	Request  string          `json:"request"`
@@ -38,8 +38,7 @@
 	Idem     string          `json:"idem,omitempty"`
 }
 
-// serveRPC reads the calls of one connection, which share it. Each has a place of its own among the connections for as long
-// as it is open.
+// serveRPC reads the calls of one connection. Each call has its own backendConn in b.conns for as long as it is open.
 func (b *Backend) serveRPC(c *backendConn, in *bufio.Reader) {
 	r := jsonrpc.NewReader(in)
 	defer func() {
@@ -63,7 +62,7 @@
 		first := b.clock.us()
 		frame, err := r.Next()
 		if !b.waitReachable(c) {
-			return // what came while it was cut off came nowhere
+			return // bytes that arrived during the cut are lost
 		}
 		if err != nil {
 			b.out.Add(&trace.Record{Kind: trace.Part, T: b.clock.us(), T0: first, Box: b.cfg.ID, Node: c.node.Name})
@@ -100,7 +99,7 @@
 	}
 }
 
-// rpcText turns an answer of HTTP into one of JSON-RPC. What is no answer of HTTP stays as it is.
+// rpcText converts an HTTP response into a JSON-RPC response. Text that is not a valid HTTP response is left as it is.
 func rpcText(id, text string) string {
 	resp, err := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil)
 	if err != nil {
@@ -126,7 +125,7 @@
 	return fmt.Sprintf(`{"jsonrpc":"2.0","id":%s,"error":{"code":-32000,"message":%q}%s}`+"\n", id, strings.TrimSpace(string(body)), extension)
 }
 
-// rpcCall is the request as a JSON-RPC call.
+// rpcCall returns the request as a JSON-RPC call.
 func (t *clientTry) rpcCall(pad string) string {
 	p := rpcParams{Request: t.id, Class: t.class.Name, Key: t.key, Work: t.op.Work.Microseconds(), Tenant: t.rec.Tenant,
 		Deadline: float64(t.timeout.Microseconds()) / 1000}
@@ -138,16 +137,16 @@
 	}
 	params, err := json.Marshal(p)
 	if err != nil {
-		panic(err) // nothing in it can fail
+		panic(err) // all fields can be encoded
 	}
 	text := fmt.Sprintf(`{"jsonrpc":"2.0","id":%q,"method":%q,"params":%s}`, t.id, t.class.Name, params)
-	if t.op.Seed%2 == 0 { // half of them in a batch, beside a notification that is owed nothing
+	if t.op.Seed%2 == 0 { // half of the calls go in a batch with a notification, which gets no response
 		text = `[` + text + `,{"jsonrpc":"2.0","method":"nobody's"}]`
 	}
 	return text + "\n"
 }
 
-// readRPC reads answers; see read.
+// readRPC reads JSON-RPC responses, as readHTTP does for HTTP.
 func (k *clientConn) readRPC(in *bufio.Reader, counted *byteCounter) {
 	r := jsonrpc.NewReader(in)
 	for {
@@ -184,7 +183,7 @@
 		}
 		t := k.takeCurrent()
 		if t == nil {
-			return // its client has left at this moment
+			return // the client has just disconnected
 		}
 		e := tryEnd{status: http.StatusOK, bytes: counted.n, why: "keep"}
 		body := m.Result
@@ -201,7 +200,7 @@
 			}
 		}
 		if id, ok := jsonrpc.Text(m.ID); !ok || id != t.id {
-			body = slices.Concat(body, m.ID) // an answer that is not this call's
+			body = slices.Concat(body, m.ID) // a response to another call: change the digest, so that the judge sees it
 		}
 		k.clients.out.Add(&trace.Record{Kind: trace.Got, T: k.clients.clock.us(), T0: first, Node: k.node.Name, Conn: k.number, ID: t.id,
 			Status: e.status, Sum: digest(body), Bytes: int64(len(body))})
@@ -209,7 +208,7 @@
 	}
 }
 
-// SetRPCAddr gives the front of a node's address for JSON-RPC.
+// SetRPCAddr sets a node's address for JSON-RPC.
 func (c *Clients) SetRPCAddr(i int, addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/kit/stand/stand.go
+++ b/internal/kit/stand/stand.go
@@ -1,6 +1,6 @@
-// Package stand is the world round a node: boxes, the box list and clients that speak its protocols. Each takes the
-// listeners and the dial function that it is given, so that it runs on any network, and takes the time from the time
-// package alone. What they decide is in boxmodel and plan; what they see goes to a trace.
+// Package stand has stand-ins for everything a node talks to: backends, discovery and clients that speak its protocols
+// over real connections. Listeners and the dial function are passed in, so that it runs on any network; the time comes
+// from package time alone. Decisions are made in packages boxmodel and plan; what the stand-ins see goes to a trace.
 package stand
 
 import (
@@ -16,26 +16,26 @@
 // Dial opens a connection to an address.
 type Dial func(ctx context.Context, addr string) (net.Conn, error)
 
-// Clock counts from the start of a rehearsal.
+// Clock measures time from the start of a rehearsal.
 type Clock struct{ Start time.Time }
 
-// Now is the time since the start.
+// Now returns the time since the start.
 func (c Clock) Now() time.Duration { return time.Since(c.Start) }
 
-// us is the time since the start as traces have it.
+// us returns the time since the start in microseconds, as in traces.
 func (c Clock) us() int64 { return trace.US(c.Now()) }
 
-// digest tells bodies apart.
+// digest returns a hash by which the trace tells bodies apart.
 func digest(body []byte) string {
 	h := fnv.New64a()
 	h.Write(body)
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// lingerSetter is what a connection can do that can be broken without a word; *net.TCPConn is one.
+// lingerSetter is a connection that can be closed with a reset, such as *net.TCPConn.
 type lingerSetter interface{ SetLinger(sec int) error }
 
-// reset breaks a connection so that the other side sees a reset where the network knows such a thing.
+// reset closes a connection so that the other side sees a reset, if the network supports that.
 func reset(c net.Conn) {
 	if r, ok := c.(lingerSetter); ok {
 		r.SetLinger(0)
--- a/internal/kit/stand/stand_test.go
+++ b/internal/kit/stand/stand_test.go
@@ -24,10 +24,10 @@
 	"craneglade/internal/kit/trace"
 )
 
-// waitTimeout is how long a test waits for what must come: far longer than it takes on a busy machine.
+// waitTimeout is how long a test waits for something that has to happen: far longer than it takes on a busy machine.
 const waitTimeout = 30 * time.Second
 
-// traceBuffer is a trace that a test reads while it grows.
+// traceBuffer is a trace that can be read while it is written.
 type traceBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -46,7 +46,7 @@
 	return b
 }
 
-// records returns those of a kind so far.
+// records returns the records of a kind written so far.
 func (b *traceBuffer) records(t *testing.T, kind string) []trace.Record {
 	t.Helper()
 	if err := b.w.Close(); err != nil { // flushes
@@ -72,12 +72,12 @@
 	}
 }
 
-// waitFor waits until ok holds.
+// waitFor waits until ok returns true.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s did not come", what)
+			t.Fatalf("%s was not seen in time", what)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 	return ln
 }
 
-// newTestBackend starts a box that one node sees.
+// newTestBackend starts a backend with a listener for one node and returns its address.
 func newTestBackend(t *testing.T, b *traceBuffer, change func(*BackendConfig)) (*Backend, string) {
 	t.Helper()
 	cfg := BackendConfig{ID: "b1", Site: "a", Kind: "k", Seed: 1, Delay: func(string) time.Duration { return 0 },
@@ -136,7 +136,7 @@
 	}
 	resp, err := http.ReadResponse(p.in, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
@@ -145,7 +145,7 @@
 	return resp, string(body)
 }
 
-func TestBoxServesAndNotes(t *testing.T) {
+func TestBackendServesAndRecords(t *testing.T) {
 	b := newTraceBuffer()
 	x, addr := newTestBackend(t, b, nil)
 	p := dial(t, addr)
@@ -160,7 +160,7 @@
 	if resp, body := p.roundTrip(t, post("r2", time.Millisecond)); resp.StatusCode != 200 || !strings.Contains(body, `"for":"r2"`) {
 		t.Errorf("the second: %d %s", resp.StatusCode, body)
 	}
-	// Half a request is no request.
+	// A truncated request is recorded as such and not run.
 	q := dial(t, addr)
 	io.WriteString(q, post("r3", 0)[:60])
 	q.Close()
@@ -182,7 +182,7 @@
 	}
 }
 
-func TestBoxRefusesOtherForms(t *testing.T) {
+func TestBackendRejectsMalformedRequests(t *testing.T) {
 	b := newTraceBuffer()
 	_, addr := newTestBackend(t, b, nil)
 	for _, text := range []string{
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestBoxDropsWhatIsCancelled(t *testing.T) {
+func TestBackendCancelsOnDisconnect(t *testing.T) {
 	b := newTraceBuffer()
 	x, addr := newTestBackend(t, b, nil)
 	p := dial(t, addr)
@@ -212,7 +212,7 @@
 	waitFor(t, "the record", func() bool { return len(b.records(t, trace.Drop)) == 1 })
 }
 
-func TestBoxTurnsAwayWhatIsTooMuch(t *testing.T) {
+func TestBackendRejectsOverLimits(t *testing.T) {
 	b := newTraceBuffer()
 	x, addr := newTestBackend(t, b, func(c *BackendConfig) { c.MaxConns = 4 })
 	for i := range 3 { // two run, one waits
@@ -220,7 +220,7 @@
 		waitFor(t, "the request", func() bool { return x.Status().InFlight == i+1 })
 	}
 	if resp, _ := dial(t, addr).roundTrip(t, post("r8", 0)); resp.StatusCode != 503 || resp.Header.Get("X-Not-Run") != "1" {
-		t.Errorf("no room: %d", resp.StatusCode)
+		t.Errorf("queue full: %d", resp.StatusCode)
 	}
 	resp, _ := dial(t, addr).roundTrip(t, post("r9", 0))
 	if resp.StatusCode != 503 || resp.Header.Get("X-Not-Run") != "1" {
@@ -228,20 +228,20 @@
 	}
 }
 
-func TestBoxTroubles(t *testing.T) {
+func TestBackendFaults(t *testing.T) {
 	b := newTraceBuffer()
 	x, addr := newTestBackend(t, b, nil)
 	x.SetFaults(1, 0)
 	p := dial(t, addr)
 	io.WriteString(p, post("r1", time.Millisecond))
 	if _, err := p.in.ReadByte(); err == nil || err == io.EOF {
-		t.Errorf("a reset reads as %v", err)
+		t.Errorf("read from a reset connection: %v", err)
 	}
 	x.SetFaults(0, 1)
 	p = dial(t, addr)
 	io.WriteString(p, post("r2", time.Millisecond))
 	if _, err := p.in.ReadByte(); err != nil {
-		t.Errorf("nothing came of a spoilt answer: %v", err)
+		t.Errorf("no bytes of a corrupt response: %v", err)
 	}
 	x.SetFaults(0, 0)
 	p = dial(t, addr)
@@ -250,20 +250,20 @@
 	io.WriteString(p, post("r4", time.Millisecond))
 	x.Reconnect()
 	if _, err := p.in.ReadByte(); err == nil {
-		t.Error("a connection outlived the silence")
+		t.Error("a connection from before the isolation still works")
 	}
 	if resp, _ := dial(t, addr).roundTrip(t, post("r5", 0)); resp.StatusCode != 200 {
-		t.Errorf("after the silence: %d", resp.StatusCode)
+		t.Errorf("after the isolation: %d", resp.StatusCode)
 	}
 	p = dial(t, addr)
 	io.WriteString(p, post("r6", 50*time.Second))
 	waitFor(t, "the request", func() bool { return x.Status().InFlight == 1 })
 	x.Stop()
 	if _, err := p.in.ReadByte(); err == nil || err == io.EOF {
-		t.Errorf("a process that dies reads as %v", err)
+		t.Errorf("read from a stopped process: %v, want a reset", err)
 	}
 	if _, err := net.Dial("tcp", addr); err == nil {
-		t.Error("a process that is gone still accepts")
+		t.Error("a stopped process still accepts connections")
 	}
 	how := map[string]string{}
 	for _, r := range b.records(t, trace.Reply) {
@@ -275,8 +275,8 @@
 	}
 }
 
-// What one direction of a link loses, the other does not; no new connection comes up meanwhile, and those from before are
-// reset when the link is whole again.
+// Guards against a link cut that loses the wrong direction, lets new connections through, or leaves old connections
+// usable after it ends instead of resetting them.
 func TestLinkCut(t *testing.T) {
 	b := newTraceBuffer()
 	x, addr := newTestBackend(t, b, nil)
@@ -288,7 +288,7 @@
 	waitFor(t, "the request", func() bool { return len(b.records(t, trace.Recv)) == 2 })
 	waitFor(t, "its end", func() bool { return x.Status().InFlight == 0 })
 	cut(true, true)
-	waitFor(t, "a connection that does not come up", func() bool {
+	waitFor(t, "a failed dial", func() bool {
 		c, err := net.DialTimeout("tcp", addr, 100*time.Millisecond)
 		if err == nil {
 			t.Cleanup(func() { c.Close() })
@@ -297,7 +297,7 @@
 	})
 	cut(false, false)
 	if _, err := p.in.ReadByte(); err == nil || err == io.EOF {
-		t.Errorf("a connection from before reads as %v", err)
+		t.Errorf("read from a connection from before the cut: %v, want a reset", err)
 	}
 	if resp, _ := dial(t, addr).roundTrip(t, post("r3", 0)); resp.StatusCode != 200 {
 		t.Errorf("after the cut: %d", resp.StatusCode)
@@ -308,20 +308,20 @@
 	io.WriteString(q, post("r5", 0))
 	cut(false, false)
 	if _, err := q.in.ReadByte(); err == nil {
-		t.Error("what was lost on the way was answered")
+		t.Error("a request that the link lost was answered")
 	}
 	for _, r := range b.records(t, trace.Reply) {
 		if r.ID == "r2" && r.How == trace.Served {
-			t.Error("an answer that was lost on the way is told as written")
+			t.Error("a response that the link lost is recorded as served")
 		}
 	}
 	if n := len(b.records(t, trace.Recv)); n != 4 {
-		t.Errorf("%d requests came in, want 4", n)
+		t.Errorf("%d requests received, want 4", n)
 	}
 }
 
-// Of a process that ends while it is cut off nobody hears.
-func TestCrashUnheard(t *testing.T) {
+// Guards against an isolated backend whose crash closes or resets its connections before it is reachable again.
+func TestCrashWhileIsolated(t *testing.T) {
 	b := newTraceBuffer()
 	x, addr := newTestBackend(t, b, nil)
 	p := dial(t, addr)
@@ -331,17 +331,17 @@
 	x.Crash()
 	p.SetDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := p.in.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("its connection reads as %v", err)
+		t.Errorf("read during the isolation: %v, want a timeout", err)
 	}
 	x.Stop()
 	p.SetDeadline(time.Now().Add(waitTimeout))
 	if _, err := p.in.ReadByte(); err == nil || err == io.EOF {
-		t.Errorf("once it is back its connection reads as %v", err)
+		t.Errorf("read after the isolation: %v, want a reset", err)
 	}
 }
 
-// A request that is lost is read, and nothing comes of it; the next ones are served.
-func TestBoxLosesRequests(t *testing.T) {
+// A dropped request is read and recorded, but neither run nor answered; the next one is served.
+func TestBackendDropsRequests(t *testing.T) {
 	b := newTraceBuffer()
 	x, addr := newTestBackend(t, b, nil)
 	x.SetDropFraction(1)
@@ -353,11 +353,11 @@
 		t.Errorf("the next one: %d", resp.StatusCode)
 	}
 	if n := len(b.records(t, trace.Reply)); n != 1 || x.Status().InFlight != 0 {
-		t.Errorf("%d replies, %d held, want one reply and none held", n, x.Status().InFlight)
+		t.Errorf("%d replies, %d in flight, want 1 and 0", n, x.Status().InFlight)
 	}
 }
 
-func TestBoxFallsOver(t *testing.T) {
+func TestColdBackendCollapses(t *testing.T) {
 	b := newTraceBuffer()
 	x, addr := newTestBackend(t, b, func(c *BackendConfig) {
 		c.Spec.ColdFrom, c.Spec.Cold, c.Spec.Queue, c.Spec.Fall = 0.1, time.Hour, 1000, boxmodel.Fall{Factor: 2, For: time.Second}
@@ -400,7 +400,7 @@
 	return l, resp.StatusCode
 }
 
-func TestAgentWatches(t *testing.T) {
+func TestAgentLongPoll(t *testing.T) {
 	b := newTraceBuffer()
 	a := NewAgent("n1", false, Clock{time.Now()}, b.w, []Entry{entry("b1", "Ready"), entry("b2", "Ready")})
 	s := ServeAgent(a, listen(t))
@@ -420,11 +420,11 @@
 	if l := <-got; l.Full || len(l.Servers) != 1 || l.Servers[0].State != "Terminating" || l.Version != 2 {
 		t.Errorf("%+v", l)
 	}
-	// While it is silent it hears nothing either; what came meanwhile is told when it speaks.
+	// A change that comes during the pause is applied and notified only after it.
 	a.Pause()
 	a.Apply(entry("b1", "Gone"))
 	if n := len(b.records(t, trace.Told)); n != 3 {
-		t.Errorf("%d told", n)
+		t.Errorf("%d notifications during the pause, want 3", n)
 	}
 	go func() {
 		l, _ := fetch(t, s.Addr, "?since=2&timeout_ms=10")
@@ -435,37 +435,37 @@
 		t.Errorf("%+v", l)
 	}
 	if l, _ := fetch(t, s.Addr, ""); len(l.Servers) != 1 {
-		t.Errorf("a whole list names what is gone: %+v", l)
+		t.Errorf("a full list has a removed backend: %+v", l)
 	}
-	told := b.records(t, trace.Told)
-	if len(told) != 4 || told[3].State != "Gone" || told[3].Node != "n1" {
-		t.Errorf("%+v", told)
+	notified := b.records(t, trace.Told)
+	if len(notified) != 4 || notified[3].State != "Gone" || notified[3].Node != "n1" {
+		t.Errorf("%+v", notified)
 	}
 	a.DelayNotifications(time.Hour)
 	a.Apply(entry("b2", "Gone"))
-	if told := b.records(t, trace.Told); told[4].T < time.Hour.Microseconds() {
-		t.Errorf("told at %d, before the node has had its time", told[4].T)
+	if notified := b.records(t, trace.Told); notified[4].T < time.Hour.Microseconds() {
+		t.Errorf("notified at %d us, before the delay is over", notified[4].T)
 	}
 }
 
-func TestAgentThatIsAsked(t *testing.T) {
+func TestPolledAgent(t *testing.T) {
 	b := newTraceBuffer()
 	a := NewAgent("n1", true, Clock{time.Now()}, b.w, []Entry{entry("b1", "Ready")})
 	s := ServeAgent(a, listen(t))
 	defer s.Close()
 	a.Apply(entry("b1", "Terminating"))
 	if n := len(b.records(t, trace.Told)); n != 1 {
-		t.Errorf("%d told before anybody asked", n)
+		t.Errorf("%d notifications before the first poll, want 1", n)
 	}
 	fetch(t, s.Addr, "?since=1&timeout_ms=5")
 	waitFor(t, "the record", func() bool { return len(b.records(t, trace.Told)) == 2 })
 	a.Pause()
 	if _, status := fetch(t, s.Addr, ""); status != 503 {
-		t.Errorf("while it is down: %d", status)
+		t.Errorf("status while paused: %d, want 503", status)
 	}
 }
 
-// clients starts the kit's clients against a node that a test plays.
+// clients starts clients against a stand-in for a node: handle serves each connection.
 func clients(t *testing.T, b *traceBuffer, settings string, handle func(c net.Conn, in *bufio.Reader)) *Clients {
 	t.Helper()
 	s, err := scenario.Parse("t.toml", []byte("length = \"1s\"\n[clients]\nbackoff = \"none\"\nimpatient = 0.0\nretries = 2\n"+settings))
@@ -503,7 +503,7 @@
 	return c
 }
 
-// runOne plays one need and returns what became of it.
+// runOne runs one operation and returns its end record.
 func runOne(t *testing.T, b *traceBuffer, c *Clients, class int) trace.Record {
 	t.Helper()
 	n := len(b.records(t, trace.Done))
@@ -517,7 +517,7 @@
 
 const quickClasses = "[[class]]\nname = \"quote\"\neffect = \"unsafe\"\naim = \"100ms\"\ndeadline = \"300ms\"\n[[class]]\nname = \"view\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"9s\"\n"
 
-func TestClientsRetryOnlyWhatIsHarmless(t *testing.T) {
+func TestClientsRetryOnlyHarmlessFailures(t *testing.T) {
 	b := newTraceBuffer()
 	var status atomic.Int64
 	var ids sync.Map
@@ -529,7 +529,7 @@
 			}
 			io.Copy(io.Discard, r.Body)
 			if _, twice := ids.LoadOrStore(r.Header.Get("X-Request-Id"), true); twice {
-				t.Error("an id came twice")
+				t.Error("a request id was used twice")
 			}
 			writeResponse(c, int(status.Load()), "", "body")
 		}
@@ -558,9 +558,9 @@
 	}
 }
 
-// A request that crosses the close of a kept connection goes once more, under its id; one that was read does not pass
-// for that.
-func TestClientsSendOnceMoreOnACrossedClose(t *testing.T) {
+// A request that crosses the close of an idle connection is sent once more, under the same id. A close after the request
+// was read is recorded differently, so that a node that drops requests cannot pass for such a crossing.
+func TestClientsResendAfterCrossedClose(t *testing.T) {
 	b := newTraceBuffer()
 	var n atomic.Int64
 	c := clients(t, b, quickClasses, func(c net.Conn, in *bufio.Reader) {
@@ -568,16 +568,16 @@
 		writeResponse(c, 200, "", "body")
 		if n.Add(1) == 1 {
 			in.Peek(1)
-			c.(*net.TCPConn).SetLinger(0) // as the kernel does for a close on bytes that nobody read
+			c.(*net.TCPConn).SetLinger(0) // the kernel also resets a connection that is closed with unread bytes
 			return
 		}
 		if _, err := http.ReadRequest(in); err == nil {
-			return // read, and then closed
+			return // closes after reading the request
 		}
 	})
 	for range 2 {
 		if how := runOne(t, b, c, 1).How; how != "served" {
-			t.Fatalf("%s, and not served", how)
+			t.Fatalf("ended as %s, want served", how)
 		}
 	}
 	sent, broke := b.records(t, trace.Sent), b.records(t, trace.Broke)
@@ -586,13 +586,13 @@
 	}
 	runOne(t, b, c, 1)
 	if broke := b.records(t, trace.Broke); len(broke) < 2 || broke[1].How != trace.Taken {
-		t.Errorf("a close after the request was read: %+v", broke)
+		t.Errorf("a close after the request was read is recorded as %+v", broke)
 	}
 }
 
-// The end comes first and the reset behind it: what was sent met a closed socket. A side that has only stopped sending
-// has read it.
-func TestResetBehindAnEnd(t *testing.T) {
+// Bytes sent to a closed socket are answered with a reset, which arrives after the end of the stream. A peer that has
+// only shut down its sending side sends none, and counts as having read them.
+func TestResetAfterEndOfStream(t *testing.T) {
 	for _, read := range []bool{false, true} {
 		ln := listen(t)
 		defer ln.Close()
@@ -616,12 +616,12 @@
 		}
 		io.WriteString(c, "a request that crosses the close")
 		if k := (&clientConn{Conn: c}); k.requestWasRead() != read {
-			t.Errorf("read by the other side: %v, and seen as %v", read, !read)
+			t.Errorf("read by the other side: %v, detected as %v", read, !read)
 		}
 	}
 }
 
-func TestClientsSeeWhatNobodyAskedFor(t *testing.T) {
+func TestClientsDetectUnsolicitedResponse(t *testing.T) {
 	b := newTraceBuffer()
 	c := clients(t, b, quickClasses, func(c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err != nil {
@@ -636,12 +636,12 @@
 	waitFor(t, "the record", func() bool { return len(b.records(t, trace.Extra)) == 1 })
 }
 
-func TestClientsLeaveWhenTheirTimeIsUp(t *testing.T) {
+func TestClientsDisconnectAfterTimeout(t *testing.T) {
 	b := newTraceBuffer()
 	left := make(chan struct{}, 1)
 	c := clients(t, b, quickClasses, func(c net.Conn, in *bufio.Reader) {
 		http.ReadRequest(in)
-		io.Copy(io.Discard, in) // until the client leaves
+		io.Copy(io.Discard, in) // until the client disconnects
 		left <- struct{}{}
 	})
 	if done := runOne(t, b, c, 0); done.How != "failed" {
@@ -653,7 +653,7 @@
 		t.Fatalf("%+v", gave)
 	}
 	if sent := b.records(t, trace.Sent)[0]; gave[0].T < sent.T+sent.Wait+70_000 {
-		t.Errorf("left %d us after sending, with %d to wait: a late answer would pass for none", gave[0].T-sent.T, sent.Wait)
+		t.Errorf("disconnected %d us after sending with a timeout of %d us: a late response would pass for none", gave[0].T-sent.T, sent.Wait)
 	}
 	c.SetNode(0, "127.0.0.1:1", Unreachable)
 	if done := runOne(t, b, c, 0); done.How != "unreachable" {
@@ -661,7 +661,7 @@
 	}
 }
 
-func TestBadClientsTellErrorFromClose(t *testing.T) {
+func TestBadClientsDistinguishErrorFromClose(t *testing.T) {
 	for _, x := range []struct {
 		name, how string
 		handle    func(c net.Conn, in *bufio.Reader)
@@ -681,15 +681,16 @@
 		}
 		for _, r := range bad {
 			if r.How != x.how && !(x.how == "error" && r.How == "closed") { // a reset may overtake the error
-				t.Errorf("%s: %s is seen as %s", x.name, r.Why, r.How)
+				t.Errorf("%s: %s is recorded as %s", x.name, r.Why, r.How)
 			}
 		}
 	}
 }
 
-// After a reload a drain counts as told only once the node has had time to find its discovery; a box that is ready again counts at
-// once, and a drain that had not counted yet does not outlast it. A new process is told all at its start.
-func TestReadyCountsAsToldAtOnce(t *testing.T) {
+// After a reload a drain counts as notified only once the node has had time to find its discovery. A backend that is
+// ready again counts at once, and an earlier drain must not count after that. A new process is notified of everything
+// at its start.
+func TestReadyCountsAsNotifiedAtOnce(t *testing.T) {
 	t.Parallel()
 	var out bytes.Buffer
 	w := trace.NewWriter(&out, trace.Head{})
@@ -700,7 +701,7 @@
 	a.Apply(Entry{ID: "b", State: trace.Terminating})
 	a.Apply(Entry{ID: "b", State: trace.Ready, Started: 1})
 	a.Apply(Entry{ID: "c", State: trace.Terminating})
-	a.InitialList() // a new process has it at once
+	a.InitialList() // a new process is notified at once
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -721,6 +722,6 @@
 	want := []told{{"b", trace.Terminating, true}, {"b", trace.Ready, false}, {"b", trace.Ready, true}, {"c", trace.Terminating, true},
 		{"b", trace.Ready, false}, {"b", trace.Ready, true}, {"c", trace.Terminating, false}}
 	if !slices.Equal(got, want) {
-		t.Errorf("told %v, want %v", got, want)
+		t.Errorf("notified %v, want %v", got, want)
 	}
 }
