--- a/internal/kit/lab/box.go
+++ b/internal/kit/lab/box.go
@@ -10,28 +10,28 @@
 	"craneglade/policy"
 )
 
-// backend is one box process with its network side.
+// backend is one backend process and its connections.
 type backend struct {
 	sim          *simulation
 	plan         *plan.Backend
 	model        *boxmodel.Backend
 	reports      *boxmodel.Reports
-	started      time.Duration // 0 for one that was there from the beginning
+	started      time.Duration // 0 if it ran from the beginning
 	up           bool
 	draining     bool
 	isolated     bool
 	slow         bool
-	dropFraction float64          // part of its requests that it forgets
-	failingClass string           // the class that it fails, if any
-	conns        int              // that it holds
-	budget       *boxmodel.Budget // of its cold start; nil once it is warm
+	dropFraction float64          // of its requests: neither run nor answered
+	failingClass string           // requests of this class are answered with an error; "" for none
+	conns        int              // open connections
+	budget       *boxmodel.Budget // work that it can bear while cold; nil once it is warm
 	incarnation  int              // counts its processes
-	connEpoch    int              // counts the times that all its connections ended; those of an earlier one are worth nothing
+	connEpoch    int              // counts how often all connections were reset; a connection of an earlier epoch is closed
 	open         map[uint64]*attempt
-	wakeSeq      int64 // marks the latest call to drive; earlier ones that are still set do nothing
+	wakeSeq      int64 // number of the latest scheduled call to advance; earlier ones do nothing
 }
 
-// startBackend starts the process of a box, for the first time or again.
+// startBackend starts the process of a backend, for the first time or again.
 func (sim *simulation) startBackend(i int, warm bool) {
 	p := &sim.plan.Backends[i]
 	spec := p.Spec
@@ -77,7 +77,7 @@
 	b.advance()
 }
 
-// repeat calls do at times apart, with the model up to the time, for as long as this process lives and do wants it.
+// repeat calls do at intervals of gap, with the model advanced to that time, until this process ends or do returns false.
 func (b *backend) repeat(first, gap time.Duration, do func() bool) {
 	if gap <= 0 {
 		return
@@ -101,7 +101,7 @@
 		Cores: b.model.Capacity(), Full: b.model.FullCapacity()})
 }
 
-// advance brings the model up to the time, carries out what it has done, and sets when to do so again.
+// advance advances the model to the current time, carries out its results and state changes, and schedules the next call.
 func (b *backend) advance() {
 	b.model.Advance(b.sim.now)
 	results, changes := b.model.TakeResults()
@@ -131,7 +131,7 @@
 		switch {
 		case r.Outcome == boxmodel.Lost:
 			a.end(policy.Reset)
-		case a.willReset || b.isolated || r.Outcome == boxmodel.Cancelled: // nothing is said
+		case a.willReset || b.isolated || r.Outcome == boxmodel.Cancelled: // no response
 		case r.Outcome == boxmodel.Served:
 			b.reply(a, policy.OK)
 		case r.Outcome == boxmodel.Failed:
@@ -157,7 +157,7 @@
 	}
 }
 
-// stop ends the process: what it holds is reset.
+// stop ends the process: its connections are reset.
 func (b *backend) stop() {
 	b.model.Advance(b.sim.now)
 	b.model.Stop(b.sim.now)
@@ -167,9 +167,9 @@
 	b.resetConns()
 }
 
-// resetConns ends every connection to it.
+// resetConns ends every connection to the backend. Attempts end with a reset unless the backend is isolated.
 func (b *backend) resetConns() {
-	b.connEpoch++ // connections kept by nodes are of the life before
+	b.connEpoch++ // idle connections of the nodes belong to the epoch before
 	b.conns = 0
 	for _, a := range b.openInOrder() {
 		delete(b.open, a.number)
@@ -182,7 +182,8 @@
 	}
 }
 
-// openInOrder lists what is open here in the order of its coming: the order of a map must not decide anything.
+// openInOrder lists the open attempts by node, then in the order of their sends: the order of a map is random and must
+// not influence the trace.
 func (b *backend) openInOrder() []*attempt {
 	var out []*attempt
 	for _, n := range b.sim.nodes {
@@ -195,10 +196,10 @@
 	return out
 }
 
-// handleArrival takes in an attempt whose last byte has come.
+// handleArrival handles an attempt whose last byte has arrived.
 func (b *backend) handleArrival(a *attempt) {
 	if b.isolated {
-		return // what comes while it is cut off comes nowhere
+		return // what arrives during the isolation is lost
 	}
 	overhead := time.Duration(0)
 	if a.newConn {
@@ -227,7 +228,7 @@
 	}
 }
 
-// reply answers an attempt once its answer has come as far as the node.
+// reply ends an attempt after the response's delay to the node, with the load report that is current now.
 func (b *backend) reply(a *attempt, o policy.Outcome) {
 	load := policy.Load{Queue: -1, Occupancy: -1}
 	if inFlight, waiting, ok := b.reports.Due(); ok {
@@ -235,7 +236,7 @@
 	}
 	b.sim.after(b.sim.delay(b.plan.Site, a.node.Site), func() {
 		if a.ended || b.sim.cut(b.plan.Site, a.node.Site) {
-			return // it is lost on the way
+			return // the response is lost
 		}
 		rec := trace.Record{Kind: trace.Reply, Box: b.plan.ID, Att: int64(a.number), ID: a.request.id}
 		switch o {
--- a/internal/kit/lab/class_test.go
+++ b/internal/kit/lab/class_test.go
@@ -10,8 +10,8 @@
 	"craneglade/policy"
 )
 
-// Boxes that fail one class and answer all others are the whole of this day's trouble: nodes keep that class from them,
-// lose few of its requests to it, and go on using them for the rest.
+// Three backends fail one class and serve all others. Nodes have to route that class elsewhere, with few failed requests,
+// and keep using these backends for the other classes.
 func TestBackendThatFailsOneClass(t *testing.T) {
 	s, err := scenario.Load("one-class-fails")
 	if err != nil {
@@ -25,7 +25,7 @@
 		}
 	}
 	if len(failing) != 3 {
-		t.Fatalf("%d boxes fail a class, want 3", len(failing))
+		t.Fatalf("%d backends fail a class, want 3", len(failing))
 	}
 	failed, quotes, line := 0, 0, 1
 	j := judge.New(Head(&o))
@@ -38,7 +38,7 @@
 			class[r.Att] = r.Class
 		case trace.Reply:
 			if !failing[r.Box] || r.T < trace.US(8e9) || r.T > trace.US(16e9) {
-				break // before the nodes could know, and after it is over
+				break // before the nodes can know, and after the fault has ended
 			}
 			if r.How == trace.Failed && class[r.Att] == "save-config" {
 				failed++
@@ -52,13 +52,13 @@
 		t.Fatal(err)
 	}
 	if v := j.Finish().Violations; len(v) > 0 {
-		t.Errorf("a rule broke: %+v", v[0])
+		t.Errorf("rule violation: %+v", v[0])
 	}
-	// 2,400 requests in these 8 s; three of nine to twelve boxes would fail some 450 saves.
+	// There are 2,400 requests in these 8 s; three of nine to twelve backends would fail about 450 saves.
 	if failed < 3 || failed > 120 {
-		t.Errorf("%d saves failed, want them tried now and then", failed)
+		t.Errorf("%d saves failed, want a few: the class is still probed", failed)
 	}
 	if quotes < 100 {
-		t.Errorf("%d quotes were answered by the boxes that fail saves", quotes)
+		t.Errorf("only %d quotes were answered by the backends that fail saves", quotes)
 	}
 }
--- a/internal/kit/lab/client.go
+++ b/internal/kit/lab/client.go
@@ -10,7 +10,7 @@
 	"craneglade/policy"
 )
 
-// startOperation begins what one client needs.
+// startOperation starts one client's operation.
 func (sim *simulation) startOperation(op plan.Operation) {
 	first := sim.id()
 	rec := sim.newRecord(&op)
@@ -25,7 +25,7 @@
 		Over: op.Over}
 }
 
-// pickNode deals out a node for a client of a site.
+// pickNode returns a random node of the site, or of another site if none there is usable; nil if there is none.
 func (sim *simulation) pickNode(site string) *node {
 	var near []*node
 	for _, n := range sim.nodes {
@@ -42,7 +42,7 @@
 	return near[sim.rng.IntN(len(near))]
 }
 
-// tryRequest sends a request to a node, or gives the need up.
+// tryRequest sends a request to a node, or ends the operation if too little time is left.
 func (sim *simulation) tryRequest(r *request) {
 	r.sentAt, r.timeout = sim.now, sim.plan.TryTimeout(r.op, sim.now)
 	if r.timeout == 0 {
@@ -50,7 +50,7 @@
 		return
 	}
 	n := sim.pickNode(sim.plan.Scenario.Sites[r.op.Site].Name)
-	if n == nil || !n.up { // its port is closed
+	if n == nil || !n.up { // the port is closed
 		sim.endTry(r, plan.Unreachable, 0)
 		return
 	}
@@ -67,7 +67,7 @@
 	sim.note(rec)
 	sim.after(sim.delay(n.Site, n.Site), func() {
 		if r.ended {
-			return // its client left at once
+			return // the client has already disconnected
 		}
 		if n.incarnation != r.incarnation {
 			n.breakClientConn(r)
@@ -86,7 +86,7 @@
 	}
 }
 
-// abandon is a client that closes its connection before it has its answer.
+// abandon is called when a client closes its connection before it has a response.
 func (sim *simulation) abandon(n *node, r *request, why, how string) {
 	if r.ended {
 		return
@@ -102,7 +102,7 @@
 	sim.finishOperation(r, how)
 }
 
-// deliverResponse is a final answer that has come to its client.
+// deliverResponse is called when a final response arrives at its client.
 func (sim *simulation) deliverResponse(n *node, r *request, status int, sum string, retryAfter time.Duration) {
 	rec := sim.newRecord(r.op)
 	rec.Kind, rec.ID, rec.Node, rec.Conn, rec.Status, rec.Sum = trace.Got, r.id, n.Name, r.conn, status, sum
@@ -117,7 +117,7 @@
 	sim.endTry(r, how, retryAfter)
 }
 
-// endTry is the end of one try: its client tries again or has done.
+// endTry ends one try; the client tries again or its operation ends.
 func (sim *simulation) endTry(r *request, how string, retryAfter time.Duration) {
 	pause, again := sim.plan.Retry(r.op, r.try, how, retryAfter)
 	if !again || sim.now+pause >= r.op.At+sim.plan.Scenario.Classes[r.op.Class].Deadline.D() {
@@ -127,7 +127,7 @@
 	sim.after(pause, func() { sim.tryRequest(&request{id: sim.id(), op: r.op, firstID: r.firstID, try: r.try + 1}) })
 }
 
-// finishOperation is the end of a need.
+// finishOperation records the end of an operation.
 func (sim *simulation) finishOperation(r *request, how string) {
 	rec := sim.newRecord(r.op)
 	rec.Kind, rec.ID, rec.How, rec.Took = trace.Done, r.firstID, how, trace.US(sim.now-r.op.At)
--- a/internal/kit/lab/counts.go
+++ b/internal/kit/lab/counts.go
@@ -8,51 +8,51 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Counts are what a play's nodes did together: second by second, and over the whole of it.
+// Counts are the totals of all nodes in a play, by second and over the whole play.
 type Counts struct {
 	Seconds []Second `json:"seconds"`
 
 	NewConns                 float64 `json:"new_connections_an_attempt"`
-	HandshakeFraction        float64 `json:"handshake_part_of_work"` // of all work sent
-	OpenMean                 float64 `json:"open_connections_mean"`  // at a box, over boxes and seconds
+	HandshakeFraction        float64 `json:"handshake_part_of_work"` // fraction of all work sent
+	OpenMean                 float64 `json:"open_connections_mean"`  // per backend, over all backends and seconds
 	OpenP99                  float64 `json:"open_connections_p99"`
 	OpenMax                  float64 `json:"open_connections_most"`
-	ListCalls                float64 `json:"list_calls_a_node"` // in the 10 s after each start of nodes but the first, or in the whole play without one
+	ListCalls                float64 `json:"list_calls_a_node"` // per node, in the 10 s after each restart of nodes; in the whole play if there is none
 	ListCallsRejected        float64 `json:"list_calls_turned_away_a_node"`
-	ColdBudgetMax            float64 `json:"cold_budget_worst"` // largest part of a cold box's budget that any window was sent; 1 is all of it
+	ColdBudgetMax            float64 `json:"cold_budget_worst"` // maximum ratio of work sent to a cold backend's budget over all windows; 1 is the whole budget
 	AttemptsToIsolated       float64 `json:"attempts_at_boxes_cut_off"`
 	SharedBytesPerNodeSecond float64 `json:"shared_bytes_a_node_a_second"`
-	LoadP99ToMean            float64 `json:"work_p99_to_mean"` // of the work that warm boxes got in a second, for each core's speed
+	LoadP99ToMean            float64 `json:"work_p99_to_mean"` // of the work sent to warm backends per second, relative to their full capacity; mean over the seconds
 
 	nodeStarts         []time.Duration
 	openSamples        []float64
 	loadSpreads        []float64
-	callsAfterStart    float64 // after starts
+	callsAfterStart    float64 // calls while nodesStarting
 	rejectedAfterStart float64
 	workSent           time.Duration
 	handshakeWork      time.Duration
-	workThisSecond     map[*backend]time.Duration // work sent in this second
+	workThisSecond     map[*backend]time.Duration // work sent to each backend
 }
 
-// Second is one second of a play, over the whole fleet.
+// Second is the totals of one second of a play, over the whole fleet.
 type Second struct {
-	At                   int     `json:"at"` // seconds since the traffic began
+	At                   int     `json:"at"` // seconds since the start of the traffic
 	Attempts             int     `json:"attempts"`
 	NewConns             int     `json:"new_connections"`
 	HandshakeCoreSeconds float64 `json:"handshake_core_seconds"`
 	CrossSite            int     `json:"across_sites"`
-	ColdCoreSeconds      float64 `json:"cold_core_seconds"` // work sent to boxes that warm up
-	ColdBudgetUsed       float64 `json:"cold_budget_used"`  // the largest part of a cold box's budget at any time so far today
-	RefusedUntried       int     `json:"refused_untried"`   // refusals by what went before: no attempt,
-	RefusedTried         int     `json:"refused_tried"`     // or some, none of which ran
+	ColdCoreSeconds      float64 `json:"cold_core_seconds"` // work sent to cold backends
+	ColdBudgetUsed       float64 `json:"cold_budget_used"`  // Counts.ColdBudgetMax so far
+	RefusedUntried       int     `json:"refused_untried"`   // refusals without an attempt
+	RefusedTried         int     `json:"refused_tried"`     // refusals after attempts, none of which ran
 	ListCalls            int     `json:"list_calls"`
-	FullLists            int     `json:"whole_lists"` // of them, those for the whole list
+	FullLists            int     `json:"whole_lists"` // of the list calls, those for the full list
 	ListCallsRejected    int     `json:"list_calls_turned_away"`
-	ReportAgeSeconds     float64 `json:"report_age_s"` // mean age of the report by which a box was chosen
+	ReportAgeSeconds     float64 `json:"report_age_s"` // mean age of the latest report of the backend that is chosen
 	WithoutReport        int     `json:"without_report"`
-	Open                 float64 `json:"open_connections"` // at a box, mean of those in service
+	Open                 float64 `json:"open_connections"` // per backend, mean over those in service
 	OpenP99              float64 `json:"open_connections_p99"`
-	InFlight             float64 `json:"held"` // requests at a box, in truth: mean
+	InFlight             float64 `json:"held"` // requests per backend, mean of the true numbers
 	BelievedInFlight     float64 `json:"held_believed"`
 
 	reportAgeSum float64
@@ -65,7 +65,7 @@
 	c.workThisSecond = map[*backend]time.Duration{}
 }
 
-// current is the second that a play is in.
+// current returns the current second of a play.
 func (c *Counts) current(sim *simulation) *Second {
 	return &c.Seconds[min(int(sim.now/time.Second), len(c.Seconds)-1)]
 }
@@ -97,6 +97,7 @@
 	}
 }
 
+// recordColdWork counts work sent to a cold backend.
 func (c *Counts) recordColdWork(b *backend, work time.Duration) {
 	s := c.current(b.sim)
 	s.ColdCoreSeconds += work.Seconds()
@@ -130,12 +131,13 @@
 	}
 }
 
-// nodesStarting tells whether nodes have started in the last 10 s; in a play in which none does, it always holds.
+// nodesStarting reports whether a node has restarted in the last 10 s. It is true until the first restart, so that a play
+// without one counts throughout.
 func (c *Counts) nodesStarting(now time.Duration) bool {
 	return len(c.nodeStarts) == 0 || now-c.nodeStarts[len(c.nodeStarts)-1] < 10*time.Second
 }
 
-// sampleBackends looks at all boxes once a second.
+// sampleBackends records connections and load of all backends once a second.
 func (sim *simulation) sampleBackends() {
 	c := sim.counts
 	s := c.current(sim)
@@ -178,7 +180,7 @@
 	sim.after(time.Second, sim.sampleBackends)
 }
 
-// finish works out what is over the whole play.
+// finish computes the figures of the whole play.
 func (c *Counts) finish(sim *simulation) {
 	attempts, conns := 0, 0
 	for i := range c.Seconds {
--- a/internal/kit/lab/fleet_test.go
+++ b/internal/kit/lab/fleet_test.go
@@ -9,7 +9,8 @@
 	"craneglade/policy"
 )
 
-// smallFleet is a short day of a large fleet: 40 nodes, 30 boxes, half of the traffic, events two seconds in.
+// smallFleet loads a scenario of a large fleet, scaled down: 10 s, 40 nodes, 30 backends, half of the traffic, and
+// events after two seconds.
 func smallFleet(t *testing.T, name string, change ...func(*scenario.Scenario)) *scenario.Scenario {
 	return load(t, name, append([]func(*scenario.Scenario){func(s *scenario.Scenario) {
 		s.Length = scenario.Duration(10 * time.Second)
@@ -33,7 +34,8 @@
 	}}, change...)...)
 }
 
-// playClean plays a day that must keep the rules and returns its counts; tell changes what nodes are told.
+// playClean plays a scenario, fails the test on any rule violation, and returns the counts. changeSettings changes the
+// nodes' settings; nil for none.
 func playClean(t *testing.T, s *scenario.Scenario, seed uint64, changeSettings func(*policy.Settings)) *Counts {
 	t.Helper()
 	o := Options{Name: "twin", Plan: plan.New(s, seed), Tuning: policy.DefaultTuning(), Counts: &Counts{}, changeSettings: changeSettings}
@@ -47,9 +49,11 @@
 	return o.Counts
 }
 
-// Large fleets keep the rules through kills, a lost site and a fast deploy, and serve; the same seed gives the same day.
+// Large fleets keep the rules and serve in time through kills, a lost site and a fast deploy. The same seed gives the
+// same figures.
 func TestLargeFleets(t *testing.T) {
-	// The bounds lie between what is in service and what it is without one of parts, level or the flatter q.
+	// The bounds lie between the figures of the policy in use and those without one of its measures: subsets, their
+	// levelling, or the flatter q.
 	for name, want := range map[string]struct{ share, fresh, open float64 }{
 		"fleet-herd": {0.95, 0.15, 36}, "fleet-zone": {0.85, 0.22, 52}, "fleet-join": {0.96, 0.18, 50}} {
 		t.Run(name, func(t *testing.T) {
@@ -63,12 +67,12 @@
 				t.Errorf("%s; undecided %+v", d.Broken, d.report.Verdict.Undecided)
 			}
 			if d.Share < want.share {
-				t.Errorf("%.3f of the worth in time, want %.2f", d.Share, want.share)
+				t.Errorf("share of utility in time %.3f, want at least %.2f", d.Share, want.share)
 			}
 			if c := d.Counts; c.NewConns > want.fresh || c.ColdBudgetMax > 1 || c.OpenMax > want.open {
-				t.Errorf("new connections %.2f an attempt, cold budget %.2f, %v connections at a box", c.NewConns, c.ColdBudgetMax, c.OpenMax)
+				t.Errorf("%.2f new connections per attempt, cold budget %.2f, at most %v connections per backend", c.NewConns, c.ColdBudgetMax, c.OpenMax)
 			}
-			if name != "fleet-herd" { // the one with kills and a list that is asked for
+			if name != "fleet-herd" { // the scenario with kills and a list that is fetched
 				return
 			}
 			if again, err := PlayOnce(name, s, 3, policy.DefaultTuning()); err != nil || again.Figure != d.Figure || again.Counts.NewConns != d.Counts.NewConns {
@@ -78,7 +82,8 @@
 	}
 }
 
-// Nodes that disagree on how many they are keep to the cold budget together: half of them believe in half as many.
+// Guards against a cold backend that gets more than its budget because nodes disagree on their number: half of the nodes
+// are configured with half as many.
 func TestColdBudgetWithDisagreeingNodeCounts(t *testing.T) {
 	c := playClean(t, smallFleet(t, "fleet-join"), 3, func(s *policy.Settings) {
 		if s.Number%2 == 0 {
@@ -86,20 +91,20 @@
 		}
 	})
 	if c.ColdBudgetMax == 0 || c.ColdBudgetMax > 1 {
-		t.Errorf("at the worst moment a cold box was sent %.2f of its budget", c.ColdBudgetMax)
+		t.Errorf("a cold backend was sent at most %.2f of its budget, want above 0 and at most 1", c.ColdBudgetMax)
 	}
 }
 
-// A list that turns every call away for 10 s after most nodes have started together: they go on with the list that
-// they had, and do not call without end.
+// Most nodes start together and the list service rejects every call for 10 s. The nodes have to work with the list that
+// they had and must not call without backoff.
 func TestListRejectedAfterNodeStart(t *testing.T) {
 	s := smallFleet(t, "fleet-herd", func(s *scenario.Scenario) {
 		s.Length = scenario.Duration(14 * time.Second)
-		s.List.Calls = 1e-3 // one call in all
+		s.List.Calls = 1e-3 // one call in total
 	})
 	c := playClean(t, s, 3, nil)
 	if c.ListCallsRejected == 0 || c.ListCalls > 10 {
-		t.Errorf("%.1f calls a node in 10 s, %.1f of them turned away", c.ListCalls, c.ListCallsRejected)
+		t.Errorf("%.1f calls per node in 10 s, %.1f of them rejected", c.ListCalls, c.ListCallsRejected)
 	}
 	attempts, refused := 0, 0
 	for _, x := range c.Seconds[3:13] {
@@ -110,8 +115,8 @@
 	}
 }
 
-// Nodes that all start in one millisecond, with nothing known of any box, spread their first requests. One day's refusals
-// are one or two nodes' bad luck (0 to 57 of 750): eight days tell.
+// Guards against overload of a few backends when all nodes start in one millisecond without any observation of a backend.
+// The refusals of one seed come from one or two unlucky nodes (0 to 57 of 750), so eight seeds are added up.
 func TestAllNodesStartTogether(t *testing.T) {
 	refused, attempts := 0, 0
 	for seed := range uint64(8) {
@@ -123,7 +128,7 @@
 		first := c.Seconds[0]
 		refused, attempts = refused+first.RefusedUntried+first.RefusedTried, attempts+first.Attempts
 		if c.LoadP99ToMean > 2.5 {
-			t.Errorf("seed %d: the busiest box gets %.1f times the mean", 5+seed, c.LoadP99ToMean)
+			t.Errorf("seed %d: the p99 of the backends' work is %.1f times the mean", 5+seed, c.LoadP99ToMean)
 		}
 	}
 	if refused > attempts/50 {
--- a/internal/kit/lab/lab_test.go
+++ b/internal/kit/lab/lab_test.go
@@ -29,7 +29,7 @@
 
 func shorten(s *scenario.Scenario) { s.Length = scenario.Duration(12 * time.Second) }
 
-// traceText plays a day and returns its trace as it would be written.
+// traceText plays a scenario and returns its trace as text.
 func traceText(t *testing.T, s *scenario.Scenario, seed uint64) string {
 	t.Helper()
 	var b strings.Builder
@@ -45,7 +45,7 @@
 	return b.String()
 }
 
-// playJudged plays a day and returns what the judge says of it.
+// playJudged plays a scenario and returns the judge's verdict.
 func playJudged(t *testing.T, o Options) *judge.Verdict {
 	t.Helper()
 	j := judge.New(Head(&o))
@@ -68,7 +68,7 @@
 	}
 }
 
-// Every scenario that the laboratory can play keeps the rules, and every request is accounted for.
+// These scenarios keep the rules, and every operation has exactly one end.
 func TestScenariosKeepTheRules(t *testing.T) {
 	for _, name := range []string{"rolling-deploy", "late-list", "slow-after-overload", "half-cold"} {
 		s := load(t, name)
@@ -87,7 +87,8 @@
 	}
 }
 
-// The judge is not blind here: a node that resends unsafe work, goes on to drained boxes or floods cold ones is named.
+// Guards against a judge that misses violations in simulated traces: nodes resend unsafe requests, keep using draining
+// backends, or overload cold ones.
 func TestViolationsAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -109,7 +110,7 @@
 		s := load(t, c.name, c.change)
 		o := Options{Name: c.name, Plan: plan.New(s, 5), Tuning: policy.DefaultTuning(), changeSettings: c.changeSettings, hideUpdate: c.hideUpdate}
 		if v := playJudged(t, o); !v.Broken(c.rule) {
-			t.Errorf("%s with a module that was told wrongly: rule %d is not named as broken", c.name, c.rule)
+			t.Errorf("%s with wrong settings or a missed update: no violation of rule %d found", c.name, c.rule)
 		}
 	}
 }
@@ -131,7 +132,7 @@
 			seen++
 			off += math.Abs(b.Held - float64(b.TrueHeld))
 			if b.H <= 0 || b.R < b.H || b.Service <= 0 || b.TrueCapacity <= 0 {
-				t.Errorf("a belief that makes no sense: %+v", b)
+				t.Errorf("implausible belief: %+v", b)
 			}
 			if _, err := json.Marshal(b); err != nil {
 				t.Error(err)
@@ -161,7 +162,7 @@
 	}
 	against := Paired(&out[0], &out[1], func(d *PlayResult) float64 { return d.Figure })
 	if !(against.Mean+against.Half < 0) || out[0].Figure.Half <= 0 {
-		t.Errorf("H of half a request against the one in service: %v (%v, %v), want it surely worse", against, out[0].Figure, out[1].Figure)
+		t.Errorf("H of half a request against the default: %v (%v, %v), want it significantly worse", against, out[0].Figure, out[1].Figure)
 	}
 	var page strings.Builder
 	if err := sweep.Page(&page, out); err != nil {
@@ -175,7 +176,7 @@
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := sweep.Run(ended, nil); err == nil {
-		t.Error("a sweep that was cancelled gives no error")
+		t.Error("a cancelled sweep returned no error")
 	}
 }
 
--- a/internal/kit/lab/list.go
+++ b/internal/kit/lab/list.go
@@ -9,19 +9,19 @@
 	"craneglade/policy"
 )
 
-// The waits of the daemon's calls where each is work for the list's service (internal/discovery).
+// The timeouts of the daemon's calls to a discovery service (internal/discovery).
 const (
 	watchTimeout     = 20 * time.Second
-	callGrace        = 5 * time.Second // an answer later than its wait by this has failed
+	callGrace        = 5 * time.Second // a call fails this long after its wait
 	minWatchInterval = 50 * time.Millisecond
 )
 
-// listServer is the service behind the box list where nodes have to ask for it. It answers so many calls a second, with a
-// second's worth in hand after a quiet one, and turns the others away at once.
+// listServer is the discovery service for nodes that fetch their list. It answers a limited number of calls per second,
+// with a burst of one second's calls, and rejects the others at once.
 type listServer struct {
 	sim          *simulation
-	updates      []policy.Entry // every change, in the order of their versions, from 1
-	lastUpdateAt time.Duration  // of the last change that is on its way
+	updates      []policy.Entry // all changes in the order of their versions, from 1
+	lastUpdateAt time.Duration  // when the service learns of the latest change
 	tokens       float64
 	refilledAt   time.Duration
 	waiting      []*listCall
@@ -31,12 +31,12 @@
 type listCall struct {
 	node         *node
 	incarnation  int
-	sinceVersion int64 // -1 for the whole list
+	sinceVersion int64 // -1 for the full list
 	ended        bool
 	onEnd        func(kind policy.ListKind, updates []policy.Entry, version int64, ok bool)
 }
 
-// publish takes in a change that the service knows of from a time on.
+// publish adds a change that the service learns of at a time, and no earlier than of the changes before it.
 func (l *listServer) publish(e policy.Entry, at time.Duration) {
 	l.lastUpdateAt = max(l.lastUpdateAt, at)
 	l.sim.at(l.lastUpdateAt, func() {
@@ -61,7 +61,7 @@
 	}
 }
 
-// arrive takes in a call.
+// arrive handles a call: it is rejected, answered, or waits for a change.
 func (l *listServer) arrive(c *listCall) {
 	if limit := l.sim.plan.Scenario.List.Calls; limit > 0 {
 		l.tokens = min(limit, l.tokens+limit*(l.sim.now-l.refilledAt).Seconds())
@@ -85,7 +85,7 @@
 
 func (l *listServer) site() string { return l.sim.plan.Scenario.Sites[0].Name }
 
-// answer sends what a call asks for.
+// answer sends the changes since the call's version, or the full list.
 func (l *listServer) answer(c *listCall) {
 	kind, version := policy.ListDelta, int64(len(l.updates))
 	var updates []policy.Entry
@@ -111,7 +111,7 @@
 	l.sim.after(l.sim.delay(l.site(), c.node.Site), func() { c.end(kind, updates, version, true) })
 }
 
-// end hands the call's end to its node, once.
+// end passes the result of the call to its node, once.
 func (c *listCall) end(kind policy.ListKind, updates []policy.Entry, version int64, ok bool) {
 	if c.ended || c.incarnation != c.node.incarnation {
 		return
@@ -120,13 +120,13 @@
 	c.onEnd(kind, updates, version, ok)
 }
 
-// callList asks the service; done is called once, unless the process ends before.
+// callList calls the service. done is called once, unless the node's process ends before.
 func (n *node) callList(since int64, wait time.Duration, done func(policy.ListKind, []policy.Entry, int64, bool)) {
 	c := &listCall{node: n, incarnation: n.incarnation, sinceVersion: since, onEnd: done}
 	l := &n.sim.listService
 	n.sim.counts.recordListCall(c)
 	n.sim.after(n.sim.delay(n.Site, l.site()), func() { l.arrive(c) })
-	n.sim.after(wait, func() { // nothing new is an answer too, unless the service says nothing at all
+	n.sim.after(wait, func() { // a watch without changes gets an empty response, unless the service is paused
 		l.waiting = slices.DeleteFunc(l.waiting, func(x *listCall) bool { return x == c })
 		if since >= 0 && !n.sim.listPaused {
 			c.end(policy.ListDelta, nil, since, true)
@@ -135,7 +135,7 @@
 	n.sim.after(wait+callGrace, func() { c.end(0, nil, 0, false) })
 }
 
-// watch waits for changes until a call fails, as the daemon does.
+// watch polls for changes until a call fails, as the daemon does.
 func (n *node) watch() {
 	if n.watching || n.sim.plan.Scenario.List.Mode != "ask" {
 		return
@@ -144,6 +144,7 @@
 	n.nextWatch()
 }
 
+// nextWatch makes one call of a watch.
 func (n *node) nextWatch() {
 	startedAt := n.sim.now
 	n.callList(n.version, watchTimeout, func(kind policy.ListKind, updates []policy.Entry, version int64, ok bool) {
@@ -165,7 +166,7 @@
 	})
 }
 
-// fetch asks for the whole list once.
+// fetch fetches the full list once.
 func (n *node) fetch() {
 	if n.sim.plan.Scenario.List.Mode != "ask" {
 		return
@@ -176,7 +177,7 @@
 			return
 		}
 		if version < n.version {
-			return // a watch has brought a later one
+			return // a watch has returned a later version meanwhile
 		}
 		n.version = version
 		for id := range n.known {
--- a/internal/kit/lab/node.go
+++ b/internal/kit/lab/node.go
@@ -15,34 +15,34 @@
 	"craneglade/policy"
 )
 
-// node is one node: the decision module, and what carries out its actions.
+// node is one node: the policy, and what carries out its actions.
 type node struct {
 	trace.Node
 	sim            *simulation
 	balancer       *policy.Balancer
 	actions        []policy.Action
 	requests       map[string]*request
-	inFlight       []*attempt // without an end, in the order of their sends
+	inFlight       []*attempt // in the order of their sends
 	index          int
 	up             bool
-	markedDown     bool                    // clients know that it is down
+	markedDown     bool                    // clients have noticed that it is down
 	incarnation    int                     // counts its processes
-	known          map[uint32]policy.Entry // what the list has told it
-	version        int64                   // of the list, where it asks for it
+	known          map[uint32]policy.Entry // its current list
+	version        int64                   // of its list, where lists are fetched
 	watching       bool
-	reportedAt     map[*backend]time.Duration // when its latest report came in
-	idleEstimator  *admission.IdleEstimator   // for how long boxes keep connections, from all of them together
+	reportedAt     map[*backend]time.Duration // when a backend's latest report arrived
+	idleEstimator  *admission.IdleEstimator   // how long backends keep idle connections, estimated from all of them
 	pool           map[*backend]*idlePool
-	idle           []int64 // clients' connections that wait for a request
+	idle           []int64 // idle connections of clients
 	lastNotified   time.Duration
-	pendingUpdates []policy.Entry  // news that came while the list was silent
-	connectTimeout time.Duration   // for a connection to a box
-	shared         *shared.Replica // nil where nothing is shared
+	pendingUpdates []policy.Entry  // changes that came while the list was paused or the node down
+	connectTimeout time.Duration   // for a connection to a backend
+	shared         *shared.Replica // nil if nothing is shared
 	keys           map[judgement.Key]uint32
-	sites          *siting.Adapter // nil where sites are not watched
+	sites          *siting.Adapter // nil if sites are not watched
 }
 
-// idlePool are a node's idle connections to one box: since when each has rested, the latest last.
+// idlePool holds a node's idle connections to one backend: since when each is idle, the latest last.
 type idlePool struct {
 	connEpoch     int
 	idleSince     []time.Duration
@@ -63,26 +63,26 @@
 	ended       bool
 }
 
-// attempt is one send to a box.
+// attempt is one attempt of a request at a backend.
 type attempt struct {
 	number    uint64
 	node      *node
 	backend   *backend
-	connEpoch int           // of the box when the connection was opened
-	idleFor   time.Duration // for how long its connection had, before it was used again
+	connEpoch int           // of the backend when the connection was opened
+	idleFor   time.Duration // how long its reused connection had been idle; 0 for a new one
 	request   *request
 	index     int
 	sent      time.Duration
 	timeout   time.Duration
-	newConn   bool // on a new connection
-	overLimit bool // past the connections that the box accepts
-	written   bool // its last byte is written
-	willReset bool // it is reset, not answered
+	newConn   bool // uses a new connection
+	overLimit bool // its connection is beyond the backend's limit
+	written   bool // the request has been sent
+	willReset bool // reset instead of a response
 	ended     bool
 	load      policy.Load
 }
 
-// digest stands for the digest of a body that was made for this attempt's request.
+// digest stands in for the digest of the response body, which is unique to the attempt.
 func (a *attempt) digest() string { return fmt.Sprintf("%s/%d", a.request.id, a.number) }
 
 func (sim *simulation) addNode(i int, t trace.Node) error {
@@ -95,7 +95,7 @@
 	return n.start()
 }
 
-// start starts the node's process, with the list that it was told before.
+// start starts the node's process, with the list that the node had before.
 func (n *node) start() error {
 	sim := n.sim
 	set, err := settings(sim.plan, n.index, n.Site)
@@ -110,7 +110,7 @@
 		return err
 	}
 	if n.incarnation > 0 && (len(sim.counts.nodeStarts) == 0 || !sim.counts.nodesStarting(sim.now)) {
-		sim.counts.callsAfterStart, sim.counts.rejectedAfterStart = 0, 0 // those before were no start's
+		sim.counts.callsAfterStart, sim.counts.rejectedAfterStart = 0, 0 // count only calls after a start
 	}
 	if n.incarnation > 0 {
 		sim.counts.nodeStarts = append(sim.counts.nodeStarts, sim.now)
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// kill ends the process: its connections break on both sides.
+// kill ends the process: its connections to clients and to backends break.
 func (n *node) kill() {
 	if !n.up {
 		return
@@ -162,7 +162,7 @@
 	}
 }
 
-// breakClientConn breaks a client's connection under a request.
+// breakClientConn ends a request because its client's connection broke.
 func (n *node) breakClientConn(r *request) {
 	r.ended = true
 	rec := n.sim.newRecord(r.op)
@@ -171,13 +171,13 @@
 	n.sim.endTry(r, plan.Failed, 0)
 }
 
-// revive starts the process again. Where lists are pushed, the agent beside it has kept what it was not told.
+// revive starts the process again. Where lists are pushed, the agent on its machine has kept the changes meanwhile.
 func (n *node) revive() {
 	if n.up {
 		return
 	}
 	if err := n.start(); err != nil {
-		panic(err) // the same settings were taken at the start
+		panic(err) // the same settings were accepted at the first start
 	}
 	n.sim.after(n.sim.drawListSpread(), func() {
 		if n.up && !n.sim.listPausedFor(n) && len(n.pendingUpdates) > 0 {
@@ -187,7 +187,7 @@
 	})
 }
 
-// applyDelta hands in news of the list.
+// applyDelta applies changes of the list.
 func (n *node) applyDelta(updates []policy.Entry) { n.applyList(policy.ListDelta, updates) }
 
 func (n *node) applyList(kind policy.ListKind, updates []policy.Entry) {
@@ -211,11 +211,11 @@
 	}
 }
 
-// handle hands one event to the module and carries out what it wants.
+// handle passes one event to the policy and carries out the actions that it returns.
 func (n *node) handle(ev *policy.Event) {
 	now := epoch + n.sim.now
 	acts := n.balancer.Handle(now, ev, n.actions[:0])
-	n.actions = nil // carrying out may hand in the next event
+	n.actions = nil // carrying out actions may call handle again
 	for i := range acts {
 		a := &acts[i]
 		switch a.Kind {
@@ -301,8 +301,9 @@
 	})
 }
 
-// reuse takes an idle connection to the attempt's box, by the rules of the daemon's pool: the latest used, and for what
-// must not be sent twice none that has rested for longer than boxes are sure to keep one.
+// reuse takes an idle connection to the attempt's backend if there is one, by the rules of the daemon's pool: the most
+// recently used one, and for a request that must not be sent twice none that has been idle for longer than the backend
+// is known to keep one.
 func (n *node) reuse(a *attempt) bool {
 	p := n.pool[a.backend]
 	if p == nil || p.connEpoch != a.backend.connEpoch {
@@ -322,7 +323,8 @@
 	return true
 }
 
-// closeExpired closes the connections that a node has kept for as long as its pool does: a tenth before boxes close them.
+// closeExpired closes the connections in a node's pool that have reached its idle limit: nine tenths of the backends'
+// idle timeout.
 func (b *backend) closeExpired(p *idlePool) {
 	keep := b.sim.plan.Scenario.Conn.Idle.D() * 9 / 10
 	for p.connEpoch == b.connEpoch && len(p.idleSince) > 0 && b.sim.now-p.idleSince[0] >= keep {
@@ -331,7 +333,7 @@
 	}
 }
 
-// closeAllExpired trims all nodes' connections to the box.
+// closeAllExpired calls closeExpired for the pools of all nodes.
 func (b *backend) closeAllExpired() {
 	for _, n := range b.sim.nodes {
 		if p := n.pool[b]; n.up && p != nil {
@@ -340,7 +342,7 @@
 	}
 }
 
-// write sends the request on the connection that the attempt has.
+// write sends the request on the attempt's connection.
 func (a *attempt) write() {
 	sim, b := a.node.sim, a.backend
 	a.written = true
@@ -368,7 +370,7 @@
 	})
 }
 
-// abandon closes the attempt's connection.
+// abandon ends the attempt and closes its connection. A timeout before the request is sent counts as a failed connect.
 func (a *attempt) abandon(o policy.Outcome) {
 	if a.ended {
 		return
@@ -382,7 +384,7 @@
 	a.end(o)
 }
 
-// closeWritten closes the connection under a request that the box has been sent.
+// closeWritten closes the connection of a request that has been sent; the backend may cancel the request then.
 func (a *attempt) closeWritten() {
 	sim, b := a.node.sim, a.backend
 	sim.note(trace.Record{Kind: trace.Drop, Box: b.plan.ID, Node: a.node.Name, Att: int64(a.number), ID: a.request.id})
@@ -395,14 +397,14 @@
 	})
 }
 
-// releaseConn takes the attempt's connection off the box's count.
+// releaseConn removes the attempt's connection from the backend's count.
 func (a *attempt) releaseConn() {
 	if a.backend.connEpoch == a.connEpoch {
 		a.backend.conns--
 	}
 }
 
-// end hands in the attempt's outcome, and passes on the answer of one that was served.
+// end records the attempt's outcome with all that listen to it, and answers the request if it was served.
 func (a *attempt) end(o policy.Outcome) {
 	n, r := a.node, a.request
 	a.ended = true
@@ -441,7 +443,7 @@
 	n.forget(r)
 }
 
-// finish gives a request its final answer, unless it has one.
+// finish sends the final response of a request, unless it has ended.
 func (n *node) finish(id string, status int, sum string, retryAfter time.Duration) {
 	r := n.requests[id]
 	if r == nil || r.ended {
@@ -452,6 +454,7 @@
 	n.forget(r)
 }
 
+// forget removes a request that has ended and has no attempt in flight.
 func (n *node) forget(r *request) {
 	if r.ended && !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.ended }) {
 		delete(n.requests, r.id)
--- a/internal/kit/lab/page.go
+++ b/internal/kit/lab/page.go
@@ -13,13 +13,13 @@
 //go:embed page.html
 var pageText string
 
-// colours tell the settings of a page apart; they come round again after the last.
+// colours of the settings on a page; they repeat after the last.
 var colours = []string{"#1f5fa8", "#d07b2a", "#1a7f37", "#8250df", "#b5474f", "#57606a", "#9a6700", "#0f7b8a"}
 
-// maxChartLines is how many settings a chart shows: more can't be told apart by eye. The table has all.
+// maxChartLines is how many settings a chart shows: more can't be told apart by eye. The table shows all.
 const maxChartLines = 8
 
-// Page writes the outcomes of a sweep as one page that needs nothing else.
+// Page writes the outcomes of a sweep as one self-contained HTML page.
 func (s *Sweep) Page(w io.Writer, out []Outcome) error {
 	t, err := template.New("page").Funcs(template.FuncMap{
 		"colour": func(i int) string { return colours[i%len(colours)] },
@@ -38,7 +38,8 @@
 	}{s, out, min(maxChartLines, len(out)), template.HTML(s.chart(out))})
 }
 
-// chart shows, for each setting, the requests answered in time in each second, over all seeds, below those asked for.
+// chart draws, for each setting, the requests answered in time by second, and above them the requests of the clients.
+// All are means over the seeds.
 func (s *Sweep) chart(out []Outcome) string {
 	mean := func(o *Outcome, of func(*PlayResult) []float64) []float64 {
 		var sum []float64
--- a/internal/kit/lab/plot.go
+++ b/internal/kit/lab/plot.go
@@ -16,7 +16,7 @@
 	value func(*Second) float64
 }
 
-// panels are the charts of a play's counts, one below the other over the same seconds.
+// panels are the charts of a play's counts, one below the other with the same time axis.
 var panels = []struct {
 	unit  string
 	lines []chartLine
@@ -41,7 +41,7 @@
 
 const panelWidth, panelHeight = 1040, 260
 
-// Chart draws the counts by second as SVG.
+// Chart writes the counts by second as an SVG image.
 func (c *Counts) Chart(w io.Writer) error {
 	var out bytes.Buffer
 	var ticks []charts.Tick
--- a/internal/kit/lab/share.go
+++ b/internal/kit/lab/share.go
@@ -12,12 +12,12 @@
 	"craneglade/policy"
 )
 
-// Sharing has the nodes share state, as peers that gossip over a network that loses part of what they say. Who is
-// here is not found out by SWIM's own messages: a node that ends is told as dead to all after deadAfter.
+// Sharing makes the nodes share state by gossip over a network that loses some datagrams. Membership is not detected by
+// SWIM's messages here: all nodes are notified of a node's end after deadNoticeDelay.
 type Sharing struct {
 	Use     shared.Use
-	Loss    float64 // part of the datagrams
-	BytesPS int     // of a node
+	Loss    float64 // fraction of the datagrams that is lost
+	BytesPS int     // bandwidth limit of a node, in bytes per second
 }
 
 const (
@@ -33,7 +33,7 @@
 	return shared.Key(b.plan.ID, int64(b.started/time.Millisecond))
 }
 
-// startSharing gives the node's new life a replica.
+// startSharing creates the replica of a node's new process and starts its periodic work.
 func (n *node) startSharing(set *policy.Settings) {
 	o := n.sim.opt.Sharing
 	if o == nil {
@@ -70,11 +70,12 @@
 
 func (n *node) addMember(p *node) {
 	if err := n.shared.MemberJoined(epoch+n.sim.now, p.Name, p.shared.Meta()); err != nil {
-		panic(err) // it was written by this very program
+		panic(err) // the metadata was encoded by this program
 	}
 }
 
-// repeat calls f in turns, from somewhere in the first one on, while the node's life lasts.
+// repeat calls f at intervals until the node's process ends. The first call is at a random time within the first
+// interval.
 func (n *node) repeat(incarnation int, interval time.Duration, f func()) {
 	var next func()
 	next = func() {
@@ -86,7 +87,7 @@
 	n.sim.after(time.Duration(n.sim.rng.Float64()*float64(interval)), next)
 }
 
-// randomPeer is another node that is up, by chance; nil where there is none.
+// randomPeer returns another random node that is up; nil if eight draws find none.
 func (n *node) randomPeer() *node {
 	for range 8 {
 		if p := n.sim.nodes[n.sim.rng.IntN(len(n.sim.nodes))]; p != n && p.up && p.shared != nil {
@@ -107,7 +108,7 @@
 	}
 }
 
-// sendMessages sends messages to the members that they are for.
+// sendMessages sends each message to its member.
 func (n *node) sendMessages(all []shared.Message) {
 	for _, m := range all {
 		if m.To >= 0 && m.To < len(n.sim.nodes) {
@@ -121,7 +122,7 @@
 	sim.counts.SharedBytesPerNodeSecond += float64(len(frame))
 }
 
-// deliver takes a frame to a node, or loses it.
+// deliver sends a frame to a node, or loses it.
 func (sim *simulation) deliver(to *node, frame []byte) {
 	if sim.rng.Float64() < sim.opt.Sharing.Loss {
 		return
@@ -133,13 +134,13 @@
 		}
 		answers, err := to.shared.Receive(epoch+sim.now, frame)
 		if err != nil {
-			panic(err) // it was written by this very program
+			panic(err) // the frame was encoded by this program
 		}
 		to.sendMessages(answers)
 	})
 }
 
-// applyView hands in what the node may act on now.
+// applyView passes the replica's current view to the site state and the policy.
 func (n *node) applyView() {
 	view := n.shared.View(epoch + n.sim.now)
 	for _, note := range n.shared.Notes() {
@@ -154,7 +155,7 @@
 	n.handle(view.Event(func(k judgement.Key) (uint32, bool) { x, ok := n.keys[k]; return x, ok }))
 }
 
-// backendsChanged tells the replica which boxes there are.
+// backendsChanged passes the current list to the site state and the replica.
 func (n *node) backendsChanged() {
 	n.updateSiteBackends()
 	if n.shared == nil {
@@ -173,7 +174,7 @@
 	n.shared.SetBackends(all)
 }
 
-// notifyDead tells the others that a node has ended.
+// notifyDead notifies the other nodes, after deadNoticeDelay, that this node has ended.
 func (n *node) notifyDead() {
 	if n.shared == nil {
 		return
--- a/internal/kit/lab/share_test.go
+++ b/internal/kit/lab/share_test.go
@@ -9,8 +9,8 @@
 	"craneglade/policy"
 )
 
-// Nodes that share what they count keep a greedy tenant to its share, whatever is lost between them; the same seed gives the same
-// day.
+// Nodes that share their counts have to keep a greedy tenant to its quota, even if the network loses datagrams. The same
+// seed gives the same figures.
 func TestSharedQuotas(t *testing.T) {
 	s := load(t, "calm", func(s *scenario.Scenario) {
 		s.Length = scenario.Duration(14 * time.Second)
@@ -32,7 +32,7 @@
 		}
 		alone, together = alone+a.Figure/3, together+b.Figure/3
 		if b.Broken != "" || b.Counts.SharedBytesPerNodeSecond == 0 || b.Counts.SharedBytesPerNodeSecond > 64<<10 {
-			t.Errorf("seed %d: %s; %.0f bytes a node a second", seed, b.Broken, b.Counts.SharedBytesPerNodeSecond)
+			t.Errorf("seed %d: %s; %.0f bytes per node and second", seed, b.Broken, b.Counts.SharedBytesPerNodeSecond)
 		}
 		if seed > 0 {
 			continue
@@ -42,7 +42,7 @@
 		}
 	}
 	if together < alone {
-		t.Errorf("figure %.3f with what nodes share and %.3f without", together, alone)
+		t.Errorf("figure %.3f with shared state and %.3f without", together, alone)
 	}
 	t.Logf("figure %.3f and %.3f", together, alone)
 }
--- a/internal/kit/lab/site.go
+++ b/internal/kit/lab/site.go
@@ -9,13 +9,13 @@
 	"craneglade/policy"
 )
 
-// Siting has the nodes watch how sites stand, and follow a plan for their loss.
+// Siting makes the nodes watch the state of sites and follow a plan for their loss.
 type Siting struct {
 	Plan *sites.Plan // nil for none
 	Note func(node string, n sites.Note)
 }
 
-// plannedSites are the sites of a plan.
+// plannedSites returns the names of a plan's sites.
 func plannedSites(o *Siting) (out []string) {
 	if o == nil || o.Plan == nil {
 		return nil
@@ -26,7 +26,7 @@
 	return out
 }
 
-// startSites gives the node's new life its view of the sites.
+// startSites sets up the site state of a node's new process.
 func (n *node) startSites(set *policy.Settings) {
 	o := n.sim.opt.Sites
 	if o == nil {
@@ -49,7 +49,7 @@
 	})
 }
 
-// updateSiteBackends tells which boxes there are.
+// updateSiteBackends passes the current list to the site state.
 func (n *node) updateSiteBackends() {
 	if n.sites == nil {
 		return
@@ -62,7 +62,7 @@
 	n.sites.ApplyList(epoch+n.sim.now, all)
 }
 
-// probe opens a connection to a box, and keeps it for requests where it comes up.
+// probe opens a connection to a backend and, if that succeeds, keeps it in the pool for requests.
 func (n *node) probe(id uint32) {
 	sim, b, incarnation := n.sim, n.sim.backends[id-1], n.incarnation
 	report := func(up bool) {
--- a/internal/kit/lab/site_test.go
+++ b/internal/kit/lab/site_test.go
@@ -9,8 +9,8 @@
 	"craneglade/policy"
 )
 
-// The shipped loss of a site with its own plan and without: nodes that watch sites spend far fewer attempts on the lost one, say
-// so once each way, serve more worth in time, and break no rule.
+// Plays the scenario "site-lost" with its site plan and without. Nodes that watch sites have to send fewer attempts to
+// the lost site, report its loss once, serve as much utility in time, and keep the rules.
 func TestSitePlanAfterSiteLoss(t *testing.T) {
 	s, err := scenario.Load("site-lost")
 	if err != nil {
@@ -42,15 +42,15 @@
 		}
 		for node, n := range lost {
 			if n != 1 {
-				t.Errorf("seed %d: node %s found a site lost %d times: %v", seed, node, n, said[node])
+				t.Errorf("seed %d: node %s reported a lost site %d times: %v", seed, node, n, said[node])
 			}
 		}
 		if len(lost) != s.Nodes.Count {
-			t.Errorf("seed %d: %d of %d nodes found the loss", seed, len(lost), s.Nodes.Count)
+			t.Errorf("seed %d: %d of %d nodes reported the loss", seed, len(lost), s.Nodes.Count)
 		}
 	}
 	t.Logf("attempts at the lost site %.0f, with the plan %.0f; worth in time %.3f and %.3f", blind[0], blind[1], share[0], share[1])
 	if blind[1] > 0.75*blind[0] || share[1] < share[0]-0.01 {
-		t.Error("the plan is worth nothing")
+		t.Error("the plan saves too few attempts or costs utility in time")
 	}
 }
--- a/internal/kit/lab/sweep.go
+++ b/internal/kit/lab/sweep.go
@@ -18,38 +18,38 @@
 	"craneglade/policy"
 )
 
-// Setting is one tuning under a name.
+// Setting is one variant of a sweep: a named tuning, with or without shared state and site plans.
 type Setting struct {
 	Name   string        `json:"name"`
 	Tuning policy.Tuning `json:"tuning"`
-	Share  *Sharing      `json:"share,omitempty"` // nil for nodes that share nothing
-	Sites  *Siting       `json:"-"`               // nil for nodes that do not watch sites
+	Share  *Sharing      `json:"share,omitempty"` // nil: nodes share nothing
+	Sites  *Siting       `json:"-"`               // nil: nodes do not watch sites
 }
 
-// Sweep says what to play: a scenario, over seeds, with each of several settings.
+// Sweep is a parameter sweep: a scenario is played with each setting and each seed.
 type Sweep struct {
 	Name     string
 	Scenario *scenario.Scenario
 	Seeds    []uint64
 	Settings []Setting
-	Workers  int // plays at a time; 0: one for each processor
+	Workers  int // concurrent plays; 0: one per processor
 }
 
-// Outcome is what one setting came to over the seeds of a sweep.
+// Outcome is the result of one setting over the seeds of a sweep.
 type Outcome struct {
 	Setting  Setting      `json:"setting"`
-	Figure   Estimate     `json:"figure"`        // as the service counts, before prices
-	Share    Estimate     `json:"worth_in_time"` // worth answered within its aim over worth asked for
+	Figure   Estimate     `json:"figure"`        // the weighted figure of package report, before prices
+	Share    Estimate     `json:"worth_in_time"` // utility answered within the latency target / utility requested
 	Windows  []Window     `json:"windows"`
 	PerSeed  []PlayResult `json:"plays"`
 	Broken   int          `json:"plays_with_a_broken_rule"`
-	Refused  Estimate     `json:"refused"`       // part of the needs that ended refused
-	Twice    Estimate     `json:"refused_twice"` // of those with more than one try, the part whose second was refused too
+	Refused  Estimate     `json:"refused"`       // fraction of the operations that ended as refused
+	Twice    Estimate     `json:"refused_twice"` // of the operations with a refused try, the fraction with more than one
 	Attempts Estimate     `json:"attempts_for_each_request"`
 	Costs    []Cost       `json:"costs"`
 }
 
-// Cost is one figure of Counts over the plays.
+// Cost is the estimate of one figure of Counts over the plays.
 type Cost struct {
 	Name     string   `json:"name"`
 	Estimate Estimate `json:"is"`
@@ -72,19 +72,19 @@
 	{"work of a box, p99 to mean", func(c *Counts) float64 { return c.LoadP99ToMean }},
 }
 
-// Window is the worth in time of the needs that arose in a part of the day.
+// Window is the share of utility in time of the operations that started in one window of the play.
 type Window struct {
 	Name  string   `json:"name"`
 	Share Estimate `json:"worth_in_time"`
 }
 
-// PlayResult is one play's figures.
+// PlayResult holds the figures of one play.
 type PlayResult struct {
 	Seed                 uint64    `json:"seed"`
 	Figure               float64   `json:"figure"`
 	Share                float64   `json:"worth_in_time"`
 	Windows              []float64 `json:"windows"`
-	Broken               string    `json:"broken,omitempty"` // the first rule broken, and how
+	Broken               string    `json:"broken,omitempty"` // the first violation of a rule; "" for none
 	Served               []float64 `json:"served_a_second"`
 	Asked                []float64 `json:"asked_a_second"`
 	Counts               *Counts   `json:"counts"`
@@ -96,13 +96,13 @@
 // Estimate is a mean with its 95% confidence interval, from Student's t over the seeds.
 type Estimate struct {
 	Mean float64 `json:"mean"`
-	Half float64 `json:"half_width"` // of the interval; NaN is left out where there is one seed only
+	Half float64 `json:"half_width"` // half the width of the interval; 0 for a single seed
 	N    int     `json:"n"`
 }
 
 func (e Estimate) String() string { return fmt.Sprintf("%.3f ±%.3f", e.Mean, e.Half) }
 
-// NewEstimate is the estimate of a mean from a sample.
+// NewEstimate returns the estimate of the mean from a sample.
 func NewEstimate(v []float64) Estimate {
 	e := Estimate{N: len(v)}
 	if len(v) == 0 {
@@ -116,7 +116,7 @@
 	return e
 }
 
-// Paired is the estimate of the mean difference b - a of two outcomes over the same seeds.
+// Paired returns the estimate of the mean difference b - a of two outcomes over the same seeds.
 func Paired(a, b *Outcome, of func(*PlayResult) float64) Estimate {
 	var d []float64
 	for i := range min(len(a.PerSeed), len(b.PerSeed)) {
@@ -125,7 +125,7 @@
 	return NewEstimate(d)
 }
 
-// Run plays all of a sweep. done is called after each play, from one goroutine at a time; nil for never.
+// Run plays the whole sweep. done is called after each play, from one goroutine at a time; it may be nil.
 func (s *Sweep) Run(ctx context.Context, done func(played, all int)) ([]Outcome, error) {
 	type job struct{ setting, seed int }
 	jobs := make(chan job)
@@ -184,7 +184,7 @@
 	return out, nil
 }
 
-// PlayOnce plays one seed of a scenario with nodes that share nothing, and takes its figures.
+// PlayOnce plays one seed of a scenario with nodes that share nothing and returns its figures.
 func PlayOnce(name string, s *scenario.Scenario, seed uint64, t policy.Tuning) (*PlayResult, error) {
 	return playSetting(name, s, seed, Setting{Tuning: t})
 }
@@ -194,7 +194,7 @@
 	h := Head(&o)
 	c, j := report.New(h), judge.New(h)
 	line := 1
-	tries := map[string]int{} // of needs, by the first try's id: how many were refused
+	tries := map[string]int{} // by the id of an operation's first try: how many of its tries were refused
 	of := map[string]string{}
 	o.Record = func(r *trace.Record) {
 		line++
--- a/internal/kit/lab/world.go
+++ b/internal/kit/lab/world.go
@@ -1,13 +1,13 @@
-// Package lab plays the decision module against the kit's box model in virtual time: no sockets, no goroutines, no
-// clock. One play of a plan is a list of events, worked off in the order of their times; the same plan, settings and
-// tuning give the same trace, record for record. What the play notes are the records of a rehearsal's trace, so that
-// the kit's judge and report read a play of the laboratory as they read one of real nodes.
+// Package lab is a discrete-event simulation of the policy against the kit's backend model in virtual time, without
+// sockets, goroutines or a clock. Events run in the order of their times; the same plan, settings and tuning give the
+// same trace, record for record. The records are those of a rehearsal's trace, so that the kit's judge and report read
+// both alike.
 //
-// What is played: boxes with cold starts, pauses, slow spells and falls; connections with their handshakes and the
-// boxes' limit on them; load reports that are late, noisy and rounded; the box list with its lag, outages and stale
-// spells, pushed or asked for at a service of fixed capacity; nodes that are killed and start again with the list that
-// they had; clients that retry and lose patience. Nodes have no limits of their own here (CPU, descriptors, memory), and
-// events that ask a node to end or to reload are not played: Play says so.
+// The simulation covers backends with cold starts, pauses, slow periods and collapses; connections with handshakes and
+// the backends' limit on them; load reports that are late, noisy and rounded; the list with its lag, outages and stale
+// periods, pushed or fetched from a service of limited capacity; nodes that are killed and start again with the list
+// that they had; clients that retry and disconnect early. Nodes have no resource limits here (CPU, descriptors, memory),
+// and events that ask a node to end or to reload are not supported: Play returns an error.
 package lab
 
 import (
@@ -27,17 +27,18 @@
 )
 
 const (
-	// epoch is the clock time at which a play begins: boxes of the first list started long before.
+	// epoch is the policy's clock at the start of a play: backends of the first list started long before.
 	epoch = time.Hour
-	// returnTransit is what a node leaves for the answer's way back, as the daemon does.
+	// returnTransit is the time that a node reserves for the response to travel back, as the daemon does.
 	returnTransit = 10 * time.Millisecond
-	// lingerTime is how much longer than its time a client stays, so that a late answer is told from none.
+	// lingerTime is how long after its timeout a client keeps its connection, so that a late response can be told from
+	// none.
 	lingerTime = 200 * time.Millisecond
-	// beliefInterval is how often what the nodes believe is noted.
+	// beliefInterval is how often the nodes' beliefs are reported.
 	beliefInterval   = time.Second
 	loadInterval     = 500 * time.Millisecond
 	capacityInterval = 100 * time.Millisecond
-	// drainTime is how long a play goes on after its last request.
+	// drainTime is how long a play continues after the scenario's length.
 	drainTime = 5 * time.Second
 )
 
@@ -47,30 +48,30 @@
 	Plan    *plan.Plan
 	Tuning  policy.Tuning
 	Record  func(*trace.Record) // called with each record of the trace; must not keep it
-	Belief  func(Belief)        // called once a second for each node and box; nil for never
-	Counts  *Counts             // filled by the play; nil where nobody wants them
-	Sharing *Sharing            // nil for nodes that share nothing
-	Sites   *Siting             // nil for nodes that do not watch sites
+	Belief  func(Belief)        // called once a second for each node and backend; nil for never
+	Counts  *Counts             // filled by the play; nil if not wanted
+	Sharing *Sharing            // nil: nodes share nothing
+	Sites   *Siting             // nil: nodes do not watch sites
 
-	// For tests of the judging: what changes the settings that nodes are told, and which news of the list they miss.
+	// For tests: changes the settings of nodes, selects list updates that nodes miss, and observes their notes.
 	changeSettings func(*policy.Settings)
 	hideUpdate     func(policy.Entry) bool
 	onNote         func(node string, n shared.Note)
 }
 
-// Belief is what a node believes of a box at one moment, beside what is true.
+// Belief is what a node believes of a backend at one moment, with the true state.
 type Belief struct {
 	At   time.Duration // since the traffic began
 	Node string
 	Box  string
 	policy.Belief
-	TrueHeld     int     // requests in work or waiting there
+	TrueHeld     int     // requests that run or wait there
 	TrueWaiting  int     // those that wait
 	TrueCapacity float64 // in cores of speed 1
 	Slow         bool    // it has turned slow
 }
 
-// Head is the head of a play's trace.
+// Head returns the head of a play's trace.
 func Head(o *Options) trace.Head {
 	return deployment.Head(o.Plan, o.Name, "", planNodes(o.Plan))
 }
@@ -87,33 +88,34 @@
 type simulation struct {
 	opt           *Options
 	plan          *plan.Plan
-	rng           *rand.Rand // of delays and chance outside boxes and nodes
+	rng           *rand.Rand // for delays and all random draws outside of backends and nodes
 	now           time.Duration
 	queue         eventQueue
 	seq           int64
 	nodes         []*node
 	backends      []*backend // in the order of the plan; nil before they start
 	backendIndex  map[string]int
-	extraListLag  time.Duration // that the list is behind its usual lag
+	extraListLag  time.Duration // beyond the list's normal lag
 	listPaused    bool
 	listService   listServer
 	counts        *Counts
 	resetFraction float64
-	cutLinks      map[string]bool // ways between sites that are cut, as "from>to"
-	pausedSites   map[string]bool // sites whose nodes the list says nothing to
+	cutLinks      map[string]bool // directions between sites that are cut, as "from>to"
+	pausedSites   map[string]bool // sites whose nodes get no list; "" for all
 	attemptCount  int64
 	connCount     int64
 	ids           uint64
 	end           time.Duration // when the play ends
 }
 
-// event is something that is to happen.
+// event is a scheduled function call.
 type event struct {
 	at  time.Duration
-	seq int64 // equal times: in the order in which they were set
+	seq int64 // events of equal time run in the order in which they were scheduled
 	run func()
 }
 
+// eventQueue is a heap of events, the earliest first.
 type eventQueue []event
 
 func (a eventQueue) Len() int { return len(a) }
@@ -137,18 +139,19 @@
 
 func (sim *simulation) after(d time.Duration, do func()) { sim.at(sim.now+d, do) }
 
+// note writes a record with the current time.
 func (sim *simulation) note(r trace.Record) {
 	r.T = trace.US(sim.now)
 	sim.opt.Record(&r)
 }
 
-// id is a fresh request id.
+// id returns a new request id.
 func (sim *simulation) id() string {
 	sim.ids++
 	return fmt.Sprintf("%016x", sim.ids)
 }
 
-// delay is a one-way delay between two sites.
+// delay draws a one-way delay between two sites.
 func (sim *simulation) delay(from, to string) time.Duration {
 	n := &sim.plan.Scenario.Net
 	d := n.Cross
@@ -158,7 +161,8 @@
 	return time.Duration(float64(d) * max(0.1, 1+n.Jitter*sim.rng.NormFloat64()))
 }
 
-// Play plays a day. Its error names an event that the laboratory does not play, or a setting that makes no sense.
+// Play simulates one plan. It returns an error for an event that the simulation does not support and for invalid
+// settings.
 func Play(o Options) error {
 	sim := &simulation{opt: &o, plan: o.Plan, rng: rand.New(rand.NewPCG(o.Plan.Seed, 11)), backendIndex: map[string]int{}, counts: o.Counts,
 		cutLinks: map[string]bool{}, pausedSites: map[string]bool{}}
@@ -209,7 +213,7 @@
 	return nil
 }
 
-// scheduleOperations hands in the needs, one at a time.
+// scheduleOperations schedules the operations, one at a time.
 func (sim *simulation) scheduleOperations(n *plan.Operations) {
 	op, ok := n.Next()
 	if !ok {
@@ -221,7 +225,7 @@
 	})
 }
 
-// applyStep takes one step of the plan's time table.
+// applyStep carries out one step of the plan.
 func (sim *simulation) applyStep(st *plan.Step) {
 	i, known := sim.backendIndex[st.Box]
 	var b *backend
@@ -229,7 +233,7 @@
 		b = sim.backends[i]
 	}
 	if b != nil && !b.up && st.Do != plan.Restart {
-		return // it has gone meanwhile
+		return // the backend has ended meanwhile
 	}
 	list := &sim.plan.Scenario.List
 	switch st.Do {
@@ -288,7 +292,7 @@
 	}
 }
 
-// entry is a box as the list has it.
+// entry returns the list entry of a backend.
 func (sim *simulation) entry(i int, state policy.State) policy.Entry {
 	p := &sim.plan.Backends[i]
 	e := policy.Entry{ID: uint32(i + 1), Hash: subset.Hash(p.ID), Zone: p.Site, Cell: int64(p.Cell), Kind: p.Kind, State: state}
@@ -298,7 +302,7 @@
 	return e
 }
 
-// publish tells all nodes of a box's state, after the list's lag and in the order of the changes.
+// publish notifies all nodes of a backend's state, after the list's lag and in the order of the changes.
 func (sim *simulation) publish(i int, state string, lag time.Duration) {
 	e := sim.entry(i, listStates[state])
 	if sim.plan.Scenario.List.Mode == "ask" {
@@ -317,23 +321,23 @@
 	}
 }
 
-// listPausedFor tells whether the list says nothing to a node.
+// listPausedFor reports whether the list is paused for a node.
 func (sim *simulation) listPausedFor(n *node) bool { return sim.listPaused || sim.pausedSites[n.Site] }
 
-// cut tells whether what goes from one site to another is lost.
+// cut reports whether traffic from one site to another is lost.
 func (sim *simulation) cut(from, to string) bool { return sim.cutLinks[from+">"+to] }
 
-// partitioned tells whether no connection comes up between two sites.
+// partitioned reports whether no connection can be established between two sites.
 func (sim *simulation) partitioned(a, b string) bool { return sim.cut(a, b) || sim.cut(b, a) }
 
-// drawListSpread is by how much later than the first a node is told.
+// drawListSpread draws how much later than the earliest possible time a node is notified.
 func (sim *simulation) drawListSpread() time.Duration {
 	return time.Duration(sim.rng.Float64() * float64(sim.plan.Scenario.List.Spread.D()))
 }
 
 var listStates = map[string]policy.State{trace.Ready: policy.Active, trace.Terminating: policy.Draining, trace.Gone: policy.Removed}
 
-// reportBeliefs notes once a second what every node believes of every box.
+// reportBeliefs reports once a second what every node believes of every backend.
 func (sim *simulation) reportBeliefs() {
 	for _, n := range sim.nodes {
 		if !n.up {
@@ -350,7 +354,7 @@
 	sim.after(beliefInterval, sim.reportBeliefs)
 }
 
-// settings are what the daemon would read of its configuration file.
+// settings returns a node's settings as the daemon reads them from its configuration file.
 func settings(p *plan.Plan, ordinal int, site string) (wire.Settings, error) {
 	text, err := json.Marshal(deployment.Settings(p, ordinal, site))
 	if err != nil {
