--- a/internal/kit/boxmodel/boxmodel.go
+++ b/internal/kit/boxmodel/boxmodel.go
@@ -431,13 +431,13 @@
 	}
 	for d > 0 {
 		n := int64(from / width)
-		part := min(d, time.Duration(n+1)*width-from)
+		step := min(d, time.Duration(n+1)*width-from)
 		c := &w.buckets[n%int64(len(w.buckets))]
 		if c.at != n {
 			c.at, c.sum = n, 0
 		}
-		c.sum += figure * part.Seconds()
-		from, d = from+part, d-part
+		c.sum += figure * step.Seconds()
+		from, d = from+step, d-step
 	}
 }
 
--- a/internal/kit/lab/counts.go
+++ b/internal/kit/lab/counts.go
@@ -58,7 +58,7 @@
 	reportAgeSum float64
 }
 
-func (c *Counts) begin(sim *simulation) {
+func (c *Counts) prepare(sim *simulation) {
 	for at := range int((sim.plan.Scenario.Length.D() + drainTime) / time.Second) {
 		c.Seconds = append(c.Seconds, Second{At: at})
 	}
--- a/internal/kit/lab/node.go
+++ b/internal/kit/lab/node.go
@@ -431,7 +431,7 @@
 		n.reportedAt[a.backend] = n.sim.now
 	}
 	if n.shared != nil {
-		if tells, failed := shared.Evidence(o); tells {
+		if conclusive, failed := shared.Evidence(o); conclusive {
 			n.shared.RecordOutcome(epoch+n.sim.now, n.key(a.backend), failed)
 		}
 	}
--- a/internal/kit/lab/site_test.go
+++ b/internal/kit/lab/site_test.go
@@ -20,11 +20,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var blind, share [2]float64
+	var toLostSite, share [2]float64
 	for seed := uint64(1); seed <= 3; seed++ {
-		lost, said := map[string]int{}, map[string][]any{}
+		lost, notes := map[string]int{}, map[string][]any{}
 		note := func(node string, n sites.Note) {
-			said[node] = append(said[node], n.Args)
+			notes[node] = append(notes[node], n.Args)
 			if len(n.Args) > 5 && n.Args[5] == sites.Lost.String() {
 				lost[node]++
 			}
@@ -37,20 +37,20 @@
 			if d.Broken != "" {
 				t.Errorf("seed %d: %s", seed, d.Broken)
 			}
-			blind[i] += d.Counts.AttemptsToIsolated / 3
+			toLostSite[i] += d.Counts.AttemptsToIsolated / 3
 			share[i] += d.Share / 3
 		}
 		for node, n := range lost {
 			if n != 1 {
-				t.Errorf("seed %d: node %s reported a lost site %d times: %v", seed, node, n, said[node])
+				t.Errorf("seed %d: node %s reported a lost site %d times: %v", seed, node, n, notes[node])
 			}
 		}
 		if len(lost) != s.Nodes.Count {
 			t.Errorf("seed %d: %d of %d nodes reported the loss", seed, len(lost), s.Nodes.Count)
 		}
 	}
-	t.Logf("attempts at the lost site %.0f, with the plan %.0f; worth in time %.3f and %.3f", blind[0], blind[1], share[0], share[1])
-	if blind[1] > 0.75*blind[0] || share[1] < share[0]-0.01 {
+	t.Logf("attempts at the lost site %.0f, with the plan %.0f; worth in time %.3f and %.3f", toLostSite[0], toLostSite[1], share[0], share[1])
+	if toLostSite[1] > 0.75*toLostSite[0] || share[1] < share[0]-0.01 {
 		t.Error("the plan saves too few attempts or costs utility in time")
 	}
 }
--- a/internal/kit/lab/world.go
+++ b/internal/kit/lab/world.go
@@ -170,7 +170,7 @@
 		sim.counts = &Counts{}
 	}
 	sim.listService.sim = sim
-	sim.counts.begin(sim)
+	sim.counts.prepare(sim)
 	s := o.Plan.Scenario
 	for i, b := range o.Plan.Backends {
 		sim.backendIndex[b.ID] = i
--- a/internal/kit/plan/plan.go
+++ b/internal/kit/plan/plan.go
@@ -180,12 +180,12 @@
 		return out
 	}
 	choose := func(from, to time.Duration, n int) []int {
-		can := inService(from, to)
-		if len(can) == 0 { // none is in service for all of it: those at its start
-			can = inService(from, from)
+		candidates := inService(from, to)
+		if len(candidates) == 0 { // none is in service for all of it: those at its start
+			candidates = inService(from, from)
 		}
-		rng.Shuffle(len(can), func(a, b int) { can[a], can[b] = can[b], can[a] })
-		return can[:min(n, len(can))]
+		rng.Shuffle(len(candidates), func(a, b int) { candidates[a], candidates[b] = candidates[b], candidates[a] })
+		return candidates[:min(n, len(candidates))]
 	}
 	for _, e := range s.Events {
 		at := e.At.D()
@@ -206,22 +206,22 @@
 				id, kind, site := p.Backends[k].ID, p.Backends[k].Kind, p.Backends[k].Site
 				n := p.addBackend(rng, kind, site)
 				exit := t + e.Drain.D()
-				begin := t
+				startAt := t
 				if e.Reuse && i%2 == 0 { // the successor waits for the address
-					n.After, begin = id, exit+20*time.Millisecond
+					n.After, startAt = id, exit+20*time.Millisecond
 				}
 				lives[id] = lifetime{lives[id].from, t}
-				lives[n.ID] = lifetime{begin, forever}
+				lives[n.ID] = lifetime{startAt, forever}
 				step(Step{At: t, Do: Drain, Box: id, By: e.Serves.S()})
 				step(Step{At: exit, Do: Exit, Box: id})
-				step(Step{At: begin, Do: Start, Box: n.ID})
+				step(Step{At: startAt, Do: Start, Box: n.ID})
 			}
 		case "grow":
 			step(Step{At: at, Do: Announce, Text: fmt.Sprintf("the fleet grows %.1f times over %v", e.By, e.Over)})
-			now := inService(at, at)
-			more := int(math.Round((e.By - 1) * float64(len(now))))
+			current := inService(at, at)
+			more := int(math.Round((e.By - 1) * float64(len(current))))
 			for i := range more {
-				like := p.Backends[now[i%len(now)]]
+				like := p.Backends[current[i%len(current)]]
 				n := p.addBackend(rng, like.Kind, s.Sites[i%len(s.Sites)].Name)
 				t := at + time.Duration(float64(e.Over.D())*float64(i+1)/float64(more))
 				lives[n.ID] = lifetime{t, forever}
--- a/internal/kit/plan/plan_test.go
+++ b/internal/kit/plan/plan_test.go
@@ -148,18 +148,18 @@
 			over++
 		}
 	}
-	if part := float64(over) / float64(all); part < 0.4 || part > 0.6 {
-		t.Errorf("%.2f over quota, want about half", part)
+	if fraction := float64(over) / float64(all); fraction < 0.4 || fraction > 0.6 {
+		t.Errorf("%.2f over quota, want about half", fraction)
 	}
 }
 
 // Guards against events for single backends that choose one that is already draining.
 func TestEventsChooseBackendsInService(t *testing.T) {
 	p := New(load(t, "opening"), 9)
-	gone := map[string]time.Duration{}
+	drainedAt := map[string]time.Duration{}
 	for _, s := range p.Steps {
 		if s.Do == Drain {
-			gone[s.Box] = s.At
+			drainedAt[s.Box] = s.At
 		}
 	}
 	n := 0
@@ -168,7 +168,7 @@
 			continue
 		}
 		n++
-		if at, ok := gone[s.Box]; ok && at <= s.At {
+		if at, ok := drainedAt[s.Box]; ok && at <= s.At {
 			t.Errorf("%s is slow at %v and drains at %v", s.Box, s.At, at)
 		}
 	}
--- a/internal/kit/stand/client.go
+++ b/internal/kit/stand/client.go
@@ -32,7 +32,7 @@
 	badClientTimeout = 3 * time.Second       // within which the node has to answer a bad client with an error or disconnect it
 )
 
-var errConnLimit = errors.New("clients hold as many connections to this node as they can")
+var errConnLimit = errors.New("the limit of connections to this node is reached")
 
 // Clients are all clients of a rehearsal, with the load balancer that distributes their connections over the nodes.
 type Clients struct {
--- a/internal/kit/stand/stand_test.go
+++ b/internal/kit/stand/stand_test.go
@@ -696,8 +696,8 @@
 	w := trace.NewWriter(&out, trace.Head{})
 	clock := Clock{Start: time.Now()}
 	a := NewAgent("n1", false, clock, w, nil)
-	const settle = time.Hour
-	a.DelayNotifications(settle)
+	const delay = time.Hour
+	a.DelayNotifications(delay)
 	a.Apply(Entry{ID: "b", State: trace.Terminating})
 	a.Apply(Entry{ID: "b", State: trace.Ready, Started: 1})
 	a.Apply(Entry{ID: "c", State: trace.Terminating})
@@ -705,21 +705,21 @@
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	type told struct {
+	type notification struct {
 		box, state string
 		late       bool
 	}
-	var got []told
+	var got []notification
 	for line := range strings.Lines(out.String()) {
 		var r trace.Record
 		if err := json.Unmarshal([]byte(line), &r); err != nil {
 			t.Fatal(err)
 		}
 		if r.Kind == trace.Told {
-			got = append(got, told{r.Box, r.State, r.T > settle.Microseconds()/2})
+			got = append(got, notification{r.Box, r.State, r.T > delay.Microseconds()/2})
 		}
 	}
-	want := []told{{"b", trace.Terminating, true}, {"b", trace.Ready, false}, {"b", trace.Ready, true}, {"c", trace.Terminating, true},
+	want := []notification{{"b", trace.Terminating, true}, {"b", trace.Ready, false}, {"b", trace.Ready, true}, {"c", trace.Terminating, true},
 		{"b", trace.Ready, false}, {"b", trace.Ready, true}, {"c", trace.Terminating, false}}
 	if !slices.Equal(got, want) {
 		t.Errorf("notified %v, want %v", got, want)
