--- a/internal/kit/boxmodel/boxmodel.go
+++ b/internal/kit/boxmodel/boxmodel.go
@@ -91,7 +91,7 @@
 	Collapsed                      // it failed under overload while cold
 )
 
-// Change is a Change and its time.
+// Change is a change of a backend's state and its time.
 type Change struct {
 	At   time.Duration
 	Kind ChangeKind
@@ -110,13 +110,13 @@
 	now      time.Duration
 	down     bool
 	warm     bool
-	workDone float64 // work done since the start
+	workDone float64 // core-seconds since the start
 
 	running []*activeJob
 	waiting []*activeJob
 
 	pauseAt, pauseEnd      time.Duration
-	slowSince              time.Duration // 0: not slow
+	slowSince              time.Duration // start of the latest slowdown; 0: there was none
 	slow                   bool
 	wasSlow                bool
 	slowdown               float64 // factor set by SetSlowdown
--- a/internal/kit/boxmodel/budget.go
+++ b/internal/kit/boxmodel/budget.go
@@ -57,7 +57,7 @@
 }
 
 // Add records work sent by a sender that had, or had not, been notified of the backend's start. It returns the window
-// that ends at at if its budget is exceeded, else nil.
+// that ends then if its budget is exceeded, else nil.
 func (b *Budget) Add(at time.Duration, work float64, notified bool) *Excess {
 	return b.AddTagged(at, work, notified, 0)
 }
--- a/internal/kit/lab/site_test.go
+++ b/internal/kit/lab/site_test.go
@@ -9,7 +9,7 @@
 	"craneglade/policy"
 )
 
-// Plays the scenario "site-lost" with its site plan and without. Nodes that watch sites have to send fewer attempts to
+// Plays the scenario "site-lost" with its site plan and without. Nodes that watch sites have to send far fewer attempts to
 // the lost site, report its loss once, serve as much utility in time, and keep the rules.
 func TestSitePlanAfterSiteLoss(t *testing.T) {
 	s, err := scenario.Load("site-lost")
--- a/internal/kit/lab/sweep.go
+++ b/internal/kit/lab/sweep.go
@@ -100,6 +100,7 @@
 	N    int     `json:"n"`
 }
 
+// String formats the mean and half the width of the interval.
 func (e Estimate) String() string { return fmt.Sprintf("%.3f ±%.3f", e.Mean, e.Half) }
 
 // NewEstimate returns the estimate of the mean from a sample.
--- a/internal/kit/lab/world.go
+++ b/internal/kit/lab/world.go
@@ -132,6 +132,7 @@
 	return x
 }
 
+// at schedules a function call at t, or now if t has passed.
 func (sim *simulation) at(t time.Duration, do func()) {
 	sim.seq++
 	heap.Push(&sim.queue, event{max(t, sim.now), sim.seq, do})
