--- a/internal/kit/judge/cold.go
+++ b/internal/kit/judge/cold.go
@@ -30,7 +30,7 @@
 		b := &backend{site: r.Site, cell: r.Cell, startedAt: r.T, line: r.line}
 		if r.Cores < r.FullCores && j.head.Rules.OverloadFactor > 0 {
 			b.budget = boxmodel.NewBudget(j.head.Rules.OverloadFactor, duration(j.head.Rules.OverloadDuration))
-			b.budget.Capacity(r.At(), r.Cores)
+			b.budget.SetCapacity(r.At(), r.Cores)
 		}
 		j.backends[r.Backend] = b
 	case trace.Warm, trace.Removed:
@@ -43,7 +43,7 @@
 // capacityChanged records the current capacity of a cold backend, in cores.
 func (j *Judge) capacityChanged(r lineRecord) {
 	if b := j.backends[r.Backend]; b != nil && b.budget != nil {
-		b.budget.Capacity(r.At(), r.Cores)
+		b.budget.SetCapacity(r.At(), r.Cores)
 	}
 }
 
@@ -56,8 +56,8 @@
 	}
 	listed, isListed := j.node(r.Node).listed[r.Backend]
 	notifiedOfStart := isListed && listed.notifiedAt >= b.startedAt
-	excess := b.budget.Tagged(r.At(), duration(r.Work).Seconds(), notifiedOfStart, r.line)
-	if excess == nil || excess.Told < minNotifiedFraction || b.overloaded {
+	excess := b.budget.AddTagged(r.At(), duration(r.Work).Seconds(), notifiedOfStart, r.line)
+	if excess == nil || excess.NotifiedFraction < minNotifiedFraction || b.overloaded {
 		return
 	}
 	b.overloaded = true
--- a/internal/kit/lab/box.go
+++ b/internal/kit/lab/box.go
@@ -10,128 +10,128 @@
 	"craneglade/policy"
 )
 
-// box is one box process with its network side.
-type box struct {
-	w        *world
-	plan     *plan.Box
-	model    *boxmodel.Box
-	reports  *boxmodel.Reports
-	started  time.Duration // 0 for one that was there from the beginning
-	up       bool
-	draining bool
-	silent   bool
-	slow     bool
-	loses    float64          // part of its requests that it forgets
-	fails    string           // the class that it fails, if any
-	conns    int              // that it holds
-	budget   *boxmodel.Budget // of its cold start; nil once it is warm
-	runs     int              // counts its processes
-	life     int              // counts the times that all its connections ended; those of an earlier one are worth nothing
-	open     map[uint64]*attempt
-	woken    int64 // marks the latest call to drive; earlier ones that are still set do nothing
+// backend is one backend process and its connections.
+type backend struct {
+	sim          *simulation
+	plan         *plan.Backend
+	model        *boxmodel.Backend
+	reports      *boxmodel.Reports
+	started      time.Duration // 0 if it ran from the beginning
+	up           bool
+	draining     bool
+	isolated     bool
+	slow         bool
+	dropFraction float64          // of its requests: neither run nor answered
+	failingClass string           // requests of this class are answered with an error; "" for none
+	conns        int              // open connections
+	budget       *boxmodel.Budget // work that it can bear while cold; nil once it is warm
+	incarnation  int              // counts its processes
+	connEpoch    int              // counts how often all connections were reset; a connection of an earlier epoch is closed
+	open         map[uint64]*attempt
+	wakeSeq      int64 // number of the latest scheduled call to advance; earlier ones do nothing
 }
 
-// start starts the process of a box, for the first time or again.
-func (w *world) start(i int, warm bool) {
-	p := &w.plan.Boxes[i]
+// startBackend starts the process of a backend, for the first time or again.
+func (sim *simulation) startBackend(i int, warm bool) {
+	p := &sim.plan.Backends[i]
 	spec := p.Spec
 	if warm {
 		spec.ColdFrom = 1
 	}
-	b := w.boxes[i]
+	b := sim.backends[i]
 	if b == nil {
-		b = &box{w: w, plan: p}
-		w.boxes[i] = b
+		b = &backend{sim: sim, plan: p}
+		sim.backends[i] = b
 	}
 	rng := rand.New(rand.NewPCG(p.Seed, 3))
-	r := &w.plan.Scenario.Report
-	b.life++
-	b.runs++
-	b.up, b.draining, b.silent, b.slow, b.loses, b.fails, b.conns = true, false, false, false, 0, "", 0
+	r := &sim.plan.Scenario.Report
+	b.connEpoch++
+	b.incarnation++
+	b.up, b.draining, b.isolated, b.slow, b.dropFraction, b.failingClass, b.conns = true, false, false, false, 0, "", 0
 	b.open = map[uint64]*attempt{}
-	b.model = boxmodel.New(spec, p.Seed+uint64(b.runs), w.now)
+	b.model = boxmodel.New(spec, p.Seed+uint64(b.incarnation), sim.now)
 	b.reports = boxmodel.NewReports(r.Delay.D(), r.Noise, rng)
 	if !warm {
-		b.started = max(w.now, 1)
+		b.started = max(sim.now, 1)
 	}
 	b.budget = nil
 	if !warm {
-		b.budget = boxmodel.NewBudget(w.plan.Scenario.Rules.OverloadFactor, w.plan.Scenario.Rules.OverloadDuration.D())
-		b.budget.Capacity(w.now, b.model.Capacity())
+		b.budget = boxmodel.NewBudget(sim.plan.Scenario.Rules.OverloadFactor, sim.plan.Scenario.Rules.OverloadDuration.D())
+		b.budget.SetCapacity(sim.now, b.model.Capacity())
 	}
-	b.state(trace.Ready)
+	b.recordState(trace.Ready)
 	first := time.Duration(rng.Float64() * float64(r.Interval.D()))
-	b.every(first, r.Interval.D(), func() bool { b.reports.Take(w.now, b.model); return true })
-	b.every(0, loadEvery, func() bool {
-		w.note(trace.Record{Kind: trace.Load, Backend: p.ID, InFlight: b.model.Held(), Queue: b.model.Waiting(), Conns: b.conns,
+	b.repeat(first, r.Interval.D(), func() bool { b.reports.Sample(sim.now, b.model); return true })
+	b.repeat(0, loadInterval, func() bool {
+		sim.note(trace.Record{Kind: trace.Load, Backend: p.ID, InFlight: b.model.InFlight(), Queue: b.model.Waiting(), Conns: b.conns,
 			Cores: b.model.Capacity()})
 		return true
 	})
-	b.every(0, capEvery, func() bool {
+	b.repeat(0, capacityInterval, func() bool {
 		if b.budget != nil && !b.model.Warm() {
-			w.note(trace.Record{Kind: trace.Capacity, Backend: p.ID, Cores: b.model.Capacity()})
-			b.budget.Capacity(w.now, b.model.Capacity())
+			sim.note(trace.Record{Kind: trace.Capacity, Backend: p.ID, Cores: b.model.Capacity()})
+			b.budget.SetCapacity(sim.now, b.model.Capacity())
 		}
 		return !b.model.Warm()
 	})
-	b.drive()
+	b.advance()
 }
 
-// every calls do at times apart, with the model up to the time, for as long as this process lives and do wants it.
-func (b *box) every(first, gap time.Duration, do func() bool) {
+// repeat calls do at intervals of gap, with the model advanced to that time, until this process ends or do returns false.
+func (b *backend) repeat(first, gap time.Duration, do func() bool) {
 	if gap <= 0 {
 		return
 	}
-	runs := b.runs
+	incarnation := b.incarnation
 	var tick func()
 	tick = func() {
-		if b.runs != runs || !b.up {
+		if b.incarnation != incarnation || !b.up {
 			return
 		}
-		b.drive()
+		b.advance()
 		if b.up && do() {
-			b.w.after(gap, tick)
+			b.sim.after(gap, tick)
 		}
 	}
-	b.w.after(first, tick)
+	b.sim.after(first, tick)
 }
 
-func (b *box) state(s string) {
-	b.w.note(trace.Record{Kind: trace.Backend, Backend: b.plan.ID, Site: b.plan.Site, Cell: b.plan.Cell, MachineKind: b.plan.Kind, State: s,
-		Cores: b.model.Capacity(), FullCores: b.model.Full()})
+func (b *backend) recordState(s string) {
+	b.sim.note(trace.Record{Kind: trace.Backend, Backend: b.plan.ID, Site: b.plan.Site, Cell: b.plan.Cell, MachineKind: b.plan.Kind, State: s,
+		Cores: b.model.Capacity(), FullCores: b.model.FullCapacity()})
 }
 
-// drive brings the model up to the time, carries out what it has done, and sets when to do so again.
-func (b *box) drive() {
-	b.model.Advance(b.w.now)
-	results, changes := b.model.Take()
-	fell := false
+// advance advances the model to the current time, carries out its results and state changes, and schedules the next call.
+func (b *backend) advance() {
+	b.model.Advance(b.sim.now)
+	results, changes := b.model.TakeResults()
+	collapsed := false
 	for _, c := range changes {
-		switch c.What {
-		case boxmodel.TurnedSlow:
+		switch c.Kind {
+		case boxmodel.BecameSlow:
 			b.slow = true
-			b.state(trace.Slow)
-		case boxmodel.TurnedNormal:
+			b.recordState(trace.Slow)
+		case boxmodel.BecameNormal:
 			b.slow = false
-			b.state(trace.Normal)
-		case boxmodel.TurnedWarm:
+			b.recordState(trace.Normal)
+		case boxmodel.BecameWarm:
 			b.budget = nil
-			b.state(trace.Warm)
-		case boxmodel.FellOver:
-			b.state(trace.Collapsed)
-			b.up, fell = false, true
+			b.recordState(trace.Warm)
+		case boxmodel.Collapsed:
+			b.recordState(trace.Collapsed)
+			b.up, collapsed = false, true
 		}
 	}
 	for _, r := range results {
 		a := b.open[r.ID]
 		delete(b.open, r.ID)
-		if a == nil || a.over {
+		if a == nil || a.ended {
 			continue
 		}
 		switch {
 		case r.Outcome == boxmodel.Lost:
 			a.end(policy.Reset)
-		case a.dead || b.silent || r.Outcome == boxmodel.Cancelled: // nothing is said
+		case a.willReset || b.isolated || r.Outcome == boxmodel.Cancelled: // no response
 		case r.Outcome == boxmodel.Served:
 			b.reply(a, policy.OK)
 		case r.Outcome == boxmodel.Failed:
@@ -140,54 +140,55 @@
 			b.reply(a, policy.Full)
 		}
 	}
-	if fell {
-		b.reset()
+	if collapsed {
+		b.resetConns()
 	}
 	if !b.up {
 		return
 	}
 	if at, ok := b.model.Next(); ok {
-		b.woken++
-		mine := b.woken
-		b.w.at(at, func() {
-			if b.woken == mine && b.up {
-				b.drive()
+		b.wakeSeq++
+		seq := b.wakeSeq
+		b.sim.at(at, func() {
+			if b.wakeSeq == seq && b.up {
+				b.advance()
 			}
 		})
 	}
 }
 
-// stop ends the process: what it holds is reset.
-func (b *box) stop() {
-	b.model.Advance(b.w.now)
-	b.model.Stop(b.w.now)
+// stop ends the process: its connections are reset.
+func (b *backend) stop() {
+	b.model.Advance(b.sim.now)
+	b.model.Stop(b.sim.now)
 	b.up = false
-	b.state(trace.Removed)
-	b.drive()
-	b.reset()
+	b.recordState(trace.Removed)
+	b.advance()
+	b.resetConns()
 }
 
-// reset ends every connection to it.
-func (b *box) reset() {
-	b.life++ // connections kept by nodes are of the life before
+// resetConns ends every connection to the backend. Attempts end with a reset unless the backend is isolated.
+func (b *backend) resetConns() {
+	b.connEpoch++ // idle connections of the nodes belong to the epoch before
 	b.conns = 0
-	for _, a := range b.sorted() {
-		delete(b.open, a.att)
-		if !a.over && !b.silent {
+	for _, a := range b.openInOrder() {
+		delete(b.open, a.number)
+		if !a.ended && !b.isolated {
 			a.end(policy.Reset)
 		}
 	}
 	if b.up {
-		b.drive()
+		b.advance()
 	}
 }
 
-// sorted lists what is open here in the order of its coming: the order of a map must not decide anything.
-func (b *box) sorted() []*attempt {
+// openInOrder lists the open attempts by node, then in the order of their sends: the order of a map is random and must
+// not influence the trace.
+func (b *backend) openInOrder() []*attempt {
 	var out []*attempt
-	for _, n := range b.w.nodes {
-		for _, a := range n.flying {
-			if b.open[a.att] == a {
+	for _, n := range b.sim.nodes {
+		for _, a := range n.inFlight {
+			if b.open[a.number] == a {
 				out = append(out, a)
 			}
 		}
@@ -195,58 +196,58 @@
 	return out
 }
 
-// arrive takes in an attempt whose last byte has come.
-func (b *box) arrive(a *attempt) {
-	if b.silent {
-		return // what comes while it is cut off comes nowhere
+// handleArrival handles an attempt whose last byte has arrived.
+func (b *backend) handleArrival(a *attempt) {
+	if b.isolated {
+		return // what arrives during the isolation is lost
 	}
-	extra := time.Duration(0)
-	if a.fresh {
-		extra = b.w.plan.Scenario.Conn.HandshakeWork.D()
+	overhead := time.Duration(0)
+	if a.newConn {
+		overhead = b.sim.plan.Scenario.Conn.HandshakeWork.D()
 	}
-	if b.draining || a.extra {
+	if b.draining || a.overLimit {
 		b.reply(a, policy.Full)
 		return
 	}
-	if b.loses > 0 && b.w.rng.Float64() < b.loses {
+	if b.dropFraction > 0 && b.sim.rng.Float64() < b.dropFraction {
 		return
 	}
-	if b.fails != "" && b.w.plan.Scenario.Classes[a.req.need.Class].Name == b.fails {
+	if b.failingClass != "" && b.sim.plan.Scenario.Classes[a.request.op.Class].Name == b.failingClass {
 		b.reply(a, policy.Failed)
 		return
 	}
-	job := boxmodel.Job{ID: a.att, Work: a.req.need.Work.Seconds(), Extra: extra.Seconds(), Until: b.w.now + a.wait}
-	b.open[a.att] = a
-	if b.w.resets > 0 && b.w.rng.Float64() < b.w.resets {
-		a.dead = true
+	job := boxmodel.Job{ID: a.number, Work: a.request.op.Work.Seconds(), Overhead: overhead.Seconds(), Deadline: b.sim.now + a.timeout}
+	b.open[a.number] = a
+	if b.sim.resetFraction > 0 && b.sim.rng.Float64() < b.sim.resetFraction {
+		a.willReset = true
 	}
-	b.model.Arrive(b.w.now, job)
-	b.drive()
-	if a.dead && !a.over {
+	b.model.Arrive(b.sim.now, job)
+	b.advance()
+	if a.willReset && !a.ended {
 		a.end(policy.Reset)
 	}
 }
 
-// reply answers an attempt once its answer has come as far as the node.
-func (b *box) reply(a *attempt, o policy.Outcome) {
+// reply ends an attempt after the response's delay to the node, with the load report that is current now.
+func (b *backend) reply(a *attempt, o policy.Outcome) {
 	load := policy.Load{Queue: -1, Occupancy: -1}
-	if held, queue, ok := b.reports.Due(); ok {
-		load = policy.Load{Known: true, Queue: float64(queue), Occupancy: float64(held)}
+	if inFlight, waiting, ok := b.reports.Due(); ok {
+		load = policy.Load{Known: true, Queue: float64(waiting), Occupancy: float64(inFlight)}
 	}
-	b.w.after(b.w.delay(b.plan.Site, a.node.Site), func() {
-		if a.over || b.w.cut(b.plan.Site, a.node.Site) {
-			return // it is lost on the way
+	b.sim.after(b.sim.delay(b.plan.Site, a.node.Site), func() {
+		if a.ended || b.sim.cut(b.plan.Site, a.node.Site) {
+			return // the response is lost
 		}
-		rec := trace.Record{Kind: trace.Reply, Backend: b.plan.ID, Attempt: int64(a.att), ID: a.req.id}
+		rec := trace.Record{Kind: trace.Reply, Backend: b.plan.ID, Attempt: int64(a.number), ID: a.request.id}
 		switch o {
 		case policy.OK:
-			rec.Status, rec.How, rec.Digest = 200, trace.Served, a.sum()
+			rec.Status, rec.How, rec.Digest = 200, trace.Served, a.digest()
 		case policy.Failed:
 			rec.Status, rec.How = 500, trace.Failed
 		default:
 			rec.Status, rec.How = 503, trace.Rejected
 		}
-		b.w.note(rec)
+		b.sim.note(rec)
 		a.load = load
 		a.end(o)
 	})
--- a/internal/kit/lab/client.go
+++ b/internal/kit/lab/client.go
@@ -10,126 +10,126 @@
 	"craneglade/policy"
 )
 
-// want begins what one client needs.
-func (w *world) want(need plan.Need) {
-	first := w.id()
-	rec := w.rec(&need)
+// startOperation starts one client's operation.
+func (sim *simulation) startOperation(op plan.Operation) {
+	first := sim.id()
+	rec := sim.newRecord(&op)
 	rec.Kind, rec.ID = trace.Planned, first
-	w.note(rec)
-	w.try(&request{id: first, need: &need, first: first})
+	sim.note(rec)
+	sim.tryRequest(&request{id: first, op: &op, firstID: first})
 }
 
-func (w *world) rec(need *plan.Need) trace.Record {
-	s := w.plan.Scenario
-	return trace.Record{Class: s.Classes[need.Class].Name, Tenant: s.Tenants[need.Tenant].Name, Site: s.Sites[need.Site].Name,
-		OverQuota: need.Over}
+func (sim *simulation) newRecord(op *plan.Operation) trace.Record {
+	s := sim.plan.Scenario
+	return trace.Record{Class: s.Classes[op.Class].Name, Tenant: s.Tenants[op.Tenant].Name, Site: s.Sites[op.Site].Name,
+		OverQuota: op.Over}
 }
 
-// front deals out a node for a client of a site.
-func (w *world) front(site string) *node {
+// pickNode returns a random node of the site, or of another site if none there is usable; nil if there is none.
+func (sim *simulation) pickNode(site string) *node {
 	var near []*node
-	for _, n := range w.nodes {
-		if n.Site == site && !n.out {
+	for _, n := range sim.nodes {
+		if n.Site == site && !n.markedDown {
 			near = append(near, n)
 		}
 	}
 	if len(near) == 0 {
-		near = slices.DeleteFunc(slices.Clone(w.nodes), func(n *node) bool { return n.out })
+		near = slices.DeleteFunc(slices.Clone(sim.nodes), func(n *node) bool { return n.markedDown })
 	}
 	if len(near) == 0 {
 		return nil
 	}
-	return near[w.rng.IntN(len(near))]
+	return near[sim.rng.IntN(len(near))]
 }
 
-// try sends a request to a node, or gives the need up.
-func (w *world) try(r *request) {
-	r.sentAt, r.wait = w.now, w.plan.Patience(r.need, w.now)
-	if r.wait == 0 {
-		w.done(r, plan.Refused)
+// tryRequest sends a request to a node, or ends the operation if too little time is left.
+func (sim *simulation) tryRequest(r *request) {
+	r.sentAt, r.timeout = sim.now, sim.plan.TryTimeout(r.op, sim.now)
+	if r.timeout == 0 {
+		sim.finishOperation(r, plan.Refused)
 		return
 	}
-	n := w.front(w.plan.Scenario.Sites[r.need.Site].Name)
-	if n == nil || !n.up { // its port is closed
-		w.ended(r, plan.Unreachable, 0)
+	n := sim.pickNode(sim.plan.Scenario.Sites[r.op.Site].Name)
+	if n == nil || !n.up { // the port is closed
+		sim.endTry(r, plan.Unreachable, 0)
 		return
 	}
-	r.life = n.life
-	rec := w.rec(r.need)
-	rec.Kind, rec.ID, rec.FirstID, rec.Try, rec.Timeout, rec.Node = trace.Sent, r.id, r.first, r.try, trace.Microseconds(r.wait), n.Name
+	r.incarnation = n.incarnation
+	rec := sim.newRecord(r.op)
+	rec.Kind, rec.ID, rec.FirstID, rec.Try, rec.Timeout, rec.Node = trace.Sent, r.id, r.firstID, r.try, trace.Microseconds(r.timeout), n.Name
 	if last := len(n.idle) - 1; last >= 0 {
 		r.conn, n.idle, rec.Reused = n.idle[last], n.idle[:last], true
 	} else {
-		w.conns++
-		r.conn = w.conns
+		sim.connCount++
+		r.conn = sim.connCount
 	}
 	rec.Conn = r.conn
-	w.note(rec)
-	w.after(w.delay(n.Site, n.Site), func() {
-		if r.answered {
-			return // its client left at once
+	sim.note(rec)
+	sim.after(sim.delay(n.Site, n.Site), func() {
+		if r.ended {
+			return // the client has already disconnected
 		}
-		if n.life != r.life {
-			n.cut(r)
+		if n.incarnation != r.incarnation {
+			n.breakClientConn(r)
 			return
 		}
 		n.requests[r.id] = r
 		if n.shared != nil {
-			n.shared.CountRequest(epoch+w.now, rec.Tenant)
+			n.shared.CountRequest(epoch+sim.now, rec.Tenant)
 		}
 		n.handle(&policy.Event{Kind: policy.EvRequest, ID: r.id, Class: rec.Class, Tenant: rec.Tenant,
-			Remaining: max(0, r.wait-(w.now-r.sentAt)-transit)})
+			Remaining: max(0, r.timeout-(sim.now-r.sentAt)-returnTransit)})
 	})
-	w.at(r.sentAt+r.wait+deployment.AnswerSlack+deployment.LimitSlack+overtime, func() { w.leave(n, r, "time", plan.Failed) })
-	if r.need.Impatient > 0 && r.try == 0 {
-		w.after(r.need.Impatient, func() { w.leave(n, r, "impatient", plan.Abandoned) })
+	sim.at(r.sentAt+r.timeout+deployment.AnswerSlack+deployment.LimitSlack+lingerTime, func() { sim.abandon(n, r, "time", plan.Failed) })
+	if r.op.Impatient > 0 && r.try == 0 {
+		sim.after(r.op.Impatient, func() { sim.abandon(n, r, "impatient", plan.Abandoned) })
 	}
 }
 
-// leave is a client that closes its connection before it has its answer.
-func (w *world) leave(n *node, r *request, why, how string) {
-	if r.answered {
+// abandon is called when a client closes its connection before it has a response.
+func (sim *simulation) abandon(n *node, r *request, why, how string) {
+	if r.ended {
 		return
 	}
-	r.answered = true
-	rec := w.rec(r.need)
+	r.ended = true
+	rec := sim.newRecord(r.op)
 	rec.Kind, rec.ID, rec.Node, rec.Conn, rec.Why = trace.GaveUp, r.id, n.Name, r.conn, why
-	w.note(rec)
-	if n.life == r.life {
+	sim.note(rec)
+	if n.incarnation == r.incarnation {
 		n.handle(&policy.Event{Kind: policy.EvDisconnected, ID: r.id})
 		n.forget(r)
 	}
-	w.done(r, how)
+	sim.finishOperation(r, how)
 }
 
-// answered is a final answer that has come to its client.
-func (w *world) answered(n *node, r *request, status int, sum string, retryAfter time.Duration) {
-	rec := w.rec(r.need)
+// deliverResponse is called when a final response arrives at its client.
+func (sim *simulation) deliverResponse(n *node, r *request, status int, sum string, retryAfter time.Duration) {
+	rec := sim.newRecord(r.op)
 	rec.Kind, rec.ID, rec.Node, rec.Conn, rec.Status, rec.Digest = trace.Got, r.id, n.Name, r.conn, status, sum
-	w.note(rec)
-	if n.life == r.life {
+	sim.note(rec)
+	if n.incarnation == r.incarnation {
 		n.idle = append(n.idle, r.conn)
 	}
 	how := map[int]string{200: plan.Served, 503: plan.Refused}[status]
 	if how == "" {
 		how = plan.Failed
 	}
-	w.ended(r, how, retryAfter)
+	sim.endTry(r, how, retryAfter)
 }
 
-// ended is the end of one try: its client tries again or has done.
-func (w *world) ended(r *request, how string, retryAfter time.Duration) {
-	pause, again := w.plan.Again(r.need, r.try, how, retryAfter)
-	if !again || w.now+pause >= r.need.At+w.plan.Scenario.Classes[r.need.Class].Deadline.D() {
-		w.done(r, how)
+// endTry ends one try; the client tries again or its operation ends.
+func (sim *simulation) endTry(r *request, how string, retryAfter time.Duration) {
+	pause, again := sim.plan.Retry(r.op, r.try, how, retryAfter)
+	if !again || sim.now+pause >= r.op.At+sim.plan.Scenario.Classes[r.op.Class].Deadline.D() {
+		sim.finishOperation(r, how)
 		return
 	}
-	w.after(pause, func() { w.try(&request{id: w.id(), need: r.need, first: r.first, try: r.try + 1}) })
+	sim.after(pause, func() { sim.tryRequest(&request{id: sim.id(), op: r.op, firstID: r.firstID, try: r.try + 1}) })
 }
 
-// done is the end of a need.
-func (w *world) done(r *request, how string) {
-	rec := w.rec(r.need)
-	rec.Kind, rec.ID, rec.How, rec.Took = trace.Done, r.first, how, trace.Microseconds(w.now-r.need.At)
-	w.note(rec)
+// finishOperation records the end of an operation.
+func (sim *simulation) finishOperation(r *request, how string) {
+	rec := sim.newRecord(r.op)
+	rec.Kind, rec.ID, rec.How, rec.Took = trace.Done, r.firstID, how, trace.Microseconds(sim.now-r.op.At)
+	sim.note(rec)
 }
--- a/internal/kit/lab/counts.go
+++ b/internal/kit/lab/counts.go
@@ -8,196 +8,198 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Counts are what a play's nodes did together: second by second, and over the whole of it.
+// Counts are the totals of all nodes in a play, by second and over the whole play.
 type Counts struct {
 	Seconds []Second `json:"seconds"`
 
-	NewConns  float64 `json:"new_connections_an_attempt"`
-	Handshake float64 `json:"handshake_part_of_work"` // of all work sent
-	OpenMean  float64 `json:"open_connections_mean"`  // at a box, over boxes and seconds
-	OpenP99   float64 `json:"open_connections_p99"`
-	OpenMost  float64 `json:"open_connections_most"`
-	ListCalls float64 `json:"list_calls_a_node"` // in the 10 s after each start of nodes but the first, or in the whole play without one
-	ListAway  float64 `json:"list_calls_turned_away_a_node"`
-	ColdWorst float64 `json:"cold_budget_worst"` // largest part of a cold box's budget that any window was sent; 1 is all of it
-	Blind     float64 `json:"attempts_at_boxes_cut_off"`
-	Gossip    float64 `json:"shared_bytes_a_node_a_second"`
-	Spread    float64 `json:"work_p99_to_mean"` // of the work that warm boxes got in a second, for each core's speed
-
-	starts  []time.Duration
-	opens   []float64
-	uneven  []float64
-	calls   float64 // after starts
-	away    float64
-	sentAll time.Duration
-	shaken  time.Duration
-	got     map[*box]time.Duration // work sent in this second
+	NewConns                 float64 `json:"new_connections_an_attempt"`
+	HandshakeFraction        float64 `json:"handshake_part_of_work"` // fraction of all work sent
+	OpenMean                 float64 `json:"open_connections_mean"`  // per backend, over all backends and seconds
+	OpenP99                  float64 `json:"open_connections_p99"`
+	OpenMax                  float64 `json:"open_connections_most"`
+	ListCalls                float64 `json:"list_calls_a_node"` // per node, in the 10 s after each restart of nodes; in the whole play if there is none
+	ListCallsRejected        float64 `json:"list_calls_turned_away_a_node"`
+	ColdBudgetMax            float64 `json:"cold_budget_worst"` // maximum ratio of work sent to a cold backend's budget over all windows; 1 is the whole budget
+	AttemptsToIsolated       float64 `json:"attempts_at_boxes_cut_off"`
+	SharedBytesPerNodeSecond float64 `json:"shared_bytes_a_node_a_second"`
+	LoadP99ToMean            float64 `json:"work_p99_to_mean"` // of the work sent to warm backends per second, relative to their full capacity; mean over the seconds
+
+	nodeStarts         []time.Duration
+	openSamples        []float64
+	loadSpreads        []float64
+	callsAfterStart    float64 // calls while nodesStarting
+	rejectedAfterStart float64
+	workSent           time.Duration
+	handshakeWork      time.Duration
+	workThisSecond     map[*backend]time.Duration // work sent to each backend
 }
 
-// Second is one second of a play, over the whole fleet.
+// Second is the totals of one second of a play, over the whole fleet.
 type Second struct {
-	At       int     `json:"at"` // seconds since the traffic began
-	Attempts int     `json:"attempts"`
-	NewConns int     `json:"new_connections"`
-	Shaken   float64 `json:"handshake_core_seconds"`
-	Crossing int     `json:"across_sites"`
-	Cold     float64 `json:"cold_core_seconds"` // work sent to boxes that warm up
-	ColdUsed float64 `json:"cold_budget_used"`  // the largest part of a cold box's budget at any time so far today
-	Untried  int     `json:"refused_untried"`   // refusals by what went before: no attempt,
-	Tried    int     `json:"refused_tried"`     // or some, none of which ran
-	Asked    int     `json:"list_calls"`
-	Whole    int     `json:"whole_lists"` // of them, those for the whole list
-	Away     int     `json:"list_calls_turned_away"`
-	Age      float64 `json:"report_age_s"` // mean age of the report by which a box was chosen
-	Unheard  int     `json:"without_report"`
-	Open     float64 `json:"open_connections"` // at a box, mean of those in service
-	OpenP99  float64 `json:"open_connections_p99"`
-	Held     float64 `json:"held"` // requests at a box, in truth: mean
-	Believed float64 `json:"held_believed"`
-
-	ages float64
+	At                   int     `json:"at"` // seconds since the start of the traffic
+	Attempts             int     `json:"attempts"`
+	NewConns             int     `json:"new_connections"`
+	HandshakeCoreSeconds float64 `json:"handshake_core_seconds"`
+	CrossSite            int     `json:"across_sites"`
+	ColdCoreSeconds      float64 `json:"cold_core_seconds"` // work sent to cold backends
+	ColdBudgetUsed       float64 `json:"cold_budget_used"`  // Counts.ColdBudgetMax so far
+	RefusedUntried       int     `json:"refused_untried"`   // refusals without an attempt
+	RefusedTried         int     `json:"refused_tried"`     // refusals after attempts, none of which ran
+	ListCalls            int     `json:"list_calls"`
+	FullLists            int     `json:"whole_lists"` // of the list calls, those for the full list
+	ListCallsRejected    int     `json:"list_calls_turned_away"`
+	ReportAgeSeconds     float64 `json:"report_age_s"` // mean age of the latest report of the backend that is chosen
+	WithoutReport        int     `json:"without_report"`
+	Open                 float64 `json:"open_connections"` // per backend, mean over those in service
+	OpenP99              float64 `json:"open_connections_p99"`
+	InFlight             float64 `json:"held"` // requests per backend, mean of the true numbers
+	BelievedInFlight     float64 `json:"held_believed"`
+
+	reportAgeSum float64
 }
 
-func (c *Counts) begin(w *world) {
-	for at := range int((w.plan.Scenario.Length.D() + settle) / time.Second) {
+func (c *Counts) prepare(sim *simulation) {
+	for at := range int((sim.plan.Scenario.Length.D() + drainTime) / time.Second) {
 		c.Seconds = append(c.Seconds, Second{At: at})
 	}
-	c.got = map[*box]time.Duration{}
+	c.workThisSecond = map[*backend]time.Duration{}
 }
 
-// now is the second that a play is in.
-func (c *Counts) now(w *world) *Second {
-	return &c.Seconds[min(int(w.now/time.Second), len(c.Seconds)-1)]
+// current returns the current second of a play.
+func (c *Counts) current(sim *simulation) *Second {
+	return &c.Seconds[min(int(sim.now/time.Second), len(c.Seconds)-1)]
 }
 
-// sent counts an attempt whose connection has been chosen.
-func (c *Counts) sent(a *attempt) {
-	w, s := a.node.w, c.now(a.node.w)
+// recordAttempt counts an attempt whose connection has been chosen.
+func (c *Counts) recordAttempt(a *attempt) {
+	sim, s := a.node.sim, c.current(a.node.sim)
 	s.Attempts++
-	if a.box.silent || w.apart(a.node.Site, a.box.plan.Site) {
-		c.Blind++
+	if a.backend.isolated || sim.partitioned(a.node.Site, a.backend.plan.Site) {
+		c.AttemptsToIsolated++
 	}
-	work := a.req.need.Work
-	if a.fresh {
-		shake := w.plan.Scenario.Conn.HandshakeWork.D()
+	work := a.request.op.Work
+	if a.newConn {
+		handshake := sim.plan.Scenario.Conn.HandshakeWork.D()
 		s.NewConns++
-		s.Shaken += shake.Seconds()
-		c.shaken += shake
-		work += shake
+		s.HandshakeCoreSeconds += handshake.Seconds()
+		c.handshakeWork += handshake
+		work += handshake
 	}
-	c.sentAll += work
-	c.got[a.box] += work
-	if a.box.plan.Site != a.node.Site {
-		s.Crossing++
+	c.workSent += work
+	c.workThisSecond[a.backend] += work
+	if a.backend.plan.Site != a.node.Site {
+		s.CrossSite++
 	}
-	if at, ok := a.node.heard[a.box]; ok {
-		s.ages += (w.now - at).Seconds()
+	if at, ok := a.node.reportedAt[a.backend]; ok {
+		s.reportAgeSum += (sim.now - at).Seconds()
 	} else {
-		s.Unheard++
+		s.WithoutReport++
 	}
 }
 
-func (c *Counts) cold(b *box, work time.Duration) {
-	s := c.now(b.w)
-	s.Cold += work.Seconds()
-	c.ColdWorst = max(c.ColdWorst, b.budget.Worst())
+// recordColdWork counts work sent to a cold backend.
+func (c *Counts) recordColdWork(b *backend, work time.Duration) {
+	s := c.current(b.sim)
+	s.ColdCoreSeconds += work.Seconds()
+	c.ColdBudgetMax = max(c.ColdBudgetMax, b.budget.MaxFraction())
 }
 
-func (c *Counts) refused(n *node, id string) {
-	r, s := n.requests[id], c.now(n.w)
+func (c *Counts) recordRefusal(n *node, id string) {
+	r, s := n.requests[id], c.current(n.sim)
 	if r != nil && len(r.attempts) > 0 {
-		s.Tried++
+		s.RefusedTried++
 	} else {
-		s.Untried++
+		s.RefusedUntried++
 	}
 }
 
-func (c *Counts) asked(l *listCall) {
-	s := c.now(l.n.w)
-	s.Asked++
-	if l.since < 0 {
-		s.Whole++
+func (c *Counts) recordListCall(l *listCall) {
+	s := c.current(l.node.sim)
+	s.ListCalls++
+	if l.sinceVersion < 0 {
+		s.FullLists++
 	}
-	if c.starting(l.n.w.now) {
-		c.calls++
+	if c.nodesStarting(l.node.sim.now) {
+		c.callsAfterStart++
 	}
 }
 
-func (c *Counts) turned(l *listCall) {
-	c.now(l.n.w).Away++
-	if c.starting(l.n.w.now) {
-		c.away++
+func (c *Counts) recordRejectedCall(l *listCall) {
+	c.current(l.node.sim).ListCallsRejected++
+	if c.nodesStarting(l.node.sim.now) {
+		c.rejectedAfterStart++
 	}
 }
 
-// starting tells whether nodes have started in the last 10 s; in a play in which none does, it always holds.
-func (c *Counts) starting(now time.Duration) bool {
-	return len(c.starts) == 0 || now-c.starts[len(c.starts)-1] < 10*time.Second
+// nodesStarting reports whether a node has restarted in the last 10 s. It is true until the first restart, so that a play
+// without one counts throughout.
+func (c *Counts) nodesStarting(now time.Duration) bool {
+	return len(c.nodeStarts) == 0 || now-c.nodeStarts[len(c.nodeStarts)-1] < 10*time.Second
 }
 
-// sample looks at all boxes once a second.
-func (w *world) sample() {
-	c := w.counts
-	s := c.now(w)
+// sampleBackends records connections and load of all backends once a second.
+func (sim *simulation) sampleBackends() {
+	c := sim.counts
+	s := c.current(sim)
 	var open, load []float64
-	held, up := 0.0, 0.0
-	for _, b := range w.boxes {
-		if b == nil || !b.up || b.silent {
+	inFlight, up := 0.0, 0.0
+	for _, b := range sim.backends {
+		if b == nil || !b.up || b.isolated {
 			continue
 		}
-		b.sweep()
+		b.closeAllExpired()
 		open = append(open, float64(b.conns))
-		held, up = held+float64(b.model.Held()), up+1
+		inFlight, up = inFlight+float64(b.model.InFlight()), up+1
 		if b.budget == nil && !b.draining && !b.slow {
-			load = append(load, c.got[b].Seconds()/b.model.Full())
+			load = append(load, c.workThisSecond[b].Seconds()/b.model.FullCapacity())
 		}
 	}
-	clear(c.got)
+	clear(c.workThisSecond)
 	if len(open) > 0 {
 		slices.Sort(open)
-		s.Open, s.OpenP99, s.Held = stat.Mean(open, nil), stat.Quantile(0.99, stat.Empirical, open, nil), held/up
-		c.opens = append(c.opens, open...)
+		s.Open, s.OpenP99, s.InFlight = stat.Mean(open, nil), stat.Quantile(0.99, stat.Empirical, open, nil), inFlight/up
+		c.openSamples = append(c.openSamples, open...)
 	}
-	if mean := stat.Mean(load, nil); len(load) > 0 && mean > 0 && w.now <= w.plan.Scenario.Length.D() {
+	if mean := stat.Mean(load, nil); len(load) > 0 && mean > 0 && sim.now <= sim.plan.Scenario.Length.D() {
 		slices.Sort(load)
-		c.uneven = append(c.uneven, stat.Quantile(0.99, stat.Empirical, load, nil)/mean)
+		c.loadSpreads = append(c.loadSpreads, stat.Quantile(0.99, stat.Empirical, load, nil)/mean)
 	}
-	s.ColdUsed = c.ColdWorst
+	s.ColdBudgetUsed = c.ColdBudgetMax
 	believed, seen := 0.0, 0.0
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		if !n.up {
 			continue
 		}
-		for _, x := range n.bal.Snapshot(epoch + w.now) {
+		for _, x := range n.balancer.Snapshot(epoch + sim.now) {
 			if !x.Wide {
 				believed, seen = believed+x.Held, seen+1
 			}
 		}
 	}
-	s.Believed = believed / max(1, seen)
-	w.after(time.Second, w.sample)
+	s.BelievedInFlight = believed / max(1, seen)
+	sim.after(time.Second, sim.sampleBackends)
 }
 
-// finish works out what is over the whole play.
-func (c *Counts) finish(w *world) {
+// finish computes the figures of the whole play.
+func (c *Counts) finish(sim *simulation) {
 	attempts, conns := 0, 0
 	for i := range c.Seconds {
 		s := &c.Seconds[i]
 		attempts, conns = attempts+s.Attempts, conns+s.NewConns
-		if heard := s.Attempts - s.Unheard; heard > 0 {
-			s.Age = s.ages / float64(heard)
+		if heard := s.Attempts - s.WithoutReport; heard > 0 {
+			s.ReportAgeSeconds = s.reportAgeSum / float64(heard)
 		}
 	}
 	c.NewConns = float64(conns) / float64(max(1, attempts))
-	c.Handshake = c.shaken.Seconds() / math.Max(1e-9, c.sentAll.Seconds())
-	slices.Sort(c.opens)
-	if len(c.opens) > 0 {
-		c.OpenMean, c.OpenP99, c.OpenMost = stat.Mean(c.opens, nil), stat.Quantile(0.99, stat.Empirical, c.opens, nil), c.opens[len(c.opens)-1]
+	c.HandshakeFraction = c.handshakeWork.Seconds() / math.Max(1e-9, c.workSent.Seconds())
+	slices.Sort(c.openSamples)
+	if len(c.openSamples) > 0 {
+		c.OpenMean, c.OpenP99, c.OpenMax = stat.Mean(c.openSamples, nil), stat.Quantile(0.99, stat.Empirical, c.openSamples, nil), c.openSamples[len(c.openSamples)-1]
 	}
-	if len(c.uneven) > 0 {
-		c.Spread = stat.Mean(c.uneven, nil)
+	if len(c.loadSpreads) > 0 {
+		c.LoadP99ToMean = stat.Mean(c.loadSpreads, nil)
 	}
-	c.ListCalls, c.ListAway = c.calls/float64(len(w.nodes)), c.away/float64(len(w.nodes))
-	c.Gossip /= float64(len(w.nodes)) * max(1, w.now.Seconds())
-	c.opens, c.uneven, c.got = nil, nil, nil
+	c.ListCalls, c.ListCallsRejected = c.callsAfterStart/float64(len(sim.nodes)), c.rejectedAfterStart/float64(len(sim.nodes))
+	c.SharedBytesPerNodeSecond /= float64(len(sim.nodes)) * max(1, sim.now.Seconds())
+	c.openSamples, c.loadSpreads, c.workThisSecond = nil, nil, nil
 }
--- a/internal/kit/lab/lab_test.go
+++ b/internal/kit/lab/lab_test.go
@@ -27,10 +27,10 @@
 	return s
 }
 
-func short(s *scenario.Scenario) { s.Length = scenario.Duration(12 * time.Second) }
+func shorten(s *scenario.Scenario) { s.Length = scenario.Duration(12 * time.Second) }
 
-// text plays a day and returns its trace as it would be written.
-func text(t *testing.T, s *scenario.Scenario, seed uint64) string {
+// traceText plays a scenario and returns its trace as text.
+func traceText(t *testing.T, s *scenario.Scenario, seed uint64) string {
 	t.Helper()
 	var b strings.Builder
 	o := Options{Name: "x", Plan: plan.New(s, seed), Tuning: policy.DefaultTuning()}
@@ -45,8 +45,8 @@
 	return b.String()
 }
 
-// judged plays a day and returns what the judge says of it.
-func judged(t *testing.T, o Options) *judge.Verdict {
+// playJudged plays a scenario and returns the judge's verdict.
+func playJudged(t *testing.T, o Options) *judge.Verdict {
 	t.Helper()
 	j := judge.New(Head(&o))
 	line := 1
@@ -59,16 +59,16 @@
 
 func TestSameSeedSameTrace(t *testing.T) {
 	for _, name := range []string{"rolling-deploy", "lost-requests", "late-list"} {
-		s := load(t, name, short)
-		if a, b := text(t, s, 7), text(t, s, 7); a != b {
+		s := load(t, name, shorten)
+		if a, b := traceText(t, s, 7), traceText(t, s, 7); a != b {
 			t.Errorf("%s: two plays of seed 7 differ", name)
-		} else if c := text(t, s, 8); a == c {
+		} else if c := traceText(t, s, 8); a == c {
 			t.Errorf("%s: seeds 7 and 8 give the same trace", name)
 		}
 	}
 }
 
-// Every scenario that the laboratory can play keeps the rules, and every request is accounted for.
+// These scenarios keep the rules, and every operation has exactly one end.
 func TestScenariosKeepTheRules(t *testing.T) {
 	for _, name := range []string{"rolling-deploy", "late-list", "slow-after-overload", "half-cold"} {
 		s := load(t, name)
@@ -87,34 +87,35 @@
 	}
 }
 
-// The judge is not blind here: a node that resends unsafe work, goes on to drained boxes or floods cold ones is named.
-func TestBrokenRulesAreNamed(t *testing.T) {
+// Guards against a judge that misses violations in simulated traces: nodes resend unsafe requests, keep using draining
+// backends, or overload cold ones.
+func TestViolationsAreDetected(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		rule   judge.Rule
-		change func(*scenario.Scenario)
-		tell   func(*policy.Settings)
-		hide   func(policy.Entry) bool
+		name           string
+		rule           judge.Rule
+		change         func(*scenario.Scenario)
+		changeSettings func(*policy.Settings)
+		hideUpdate     func(policy.Entry) bool
 	}{
 		{"rolling-deploy", judge.DrainsHonoured, func(s *scenario.Scenario) { s.Events[0].Drain = 8 * scenario.Duration(time.Second) }, nil,
 			func(e policy.Entry) bool { return e.State == policy.Draining }},
 		{"half-cold", judge.ColdProtected, func(s *scenario.Scenario) { s.Rules.OverloadFactor = 0.3 },
 			func(p *policy.Settings) { p.ColdShare, p.FallFactor = 1, 40 }, nil},
-		{"lost-requests", judge.NoDoubleEffect, short, func(p *policy.Settings) {
+		{"lost-requests", judge.NoDoubleEffect, shorten, func(p *policy.Settings) {
 			for i := range p.Classes {
 				p.Classes[i].Effect = policy.Safe
 			}
 		}, nil},
 	} {
 		s := load(t, c.name, c.change)
-		o := Options{Name: c.name, Plan: plan.New(s, 5), Tuning: policy.DefaultTuning(), tell: c.tell, hide: c.hide}
-		if v := judged(t, o); !v.Broken(c.rule) {
-			t.Errorf("%s with a module that was told wrongly: rule %d is not named as broken", c.name, c.rule)
+		o := Options{Name: c.name, Plan: plan.New(s, 5), Tuning: policy.DefaultTuning(), changeSettings: c.changeSettings, hideUpdate: c.hideUpdate}
+		if v := playJudged(t, o); !v.Broken(c.rule) {
+			t.Errorf("%s with wrong settings or a missed update: no violation of rule %d found", c.name, c.rule)
 		}
 	}
 }
 
-func TestWhatIsNotPlayed(t *testing.T) {
+func TestUnsupportedEvents(t *testing.T) {
 	for name, want := range map[string]string{"kill": `"term"`, "reload": `"reload"`, "bad-boxes": `"spoil"`} {
 		_, err := PlayOnce(name, load(t, name), 1, policy.DefaultTuning())
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -123,15 +124,15 @@
 	}
 }
 
-func TestBeliefsStandBesideTheTruth(t *testing.T) {
-	s := load(t, "calm", short)
+func TestBeliefsAgainstTrueState(t *testing.T) {
+	s := load(t, "calm", shorten)
 	seen, off := 0, 0.0
 	o := Options{Name: "calm", Plan: plan.New(s, 1), Tuning: policy.DefaultTuning(), Record: func(*trace.Record) {},
 		Belief: func(b Belief) {
 			seen++
 			off += math.Abs(b.Held - float64(b.TrueHeld))
 			if b.H <= 0 || b.R < b.H || b.Service <= 0 || b.TrueCapacity <= 0 {
-				t.Errorf("a belief that makes no sense: %+v", b)
+				t.Errorf("implausible belief: %+v", b)
 			}
 			if _, err := json.Marshal(b); err != nil {
 				t.Error(err)
@@ -146,7 +147,7 @@
 }
 
 func TestSweep(t *testing.T) {
-	s := load(t, "peak-short", short)
+	s := load(t, "peak-short", shorten)
 	worse := policy.DefaultTuning()
 	worse.H = 0.5
 	sweep := &Sweep{Name: "peak-short", Scenario: s, Seeds: []uint64{1, 2, 3}, Settings: []Setting{{Name: "in service", Tuning: policy.DefaultTuning()}, {Name: "h=0.5", Tuning: worse}}}
@@ -159,9 +160,9 @@
 	if err != nil || calls != 6 || len(out) != 2 {
 		t.Fatalf("%d outcomes, %d calls, error %v", len(out), calls, err)
 	}
-	against := Paired(&out[0], &out[1], func(d *Day) float64 { return d.Figure })
+	against := Paired(&out[0], &out[1], func(d *PlayResult) float64 { return d.Figure })
 	if !(against.Mean+against.Half < 0) || out[0].Figure.Half <= 0 {
-		t.Errorf("H of half a request against the one in service: %v (%v, %v), want it surely worse", against, out[0].Figure, out[1].Figure)
+		t.Errorf("H of half a request against the default: %v (%v, %v), want it significantly worse", against, out[0].Figure, out[1].Figure)
 	}
 	var page strings.Builder
 	if err := sweep.Page(&page, out); err != nil {
@@ -175,7 +176,7 @@
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := sweep.Run(ended, nil); err == nil {
-		t.Error("a sweep that was cancelled gives no error")
+		t.Error("a cancelled sweep returned no error")
 	}
 }
 
@@ -190,7 +191,7 @@
 	}
 }
 
-func BenchmarkDay(b *testing.B) {
+func BenchmarkPlay(b *testing.B) {
 	s, err := scenario.Load("peak-short")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/kit/lab/list.go
+++ b/internal/kit/lab/list.go
@@ -9,144 +9,145 @@
 	"craneglade/policy"
 )
 
-// The waits of the daemon's calls where each is work for the list's service (internal/discovery).
+// The timeouts of the daemon's calls to a discovery service (internal/discovery).
 const (
-	watchWait = 20 * time.Second
-	callOver  = 5 * time.Second // an answer later than its wait by this has failed
-	watchRest = 50 * time.Millisecond
+	watchTimeout     = 20 * time.Second
+	callGrace        = 5 * time.Second // a call fails this long after its wait
+	minWatchInterval = 50 * time.Millisecond
 )
 
-// listd is the service behind the box list where nodes have to ask for it. It answers so many calls a second, with a
-// second's worth in hand after a quiet one, and turns the others away at once.
-type listd struct {
-	w       *world
-	news    []policy.Entry // every change, in the order of their versions, from 1
-	at      time.Duration  // of the last change that is on its way
-	tokens  float64
-	filled  time.Duration
-	waiting []*listCall
+// listServer is the discovery service for nodes that fetch their list. It answers a limited number of calls per second,
+// with a burst of one second's calls, and rejects the others at once.
+type listServer struct {
+	sim          *simulation
+	updates      []policy.Entry // all changes in the order of their versions, from 1
+	lastUpdateAt time.Duration  // when the service learns of the latest change
+	tokens       float64
+	refilledAt   time.Duration
+	waiting      []*listCall
 }
 
 // listCall is one call of a node.
 type listCall struct {
-	n     *node
-	life  int
-	since int64 // -1 for the whole list
-	over  bool
-	done  func(kind policy.ListKind, news []policy.Entry, version int64, ok bool)
+	node         *node
+	incarnation  int
+	sinceVersion int64 // -1 for the full list
+	ended        bool
+	onEnd        func(kind policy.ListKind, updates []policy.Entry, version int64, ok bool)
 }
 
-// publish takes in a change that the service knows of from a time on.
-func (l *listd) publish(e policy.Entry, at time.Duration) {
-	l.at = max(l.at, at)
-	l.w.at(l.at, func() {
-		l.news = append(l.news, e)
-		l.wake()
+// publish adds a change that the service learns of at a time, and no earlier than of the changes before it.
+func (l *listServer) publish(e policy.Entry, at time.Duration) {
+	l.lastUpdateAt = max(l.lastUpdateAt, at)
+	l.sim.at(l.lastUpdateAt, func() {
+		l.updates = append(l.updates, e)
+		l.answerWaiting()
 	})
 }
 
-// wake answers the calls that wait for a change.
-func (l *listd) wake() {
-	if l.w.hushed {
+// answerWaiting answers the calls that wait for a change.
+func (l *listServer) answerWaiting() {
+	if l.sim.listPaused {
 		return
 	}
 	waiting := l.waiting
 	l.waiting = nil
 	for _, c := range waiting {
-		if c.since >= 0 && c.since == int64(len(l.news)) {
+		if c.sinceVersion >= 0 && c.sinceVersion == int64(len(l.updates)) {
 			l.waiting = append(l.waiting, c)
 			continue
 		}
-		l.w.after(l.w.spread(), func() { l.answer(c) })
+		l.sim.after(l.sim.drawListSpread(), func() { l.answer(c) })
 	}
 }
 
-// arrive takes in a call.
-func (l *listd) arrive(c *listCall) {
-	if most := l.w.plan.Scenario.List.MaxCalls; most > 0 {
-		l.tokens = min(most, l.tokens+most*(l.w.now-l.filled).Seconds())
-		if l.filled == 0 {
-			l.tokens = most
+// arrive handles a call: it is rejected, answered, or waits for a change.
+func (l *listServer) arrive(c *listCall) {
+	if limit := l.sim.plan.Scenario.List.MaxCalls; limit > 0 {
+		l.tokens = min(limit, l.tokens+limit*(l.sim.now-l.refilledAt).Seconds())
+		if l.refilledAt == 0 {
+			l.tokens = limit
 		}
-		l.filled = max(l.w.now, 1)
+		l.refilledAt = max(l.sim.now, 1)
 		if l.tokens < 1 {
-			l.w.counts.turned(c)
-			l.w.after(l.w.delay(l.site(), c.n.Site), func() { c.end(0, nil, 0, false) })
+			l.sim.counts.recordRejectedCall(c)
+			l.sim.after(l.sim.delay(l.site(), c.node.Site), func() { c.end(0, nil, 0, false) })
 			return
 		}
 		l.tokens--
 	}
-	if l.w.hushed || c.since >= 0 && c.since == int64(len(l.news)) {
+	if l.sim.listPaused || c.sinceVersion >= 0 && c.sinceVersion == int64(len(l.updates)) {
 		l.waiting = append(l.waiting, c)
 		return
 	}
 	l.answer(c)
 }
 
-func (l *listd) site() string { return l.w.plan.Scenario.Sites[0].Name }
+func (l *listServer) site() string { return l.sim.plan.Scenario.Sites[0].Name }
 
-// answer sends what a call asks for.
-func (l *listd) answer(c *listCall) {
-	kind, version := policy.ListDelta, int64(len(l.news))
-	var news []policy.Entry
-	if c.since >= 0 {
-		news = slices.Clone(l.news[c.since:])
+// answer sends the changes since the call's version, or the full list.
+func (l *listServer) answer(c *listCall) {
+	kind, version := policy.ListDelta, int64(len(l.updates))
+	var updates []policy.Entry
+	if c.sinceVersion >= 0 {
+		updates = slices.Clone(l.updates[c.sinceVersion:])
 	} else {
 		kind = policy.ListFull
-		now := map[uint32]policy.Entry{}
-		for i := range l.w.plan.Initial {
-			e := l.w.entry(i, policy.Active)
+		entries := map[uint32]policy.Entry{}
+		for i := range l.sim.plan.Initial {
+			e := l.sim.entry(i, policy.Active)
 			e.Launched = 0
-			now[e.ID] = e
+			entries[e.ID] = e
 		}
-		for _, e := range l.news {
-			now[e.ID] = e
+		for _, e := range l.updates {
+			entries[e.ID] = e
 		}
-		for _, id := range slices.Sorted(maps.Keys(now)) {
-			if now[id].State != policy.Removed {
-				news = append(news, now[id])
+		for _, id := range slices.Sorted(maps.Keys(entries)) {
+			if entries[id].State != policy.Removed {
+				updates = append(updates, entries[id])
 			}
 		}
 	}
-	l.w.after(l.w.delay(l.site(), c.n.Site), func() { c.end(kind, news, version, true) })
+	l.sim.after(l.sim.delay(l.site(), c.node.Site), func() { c.end(kind, updates, version, true) })
 }
 
-// end hands the call's end to its node, once.
-func (c *listCall) end(kind policy.ListKind, news []policy.Entry, version int64, ok bool) {
-	if c.over || c.life != c.n.life {
+// end passes the result of the call to its node, once.
+func (c *listCall) end(kind policy.ListKind, updates []policy.Entry, version int64, ok bool) {
+	if c.ended || c.incarnation != c.node.incarnation {
 		return
 	}
-	c.over = true
-	c.done(kind, news, version, ok)
+	c.ended = true
+	c.onEnd(kind, updates, version, ok)
 }
 
-// call asks the service; done is called once, unless the process ends before.
-func (n *node) call(since int64, wait time.Duration, done func(policy.ListKind, []policy.Entry, int64, bool)) {
-	c := &listCall{n: n, life: n.life, since: since, done: done}
-	l := &n.w.list
-	n.w.counts.asked(c)
-	n.w.after(n.w.delay(n.Site, l.site()), func() { l.arrive(c) })
-	n.w.after(wait, func() { // nothing new is an answer too, unless the service says nothing at all
+// callList calls the service. done is called once, unless the node's process ends before.
+func (n *node) callList(since int64, wait time.Duration, done func(policy.ListKind, []policy.Entry, int64, bool)) {
+	c := &listCall{node: n, incarnation: n.incarnation, sinceVersion: since, onEnd: done}
+	l := &n.sim.listService
+	n.sim.counts.recordListCall(c)
+	n.sim.after(n.sim.delay(n.Site, l.site()), func() { l.arrive(c) })
+	n.sim.after(wait, func() { // a watch without changes gets an empty response, unless the service is paused
 		l.waiting = slices.DeleteFunc(l.waiting, func(x *listCall) bool { return x == c })
-		if since >= 0 && !n.w.hushed {
+		if since >= 0 && !n.sim.listPaused {
 			c.end(policy.ListDelta, nil, since, true)
 		}
 	})
-	n.w.after(wait+callOver, func() { c.end(0, nil, 0, false) })
+	n.sim.after(wait+callGrace, func() { c.end(0, nil, 0, false) })
 }
 
-// watch waits for changes until a call fails, as the daemon does.
+// watch polls for changes until a call fails, as the daemon does.
 func (n *node) watch() {
-	if n.watching || n.w.plan.Scenario.List.Mode != "ask" {
+	if n.watching || n.sim.plan.Scenario.List.Mode != "ask" {
 		return
 	}
 	n.watching = true
-	n.watchOn()
+	n.nextWatch()
 }
 
-func (n *node) watchOn() {
-	begun := n.w.now
-	n.call(n.version, watchWait, func(kind policy.ListKind, news []policy.Entry, version int64, ok bool) {
+// nextWatch makes one call of a watch.
+func (n *node) nextWatch() {
+	startedAt := n.sim.now
+	n.callList(n.version, watchTimeout, func(kind policy.ListKind, updates []policy.Entry, version int64, ok bool) {
 		if !ok {
 			n.watching = false
 			n.handle(&policy.Event{Kind: policy.EvList, List: policy.ListFailed})
@@ -154,37 +155,37 @@
 		}
 		if version > n.version {
 			n.version = version
-			n.take(kind, news)
+			n.applyList(kind, updates)
 		}
-		life := n.life
-		n.w.at(begun+watchRest, func() {
-			if n.life == life {
-				n.watchOn()
+		incarnation := n.incarnation
+		n.sim.at(startedAt+minWatchInterval, func() {
+			if n.incarnation == incarnation {
+				n.nextWatch()
 			}
 		})
 	})
 }
 
-// fetch asks for the whole list once.
+// fetch fetches the full list once.
 func (n *node) fetch() {
-	if n.w.plan.Scenario.List.Mode != "ask" {
+	if n.sim.plan.Scenario.List.Mode != "ask" {
 		return
 	}
-	n.call(-1, callOver, func(kind policy.ListKind, news []policy.Entry, version int64, ok bool) {
+	n.callList(-1, callGrace, func(kind policy.ListKind, updates []policy.Entry, version int64, ok bool) {
 		if !ok {
 			n.handle(&policy.Event{Kind: policy.EvList, List: policy.ListFailed})
 			return
 		}
 		if version < n.version {
-			return // a watch has brought a later one
+			return // a watch has returned a later version meanwhile
 		}
 		n.version = version
 		for id := range n.known {
-			if !slices.ContainsFunc(news, func(e policy.Entry) bool { return e.ID == id }) {
+			if !slices.ContainsFunc(updates, func(e policy.Entry) bool { return e.ID == id }) {
 				delete(n.known, id)
-				n.w.note(trace.Record{Kind: trace.Notified, Node: n.Name, Backend: n.w.plan.Boxes[id-1].ID, State: trace.Removed})
+				n.sim.note(trace.Record{Kind: trace.Notified, Node: n.Name, Backend: n.sim.plan.Backends[id-1].ID, State: trace.Removed})
 			}
 		}
-		n.take(kind, news)
+		n.applyList(kind, updates)
 	})
 }
--- a/internal/kit/lab/share_test.go
+++ b/internal/kit/lab/share_test.go
@@ -9,9 +9,9 @@
 	"craneglade/policy"
 )
 
-// Nodes that share what they count keep a greedy tenant to its share, whatever is lost between them; the same seed gives the same
-// day.
-func TestSharing(t *testing.T) {
+// Nodes that share their counts have to keep a greedy tenant to its quota, even if the network loses datagrams. The same
+// seed gives the same figures.
+func TestSharedQuotas(t *testing.T) {
 	s := load(t, "calm", func(s *scenario.Scenario) {
 		s.Length = scenario.Duration(14 * time.Second)
 		s.Nodes.Count = 6
@@ -31,18 +31,18 @@
 			t.Fatal(err)
 		}
 		alone, together = alone+a.Figure/3, together+b.Figure/3
-		if b.Broken != "" || b.Counts.Gossip == 0 || b.Counts.Gossip > 64<<10 {
-			t.Errorf("seed %d: %s; %.0f bytes a node a second", seed, b.Broken, b.Counts.Gossip)
+		if b.Broken != "" || b.Counts.SharedBytesPerNodeSecond == 0 || b.Counts.SharedBytesPerNodeSecond > 64<<10 {
+			t.Errorf("seed %d: %s; %.0f bytes per node and second", seed, b.Broken, b.Counts.SharedBytesPerNodeSecond)
 		}
 		if seed > 0 {
 			continue
 		}
-		if again, err := playSetting("greedy", s, seed, set); err != nil || again.Figure != b.Figure || again.Counts.Gossip != b.Counts.Gossip {
+		if again, err := playSetting("greedy", s, seed, set); err != nil || again.Figure != b.Figure || again.Counts.SharedBytesPerNodeSecond != b.Counts.SharedBytesPerNodeSecond {
 			t.Errorf("a second play differs: %v and %v, %v", again.Figure, b.Figure, err)
 		}
 	}
 	if together < alone {
-		t.Errorf("figure %.3f with what nodes share and %.3f without", together, alone)
+		t.Errorf("figure %.3f with shared state and %.3f without", together, alone)
 	}
 	t.Logf("figure %.3f and %.3f", together, alone)
 }
--- a/internal/kit/lab/site.go
+++ b/internal/kit/lab/site.go
@@ -9,14 +9,14 @@
 	"craneglade/policy"
 )
 
-// Siting has the nodes watch how sites stand, and follow a plan for their loss.
+// Siting makes the nodes watch the state of sites and follow a plan for their loss.
 type Siting struct {
 	Plan *sites.Plan // nil for none
 	Note func(node string, n sites.Note)
 }
 
-// planned are the sites of a plan.
-func planned(o *Siting) (out []string) {
+// plannedSites returns the names of a plan's sites.
+func plannedSites(o *Siting) (out []string) {
 	if o == nil || o.Plan == nil {
 		return nil
 	}
@@ -26,15 +26,15 @@
 	return out
 }
 
-// site gives the node's new life its view of the sites.
-func (n *node) site(set *policy.Settings) {
-	o := n.w.opt.Sites
+// startSites sets up the site state of a node's new process.
+func (n *node) startSites(set *policy.Settings) {
+	o := n.sim.opt.Sites
 	if o == nil {
 		return
 	}
 	n.sites = siting.New(set, o.Plan)
-	n.every(n.life, siting.StepInterval, func() {
-		ev, probe := n.sites.Step(epoch+n.w.now, n.bal)
+	n.repeat(n.incarnation, siting.StepInterval, func() {
+		ev, probe := n.sites.Step(epoch+n.sim.now, n.balancer)
 		if ev != nil {
 			n.handle(ev)
 		}
@@ -49,8 +49,8 @@
 	})
 }
 
-// sited tells which boxes there are.
-func (n *node) sited() {
+// updateSiteBackends passes the current list to the site state.
+func (n *node) updateSiteBackends() {
 	if n.sites == nil {
 		return
 	}
@@ -59,28 +59,28 @@
 		e := n.known[id]
 		all = append(all, sites.Backend{ID: id, Site: e.Zone, Ready: e.State == policy.Active, Launched: e.Launched.Seconds()})
 	}
-	n.sites.ApplyList(epoch+n.w.now, all)
+	n.sites.ApplyList(epoch+n.sim.now, all)
 }
 
-// probe opens a connection to a box, and keeps it for requests where it comes up.
+// probe opens a connection to a backend and, if that succeeds, keeps it in the pool for requests.
 func (n *node) probe(id uint32) {
-	w, b, life := n.w, n.w.boxes[id-1], n.life
-	tell := func(up bool) {
-		if n.up && n.life == life {
-			n.sites.RecordProbe(epoch+w.now, id, up)
+	sim, b, incarnation := n.sim, n.sim.backends[id-1], n.incarnation
+	report := func(up bool) {
+		if n.up && n.incarnation == incarnation {
+			n.sites.RecordProbe(epoch+sim.now, id, up)
 		}
 	}
-	if b.silent || w.apart(n.Site, b.plan.Site) {
-		w.after(n.timeout, func() { tell(false) })
+	if b.isolated || sim.partitioned(n.Site, b.plan.Site) {
+		sim.after(n.connectTimeout, func() { report(false) })
 		return
 	}
-	way := w.delay(n.Site, b.plan.Site)
-	w.after(2*way, func() {
-		up := b.up && !b.silent
-		if p := n.pool[b]; up && p != nil && p.life == b.life {
+	delay := sim.delay(n.Site, b.plan.Site)
+	sim.after(2*delay, func() {
+		up := b.up && !b.isolated
+		if p := n.pool[b]; up && p != nil && p.connEpoch == b.connEpoch {
 			b.conns++
-			p.idle = append(p.idle, w.now)
+			p.idleSince = append(p.idleSince, sim.now)
 		}
-		tell(up)
+		report(up)
 	})
 }
--- a/internal/kit/lab/sweep.go
+++ b/internal/kit/lab/sweep.go
@@ -18,91 +18,92 @@
 	"craneglade/policy"
 )
 
-// Setting is one tuning under a name.
+// Setting is one variant of a sweep: a named tuning, with or without shared state and site plans.
 type Setting struct {
 	Name   string        `json:"name"`
 	Tuning policy.Tuning `json:"tuning"`
-	Share  *Sharing      `json:"share,omitempty"` // nil for nodes that share nothing
-	Sites  *Siting       `json:"-"`               // nil for nodes that do not watch sites
+	Share  *Sharing      `json:"share,omitempty"` // nil: nodes share nothing
+	Sites  *Siting       `json:"-"`               // nil: nodes do not watch sites
 }
 
-// Sweep says what to play: a scenario, over seeds, with each of several settings.
+// Sweep is a parameter sweep: a scenario is played with each setting and each seed.
 type Sweep struct {
 	Name     string
 	Scenario *scenario.Scenario
 	Seeds    []uint64
 	Settings []Setting
-	Workers  int // plays at a time; 0: one for each processor
+	Workers  int // concurrent plays; 0: one per processor
 }
 
-// Outcome is what one setting came to over the seeds of a sweep.
+// Outcome is the result of one setting over the seeds of a sweep.
 type Outcome struct {
-	Setting  Setting  `json:"setting"`
-	Figure   Estimate `json:"figure"`        // as the service counts, before prices
-	Share    Estimate `json:"worth_in_time"` // worth answered within its aim over worth asked for
-	Windows  []Window `json:"windows"`
-	PerSeed  []Day    `json:"plays"`
-	Broken   int      `json:"plays_with_a_broken_rule"`
-	Refused  Estimate `json:"refused"`       // part of the needs that ended refused
-	Twice    Estimate `json:"refused_twice"` // of those with more than one try, the part whose second was refused too
-	Attempts Estimate `json:"attempts_for_each_request"`
-	Costs    []Cost   `json:"costs"`
+	Setting  Setting      `json:"setting"`
+	Figure   Estimate     `json:"figure"`        // the weighted figure of package report, before prices
+	Share    Estimate     `json:"worth_in_time"` // utility answered within the latency target / utility requested
+	Windows  []Window     `json:"windows"`
+	PerSeed  []PlayResult `json:"plays"`
+	Broken   int          `json:"plays_with_a_broken_rule"`
+	Refused  Estimate     `json:"refused"`       // fraction of the operations that ended as refused
+	Twice    Estimate     `json:"refused_twice"` // of the operations with a refused try, the fraction with more than one
+	Attempts Estimate     `json:"attempts_for_each_request"`
+	Costs    []Cost       `json:"costs"`
 }
 
-// Cost is one figure of Counts over the plays.
+// Cost is the estimate of one figure of Counts over the plays.
 type Cost struct {
-	Name string   `json:"name"`
-	Is   Estimate `json:"is"`
+	Name     string   `json:"name"`
+	Estimate Estimate `json:"is"`
 }
 
-var costs = []struct {
+var costMetrics = []struct {
 	name string
 	of   func(*Counts) float64
 }{
 	{"new connections an attempt", func(c *Counts) float64 { return c.NewConns }},
-	{"handshakes, part of all work", func(c *Counts) float64 { return c.Handshake }},
+	{"handshakes, part of all work", func(c *Counts) float64 { return c.HandshakeFraction }},
 	{"open connections a box, mean", func(c *Counts) float64 { return c.OpenMean }},
 	{"open connections a box, p99", func(c *Counts) float64 { return c.OpenP99 }},
-	{"open connections a box, most", func(c *Counts) float64 { return c.OpenMost }},
+	{"open connections a box, most", func(c *Counts) float64 { return c.OpenMax }},
 	{"list calls a node", func(c *Counts) float64 { return c.ListCalls }},
-	{"list calls turned away a node", func(c *Counts) float64 { return c.ListAway }},
-	{"attempts at boxes that are cut off", func(c *Counts) float64 { return c.Blind }},
-	{"bytes of shared state a node a second", func(c *Counts) float64 { return c.Gossip }},
-	{"cold budget used at the worst moment", func(c *Counts) float64 { return c.ColdWorst }},
-	{"work of a box, p99 to mean", func(c *Counts) float64 { return c.Spread }},
+	{"list calls turned away a node", func(c *Counts) float64 { return c.ListCallsRejected }},
+	{"attempts at boxes that are cut off", func(c *Counts) float64 { return c.AttemptsToIsolated }},
+	{"bytes of shared state a node a second", func(c *Counts) float64 { return c.SharedBytesPerNodeSecond }},
+	{"cold budget used at the worst moment", func(c *Counts) float64 { return c.ColdBudgetMax }},
+	{"work of a box, p99 to mean", func(c *Counts) float64 { return c.LoadP99ToMean }},
 }
 
-// Window is the worth in time of the needs that arose in a part of the day.
+// Window is the share of utility in time of the operations that started in one window of the play.
 type Window struct {
 	Name  string   `json:"name"`
 	Share Estimate `json:"worth_in_time"`
 }
 
-// Day is one play's figures.
-type Day struct {
-	Seed    uint64    `json:"seed"`
-	Figure  float64   `json:"figure"`
-	Share   float64   `json:"worth_in_time"`
-	Windows []float64 `json:"windows"`
-	Broken  string    `json:"broken,omitempty"` // the first rule broken, and how
-	Served  []float64 `json:"served_a_second"`
-	Asked   []float64 `json:"asked_a_second"`
-	Counts  *Counts   `json:"counts"`
-	report  *report.Report
-	refused float64
-	twice   float64
+// PlayResult holds the figures of one play.
+type PlayResult struct {
+	Seed                 uint64    `json:"seed"`
+	Figure               float64   `json:"figure"`
+	Share                float64   `json:"worth_in_time"`
+	Windows              []float64 `json:"windows"`
+	Broken               string    `json:"broken,omitempty"` // the first violation of a rule; "" for none
+	Served               []float64 `json:"served_a_second"`
+	Asked                []float64 `json:"asked_a_second"`
+	Counts               *Counts   `json:"counts"`
+	report               *report.Report
+	refusedFraction      float64
+	refusedTwiceFraction float64
 }
 
 // Estimate is a mean with its 95% confidence interval, from Student's t over the seeds.
 type Estimate struct {
 	Mean float64 `json:"mean"`
-	Half float64 `json:"half_width"` // of the interval; NaN is left out where there is one seed only
+	Half float64 `json:"half_width"` // half the width of the interval; 0 for a single seed
 	N    int     `json:"n"`
 }
 
+// String formats the mean and half the width of the interval.
 func (e Estimate) String() string { return fmt.Sprintf("%.3f ±%.3f", e.Mean, e.Half) }
 
-// NewEstimate is the estimate of a mean from a sample.
+// NewEstimate returns the estimate of the mean from a sample.
 func NewEstimate(v []float64) Estimate {
 	e := Estimate{N: len(v)}
 	if len(v) == 0 {
@@ -116,8 +117,8 @@
 	return e
 }
 
-// Paired is the estimate of the mean difference b - a of two outcomes over the same seeds.
-func Paired(a, b *Outcome, of func(*Day) float64) Estimate {
+// Paired returns the estimate of the mean difference b - a of two outcomes over the same seeds.
+func Paired(a, b *Outcome, of func(*PlayResult) float64) Estimate {
 	var d []float64
 	for i := range min(len(a.PerSeed), len(b.PerSeed)) {
 		d = append(d, of(&b.PerSeed[i])-of(&a.PerSeed[i]))
@@ -125,13 +126,13 @@
 	return NewEstimate(d)
 }
 
-// Run plays all of a sweep. done is called after each play, from one goroutine at a time; nil for never.
+// Run plays the whole sweep. done is called after each play, from one goroutine at a time; it may be nil.
 func (s *Sweep) Run(ctx context.Context, done func(played, all int)) ([]Outcome, error) {
 	type job struct{ setting, seed int }
 	jobs := make(chan job)
-	plays := make([][]Day, len(s.Settings))
+	plays := make([][]PlayResult, len(s.Settings))
 	for i := range plays {
-		plays[i] = make([]Day, len(s.Seeds))
+		plays[i] = make([]PlayResult, len(s.Seeds))
 	}
 	workers := s.Workers
 	if workers <= 0 {
@@ -184,17 +185,17 @@
 	return out, nil
 }
 
-// PlayOnce plays one seed of a scenario with nodes that share nothing, and takes its figures.
-func PlayOnce(name string, s *scenario.Scenario, seed uint64, t policy.Tuning) (*Day, error) {
+// PlayOnce plays one seed of a scenario with nodes that share nothing and returns its figures.
+func PlayOnce(name string, s *scenario.Scenario, seed uint64, t policy.Tuning) (*PlayResult, error) {
 	return playSetting(name, s, seed, Setting{Tuning: t})
 }
 
-func playSetting(name string, s *scenario.Scenario, seed uint64, set Setting) (*Day, error) {
+func playSetting(name string, s *scenario.Scenario, seed uint64, set Setting) (*PlayResult, error) {
 	o := Options{Name: name, Plan: plan.New(s, seed), Tuning: set.Tuning, Sharing: set.Share, Sites: set.Sites, Counts: &Counts{}}
 	h := Head(&o)
 	c, j := report.New(h), judge.New(h)
 	line := 1
-	tries := map[string]int{} // of needs, by the first try's id: how many were refused
+	tries := map[string]int{} // by the id of an operation's first try: how many of its tries were refused
 	of := map[string]string{}
 	o.Record = func(r *trace.Record) {
 		line++
@@ -211,7 +212,7 @@
 		return nil, err
 	}
 	rep := c.Finish(j.Finish())
-	p := &Day{Seed: seed, Figure: rep.Figure, Share: rep.Whole.Share, Counts: o.Counts, report: rep}
+	p := &PlayResult{Seed: seed, Figure: rep.Figure, Share: rep.Whole.Share, Counts: o.Counts, report: rep}
 	for _, w := range rep.Windows {
 		p.Windows = append(p.Windows, w.Share)
 	}
@@ -228,30 +229,30 @@
 			twice++
 		}
 	}
-	p.refused = float64(rep.Whole.Refused) / float64(max(1, rep.Whole.Asked))
-	p.twice = float64(twice) / float64(max(1, len(tries)))
+	p.refusedFraction = float64(rep.Whole.Refused) / float64(max(1, rep.Whole.Asked))
+	p.refusedTwiceFraction = float64(twice) / float64(max(1, len(tries)))
 	return p, nil
 }
 
-func outcome(set Setting, plays []Day) Outcome {
+func outcome(set Setting, plays []PlayResult) Outcome {
 	o := Outcome{Setting: set, PerSeed: plays}
-	of := func(f func(*Day) float64) Estimate {
+	of := func(f func(*PlayResult) float64) Estimate {
 		var v []float64
 		for i := range plays {
 			v = append(v, f(&plays[i]))
 		}
 		return NewEstimate(v)
 	}
-	o.Figure = of(func(p *Day) float64 { return p.Figure })
-	o.Share = of(func(p *Day) float64 { return p.Share })
-	o.Refused = of(func(p *Day) float64 { return p.refused })
-	o.Twice = of(func(p *Day) float64 { return p.twice })
-	o.Attempts = of(func(p *Day) float64 { return p.report.Attempts.Per })
-	for _, c := range costs {
-		o.Costs = append(o.Costs, Cost{c.name, of(func(p *Day) float64 { return c.of(p.Counts) })})
+	o.Figure = of(func(p *PlayResult) float64 { return p.Figure })
+	o.Share = of(func(p *PlayResult) float64 { return p.Share })
+	o.Refused = of(func(p *PlayResult) float64 { return p.refusedFraction })
+	o.Twice = of(func(p *PlayResult) float64 { return p.refusedTwiceFraction })
+	o.Attempts = of(func(p *PlayResult) float64 { return p.report.Attempts.Per })
+	for _, c := range costMetrics {
+		o.Costs = append(o.Costs, Cost{c.name, of(func(p *PlayResult) float64 { return c.of(p.Counts) })})
 	}
 	for i := range plays[0].report.Windows {
-		o.Windows = append(o.Windows, Window{plays[0].report.Windows[i].Name, of(func(p *Day) float64 {
+		o.Windows = append(o.Windows, Window{plays[0].report.Windows[i].Name, of(func(p *PlayResult) float64 {
 			if i < len(p.Windows) {
 				return p.Windows[i]
 			}
--- a/internal/kit/lab/world.go
+++ b/internal/kit/lab/world.go
@@ -1,13 +1,13 @@
-// Package lab plays the decision module against the kit's box model in virtual time: no sockets, no goroutines, no
-// clock. One play of a plan is a list of events, worked off in the order of their times; the same plan, settings and
-// tuning give the same trace, record for record. What the play notes are the records of a rehearsal's trace, so that
-// the kit's judge and report read a play of the laboratory as they read one of real nodes.
+// Package lab is a discrete-event simulation of the policy against the kit's backend model in virtual time, without
+// sockets, goroutines or a clock. Events run in the order of their times; the same plan, settings and tuning give the
+// same trace, record for record. The records are those of a rehearsal's trace, so that the kit's judge and report read
+// both alike.
 //
-// What is played: boxes with cold starts, pauses, slow spells and falls; connections with their handshakes and the
-// boxes' limit on them; load reports that are late, noisy and rounded; the box list with its lag, outages and stale
-// spells, pushed or asked for at a service of fixed capacity; nodes that are killed and start again with the list that
-// they had; clients that retry and lose patience. Nodes have no limits of their own here (CPU, descriptors, memory), and
-// events that ask a node to end or to reload are not played: Play says so.
+// The simulation covers backends with cold starts, pauses, slow periods and collapses; connections with handshakes and
+// the backends' limit on them; load reports that are late, noisy and rounded; the list with its lag, outages and stale
+// periods, pushed or fetched from a service of limited capacity; nodes that are killed and start again with the list
+// that they had; clients that retry and disconnect early. Nodes have no resource limits here (CPU, descriptors, memory),
+// and events that ask a node to end or to reload are not supported: Play returns an error.
 package lab
 
 import (
@@ -27,18 +27,19 @@
 )
 
 const (
-	// epoch is the clock time at which a play begins: boxes of the first list started long before.
+	// epoch is the policy's clock at the start of a play: backends of the first list started long before.
 	epoch = time.Hour
-	// transit is what a node leaves for the answer's way back, as the daemon does.
-	transit = 10 * time.Millisecond
-	// overtime is how much longer than its time a client stays, so that a late answer is told from none.
-	overtime = 200 * time.Millisecond
-	// beliefEvery is how often what the nodes believe is noted.
-	beliefEvery = time.Second
-	loadEvery   = 500 * time.Millisecond
-	capEvery    = 100 * time.Millisecond
-	// settle is how long a play goes on after its last request.
-	settle = 5 * time.Second
+	// returnTransit is the time that a node reserves for the response to travel back, as the daemon does.
+	returnTransit = 10 * time.Millisecond
+	// lingerTime is how long after its timeout a client keeps its connection, so that a late response can be told from
+	// none.
+	lingerTime = 200 * time.Millisecond
+	// beliefInterval is how often the nodes' beliefs are reported.
+	beliefInterval   = time.Second
+	loadInterval     = 500 * time.Millisecond
+	capacityInterval = 100 * time.Millisecond
+	// drainTime is how long a play continues after the scenario's length.
+	drainTime = 5 * time.Second
 )
 
 // Options say what to play.
@@ -47,35 +48,35 @@
 	Plan    *plan.Plan
 	Tuning  policy.Tuning
 	Record  func(*trace.Record) // called with each record of the trace; must not keep it
-	Belief  func(Belief)        // called once a second for each node and box; nil for never
-	Counts  *Counts             // filled by the play; nil where nobody wants them
-	Sharing *Sharing            // nil for nodes that share nothing
-	Sites   *Siting             // nil for nodes that do not watch sites
+	Belief  func(Belief)        // called once a second for each node and backend; nil for never
+	Counts  *Counts             // filled by the play; nil if not wanted
+	Sharing *Sharing            // nil: nodes share nothing
+	Sites   *Siting             // nil: nodes do not watch sites
 
-	// For tests of the judging: what changes the settings that nodes are told, and which news of the list they miss.
-	tell func(*policy.Settings)
-	hide func(policy.Entry) bool
-	note func(node string, n shared.Note)
+	// For tests: changes the settings of nodes, selects list updates that nodes miss, and observes their notes.
+	changeSettings func(*policy.Settings)
+	hideUpdate     func(policy.Entry) bool
+	onNote         func(node string, n shared.Note)
 }
 
-// Belief is what a node believes of a box at one moment, beside what is true.
+// Belief is what a node believes of a backend at one moment, with the true state.
 type Belief struct {
 	At   time.Duration // since the traffic began
 	Node string
 	Box  string
 	policy.Belief
-	TrueHeld     int     // requests in work or waiting there
+	TrueHeld     int     // requests that run or wait there
 	TrueWaiting  int     // those that wait
 	TrueCapacity float64 // in cores of speed 1
 	Slow         bool    // it has turned slow
 }
 
-// Head is the head of a play's trace.
+// Head returns the head of a play's trace.
 func Head(o *Options) trace.Head {
-	return deployment.Head(o.Plan, o.Name, "", nodesOf(o.Plan))
+	return deployment.Head(o.Plan, o.Name, "", planNodes(o.Plan))
 }
 
-func nodesOf(p *plan.Plan) []trace.Node {
+func planNodes(p *plan.Plan) []trace.Node {
 	var out []trace.Node
 	for i := range p.Scenario.Nodes.Count {
 		out = append(out, trace.Node{Name: fmt.Sprintf("n%d", i+1), Site: p.Scenario.Sites[i%len(p.Scenario.Sites)].Name})
@@ -83,46 +84,47 @@
 	return out
 }
 
-// world is one play.
-type world struct {
-	opt    *Options
-	plan   *plan.Plan
-	rng    *rand.Rand // of delays and chance outside boxes and nodes
-	now    time.Duration
-	todo   agenda
-	seq    int64
-	nodes  []*node
-	boxes  []*box // in the order of the plan; nil before they start
-	number map[string]int
-	late   time.Duration // that the list is behind its usual lag
-	hushed bool
-	list   listd
-	counts *Counts
-	resets float64
-	dark   map[string]bool // ways between sites that are cut, as "from>to"
-	hushAt map[string]bool // sites whose nodes the list says nothing to
-	atts   int64
-	conns  int64
-	ids    uint64
-	quiet  time.Duration // when the play ends
+// simulation is one play.
+type simulation struct {
+	opt           *Options
+	plan          *plan.Plan
+	rng           *rand.Rand // for delays and all random draws outside of backends and nodes
+	now           time.Duration
+	queue         eventQueue
+	seq           int64
+	nodes         []*node
+	backends      []*backend // in the order of the plan; nil before they start
+	backendIndex  map[string]int
+	extraListLag  time.Duration // beyond the list's normal lag
+	listPaused    bool
+	listService   listServer
+	counts        *Counts
+	resetFraction float64
+	cutLinks      map[string]bool // directions between sites that are cut, as "from>to"
+	pausedSites   map[string]bool // sites whose nodes get no list; "" for all
+	attemptCount  int64
+	connCount     int64
+	ids           uint64
+	end           time.Duration // when the play ends
 }
 
-// event is something that is to happen.
+// event is a scheduled function call.
 type event struct {
 	at  time.Duration
-	seq int64 // equal times: in the order in which they were set
-	do  func()
+	seq int64 // events of equal time run in the order in which they were scheduled
+	run func()
 }
 
-type agenda []event
+// eventQueue is a heap of events, the earliest first.
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
+func (a *eventQueue) Pop() any {
 	old := *a
 	x := old[len(old)-1]
 	old[len(old)-1] = event{}
@@ -130,227 +132,230 @@
 	return x
 }
 
-func (w *world) at(t time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.todo, event{max(t, w.now), w.seq, do})
+// at schedules a function call at t, or now if t has passed.
+func (sim *simulation) at(t time.Duration, do func()) {
+	sim.seq++
+	heap.Push(&sim.queue, event{max(t, sim.now), sim.seq, do})
 }
 
-func (w *world) after(d time.Duration, do func()) { w.at(w.now+d, do) }
+func (sim *simulation) after(d time.Duration, do func()) { sim.at(sim.now+d, do) }
 
-func (w *world) note(r trace.Record) {
-	r.T = trace.Microseconds(w.now)
-	w.opt.Record(&r)
+// note writes a record with the current time.
+func (sim *simulation) note(r trace.Record) {
+	r.T = trace.Microseconds(sim.now)
+	sim.opt.Record(&r)
 }
 
-// id is a fresh request id.
-func (w *world) id() string {
-	w.ids++
-	return fmt.Sprintf("%016x", w.ids)
+// id returns a new request id.
+func (sim *simulation) id() string {
+	sim.ids++
+	return fmt.Sprintf("%016x", sim.ids)
 }
 
-// delay is a one-way delay between two sites.
-func (w *world) delay(from, to string) time.Duration {
-	n := &w.plan.Scenario.Net
+// delay draws a one-way delay between two sites.
+func (sim *simulation) delay(from, to string) time.Duration {
+	n := &sim.plan.Scenario.Net
 	d := n.CrossSite
 	if from == to {
 		d = n.SameSite
 	}
-	return time.Duration(float64(d) * max(0.1, 1+n.Jitter*w.rng.NormFloat64()))
+	return time.Duration(float64(d) * max(0.1, 1+n.Jitter*sim.rng.NormFloat64()))
 }
 
-// Play plays a day. Its error names an event that the laboratory does not play, or a setting that makes no sense.
+// Play simulates one plan. It returns an error for an event that the simulation does not support and for invalid
+// settings.
 func Play(o Options) error {
-	w := &world{opt: &o, plan: o.Plan, rng: rand.New(rand.NewPCG(o.Plan.Seed, 11)), number: map[string]int{}, counts: o.Counts,
-		dark: map[string]bool{}, hushAt: map[string]bool{}}
-	if w.counts == nil {
-		w.counts = &Counts{}
+	sim := &simulation{opt: &o, plan: o.Plan, rng: rand.New(rand.NewPCG(o.Plan.Seed, 11)), backendIndex: map[string]int{}, counts: o.Counts,
+		cutLinks: map[string]bool{}, pausedSites: map[string]bool{}}
+	if sim.counts == nil {
+		sim.counts = &Counts{}
 	}
-	w.list.w = w
-	w.counts.begin(w)
+	sim.listService.sim = sim
+	sim.counts.prepare(sim)
 	s := o.Plan.Scenario
-	for i, b := range o.Plan.Boxes {
-		w.number[b.ID] = i
+	for i, b := range o.Plan.Backends {
+		sim.backendIndex[b.ID] = i
 	}
 	for _, st := range o.Plan.Steps {
 		switch st.Do {
-		case plan.Term, plan.Reload, plan.Bad, plan.Spoil, plan.Stall, plan.CutNode, plan.Words:
+		case plan.Term, plan.Reload, plan.BadClient, plan.CorruptResponses, plan.Stall, plan.IsolateNode, plan.MessageFault:
 			return fmt.Errorf("%v: the laboratory plays no %q: use rehearse", st.At, st.Do)
 		}
 	}
-	w.note(trace.Record{Kind: trace.Event, How: trace.Begin, Text: "traffic begins"})
-	w.boxes = make([]*box, len(o.Plan.Boxes))
+	sim.note(trace.Record{Kind: trace.Event, How: trace.Begin, Text: "traffic begins"})
+	sim.backends = make([]*backend, len(o.Plan.Backends))
 	for i := range o.Plan.Initial {
-		w.start(i, true)
+		sim.startBackend(i, true)
 	}
-	for i, n := range nodesOf(o.Plan) {
-		if err := w.addNode(i, n); err != nil {
+	for i, n := range planNodes(o.Plan) {
+		if err := sim.addNode(i, n); err != nil {
 			return err
 		}
 	}
-	w.sample()
+	sim.sampleBackends()
 	for _, st := range o.Plan.Steps {
-		w.at(st.At, func() { w.step(&st) })
+		sim.at(st.At, func() { sim.applyStep(&st) })
 	}
-	w.arrivals(o.Plan.Needs())
+	sim.scheduleOperations(o.Plan.Operations())
 	if o.Belief != nil {
-		w.beliefs()
+		sim.reportBeliefs()
 	}
-	w.quiet = s.Length.D() + settle
-	for len(w.todo) > 0 {
-		e := heap.Pop(&w.todo).(event)
-		if e.at > w.quiet {
+	sim.end = s.Length.D() + drainTime
+	for len(sim.queue) > 0 {
+		e := heap.Pop(&sim.queue).(event)
+		if e.at > sim.end {
 			break
 		}
-		w.now = e.at
-		e.do()
+		sim.now = e.at
+		e.run()
 	}
-	w.note(trace.Record{Kind: trace.End})
-	w.counts.finish(w)
+	sim.note(trace.Record{Kind: trace.End})
+	sim.counts.finish(sim)
 	return nil
 }
 
-// arrivals hands in the needs, one at a time.
-func (w *world) arrivals(n *plan.Needs) {
-	need, ok := n.Next()
+// scheduleOperations schedules the operations, one at a time.
+func (sim *simulation) scheduleOperations(n *plan.Operations) {
+	op, ok := n.Next()
 	if !ok {
 		return
 	}
-	w.at(need.At, func() {
-		w.want(need)
-		w.arrivals(n)
+	sim.at(op.At, func() {
+		sim.startOperation(op)
+		sim.scheduleOperations(n)
 	})
 }
 
-// step takes one step of the plan's time table.
-func (w *world) step(st *plan.Step) {
-	i, known := w.number[st.Box]
-	var b *box
+// applyStep carries out one step of the plan.
+func (sim *simulation) applyStep(st *plan.Step) {
+	i, known := sim.backendIndex[st.Box]
+	var b *backend
 	if known {
-		b = w.boxes[i]
+		b = sim.backends[i]
 	}
 	if b != nil && !b.up && st.Do != plan.Restart {
-		return // it has gone meanwhile
+		return // the backend has ended meanwhile
 	}
-	list := &w.plan.Scenario.List
+	list := &sim.plan.Scenario.List
 	switch st.Do {
 	case plan.Announce:
-		w.note(trace.Record{Kind: trace.Event, Text: st.Text})
+		sim.note(trace.Record{Kind: trace.Event, Text: st.Text})
 	case plan.Start, plan.Restart:
-		w.start(i, false)
-		w.publish(i, trace.Ready, list.AddLag.D())
+		sim.startBackend(i, false)
+		sim.publish(i, trace.Ready, list.AddLag.D())
 	case plan.Drain:
-		runs := b.runs
-		w.after(time.Duration(st.By*float64(time.Second)), func() { b.draining = b.draining || b.runs == runs })
-		w.publish(i, trace.Terminating, list.Lag.D())
+		incarnation := b.incarnation
+		sim.after(time.Duration(st.By*float64(time.Second)), func() { b.draining = b.draining || b.incarnation == incarnation })
+		sim.publish(i, trace.Terminating, list.Lag.D())
 	case plan.Exit, plan.Crash:
 		b.stop()
-		w.publish(i, trace.Removed, list.Lag.D())
+		sim.publish(i, trace.Removed, list.Lag.D())
 	case plan.Slow:
-		b.model.Slowed(w.now, st.By)
-		b.drive()
-	case plan.Silence:
-		b.silent = true
-		b.state(trace.Unresponsive)
-	case plan.Return:
-		b.silent = false
-		b.state(trace.Responsive)
-		b.reset()
-	case plan.Lose:
-		b.loses = st.By
-	case plan.Fail:
-		b.fails = ""
+		b.model.SetSlowdown(sim.now, st.By)
+		b.advance()
+	case plan.Isolate:
+		b.isolated = true
+		b.recordState(trace.Unresponsive)
+	case plan.Reconnect:
+		b.isolated = false
+		b.recordState(trace.Responsive)
+		b.resetConns()
+	case plan.DropRequests:
+		b.dropFraction = st.By
+	case plan.FailClass:
+		b.failingClass = ""
 		if st.By > 0 {
-			b.fails = st.Text
+			b.failingClass = st.Text
 		}
-	case plan.Reset:
-		w.resets = st.By
-	case plan.Dark:
-		w.dark[st.Text] = st.By > 0
-	case plan.Hush:
-		w.hushAt[st.Text] = true
-		w.hushed = w.hushAt[""]
-	case plan.Speak:
-		delete(w.hushAt, st.Text)
-		w.hushed = w.hushAt[""]
-		for _, n := range w.nodes {
-			if n.up && len(n.held) > 0 && !w.hushes(n) {
-				n.told(n.held)
-				n.held = nil
+	case plan.ResetRequests:
+		sim.resetFraction = st.By
+	case plan.CutLink:
+		sim.cutLinks[st.Text] = st.By > 0
+	case plan.PauseList:
+		sim.pausedSites[st.Text] = true
+		sim.listPaused = sim.pausedSites[""]
+	case plan.ResumeList:
+		delete(sim.pausedSites, st.Text)
+		sim.listPaused = sim.pausedSites[""]
+		for _, n := range sim.nodes {
+			if n.up && len(n.pendingUpdates) > 0 && !sim.listPausedFor(n) {
+				n.applyDelta(n.pendingUpdates)
+				n.pendingUpdates = nil
 			}
 		}
-		w.list.wake()
+		sim.listService.answerWaiting()
 	case plan.Kill:
-		w.nodes[st.Node-1].kill()
+		sim.nodes[st.Node-1].kill()
 	case plan.Revive:
-		w.nodes[st.Node-1].revive()
-	case plan.Lag:
-		w.late = time.Duration(st.By * float64(time.Second))
+		sim.nodes[st.Node-1].revive()
+	case plan.DelayList:
+		sim.extraListLag = time.Duration(st.By * float64(time.Second))
 	}
 }
 
-// entry is a box as the list has it.
-func (w *world) entry(i int, state policy.State) policy.Entry {
-	p := &w.plan.Boxes[i]
+// entry returns the list entry of a backend.
+func (sim *simulation) entry(i int, state policy.State) policy.Entry {
+	p := &sim.plan.Backends[i]
 	e := policy.Entry{ID: uint32(i + 1), Hash: subset.Hash(p.ID), Zone: p.Site, Cell: int64(p.Cell), Kind: p.Kind, State: state}
-	if b := w.boxes[i]; b != nil && b.started > 0 {
+	if b := sim.backends[i]; b != nil && b.started > 0 {
 		e.Launched = epoch + b.started
 	}
 	return e
 }
 
-// publish tells all nodes of a box's state, after the list's lag and in the order of the changes.
-func (w *world) publish(i int, state string, lag time.Duration) {
-	e := w.entry(i, states[state])
-	if w.plan.Scenario.List.Mode == "ask" {
-		w.list.publish(e, w.now+lag+w.late)
+// publish notifies all nodes of a backend's state, after the list's lag and in the order of the changes.
+func (sim *simulation) publish(i int, state string, lag time.Duration) {
+	e := sim.entry(i, listStates[state])
+	if sim.plan.Scenario.List.Mode == "ask" {
+		sim.listService.publish(e, sim.now+lag+sim.extraListLag)
 		return
 	}
-	for _, n := range w.nodes {
-		n.lastTold = max(n.lastTold, w.now+lag+w.late+w.spread())
-		w.at(n.lastTold, func() {
-			if w.hushes(n) || !n.up {
-				n.held = append(n.held, e)
+	for _, n := range sim.nodes {
+		n.lastNotified = max(n.lastNotified, sim.now+lag+sim.extraListLag+sim.drawListSpread())
+		sim.at(n.lastNotified, func() {
+			if sim.listPausedFor(n) || !n.up {
+				n.pendingUpdates = append(n.pendingUpdates, e)
 				return
 			}
-			n.told([]policy.Entry{e})
+			n.applyDelta([]policy.Entry{e})
 		})
 	}
 }
 
-// hushes tells whether the list says nothing to a node.
-func (w *world) hushes(n *node) bool { return w.hushed || w.hushAt[n.Site] }
+// listPausedFor reports whether the list is paused for a node.
+func (sim *simulation) listPausedFor(n *node) bool { return sim.listPaused || sim.pausedSites[n.Site] }
 
-// cut tells whether what goes from one site to another is lost.
-func (w *world) cut(from, to string) bool { return w.dark[from+">"+to] }
+// cut reports whether traffic from one site to another is lost.
+func (sim *simulation) cut(from, to string) bool { return sim.cutLinks[from+">"+to] }
 
-// apart tells whether no connection comes up between two sites.
-func (w *world) apart(a, b string) bool { return w.cut(a, b) || w.cut(b, a) }
+// partitioned reports whether no connection can be established between two sites.
+func (sim *simulation) partitioned(a, b string) bool { return sim.cut(a, b) || sim.cut(b, a) }
 
-// spread is by how much later than the first a node is told.
-func (w *world) spread() time.Duration {
-	return time.Duration(w.rng.Float64() * float64(w.plan.Scenario.List.Spread.D()))
+// drawListSpread draws how much later than the earliest possible time a node is notified.
+func (sim *simulation) drawListSpread() time.Duration {
+	return time.Duration(sim.rng.Float64() * float64(sim.plan.Scenario.List.Spread.D()))
 }
 
-var states = map[string]policy.State{trace.Ready: policy.Active, trace.Terminating: policy.Draining, trace.Removed: policy.Removed}
+var listStates = map[string]policy.State{trace.Ready: policy.Active, trace.Terminating: policy.Draining, trace.Removed: policy.Removed}
 
-// beliefs notes once a second what every node believes of every box.
-func (w *world) beliefs() {
-	for _, n := range w.nodes {
+// reportBeliefs reports once a second what every node believes of every backend.
+func (sim *simulation) reportBeliefs() {
+	for _, n := range sim.nodes {
 		if !n.up {
 			continue
 		}
-		for _, x := range n.bal.Snapshot(epoch + w.now) {
-			b := w.boxes[x.ID-1]
-			b.model.Advance(w.now)
-			w.opt.Belief(Belief{At: w.now, Node: n.Name, Box: b.plan.ID, Belief: x, TrueHeld: b.model.Held(),
+		for _, x := range n.balancer.Snapshot(epoch + sim.now) {
+			b := sim.backends[x.ID-1]
+			b.model.Advance(sim.now)
+			sim.opt.Belief(Belief{At: sim.now, Node: n.Name, Box: b.plan.ID, Belief: x, TrueHeld: b.model.InFlight(),
 				TrueWaiting: b.model.Waiting(), TrueCapacity: b.model.Capacity(), Slow: b.slow})
-			b.drive()
+			b.advance()
 		}
 	}
-	w.after(beliefEvery, w.beliefs)
+	sim.after(beliefInterval, sim.reportBeliefs)
 }
 
-// settings are what the daemon would read of its configuration file.
+// settings returns a node's settings as the daemon reads them from its configuration file.
 func settings(p *plan.Plan, ordinal int, site string) (wire.Settings, error) {
 	text, err := json.Marshal(deployment.Settings(p, ordinal, site))
 	if err != nil {
--- a/internal/kit/stand/client.go
+++ b/internal/kit/stand/client.go
@@ -24,52 +24,52 @@
 )
 
 const (
-	// A client of the kit stays for longer than its time, so that a late answer is told from none.
-	overtime    = 200 * time.Millisecond
-	connectTime = time.Second
-	idleKeep    = 30 * time.Second
-	resetTime   = 10 * time.Millisecond // for a reset to come behind an end
-	badTime     = 3 * time.Second       // within which a bad client is owed an error or a close
+	// Clients keep the connection for longer than their timeout, so that a late response can be told from none.
+	lingerTime       = 200 * time.Millisecond
+	connectTimeout   = time.Second
+	idleTimeout      = 30 * time.Second
+	resetWait        = 10 * time.Millisecond // time for a reset to arrive after the end of the stream
+	badClientTimeout = 3 * time.Second       // within which the node has to answer a bad client with an error or disconnect it
 )
 
-var errNoConnection = errors.New("clients hold as many connections to this node as they can")
+var errConnLimit = errors.New("the limit of connections to this node is reached")
 
-// Clients are all clients of a rehearsal, with the front that deals their connections out among the nodes.
+// Clients are all clients of a rehearsal, with the load balancer that distributes their connections over the nodes.
 type Clients struct {
-	plan  *plan.Plan
-	dial  Dial
-	clock Clock
-	out   *trace.Writer
-	slack time.Duration
-	begin time.Duration
-	most  int // connections to a node
-	wg    sync.WaitGroup
-	conns atomic.Int64
-	Count Counts
-
-	mu    sync.Mutex
-	nodes []*front
-	rng   *rand.Rand
-	pads  []string // a body's filler by class
+	plan            *plan.Plan
+	dial            Dial
+	clock           Clock
+	out             *trace.Writer
+	slack           time.Duration
+	start           time.Duration
+	maxConnsPerNode int // 0: no limit
+	wg              sync.WaitGroup
+	conns           atomic.Int64
+	Count           Counts
+
+	mu       sync.Mutex
+	nodes    []*nodeState
+	rng      *rand.Rand
+	bodyPads []string // by class, the padding of a body
 }
 
-// Counts are figures for the eye, since the start.
+// Counts are totals since the start, for progress displays.
 type Counts struct {
-	Asked, InTime, Late, Refused, Failed, Unreached, Left atomic.Int64
-	Open                                                  atomic.Int64
+	Started, InTime, Late, Refused, Failed, Unreachable, Abandoned atomic.Int64
+	Open                                                           atomic.Int64
 }
 
-// Reach tells how clients can reach a node.
+// Reach says how clients can reach a node.
 type Reach uint8
 
 const (
 	Unreachable Reach = iota // not at all
-	Reachable                // by connections that they have, and by new ones
-	Ending                   // by those that they have alone, for as long as these stay open
+	Reachable                // over existing and new connections
+	Draining                 // only over existing connections, while these stay open
 )
 
-// front is what the front layer knows of a node.
-type front struct {
+// nodeState is what the clients know of a node.
+type nodeState struct {
 	trace.Node
 	addr    string
 	rpcAddr string
@@ -78,59 +78,59 @@
 	idleRPC []*clientConn
 
 	dialing int
-	all     map[*clientConn]struct{}
-	ids     []string // of open requests, the latest last: what a bad client steals
+	conns   map[*clientConn]struct{}
+	openIDs []string // ids of open requests, the latest last; bad clients reuse one
 }
 
-// NewClients returns the clients of a plan. slack is how much later than its client's deadline an answer still counts.
+// NewClients returns the clients of a plan. slack is how long after its client's deadline a response still counts.
 func NewClients(p *plan.Plan, nodes []trace.Node, dial Dial, clock Clock, out *trace.Writer, slack time.Duration) *Clients {
-	c := &Clients{plan: p, dial: dial, clock: clock, out: out, slack: slack, most: p.Scenario.Clients.MaxConns, rng: rand.New(rand.NewPCG(p.Seed, 4))}
+	c := &Clients{plan: p, dial: dial, clock: clock, out: out, slack: slack, maxConnsPerNode: p.Scenario.Clients.MaxConns, rng: rand.New(rand.NewPCG(p.Seed, 4))}
 	for _, n := range nodes {
-		c.nodes = append(c.nodes, &front{Node: n, all: map[*clientConn]struct{}{}})
+		c.nodes = append(c.nodes, &nodeState{Node: n, conns: map[*clientConn]struct{}{}})
 	}
 	for _, k := range p.Scenario.Classes {
-		c.pads = append(c.pads, strings.Repeat("window ", max(0, k.Bytes-60)/7+1))
+		c.bodyPads = append(c.bodyPads, strings.Repeat("window ", max(0, k.Bytes-60)/7+1))
 	}
 	return c
 }
 
-// Begin says when the plan's time begins, since the start of the rehearsal. It is called before Play.
-func (c *Clients) Begin(at time.Duration) { c.begin = at }
+// SetStart sets the moment, since the start of the rehearsal, at which the plan starts. It must be called before Play.
+func (c *Clients) SetStart(at time.Duration) { c.start = at }
 
-// Node tells the front of a node's address and how clients are to go there.
-func (c *Clients) Node(i int, addr string, reach Reach) {
+// SetNode sets a node's address and how clients can reach it.
+func (c *Clients) SetNode(i int, addr string, reach Reach) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nodes[i].addr, c.nodes[i].reach = addr, reach
 }
 
-// takes tells whether a request may go to a node. Clients.mu is held.
-func (f *front) takes() bool {
-	if f.reach != Ending {
+// accepting reports whether a request may go to the node. The caller holds Clients.mu.
+func (f *nodeState) accepting() bool {
+	if f.reach != Draining {
 		return f.reach == Reachable
 	}
-	f.idle = slices.DeleteFunc(f.idle, (*clientConn).isDead)
+	f.idle = slices.DeleteFunc(f.idle, (*clientConn).hasEnded)
 	return len(f.idle) > 0
 }
 
-// isDead tells whether a connection has ended.
-func (k *clientConn) isDead() bool {
+// hasEnded reports whether the connection has ended.
+func (k *clientConn) hasEnded() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.dead
+	return k.ended
 }
 
-// Play sends what the plan's needs say, each at its time, until the last or until ctx ends. It returns when the last
-// has begun; Wait waits for the rest.
+// Play starts the plan's operations, each at its time, until the last or until ctx is done. It returns when the last one
+// has started; Wait waits until they have ended.
 func (c *Clients) Play(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for needs := c.plan.Needs(); ; {
+	for needs := c.plan.Operations(); ; {
 		n, ok := needs.Next()
 		if !ok {
 			return
 		}
-		n.At += c.begin
+		n.At += c.start
 		if d := n.At - c.clock.Now(); d > 0 {
 			timer.Reset(d)
 			select {
@@ -145,20 +145,20 @@
 		c.wg.Add(1)
 		go func() {
 			defer c.wg.Done()
-			c.need(ctx, n)
+			c.runOperation(ctx, n)
 		}()
 	}
 }
 
-// Wait returns when every request has its end.
+// Wait returns when every operation and every bad client has ended.
 func (c *Clients) Wait() { c.wg.Wait() }
 
-// Close closes all connections.
+// Close closes all connections and waits for their readers.
 func (c *Clients) Close() {
 	c.mu.Lock()
 	var all []*clientConn
 	for _, n := range c.nodes {
-		for k := range n.all {
+		for k := range n.conns {
 			all = append(all, k)
 		}
 	}
@@ -169,14 +169,14 @@
 	}
 }
 
-// pick deals out a node for a client of a site.
-func (c *Clients) pick(site string) *front {
+// pickNode returns a random node of the site, or of another site if none there is accepting; nil if there is none.
+func (c *Clients) pickNode(site string) *nodeState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var near, far []*front
+	var near, far []*nodeState
 	for _, n := range c.nodes {
 		switch {
-		case !n.takes():
+		case !n.accepting():
 		case n.Site == site:
 			near = append(near, n)
 		default:
@@ -192,14 +192,14 @@
 	return near[c.rng.IntN(len(near))]
 }
 
-// result is how one try ended.
+// result is how one try ended for its client.
 type result struct {
 	how        string // served, refused, failed, unreachable, left
 	retryAfter time.Duration
 }
 
-// need is one client's: its tries, and what became of them.
-func (c *Clients) need(ctx context.Context, n plan.Need) {
+// runOperation runs one client's operation: its tries, and the records of its start and end.
+func (c *Clients) runOperation(ctx context.Context, n plan.Operation) {
 	s := c.plan.Scenario
 	class := &s.Classes[n.Class]
 	rng := rand.New(rand.NewPCG(n.Seed, 5))
@@ -209,7 +209,7 @@
 	want := rec
 	want.Kind, want.T, want.ID = trace.Planned, trace.Microseconds(n.At), first
 	c.out.Add(&want)
-	c.Count.Asked.Add(1)
+	c.Count.Started.Add(1)
 	c.Count.Open.Add(1)
 	defer c.Count.Open.Add(-1)
 	end := n.At + class.Deadline.D()
@@ -219,15 +219,15 @@
 	this := first
 	rpc := rand.New(rand.NewPCG(n.Seed, 6)).Float64() < s.Clients.JSONRPC
 	for try := 0; ; try++ {
-		wait := c.plan.Patience(&n, c.clock.Now())
+		wait := c.plan.TryTimeout(&n, c.clock.Now())
 		if wait == 0 {
 			break
 		}
-		chunked := !rpc && class.Effect != "safe" && chunkDraws(n.Seed, try).Float64() < s.Clients.Chunked
-		t := &sending{rpc: rpc, chunked: chunked, need: &n, class: class, id: this, of: first, try: try, wait: wait, key: key, idem: idem, rec: rec}
+		chunked := !rpc && class.Effect != "safe" && chunkRand(n.Seed, try).Float64() < s.Clients.Chunked
+		t := &clientTry{rpc: rpc, chunked: chunked, op: &n, class: class, id: this, firstID: first, try: try, timeout: wait, key: key, idempotencyKey: idem, rec: rec}
 		res = c.attempt(ctx, t)
-		pause, again := c.plan.Again(&n, try, res.how, res.retryAfter)
-		if !again || ctx.Err() != nil || c.clock.Now()+pause >= end {
+		pause, retry := c.plan.Retry(&n, try, res.how, res.retryAfter)
+		if !retry || ctx.Err() != nil || c.clock.Now()+pause >= end {
 			break
 		}
 		if !timing.Sleep(ctx, pause) {
@@ -249,82 +249,83 @@
 	case "refused":
 		c.Count.Refused.Add(1)
 	case "unreachable":
-		c.Count.Unreached.Add(1)
+		c.Count.Unreachable.Add(1)
 	case "left":
-		c.Count.Left.Add(1)
+		c.Count.Abandoned.Add(1)
 	default:
 		c.Count.Failed.Add(1)
 	}
 }
 
-// sending is one request.
-type sending struct {
-	need    *plan.Need
-	class   *scenario.Class
-	id, of  string
-	try     int
-	wait    time.Duration
-	key     string
-	idem    string
-	rpc     bool // it goes as a JSON-RPC call
-	chunked bool // its body goes in chunks
-	rec     trace.Record
-	conn    *clientConn
-	ended   chan ending // holds one
+// clientTry is one try of an operation, with a request id of its own.
+type clientTry struct {
+	op             *plan.Operation
+	class          *scenario.Class
+	id, firstID    string
+	try            int
+	timeout        time.Duration
+	key            string
+	idempotencyKey string
+	rpc            bool // sent as a JSON-RPC call
+	chunked        bool // body sent in chunks
+	rec            trace.Record
+	conn           *clientConn
+	ended          chan tryEnd // has room for one
 }
 
-// ending is what a connection saw of a request's end.
-type ending struct {
-	status     int // 0: the connection ended without an answer
+// tryEnd is how a request ended on its connection.
+type tryEnd struct {
+	status     int // 0: the connection ended without a response
 	bytes      int64
 	retryAfter time.Duration
 	why        string
 }
 
-// attempt sends a request, once more on a new connection where a kept one had closed, and waits for its end.
-func (c *Clients) attempt(ctx context.Context, t *sending) result {
-	for again := false; ; again = true {
-		f := c.pick(t.rec.Site)
+// attempt sends a request and waits for its end. If a reused connection ended without a byte of a response, the request
+// is sent once more, on a new connection.
+func (c *Clients) attempt(ctx context.Context, t *clientTry) result {
+	for resend := false; ; resend = true {
+		f := c.pickNode(t.rec.Site)
 		if f == nil {
 			return result{how: "unreachable"}
 		}
-		conn, reused, err := c.connect(ctx, f, again || t.need.Once, t.rpc)
+		conn, reused, err := c.connect(ctx, f, resend || t.op.Once, t.rpc)
 		if err != nil {
 			return result{how: "unreachable"}
 		}
-		res, crossed := c.exchange(ctx, t, conn, reused, again)
-		if !crossed || again {
+		res, closedUnread := c.exchange(ctx, t, conn, reused, resend)
+		if !closedUnread || resend {
 			return res
 		}
 	}
 }
 
-// exchange sends a request on a connection. The second result tells that the connection was a kept one that ended
-// without a word.
-func (c *Clients) exchange(ctx context.Context, t *sending, conn *clientConn, reused, again bool) (result, bool) {
-	t.conn, t.ended = conn, make(chan ending, 1)
+// exchange sends a request on a connection and waits for its end. The second result reports that the connection was a
+// reused one that ended without a byte of a response.
+func (c *Clients) exchange(ctx context.Context, t *clientTry, conn *clientConn, reused, resend bool) (result, bool) {
+	t.conn, t.ended = conn, make(chan tryEnd, 1)
 	rec := t.rec
-	rec.ID, rec.Node, rec.Conn = t.id, conn.front.Name, conn.n
+	rec.ID, rec.Node, rec.Conn = t.id, conn.node.Name, conn.number
 	left := time.Duration(0)
-	if t.need.Impatient > 0 && t.try == 0 {
-		left = t.need.Impatient
+	if t.op.Impatient > 0 && t.try == 0 {
+		left = t.op.Impatient
 	}
 	sent := rec
-	sent.Kind, sent.T, sent.FirstID, sent.Try, sent.Timeout, sent.Reused, sent.Resent = trace.Sent, c.clock.us(), t.of, t.try, trace.Microseconds(t.wait), reused, again
+	sent.Kind, sent.T, sent.FirstID, sent.Try, sent.Timeout, sent.Reused, sent.Resent = trace.Sent, c.clock.us(), t.firstID, t.try, trace.Microseconds(t.timeout), reused, resend
 	if t.try == 0 {
-		sent.PlannedAt = trace.Microseconds(t.need.At)
+		sent.PlannedAt = trace.Microseconds(t.op.At)
 	}
 	if t.chunked {
 		sent.How = trace.Chunked
 	}
-	conn.begin(t)
-	c.note(conn.front, t.id, true)
-	defer c.note(conn.front, t.id, false)
+	conn.setCurrent(t)
+	c.trackID(conn.node, t.id, true)
+	defer c.trackID(conn.node, t.id, false)
 	c.out.Add(&sent)
-	conn.SetWriteDeadline(time.Now().Add(t.wait))
-	err := t.write(conn, c.pads[t.need.Class])
-	over := time.NewTimer(t.wait + c.slack + overtime)
-	defer over.Stop()
+	conn.SetWriteDeadline(time.Now().Add(t.timeout))
+	err := t.write(conn, c.bodyPads[t.op.Class])
+	expired := time.NewTimer(t.timeout + c.slack + lingerTime)
+	defer expired.Stop()
 	var leave <-chan time.Time
 	if left > 0 {
 		timer := time.NewTimer(left)
@@ -333,10 +334,10 @@
 	}
 	end := rec
 	why := ""
-	var e ending
+	var e tryEnd
 	select {
 	case e = <-t.ended:
-	case <-over.C:
+	case <-expired.C:
 		why = "time"
 	case <-leave:
 		why = "impatient"
@@ -344,7 +345,7 @@
 		why = "over"
 	}
 	if why != "" {
-		if conn.finish(t) {
+		if conn.abandon(t) {
 			end.Kind, end.T, end.Why = trace.GaveUp, c.clock.us(), why
 			c.out.Add(&end)
 			conn.Close()
@@ -353,7 +354,7 @@
 			}
 			return result{how: "left"}, false
 		}
-		e = <-t.ended // it came at this moment
+		e = <-t.ended // the end came just now
 	}
 	if e.status == 0 {
 		conn.Close()
@@ -363,8 +364,8 @@
 		return result{how: "failed"}, reused && e.bytes == 0
 	}
 	if e.why == "keep" {
-		if !t.need.Once { // else it stays open, and nobody uses it
-			c.keep(conn)
+		if !t.op.Once { // the connection of a one-shot client stays open, unused
+			c.putIdle(conn)
 		}
 	} else {
 		conn.Close()
@@ -378,34 +379,34 @@
 	return result{how: "failed"}, false
 }
 
-// note keeps the ids of a node's open requests.
-func (c *Clients) note(f *front, id string, open bool) {
+// trackID adds an id to a node's open requests, or removes it.
+func (c *Clients) trackID(f *nodeState, id string, open bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if open {
-		f.ids = append(f.ids, id)
+		f.openIDs = append(f.openIDs, id)
 		return
 	}
-	for i, x := range f.ids {
+	for i, x := range f.openIDs {
 		if x == id {
-			f.ids = append(f.ids[:i], f.ids[i+1:]...)
+			f.openIDs = append(f.openIDs[:i], f.openIDs[i+1:]...)
 			return
 		}
 	}
 }
 
-// write sends the request, in pieces where its body goes in chunks.
-func (t *sending) write(to io.Writer, pad string) error {
+// write sends the request, in several pieces if its body is chunked.
+func (t *clientTry) write(to io.Writer, pad string) error {
 	var all []string
 	if t.rpc {
-		all = []string{t.call(pad)}
+		all = []string{t.rpcCall(pad)}
 	} else {
-		head, body := t.text(pad)
+		head, body := t.httpText(pad)
 		all = []string{head + body}
 		if t.chunked {
-			draws := chunkDraws(t.need.Seed, t.try)
-			draws.Float64() // told whether it is in chunks
-			all = append([]string{head}, inChunks(draws, body)...)
+			draws := chunkRand(t.op.Seed, t.try)
+			draws.Float64() // skips the draw that decided to send chunks
+			all = append([]string{head}, encodeChunked(draws, body)...)
 		}
 	}
 	for _, piece := range all {
@@ -416,19 +417,19 @@
 	return nil
 }
 
-// text is the request as PROTOCOL has it: its head and its body.
-func (t *sending) text(pad string) (head, body string) {
+// httpText returns the head and the body of the HTTP request.
+func (t *clientTry) httpText(pad string) (head, body string) {
 	method := "POST"
 	if t.class.Effect == "safe" {
 		method = "GET"
 	} else {
-		body = fmt.Sprintf(`{"id":%q,"of":%q,"pad":%q}`, t.id, t.of, pad)
+		body = fmt.Sprintf(`{"id":%q,"of":%q,"pad":%q}`, t.id, t.firstID, pad)
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s /api?key=%s&w=%d HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: %s\r\nX-Deadline: %du\r\n",
-		method, t.key, t.need.Work.Microseconds(), t.id, t.class.Name, t.rec.Tenant, t.wait.Microseconds())
+		method, t.key, t.op.Work.Microseconds(), t.id, t.class.Name, t.rec.Tenant, t.timeout.Microseconds())
 	if t.class.Effect == "keyed" {
-		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", t.idem)
+		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", t.idempotencyKey)
 	}
 	switch {
 	case t.chunked:
@@ -440,32 +441,32 @@
 	return b.String(), body
 }
 
-// clientConn is a connection to a node. One goroutine reads it for as long as it is open, so that what comes when
-// nothing is asked for is seen when it comes.
+// clientConn is a connection to a node. A goroutine reads it for as long as it is open, so that bytes that arrive with
+// no request open are noticed at once.
 type clientConn struct {
 	net.Conn
-	n     int64
-	rpc   bool
-	c     *Clients
-	front *front
-	used  bool
-	since time.Time
-	done  chan struct{}
-
-	mu   sync.Mutex
-	open *sending
-	last string // the id of the latest request
-	dead bool
+	number    int64
+	rpc       bool
+	clients   *Clients
+	node      *nodeState
+	used      bool
+	idleSince time.Time
+	done      chan struct{}
+
+	mu      sync.Mutex
+	current *clientTry
+	lastID  string // id of the latest request
+	ended   bool
 }
 
-// connect returns a connection to a node: one that is kept, unless fresh, or a new one.
-func (c *Clients) connect(ctx context.Context, f *front, fresh, rpc bool) (*clientConn, bool, error) {
+// connect returns a connection to a node and whether it is reused: an idle one unless fresh is set, else a new one.
+func (c *Clients) connect(ctx context.Context, f *nodeState, fresh, rpc bool) (*clientConn, bool, error) {
 	c.mu.Lock()
-	idle := f.resting(rpc)
+	idle := f.idleConns(rpc)
 	for !fresh && len(*idle) > 0 {
 		k := (*idle)[len(*idle)-1]
 		*idle = (*idle)[:len(*idle)-1]
-		if !k.isDead() {
+		if !k.hasEnded() {
 			c.mu.Unlock()
 			return k, true, nil
 		}
@@ -474,91 +475,94 @@
 	if rpc {
 		addr = f.rpcAddr
 	}
-	full := c.most > 0 && len(f.all)+f.dialing >= c.most || f.reach == Ending
+	full := c.maxConnsPerNode > 0 && len(f.conns)+f.dialing >= c.maxConnsPerNode || f.reach == Draining
 	if !full {
 		f.dialing++
 	}
 	c.mu.Unlock()
 	if full {
-		return nil, false, errNoConnection
+		return nil, false, errConnLimit
 	}
 	defer func() {
 		c.mu.Lock()
 		f.dialing--
 		c.mu.Unlock()
 	}()
-	ctx, cancel := context.WithTimeout(ctx, connectTime)
+	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	conn, err := c.dial(ctx, addr)
 	if err != nil {
 		return nil, false, err
 	}
-	k := &clientConn{Conn: conn, n: c.conns.Add(1), rpc: rpc, c: c, front: f, done: make(chan struct{})}
+	k := &clientConn{Conn: conn, number: c.conns.Add(1), rpc: rpc, clients: c, node: f, done: make(chan struct{})}
 	c.mu.Lock()
-	f.all[k] = struct{}{}
+	f.conns[k] = struct{}{}
 	c.mu.Unlock()
 	go func() {
 		defer close(k.done)
-		k.read()
+		k.readHTTP()
 	}()
 	return k, false, nil
 }
 
-func (c *Clients) keep(k *clientConn) {
+// putIdle makes a connection available for reuse.
+func (c *Clients) putIdle(k *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k.used, k.since = true, time.Now()
-	idle := k.front.resting(k.rpc)
+	k.used, k.idleSince = true, time.Now()
+	idle := k.node.idleConns(k.rpc)
 	*idle = append(*idle, k)
-	// Those that have not been needed for long are closed, the oldest first.
-	for len(*idle) > 0 && time.Since((*idle)[0].since) > idleKeep {
+	// Connections idle for longer than idleTimeout are closed, the oldest first.
+	for len(*idle) > 0 && time.Since((*idle)[0].idleSince) > idleTimeout {
 		(*idle)[0].Close()
 		*idle = (*idle)[1:]
 	}
 }
 
-// resting are the connections of a protocol that carry nothing. Clients.mu is held.
-func (f *front) resting(rpc bool) *[]*clientConn {
+// idleConns returns the list of idle connections of a protocol. The caller holds Clients.mu.
+func (f *nodeState) idleConns(rpc bool) *[]*clientConn {
 	if rpc {
 		return &f.idleRPC
 	}
 	return &f.idle
 }
 
-func (k *clientConn) begin(t *sending) {
+func (k *clientConn) setCurrent(t *clientTry) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.open, k.last = t, t.id
+	k.current, k.lastID = t, t.id
 }
 
-// finish takes a request off its connection; false if its end has come.
-func (k *clientConn) finish(t *sending) bool {
+// abandon detaches a request from its connection and marks the connection as ended. It returns false if the request
+// has ended.
+func (k *clientConn) abandon(t *clientTry) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.open != t {
+	if k.current != t {
 		return false
 	}
-	k.open, k.dead = nil, true
+	k.current, k.ended = nil, true
 	return true
 }
 
-// take takes the open request, if there is one.
-func (k *clientConn) take() *sending {
+// takeCurrent detaches and returns the open request; nil if there is none.
+func (k *clientConn) takeCurrent() *clientTry {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	t := k.open
-	k.open = nil
+	t := k.current
+	k.current = nil
 	return t
 }
 
-func (k *clientConn) read() {
+// readHTTP reads responses until the connection ends; it passes a JSON-RPC connection to readRPC.
+func (k *clientConn) readHTTP() {
 	defer func() {
-		k.c.mu.Lock()
-		delete(k.front.all, k)
-		k.c.mu.Unlock()
+		k.clients.mu.Lock()
+		delete(k.node.conns, k)
+		k.clients.mu.Unlock()
 		k.Close()
 	}()
-	counted := &counter{r: k.Conn}
+	counted := &byteCounter{r: k.Conn}
 	in := bufio.NewReaderSize(counted, 4096)
 	if k.rpc {
 		k.readRPC(in, counted)
@@ -566,18 +570,18 @@
 	}
 	for {
 		_, err := in.Peek(1)
-		first := k.c.clock.us()
+		first := k.clients.clock.us()
 		counted.n = int64(in.Buffered())
 		if err == nil {
 			k.mu.Lock()
-			idle := k.open == nil
-			last, dead := k.last, k.dead
+			idle := k.current == nil
+			last, dead := k.lastID, k.ended
 			k.mu.Unlock()
 			if idle {
-				if !dead { // we left it: what comes now is nobody's
-					k.c.out.Add(&trace.Record{Kind: trace.Extra, T: first, Node: k.front.Name, Conn: k.n, ID: last, Bytes: int64(in.Buffered())})
+				if !dead { // after the client disconnected, late bytes are expected
+					k.clients.out.Add(&trace.Record{Kind: trace.Extra, T: first, Node: k.node.Name, Conn: k.number, ID: last, Bytes: int64(in.Buffered())})
 				}
-				k.end(err, 0)
+				k.handleEnd(err, 0)
 				return
 			}
 		}
@@ -590,24 +594,24 @@
 			body, err = io.ReadAll(io.LimitReader(resp.Body, 1<<20))
 		}
 		if err != nil {
-			k.end(err, counted.n)
+			k.handleEnd(err, counted.n)
 			return
 		}
-		if resp.StatusCode < 200 { // informational: the answer follows
+		if resp.StatusCode < 200 { // informational: the final response follows
 			continue
 		}
-		t := k.take()
+		t := k.takeCurrent()
 		if t == nil {
-			return // its client has left at this moment
+			return // the client has just disconnected
 		}
-		e := ending{status: resp.StatusCode, bytes: counted.n}
+		e := tryEnd{status: resp.StatusCode, bytes: counted.n}
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 {
 			e.retryAfter = time.Duration(s * float64(time.Second))
 		}
 		if !resp.Close {
 			e.why = "keep"
 		}
-		k.c.out.Add(&trace.Record{Kind: trace.Got, T: k.c.clock.us(), T0: first, Node: k.front.Name, Conn: k.n, ID: t.id,
+		k.clients.out.Add(&trace.Record{Kind: trace.Got, T: k.clients.clock.us(), T0: first, Node: k.node.Name, Conn: k.number, ID: t.id,
 			Status: resp.StatusCode, Digest: digest(body), Bytes: int64(len(body))})
 		t.ended <- e
 		if resp.Close {
@@ -616,43 +620,43 @@
 	}
 }
 
-// end notes the end of a connection for the request that is open on it.
-func (k *clientConn) end(err error, bytes int64) {
-	at := k.c.clock.us()
+// handleEnd marks the connection as ended and, if a request is open on it, records that it broke.
+func (k *clientConn) handleEnd(err error, bytes int64) {
+	at := k.clients.clock.us()
 	k.mu.Lock()
-	t := k.open
-	k.open, k.dead = nil, true
+	t := k.current
+	k.current, k.ended = nil, true
 	k.mu.Unlock()
 	if t == nil {
 		return
 	}
 	how := ""
-	if errors.Is(err, io.EOF) && bytes == 0 && k.taken() {
+	if errors.Is(err, io.EOF) && bytes == 0 && k.requestWasRead() {
 		how = trace.RequestRead
 	}
 	why := "closed"
 	if err != nil && !errors.Is(err, io.EOF) {
 		why = err.Error()
 	}
-	k.c.out.Add(&trace.Record{Kind: trace.Broke, T: at, Node: k.front.Name, Conn: k.n, ID: t.id, Bytes: bytes, Why: why, How: how})
-	t.ended <- ending{bytes: bytes, why: why}
+	k.clients.out.Add(&trace.Record{Kind: trace.Broke, T: at, Node: k.node.Name, Conn: k.number, ID: t.id, Bytes: bytes, Why: why, How: how})
+	t.ended <- tryEnd{bytes: bytes, why: why}
 }
 
-// taken tells whether the other side, which has closed, had read what was sent. Where it had not, its network answers
-// the bytes with a reset (RFC 9293, 3.10.7.1), which comes a moment behind the end. A read tells nothing of it: Linux
-// goes on to say that the stream has ended. The socket's pending error does.
-func (k *clientConn) taken() bool {
-	time.Sleep(resetTime)
+// requestWasRead reports whether the other side, which has closed the connection, had read what was sent. If it had
+// not, its kernel answers the bytes with a reset (RFC 9293, section 3.10.7.1) shortly after the end of the stream. Reads
+// on Linux still return the end of the stream then; only the socket's pending error shows the reset.
+func (k *clientConn) requestWasRead() bool {
+	time.Sleep(resetWait)
 	s, ok := k.Conn.(syscall.Conn)
 	if !ok {
-		return false // a network that does not tell: in the node's favour
+		return false // unknown on other kinds of connections: assume the case that is no fault of the node
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
 		return false
 	}
 	pending := -1
-	raw.Control(func(fd uintptr) { // an error means that it is closed here
+	raw.Control(func(fd uintptr) { // an error means that the socket is closed on this side
 		if e, err := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR); err == nil {
 			pending = e
 		}
@@ -660,13 +664,13 @@
 	return pending == 0
 }
 
-// counter counts the bytes of one answer.
-type counter struct {
+// byteCounter counts the bytes of one response.
+type byteCounter struct {
 	r io.Reader
 	n int64
 }
 
-func (c *counter) Read(p []byte) (int, error) {
+func (c *byteCounter) Read(p []byte) (int, error) {
 	n, err := c.r.Read(p)
 	c.n += int64(n)
 	return n, err
