--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -209,21 +209,21 @@
 	}
 }
 
-// Request counts a request of this node's clients.
+// CountRequest counts a request of this node's clients.
 func (p *Peers) CountRequest(tenant string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replica.CountRequest(p.now(), tenant)
 }
 
-// Crossed counts a request that goes to another site because its client's own is lost.
+// CountCrossSite counts a request that goes to another site because its client's own is lost.
 func (p *Peers) CountCrossSite(site string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replica.CountCrossSite(p.now(), site)
 }
 
-// Outcome records how an attempt at a backend ended.
+// RecordOutcome records how an attempt at a backend ended.
 func (p *Peers) RecordOutcome(k judgement.Key, o policy.Outcome) {
 	if known, failed := shared.Evidence(o); known {
 		p.mu.Lock()
@@ -232,7 +232,7 @@
 	}
 }
 
-// Listed sets the list of backends.
+// SetBackends sets the list of backends.
 func (p *Peers) SetBackends(list []judgement.Backend) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
