--- a/internal/controlplane/changelog/store.go
+++ b/internal/controlplane/changelog/store.go
@@ -19,9 +19,9 @@
 // Errors of Append, Apply and Replace. What they return wraps one of these or is an error of package resource, and the
 // store is unchanged.
 var (
-	ErrFenced = errors.New("epoch is older than the log's") // from a deposed writer
-	ErrGap    = errors.New("does not follow the log's position")
-	ErrBehind = errors.New("not after the log's position") // duplicate, late, or from a log restored to an earlier position
+	ErrFenced   = errors.New("epoch is older than the log's") // from a deposed writer
+	ErrGap      = errors.New("does not follow the log's position")
+	ErrNotNewer = errors.New("not after the log's position") // duplicate, late, or from a log restored to an earlier position
 )
 
 // Limits bounds the history of a store. Zero fields mean the defaults.
@@ -143,7 +143,7 @@
 	case to.Epoch < s.position.Epoch:
 		return ErrFenced
 	case to.Compare(s.position) <= 0 || to.Version <= from.Version:
-		return ErrBehind
+		return ErrNotNewer
 	case from != s.position:
 		return ErrGap
 	}
@@ -230,7 +230,7 @@
 	case position.Epoch < s.position.Epoch:
 		return ErrFenced
 	case position.Compare(s.position) < 0:
-		return ErrBehind
+		return ErrNotNewer
 	}
 	return nil
 }
--- a/internal/controlplane/changelog/store_test.go
+++ b/internal/controlplane/changelog/store_test.go
@@ -119,14 +119,14 @@
 	if err := replica.Apply(first, start); err != nil {
 		t.Fatal(err)
 	}
-	mustRefuse(t, replica, ErrBehind, func() error { return replica.Apply(first, start) }) // duplicate
+	mustRefuse(t, replica, ErrNotNewer, func() error { return replica.Apply(first, start) }) // duplicate
 	mustRefuse(t, replica, ErrGap, func() error { return replica.Apply(third, second.Position) })
 	if err := replica.Apply(second, first.Position); err != nil {
 		t.Fatal(err)
 	}
-	mustRefuse(t, replica, ErrBehind, func() error { return replica.Apply(first, start) }) // late
+	mustRefuse(t, replica, ErrNotNewer, func() error { return replica.Apply(first, start) }) // late
 	backwards := resource.Transaction{Position: resource.Position{Epoch: 2, Version: 2}}
-	mustRefuse(t, replica, ErrBehind, func() error { return replica.Apply(backwards, second.Position) })
+	mustRefuse(t, replica, ErrNotNewer, func() error { return replica.Apply(backwards, second.Position) })
 	if err := replica.Apply(third, second.Position); err != nil {
 		t.Fatal(err)
 	}
@@ -142,7 +142,7 @@
 	at := s.Position()
 	later := resource.Position{Epoch: 1, Version: 9}
 
-	mustRefuse(t, s, ErrBehind, func() error { return s.Replace(resource.Position{Epoch: 1, Version: 1}, nil) })
+	mustRefuse(t, s, ErrNotNewer, func() error { return s.Replace(resource.Position{Epoch: 1, Version: 1}, nil) })
 	mustRefuseWithText(t, s, `tenant "a" of service "search": service: not in the log; set it in the same transaction or before`,
 		func() error {
 			return s.Replace(later, []resource.Resource{serviceResource("cart"), tenantResource("search", "a", 1)})
--- a/internal/controlplane/subscriber/receive.go
+++ b/internal/controlplane/subscriber/receive.go
@@ -252,7 +252,7 @@
 
 // refuse keeps the state in force and reports the error to the parent.
 func (r *replica) refuse(p *parent, at resource.Position, err error) error {
-	if errors.Is(err, changelog.ErrGap) || errors.Is(err, changelog.ErrBehind) || errors.Is(err, changelog.ErrFenced) {
+	if errors.Is(err, changelog.ErrGap) || errors.Is(err, changelog.ErrNotNewer) || errors.Is(err, changelog.ErrFenced) {
 		r.counts.Duplicates++
 		return nil
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -40,14 +40,14 @@
 
 // Request is a request of a client. Its front sets the exported fields and must not change them after Submit.
 type Request struct {
-	ID            string // unique among open requests
-	Class         string
-	Tenant        string
-	Needs         uint8         // bit set of protocols that its backend has to speak, see SpeaksRPC
-	Repeat        bool          // the client has marked it as a retry
-	Arrived       time.Time     // when its first byte was received
-	ClientTimeout time.Duration // how long the client waits, counted from Arrived
-	Payload       any           // what carriers send; its Release method, if any, is called when the request is closed
+	ID                string // unique among open requests
+	Class             string
+	Tenant            string
+	RequiredProtocols uint8         // bit set of protocols that its backend has to speak, see SpeaksRPC
+	ClientRetry       bool          // the client has marked it as a retry
+	Arrived           time.Time     // when its first byte was received
+	ClientTimeout     time.Duration // how long the client waits, counted from Arrived
+	Payload           any           // what carriers send; its Release method, if any, is called when the request is closed
 	// Disconnected reports, without blocking, whether the client has disconnected; nil if that can't be detected. It must be
 	// safe for concurrent use.
 	Disconnected func() bool
@@ -249,7 +249,7 @@
 		e.fleetState.CountRequest(r.Tenant)
 		e.refreshView(now, false)
 	}
-	e.handle(now, &policy.Event{Kind: policy.EvRequest, ID: r.ID, Class: r.Class, Tenant: r.Tenant, Remaining: remaining, RequiredProtocols: r.Needs, ClientRetry: r.Repeat})
+	e.handle(now, &policy.Event{Kind: policy.EvRequest, ID: r.ID, Class: r.Class, Tenant: r.Tenant, Remaining: remaining, RequiredProtocols: r.RequiredProtocols, ClientRetry: r.ClientRetry})
 	return true
 }
 
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -15,8 +15,8 @@
 // ListedBackend is a backend as a list describes it. Backend is the runtime object.
 type ListedBackend = membership.Backend
 
-// SpeaksRPC is the bit for JSON-RPC in policy.Entry.Speaks and Request.Needs.
-const SpeaksRPC = 1
+// ProtocolRPC is the bit for JSON-RPC in policy.Entry.Speaks and Request.Needs.
+const ProtocolRPC = 1
 
 // List is a full backend list or a delta, in the format of PROTOCOL.
 type List struct {
@@ -168,7 +168,7 @@
 		s := &l.Backends[i]
 		x := policy.Entry{Hash: subset.Hash(s.ID), Zone: s.Zone, Cell: s.Cell, Kind: s.Kind}
 		if s.RPC != "" {
-			x.Protocols = SpeaksRPC
+			x.Protocols = ProtocolRPC
 		}
 		switch s.State {
 		case "Ready":
--- a/internal/engine/sites.go
+++ b/internal/engine/sites.go
@@ -48,8 +48,8 @@
 	return probe, e.sites.Node.Notes()
 }
 
-// Probed records whether a connection that StepSites asked for was established.
-func (e *Engine) Probed(b *Backend, up bool) {
+// RecordProbe records whether a connection that StepSites asked for was established.
+func (e *Engine) RecordProbe(b *Backend, up bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sites.RecordProbe(e.clock.Now(), b.Number, up)
--- a/internal/httpfront/check.go
+++ b/internal/httpfront/check.go
@@ -49,7 +49,7 @@
 		}
 	}
 	r.ID, r.Class, r.Tenant = in.Header.Get("X-Request-Id"), in.Header.Get("X-Class"), in.Header.Get("X-Tenant")
-	r.Repeat = in.Header.Get("X-Retry") == "1"
+	r.ClientRetry = in.Header.Get("X-Retry") == "1"
 	if r.ID == "" || len(r.ID) > maxIDBytes {
 		return reject(badRequest, "X-Request-Id: missing or too long")
 	}
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -50,30 +50,30 @@
 
 // Config configures a Front.
 type Config struct {
-	Engine          *engine.Engine
-	Bodies          *message.Store
-	Clock           engine.Clock
-	Quota           *quota.Quota                 // descriptors for client connections
-	RejectSlots     int                          // connections beyond the quota, to refuse clients with an answer
-	MaxRequestConns int                          // open connections that carry or have carried a request
-	TenantShares    map[string]float64           // quota of each tenant at this node, in requests per second
-	ReceiveDelay    func(net.Conn) time.Duration // how long the last bytes waited in the kernel; nil for sock.Waited
-	Log             *slog.Logger
+	Engine           *engine.Engine
+	Bodies           *message.Store
+	Clock            engine.Clock
+	Quota            *quota.Quota                 // descriptors for client connections
+	RejectSlots      int                          // connections beyond the quota, to refuse clients with an answer
+	MaxRequestConns  int                          // open connections that carry or have carried a request
+	TenantShares     map[string]float64           // quota of each tenant at this node, in requests per second
+	SinceLastReceive func(net.Conn) time.Duration // how long the last bytes waited in the kernel; nil for sock.Waited
+	Log              *slog.Logger
 }
 
 // Front serves the client connections of this node. If no descriptor is available for a new connection, one without a
 // request is evicted. If there is none, the request of the new connection is refused, and while all reject slots are in use
 // new connections wait in the listener's backlog.
 type Front struct {
-	engine       *engine.Engine
-	bodies       *message.Store
-	clock        engine.Clock
-	receiveDelay func(net.Conn) time.Duration
-	log          *slog.Logger
-	shuttingDown atomic.Bool     // the node is shutting down
-	closing      atomic.Bool     // connections are being closed
-	ctx          context.Context // ends when Serve returns
-	stop         context.CancelFunc
+	engine           *engine.Engine
+	bodies           *message.Store
+	clock            engine.Clock
+	sinceLastReceive func(net.Conn) time.Duration
+	log              *slog.Logger
+	shuttingDown     atomic.Bool     // the node is shutting down
+	closing          atomic.Bool     // connections are being closed
+	ctx              context.Context // ends when Serve returns
+	stop             context.CancelFunc
 
 	quota       *quota.Quota
 	rejectSlots chan struct{}
@@ -92,8 +92,8 @@
 		quota: cfg.Quota, rejectSlots: make(chan struct{}, max(1, cfg.RejectSlots)), conns: map[*clientConn]struct{}{},
 		tenants: admission.NewTenants(cfg.TenantShares),
 		account: admission.NewClients(admission.Limits{RequestConns: cfg.MaxRequestConns, SilentAfter: silentTimeout, SlowAfter: slowReadAfter})}
-	if s.receiveDelay = cfg.ReceiveDelay; s.receiveDelay == nil {
-		s.receiveDelay = sock.SinceLastReceive
+	if s.sinceLastReceive = cfg.SinceLastReceive; s.sinceLastReceive == nil {
+		s.sinceLastReceive = sock.SinceLastReceive
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	return s
--- a/internal/httpfront/read.go
+++ b/internal/httpfront/read.go
@@ -34,7 +34,7 @@
 	// The client timeout runs from when the request arrived at this machine, not from when it was read.
 	delay := time.Duration(0)
 	if !pipelined {
-		delay = s.receiveDelay(c.Conn)
+		delay = s.sinceLastReceive(c.Conn)
 	}
 	r.Arrived = r.Arrived.Add(-delay)
 	s.noteRequestStart(c, end)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -35,7 +35,7 @@
 	backendQuota     *quota.Quota                              // descriptors for connections to backends; nil for the node's quotas
 	sinceLastReceive func(net.Conn) time.Duration              // time since a client's connection last received data; nil for sock.SinceLastReceive
 	now              func() time.Time                          // clock for the idle times of backend connections; nil for time.Now
-	pause            func(context.Context, time.Duration) bool // waits while they are idle between two requests; nil for timing.Sleep
+	sleep            func(context.Context, time.Duration) bool // waits while they are idle between two requests; nil for timing.Sleep
 }
 
 // dialFunc opens a connection to a TCP address.
@@ -112,7 +112,7 @@
 	if err := cfg.Settings.Policy.Validate(); err != nil {
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
-	if cfg.Settings.ConnIdle < 0 || cfg.Settings.ConnectTimeout < 0 {
+	if cfg.Settings.BackendIdleTimeout < 0 || cfg.Settings.ConnectTimeout < 0 {
 		return Config{}, errors.New("settings: policy_limits: conn_idle_s or connect_timeout_s is negative")
 	}
 	h := fnv.New64a()
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -18,7 +18,7 @@
 	}
 	// A suspected withdrawal takes effect up to a quarter of the grace late. The policy then goes on sending for 0.6 of the grace,
 	// which still ends before the grace does.
-	return membership.New(membership.Config{SourceTimeout: dns.HoldTime.D(), ConfirmDelay: grace / 4, FlapPenalty: dns.FlapBackoff.D()})
+	return membership.New(membership.Config{SourceTimeout: dns.SourceTimeout.D(), ConfirmDelay: grace / 4, FlapPenalty: dns.FlapPenalty.D()})
 }
 
 // followDNS updates the engine from the DNS names of the sites in the settings until ctx ends.
--- a/internal/node/names_test.go
+++ b/internal/node/names_test.go
@@ -51,7 +51,7 @@
 	g := newStubDiscovery(t)
 	r := startNode(t, g, settingsJSON, func(c *Config) {
 		c.LocalSettings = &settings.File{DNS: settings.DNS{Servers: []string{dns.Addr}, Timeout: tomlfile.Duration(200 * time.Millisecond),
-			HoldTime: tomlfile.Duration(time.Minute), FlapBackoff: tomlfile.Duration(2 * time.Second),
+			SourceTimeout: tomlfile.Duration(time.Minute), FlapPenalty: tomlfile.Duration(2 * time.Second),
 			Sites: []settings.Site{{Name: siteName, Zone: "north"}}}}
 	}, list...)
 	wait(t, "the backends from DNS", func() bool {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -144,11 +144,11 @@
 	if dial == nil {
 		dial = func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) }
 	}
-	n.carrier = httpcarrier.New(httpcarrier.Config{Quota: backendQuota, BackendIdleTimeout: cfg.Settings.ConnIdle, MaxSettleWait: cfg.idleWait(),
-		AcceptLoadReports: cfg.Settings.Reports, Bodies: n.bodies, Log: log, Now: cfg.now, Sleep: cfg.pause, Dial: dial, DialNetwork: dialer.DialContext})
+	n.carrier = httpcarrier.New(httpcarrier.Config{Quota: backendQuota, BackendIdleTimeout: cfg.Settings.BackendIdleTimeout, MaxSettleWait: cfg.maxSettleWait(),
+		AcceptLoadReports: cfg.Settings.AcceptLoadReports, Bodies: n.bodies, Log: log, Now: cfg.now, Sleep: cfg.sleep, Dial: dial, DialNetwork: dialer.DialContext})
 	var carrier engine.Carrier = n.carrier
 	if file.JSONRPC.Listen != "" {
-		n.rpcCarrier = rpccarrier.New(rpccarrier.Config{MaxConnsPerBackend: file.JSONRPC.BackendConns, Quota: backendQuota, SendMetadata: file.JSONRPC.SendMetadata, AcceptLoadReports: cfg.Settings.Reports,
+		n.rpcCarrier = rpccarrier.New(rpccarrier.Config{MaxConnsPerBackend: file.JSONRPC.MaxConnsPerBackend, Quota: backendQuota, SendMetadata: file.JSONRPC.SendMetadata, AcceptLoadReports: cfg.Settings.AcceptLoadReports,
 			Dial: dial, Log: log})
 		carrier = carriers{n.carrier, n.rpcCarrier}
 	}
@@ -159,12 +159,12 @@
 		return nil, err
 	}
 	n.front = httpfront.New(httpfront.Config{Engine: n.engine, Bodies: n.bodies, Clock: clock,
-		Quota: quotas.Side(admission.ClientSide), RejectSlots: cfg.rejectionConns(), MaxRequestConns: cfg.Sockets / 3, TenantShares: cfg.tenantShares(), ReceiveDelay: cfg.sinceLastReceive, Log: log})
+		Quota: quotas.Side(admission.ClientSide), RejectSlots: cfg.rejectSlots(), MaxRequestConns: cfg.Sockets / 3, TenantShares: cfg.tenantShares(), SinceLastReceive: cfg.sinceLastReceive, Log: log})
 	quotas.SetReclaim(admission.ClientSide, func() bool { return n.front.EvictIdleForBackend() || n.rpcFront != nil && n.rpcFront.EvictIdle() })
 	quotas.SetReclaim(admission.BackendSide, n.carrier.EvictIdle)
 	if n.rpcCarrier != nil {
 		n.rpcFront = rpcfront.New(rpcfront.Config{Engine: n.engine, Quota: quotas.Side(admission.ClientSide),
-			Methods: cfg.rpcMethods(), MaxInflight: file.JSONRPC.Inflight, MaxBatch: file.JSONRPC.Batch, IdleTimeout: file.JSONRPC.Idle.D(), Log: log})
+			Methods: cfg.rpcMethods(), MaxInflight: file.JSONRPC.MaxInflight, MaxBatch: file.JSONRPC.MaxBatch, IdleTimeout: file.JSONRPC.IdleTimeout.D(), Log: log})
 	}
 	var ctx context.Context
 	ctx, n.stop = context.WithCancel(context.Background())
@@ -259,8 +259,8 @@
 	return out
 }
 
-// rejectionConns returns how many client connections may be open over the limit, to be answered with a rejection.
-func (cfg *Config) rejectionConns() int {
+// rejectSlots returns how many client connections may be open over the limit, to be answered with a rejection.
+func (cfg *Config) rejectSlots() int {
 	if cfg.Sockets == 0 {
 		return 1024
 	}
@@ -273,13 +273,13 @@
 	if cfg.Sockets == 0 {
 		return quota.New(0, 0)
 	}
-	total := cfg.Sockets - reservedSockets - cfg.rejectionConns()
+	total := cfg.Sockets - reservedSockets - cfg.rejectSlots()
 	return quota.New(total, total*3/8)
 }
 
-// idleWait returns how long a request may wait for a connection that was used a moment ago to become usable: a twentieth of the
+// maxSettleWait returns how long a request may wait for a connection that was used a moment ago to become usable: a twentieth of the
 // shortest latency target, or deadline of a class without a target.
-func (cfg *Config) idleWait() time.Duration {
+func (cfg *Config) maxSettleWait() time.Duration {
 	const divisor = 20
 	wait := time.Duration(math.MaxInt64)
 	for _, c := range cfg.Settings.Policy.Classes {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -1164,7 +1164,7 @@
 	}
 	env["GW_NAME"] = "n7"
 	cfg, err := load(good)
-	if err != nil || cfg.Name != "n7" || cfg.Sockets != 1024 || cfg.Settings.ConnIdle != time.Minute {
+	if err != nil || cfg.Name != "n7" || cfg.Sockets != 1024 || cfg.Settings.BackendIdleTimeout != time.Minute {
 		t.Fatalf("a valid file: %+v, %v", cfg, err)
 	}
 	for _, c := range []struct{ old, new, want string }{
--- a/internal/node/races_test.go
+++ b/internal/node/races_test.go
@@ -138,7 +138,7 @@
 			defer mu.Unlock()
 			return clock
 		}
-		cfg.pause = func(_ context.Context, d time.Duration) bool {
+		cfg.sleep = func(_ context.Context, d time.Duration) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			clock = clock.Add(d)
@@ -179,7 +179,7 @@
 	frozen := time.Now()
 	r := startNode(t, newStubDiscovery(t), settingsJSON, func(cfg *Config) {
 		cfg.now = func() time.Time { return frozen } // the clock never ends an idle wait
-		cfg.pause = func(context.Context, time.Duration) bool {
+		cfg.sleep = func(context.Context, time.Duration) bool {
 			<-time.After(idleWait)
 			return true
 		}
@@ -244,7 +244,7 @@
 		frozen := time.Now()
 		r := startNode(t, newStubDiscovery(t), strings.ReplaceAll(settingsJSON, `"aim_s":30`, `"aim_s":`+c.aim), func(cfg *Config) {
 			cfg.now = func() time.Time { return frozen } // the clock never ends an idle wait
-			cfg.pause = func(context.Context, time.Duration) bool { return true }
+			cfg.sleep = func(context.Context, time.Duration) bool { return true }
 		}, b.entry("s-1"))
 		cl := r.dial(t)
 		for i := range 2 {
--- a/internal/node/rpc_test.go
+++ b/internal/node/rpc_test.go
@@ -145,8 +145,8 @@
 
 func startRPCNodeWith(t *testing.T, configure func(*Config), change func(*settings.JSONRPC), known ...engine.ListedBackend) (*testNode, string) {
 	t.Helper()
-	file := &settings.File{JSONRPC: settings.JSONRPC{Listen: "127.0.0.1:0", Inflight: 64, Batch: 100, BackendConns: 2, SendMetadata: true}}
-	file.JSONRPC.Idle.UnmarshalText([]byte("1m"))
+	file := &settings.File{JSONRPC: settings.JSONRPC{Listen: "127.0.0.1:0", MaxInflight: 64, MaxBatch: 100, MaxConnsPerBackend: 2, SendMetadata: true}}
+	file.JSONRPC.IdleTimeout.UnmarshalText([]byte("1m"))
 	for _, name := range []string{"subtract", "sum", "get_data", "update", "notify_hello", "notify_sum", "view"} {
 		file.JSONRPC.Methods = append(file.JSONRPC.Methods, settings.Method{Name: name, Class: "view", Deadline: "/deadline_ms"})
 	}
@@ -411,7 +411,7 @@
 		respondRPC(c, m)
 		return respondRPC(c, m)
 	})
-	_, addr := startRPCNode(t, func(j *settings.JSONRPC) { j.BackendConns = 1 }, b.entry("s-1"))
+	_, addr := startRPCNode(t, func(j *settings.JSONRPC) { j.MaxConnsPerBackend = 1 }, b.entry("s-1"))
 	c := dialRPC(t, addr)
 	c.send(`{"jsonrpc":"2.0","id":1,"method":"sendQuote","params":{"late":true,"deadline_ms":300}}`)
 	if got := c.line(); !sameJSON(got, `{"jsonrpc":"2.0","id":1,"error":{"code":-32002,"message":"failed"}}`) {
@@ -518,7 +518,7 @@
 func TestDrainWithSharedConnection(t *testing.T) {
 	t.Parallel()
 	old, unblock := newBlockingRPCBackend(t, "sendQuote", "saveConfig")
-	r, addr := startRPCNode(t, func(j *settings.JSONRPC) { j.Inflight, j.BackendConns = 300, 1 }, old.entry("s-1"))
+	r, addr := startRPCNode(t, func(j *settings.JSONRPC) { j.MaxInflight, j.MaxConnsPerBackend = 300, 1 }, old.entry("s-1"))
 	c := dialRPC(t, addr)
 	for i := range 200 {
 		c.send(fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"saveConfig","params":{"key":"k%d"}}`, i, i))
--- a/internal/node/sites.go
+++ b/internal/node/sites.go
@@ -39,5 +39,5 @@
 func (n *node) probe(ctx context.Context, b *engine.Backend) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	n.engine.Probed(b, n.carrier.Reach(ctx, b))
+	n.engine.RecordProbe(b, n.carrier.Reach(ctx, b))
 }
--- a/internal/settings/dns.go
+++ b/internal/settings/dns.go
@@ -33,8 +33,8 @@
 		defaultValue, lower, upper time.Duration
 	}{
 		{"timeout", &d.Timeout, 500 * time.Millisecond, 10 * time.Millisecond, 10 * time.Second},
-		{"hold", &d.HoldTime, time.Minute, 30 * time.Second, 24 * time.Hour}, // lists are fetched at least every 20 s
-		{"calm", &d.FlapBackoff, 2 * time.Second, 0, time.Minute},
+		{"hold", &d.SourceTimeout, time.Minute, 30 * time.Second, 24 * time.Hour}, // lists are fetched at least every 20 s
+		{"calm", &d.FlapPenalty, 2 * time.Second, 0, time.Minute},
 	} {
 		if !keys.Has("dns." + t.key) {
 			*t.value = tomlfile.Duration(t.defaultValue)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -27,11 +27,11 @@
 
 // DNS configures DNS as a second source of backends beside the list. Without a site it is off.
 type DNS struct {
-	Servers     []string          `toml:"servers"` // IP address and port, for UDP and TCP
-	Timeout     tomlfile.Duration `toml:"timeout"` // of each query to each server
-	HoldTime    tomlfile.Duration `toml:"hold"`    // time without an update after which a source loses its vote
-	FlapBackoff tomlfile.Duration `toml:"calm"`    // how long a flapping backend stays out at first, doubled each time
-	Sites       []Site            `toml:"site"`
+	Servers       []string          `toml:"servers"` // IP address and port, for UDP and TCP
+	Timeout       tomlfile.Duration `toml:"timeout"` // of each query to each server
+	SourceTimeout tomlfile.Duration `toml:"hold"`    // time without an update after which a source loses its vote
+	FlapPenalty   tomlfile.Duration `toml:"calm"`    // how long a flapping backend stays out at first, doubled each time
+	Sites         []Site            `toml:"site"`
 }
 
 // Site is an SRV name, whose targets are the backends of a zone.
@@ -42,13 +42,13 @@
 
 // JSONRPC configures the JSON-RPC front. Without an address it is off.
 type JSONRPC struct {
-	Listen       string            `toml:"listen"`
-	Inflight     int               `toml:"inflight"` // maximum calls in flight on a client connection
-	Batch        int               `toml:"batch"`    // maximum calls in a batch
-	BackendConns int               `toml:"conns"`    // connections per backend
-	Idle         tomlfile.Duration `toml:"idle"`     // after which a client connection with no call in flight is closed
-	SendMetadata bool              `toml:"beside"`   // send id, deadline, key and tenant to backends in an additional member
-	Methods      []Method          `toml:"method"`
+	Listen             string            `toml:"listen"`
+	MaxInflight        int               `toml:"inflight"` // maximum calls in flight on a client connection
+	MaxBatch           int               `toml:"batch"`    // maximum calls in a batch
+	MaxConnsPerBackend int               `toml:"conns"`    // connections per backend
+	IdleTimeout        tomlfile.Duration `toml:"idle"`     // after which a client connection with no call in flight is closed
+	SendMetadata       bool              `toml:"beside"`   // send id, deadline, key and tenant to backends in an additional member
+	Methods            []Method          `toml:"method"`
 }
 
 // Method maps a JSON-RPC method to a class. Tenant, Key and Deadline are JSON pointers (RFC 6901) into the call's
@@ -180,11 +180,11 @@
 }
 
 const (
-	defaultInflightCalls = 64
-	defaultBatchCalls    = 1000
-	defaultBackendConns  = 4
-	maxBackendConns      = 76 // limit of a backend in PROTOCOL
-	defaultIdleTimeout   = 5 * time.Minute
+	defaultInflightCalls      = 64
+	defaultBatchCalls         = 1000
+	defaultMaxConnsPerBackend = 4
+	backendConnLimit          = 76 // limit of a backend in PROTOCOL
+	defaultIdleTimeout        = 5 * time.Minute
 )
 
 // check sets defaults and returns an error for an invalid setting.
@@ -200,7 +200,7 @@
 		value        *int
 		defaultValue int
 		upper        int
-	}{{"inflight", &j.Inflight, defaultInflightCalls, 10000}, {"batch", &j.Batch, defaultBatchCalls, 10000}, {"conns", &j.BackendConns, defaultBackendConns, maxBackendConns}} {
+	}{{"inflight", &j.MaxInflight, defaultInflightCalls, 10000}, {"batch", &j.MaxBatch, defaultBatchCalls, 10000}, {"conns", &j.MaxConnsPerBackend, defaultMaxConnsPerBackend, backendConnLimit}} {
 		if !keys.Has("jsonrpc." + d.key) {
 			*d.value = d.defaultValue
 		}
@@ -209,13 +209,13 @@
 		}
 	}
 	if !keys.Has("jsonrpc.idle") {
-		j.Idle = tomlfile.Duration(defaultIdleTimeout)
+		j.IdleTimeout = tomlfile.Duration(defaultIdleTimeout)
 	}
 	if _, _, err := net.SplitHostPort(j.Listen); err != nil {
 		return keys.Problem("jsonrpc.listen", "%q is not host:port", j.Listen)
 	}
-	if j.Idle.D() < 2*time.Second {
-		return keys.Problem("jsonrpc.idle", "%v is less than 2s", j.Idle.D())
+	if j.IdleTimeout.D() < 2*time.Second {
+		return keys.Problem("jsonrpc.idle", "%v is less than 2s", j.IdleTimeout.D())
 	}
 	seen := map[string]bool{}
 	for i, m := range j.Methods {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -59,7 +59,7 @@
 key = "/key"
 `
 	f, err := Parse("own.toml", []byte(good))
-	if err != nil || f.JSONRPC.Inflight != 64 || f.JSONRPC.BackendConns != 4 || f.JSONRPC.Batch != 1000 || f.JSONRPC.Idle.D() != 5*time.Minute {
+	if err != nil || f.JSONRPC.MaxInflight != 64 || f.JSONRPC.MaxConnsPerBackend != 4 || f.JSONRPC.MaxBatch != 1000 || f.JSONRPC.IdleTimeout.D() != 5*time.Minute {
 		t.Fatalf("%+v, %v", f, err)
 	}
 	for _, x := range []struct{ old, new, want string }{
@@ -86,7 +86,7 @@
 func TestDNS(t *testing.T) {
 	good := "[dns]\nservers = [\"127.0.0.1:53\", \"[::1]:53\"]\n[[dns.site]]\nname = \"_config._tcp.tacoma.example.org\"\nzone = \"tacoma\"\n"
 	f, err := Parse("own.toml", []byte(good))
-	if err != nil || f.DNS.Timeout.D() != 500*time.Millisecond || f.DNS.HoldTime.D() != time.Minute || f.DNS.FlapBackoff.D() != 2*time.Second {
+	if err != nil || f.DNS.Timeout.D() != 500*time.Millisecond || f.DNS.SourceTimeout.D() != time.Minute || f.DNS.FlapPenalty.D() != 2*time.Second {
 		t.Errorf("%+v, %v", f, err)
 	}
 	for _, c := range []struct{ text, want string }{
--- a/internal/settings/sites.go
+++ b/internal/settings/sites.go
@@ -30,9 +30,9 @@
 
 // OverflowTarget is a site that takes a fraction of a lost site's load.
 type OverflowTarget struct {
-	Site string  `toml:"site"`
-	Part float64 `toml:"part"`
-	Most float64 `toml:"most"` // maximum mean requests per second; by default limited only by headroom
+	Site     string  `toml:"site"`
+	Fraction float64 `toml:"part"`
+	MaxRate  float64 `toml:"most"` // maximum mean requests per second; by default limited only by headroom
 }
 
 // On reports whether sites are watched or a plan is set.
--- a/internal/settings/sites_test.go
+++ b/internal/settings/sites_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	p := f.Sites.Plan
-	if !f.Sites.On() || p == nil || p.MaxUtilization != sites.DefaultMaxUtilization || len(p.Sites) != 2 || p.Sites[0].Overflow[0] != (sites.OverflowTarget{Site: "everett", Part: 1, Most: 60}) || p.Sites[0].Reserve != 0.2 {
+	if !f.Sites.On() || p == nil || p.MaxUtilization != sites.DefaultMaxUtilization || len(p.Sites) != 2 || p.Sites[0].Overflow[0] != (sites.OverflowTarget{Site: "everett", Fraction: 1, MaxRate: 60}) || p.Sites[0].Reserve != 0.2 {
 		t.Errorf("%+v", p)
 	}
 	if f, err := Parse("own.toml", []byte("[sites]\nwatch = true\n")); err != nil || !f.Sites.On() || f.Sites.Plan != nil {
--- a/internal/sites/divide.go
+++ b/internal/sites/divide.go
@@ -87,8 +87,8 @@
 			// Sites get headroom in proportion to their overflow, so that none has priority.
 			to := p.index(w.Site)
 			d.MaxFlows[from][to] = d.Headroom[to] * overflow[from] / total
-			if w.Most > 0 {
-				d.MaxFlows[from][to] = min(d.MaxFlows[from][to], w.Most)
+			if w.MaxRate > 0 {
+				d.MaxFlows[from][to] = min(d.MaxFlows[from][to], w.MaxRate)
 			}
 		}
 		// What remains after each target got its fraction is offered to all with headroom, until none has any.
@@ -97,7 +97,7 @@
 			weight := 0.0
 			for _, w := range targets {
 				if to := p.index(w.Site); d.MaxFlows[from][to]-d.Flows[from][to] > 1e-9 {
-					weight += w.Part
+					weight += w.Fraction
 				}
 			}
 			if weight <= 0 || remaining <= 1e-9 {
@@ -106,7 +106,7 @@
 			pending := remaining
 			for _, w := range targets {
 				to := p.index(w.Site)
-				x := min(pending*w.Part/weight, d.MaxFlows[from][to]-d.Flows[from][to], headroom[to])
+				x := min(pending*w.Fraction/weight, d.MaxFlows[from][to]-d.Flows[from][to], headroom[to])
 				if x <= 0 {
 					continue
 				}
@@ -133,7 +133,7 @@
 	}
 	for to, s := range p.Sites {
 		if to != from && !available[to].Degraded && headroom[to] > 0 {
-			targets = append(targets, OverflowTarget{Site: s.Name, Part: headroom[to]})
+			targets = append(targets, OverflowTarget{Site: s.Name, Fraction: headroom[to]})
 		}
 	}
 	return targets
--- a/internal/sites/plan.go
+++ b/internal/sites/plan.go
@@ -38,9 +38,9 @@
 
 // OverflowTarget is another site that takes a fraction of a lost site's load.
 type OverflowTarget struct {
-	Site string
-	Part float64 // fraction of the lost site's load
-	Most float64 // maximum load; 0 for as much as there is headroom for
+	Site     string
+	Fraction float64 // fraction of the lost site's load
+	MaxRate  float64 // maximum load; 0 for as much as there is headroom for
 }
 
 // DefaultMaxUtilization is the fraction of its capacity up to which a site is loaded where a plan does not set one. At 85%
@@ -95,12 +95,12 @@
 				return problem(targetPrefix+"site", "a site's load can't go to itself")
 			case slices.IndexFunc(s.Overflow, func(x OverflowTarget) bool { return x.Site == w.Site }) != k:
 				return problem(targetPrefix+"site", "%q is listed twice", w.Site)
-			case !(w.Part > 0 && w.Part <= 1):
-				return problem(targetPrefix+"part", "%v is outside 0 to 1", w.Part)
-			case !(w.Most >= 0 && w.Most <= 1e9):
-				return problem(targetPrefix+"most", "%v is no number of requests a second", w.Most)
+			case !(w.Fraction > 0 && w.Fraction <= 1):
+				return problem(targetPrefix+"part", "%v is outside 0 to 1", w.Fraction)
+			case !(w.MaxRate >= 0 && w.MaxRate <= 1e9):
+				return problem(targetPrefix+"most", "%v is no number of requests a second", w.MaxRate)
 			}
-			sum += w.Part
+			sum += w.Fraction
 		}
 		if len(s.Overflow) > 0 && (sum < 0.999 || sum > 1.001) {
 			return problem(prefix+"to", "the parts add up to %.3f, and not to 1", sum)
--- a/internal/sites/plan_test.go
+++ b/internal/sites/plan_test.go
@@ -134,7 +134,7 @@
 				}
 			}
 			for k := range s.Overflow {
-				s.Overflow[k].Part = 1 / float64(len(s.Overflow))
+				s.Overflow[k].Fraction = 1 / float64(len(s.Overflow))
 			}
 		}
 		p.Sites = append(p.Sites, s)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -348,10 +348,10 @@
 
 // Settings is the settings object: the settings of the policy, and those of the node that carries out its actions.
 type Settings struct {
-	Policy         policy.Settings
-	ConnIdle       time.Duration // backends close connections that are idle for this long; 0 if unset
-	ConnectTimeout time.Duration // limit for establishing a connection; 0 if unset
-	Reports        bool          // responses may have load reports
+	Policy             policy.Settings
+	BackendIdleTimeout time.Duration // backends close connections that are idle for this long; 0 if unset
+	ConnectTimeout     time.Duration // limit for establishing a connection; 0 if unset
+	AcceptLoadReports  bool          // responses may have load reports
 }
 
 // settingsObject is the settings object of a create message; other keys are ignored.
@@ -459,8 +459,8 @@
 	for _, t := range in.Projects {
 		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, QuotaPerS: t.Quota})
 	}
-	return Settings{Policy: s, ConnIdle: seconds(in.Limits.ConnIdle), ConnectTimeout: seconds(in.Limits.ConnectTimeout),
-		Reports: in.Report.How == "piggyback"}, nil
+	return Settings{Policy: s, BackendIdleTimeout: seconds(in.Limits.ConnIdle), ConnectTimeout: seconds(in.Limits.ConnectTimeout),
+		AcceptLoadReports: in.Report.How == "piggyback"}, nil
 }
 
 // AppendAction appends the line for an action of an instance.
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -68,10 +68,10 @@
 	return ramp * coldCores / coldWork
 }
 
-// play simulates nodes with warm backends and two cold ones, at a load that is a fraction of the warm ones' capacity.
+// simulate simulates nodes with warm backends and two cold ones, at a load that is a fraction of the warm ones' capacity.
 // With replaced, the warm ones are removed a second after the cold ones start. It returns the highest number of sends
 // to a cold backend in a window, as a fraction of its budget: N + 2 x root of N + 2 for an allowed mean of N.
-func (f *coldFleet) play(nodes, warm int, loadFraction float64, replaced bool, end float64) (worst float64, sent int) {
+func (f *coldFleet) simulate(nodes, warm int, loadFraction float64, replaced bool, end float64) (worst float64, sent int) {
 	f.backends = map[uint32]*coldBackend{}
 	var listed []Entry
 	for i := range warm + 2 {
@@ -184,7 +184,7 @@
 							f := &coldFleet{rng: rand.New(rand.NewPCG(seed, uint64(nodes))), set: Settings{MaxAttempts: 1, Cancel: true,
 								DrainGrace: 2 * time.Second, ColdShare: set.share, ColdFor: set.warm, FallFactor: set.factor, FallFor: set.window,
 								Classes: []Class{{Name: "c", Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1}}}}
-							w, n := f.play(nodes, warm, load, replaced, coldStart+5)
+							w, n := f.simulate(nodes, warm, load, replaced, coldStart+5)
 							worst, sent = max(worst, w), sent+n
 						}
 					}
--- a/policy/zone_test.go
+++ b/policy/zone_test.go
@@ -9,10 +9,10 @@
 	"craneglade/internal/decay"
 )
 
-// playZones simulates a node of zone a, with two backends in a and four in b, for 20 s at 40 requests per second of
+// simulateZones simulates a node of zone a, with two backends in a and four in b, for 20 s at 40 requests per second of
 // classes with a latency target of 1 s. The latency of a backend grows with its requests in flight beyond 4. It
 // returns, by class, the fraction of requests that were sent to the other zone in the second half.
-func playZones(t *testing.T, price float64, classes []string, localLatency, remoteLatency time.Duration) map[string]float64 {
+func simulateZones(t *testing.T, price float64, classes []string, localLatency, remoteLatency time.Duration) map[string]float64 {
 	t.Helper()
 	set := settings(func(s *Settings) { s.CrossPrice = price })
 	entries := []Entry{{ID: 1, Zone: "a"}, {ID: 2, Zone: "a"}, {ID: 3, Zone: "b"}, {ID: 4, Zone: "b"}, {ID: 5, Zone: "b"}, {ID: 6, Zone: "b"}}
@@ -74,17 +74,17 @@
 func TestCrossZonePriceKeepsRequestsLocal(t *testing.T) {
 	const ms = time.Millisecond
 	low, both := []string{"low"}, []string{"top", "low"}
-	if got := playZones(t, 0, low, 100*ms, 100*ms)["low"]; got < 0.5 {
+	if got := simulateZones(t, 0, low, 100*ms, 100*ms)["low"]; got < 0.5 {
 		t.Errorf("without a price %.2f of the requests leave the zone, want most: the other has twice as many backends", got)
 	}
-	if got := playZones(t, 0.08, low, 100*ms, 100*ms)["low"]; got > 0.03 {
+	if got := simulateZones(t, 0.08, low, 100*ms, 100*ms)["low"]; got > 0.03 {
 		t.Errorf("with a price %.2f of the requests leave the zone without a gain", got)
 	}
-	if got := playZones(t, 0.08, low, 1500*ms, 100*ms)["low"]; got < 0.5 {
+	if got := simulateZones(t, 0.08, low, 1500*ms, 100*ms)["low"]; got < 0.5 {
 		t.Errorf("only %.2f of the requests leave a zone whose answers miss their latency target", got)
 	}
 	// Requests worth ten times as much leave the zone for a smaller gain.
-	got := playZones(t, 0.05, both, 350*ms, 100*ms)
+	got := simulateZones(t, 0.05, both, 350*ms, 100*ms)
 	if got["top"] < got["low"]+0.2 {
 		t.Errorf("%.2f of the class with the higher worth leave the zone and %.2f of the other, want 0.2 more",
 			got["top"], got["low"])
