--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -66,7 +66,7 @@
 }
 
 func (s *replicaState) CountRequest(string)                         {}
-func (s *replicaState) CountCrossSite(string)                       {}
+func (s *replicaState) CountOverflow(string)                        {}
 func (s *replicaState) RecordOutcome(judgement.Key, policy.Outcome) {}
 func (s *replicaState) SetBackends(all []judgement.Backend)         { s.replica.SetBackends(all) }
 func (s *replicaState) View() shared.View                           { return s.replica.View(s.now) }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -455,7 +455,7 @@
 	if e.sites != nil {
 		e.sites.RecordSend(now, act.Backend)
 		if e.fleetState != nil && a.Backend != nil && e.sites.Node.IsOverflow(a.Backend.Zone) {
-			e.fleetState.CountCrossSite(a.Backend.Zone)
+			e.fleetState.CountOverflow(a.Backend.Zone)
 		}
 	}
 	e.wg.Add(1)
--- a/internal/engine/list_test.go
+++ b/internal/engine/list_test.go
@@ -53,7 +53,7 @@
 }
 
 func (l *recorder) CountRequest(string)                         {}
-func (l *recorder) CountCrossSite(string)                       {}
+func (l *recorder) CountOverflow(string)                        {}
 func (l *recorder) RecordOutcome(judgement.Key, policy.Outcome) {}
 func (l *recorder) View() shared.View                           { return shared.View{} }
 
--- a/internal/engine/sharer.go
+++ b/internal/engine/sharer.go
@@ -12,7 +12,7 @@
 // locked and must neither block nor call back.
 type FleetState interface {
 	CountRequest(tenant string)                      // a client's request was accepted
-	CountCrossSite(site string)                      // an attempt goes to another site while the node's own is not fully in service
+	CountOverflow(site string)                       // an attempt goes to another site while the node's own is not fully in service
 	RecordOutcome(k judgement.Key, o policy.Outcome) // an attempt has ended
 	SetBackends(all []judgement.Backend)             // all listed backends
 	View() shared.View                               // shared state to act on, valid until a time of the engine's clock
--- a/internal/engine/sites.go
+++ b/internal/engine/sites.go
@@ -24,7 +24,7 @@
 		all = append(all, sites.Backend{ID: b.Number, Site: b.Zone, Ready: b.writesStopAt.Load() == nil,
 			Launched: b.launched.Seconds()})
 	}
-	e.sites.ApplyList(e.clock.Now(), all)
+	e.sites.SetBackends(e.clock.Now(), all)
 }
 
 // StepSites updates the state of the sites to the current time. It returns the backends to probe with a connection, whose
--- a/internal/httpcarrier/pool.go
+++ b/internal/httpcarrier/pool.go
@@ -40,11 +40,11 @@
 	sleep              func(ctx context.Context, d time.Duration) bool
 	start              time.Time
 
-	mu         sync.Mutex
-	ages       *admission.IdleEstimator // idle times at which connections were still open, over all backends
-	open       int
-	idleConns  lists.List // of *backendConn, without an owner, longest idle first
-	sweepTimer *time.Timer
+	mu            sync.Mutex
+	idleEstimator *admission.IdleEstimator // idle times at which connections were still open, over all backends
+	open          int
+	idleConns     lists.List // of *backendConn, without an owner, longest idle first
+	sweepTimer    *time.Timer
 }
 
 func newPool(cfg Config) *pool {
@@ -60,7 +60,7 @@
 	// A request written to a connection that the backend has just closed ends as a reset: close the connection earlier.
 	p.maxIdle = cfg.BackendIdleTimeout * 9 / 10
 	p.backendIdleTimeout, p.start = cfg.BackendIdleTimeout, p.now()
-	p.ages = admission.NewIdleEstimator(p.backendIdleTimeout, nil)
+	p.idleEstimator = admission.NewIdleEstimator(p.backendIdleTimeout, nil)
 	return p
 }
 
@@ -69,9 +69,9 @@
 	answers atomic.Int64 // number of attempts that got an answer, valid or not
 
 	// Guarded by pool.mu.
-	ages    *admission.IdleEstimator
-	conns   []*backendConn // idle connections, most recently used last
-	retired bool           // connections are closed when they become idle
+	idleEstimator *admission.IdleEstimator
+	conns         []*backendConn // idle connections, most recently used last
+	retired       bool           // connections are closed when they become idle
 }
 
 // backend returns the pool's state of a backend.
@@ -86,7 +86,7 @@
 	if k, ok := b.CarrierState.(*backendPool); ok {
 		return k
 	}
-	k := &backendPool{ages: admission.NewIdleEstimator(p.backendIdleTimeout, p.ages)}
+	k := &backendPool{idleEstimator: admission.NewIdleEstimator(p.backendIdleTimeout, p.idleEstimator)}
 	b.CarrierState = k
 	return k
 }
@@ -136,9 +136,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if intact {
-		c.backend.ages.RecordReuse(p.now().Sub(p.start), c.idleFor)
+		c.backend.idleEstimator.RecordReuse(p.now().Sub(p.start), c.idleFor)
 	} else {
-		c.backend.ages.RecordReset(p.now().Sub(p.start), c.idleFor)
+		c.backend.idleEstimator.RecordReset(p.now().Sub(p.start), c.idleFor)
 	}
 }
 
@@ -148,8 +148,8 @@
 func (p *pool) take(b *backendPool, once bool, wait time.Duration) *backendConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now, ages := p.now(), b.ages
-	for longest := ages.MaxIdle(); len(b.conns) > 0 && now.Sub(b.conns[0].idleSince) > longest; {
+	now, estimator := p.now(), b.idleEstimator
+	for longest := estimator.MaxIdle(); len(b.conns) > 0 && now.Sub(b.conns[0].idleSince) > longest; {
 		p.discard(b.conns[0])
 	}
 	if len(b.conns) == 0 {
@@ -163,7 +163,7 @@
 		}
 	}
 	idleFor := now.Sub(c.idleSince)
-	if once && idleFor > ages.SafeIdle() || settleTime-idleFor > wait {
+	if once && idleFor > estimator.SafeIdle() || settleTime-idleFor > wait {
 		return nil
 	}
 	p.remove(c)
--- a/internal/kit/lab/node.go
+++ b/internal/kit/lab/node.go
@@ -262,7 +262,7 @@
 	if n.sites != nil {
 		n.sites.RecordSend(epoch+w.now, act.Backend)
 		if n.shared != nil && n.sites.Node.IsOverflow(b.plan.Site) {
-			n.shared.CountCrossSite(epoch+w.now, b.plan.Site)
+			n.shared.CountOverflow(epoch+w.now, b.plan.Site)
 		}
 	}
 	a.life = b.life
--- a/internal/kit/lab/site.go
+++ b/internal/kit/lab/site.go
@@ -59,7 +59,7 @@
 		e := n.known[id]
 		all = append(all, sites.Backend{ID: id, Site: e.Zone, Ready: e.State == policy.Active, Launched: e.Launched.Seconds()})
 	}
-	n.sites.ApplyList(epoch+n.w.now, all)
+	n.sites.SetBackends(epoch+n.w.now, all)
 }
 
 // probe opens a connection to a box, and keeps it for requests where it comes up.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -216,11 +216,11 @@
 	p.replica.CountRequest(p.now(), tenant)
 }
 
-// CountCrossSite counts a request that goes to another site because its client's own is lost.
-func (p *Peers) CountCrossSite(site string) {
+// CountOverflow counts a request that goes to another site because its client's own is lost.
+func (p *Peers) CountOverflow(site string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.replica.CountCrossSite(p.now(), site)
+	p.replica.CountOverflow(p.now(), site)
 }
 
 // RecordOutcome records how an attempt at a backend ended.
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -49,9 +49,9 @@
 	}
 	other := 1 - r.side
 	r.quotas.mu.Lock()
-	overShare := r.quotas.descriptors.AboveFloor(other)
+	aboveFloor := r.quotas.descriptors.AboveFloor(other)
 	r.quotas.mu.Unlock()
-	return overShare && r.quotas.reclaim[other] != nil && r.quotas.reclaim[other]() && r.Acquire()
+	return aboveFloor && r.quotas.reclaim[other] != nil && r.quotas.reclaim[other]() && r.Acquire()
 }
 
 // Release returns a descriptor.
--- a/internal/shared/localcounts.go
+++ b/internal/shared/localcounts.go
@@ -44,8 +44,8 @@
 	r.count(quotaPrefix + tenant)
 }
 
-// CountCrossSite counts a request of this node's clients that goes to another site because their own is lost.
-func (r *Replica) CountCrossSite(now time.Duration, site string) {
+// CountOverflow counts a request of this node's clients that goes to another site because their own is lost.
+func (r *Replica) CountOverflow(now time.Duration, site string) {
 	r.advance(now)
 	r.count(overflowPrefix + site)
 }
--- a/internal/shared/replica_test.go
+++ b/internal/shared/replica_test.go
@@ -296,7 +296,7 @@
 	for range 10 {
 		f.run(time.Second, func(i int, r *Replica) {
 			if i < 2 {
-				r.CountCrossSite(f.now, "east")
+				r.CountOverflow(f.now, "east")
 			}
 		})
 		sum := 0.0
--- a/internal/sites/node.go
+++ b/internal/sites/node.go
@@ -71,8 +71,8 @@
 // NewNode returns a node without backends.
 func NewNode(cfg Config) *Node { return &Node{cfg: cfg, watch: NewWatch(), noted: map[string]bool{}} }
 
-// ApplyList replaces the list of backends.
-func (n *Node) ApplyList(now float64, backends []Backend) { n.watch.ApplyList(now, backends) }
+// SetBackends replaces the list of backends.
+func (n *Node) SetBackends(now float64, backends []Backend) { n.watch.SetBackends(now, backends) }
 
 // RecordSend records the start of an attempt at a backend.
 func (n *Node) RecordSend(now float64, id uint32) { n.watch.RecordSend(now, id) }
--- a/internal/sites/node_test.go
+++ b/internal/sites/node_test.go
@@ -14,7 +14,7 @@
 	for i := range 24 {
 		backends = append(backends, Backend{ID: uint32(i + 1), Site: []string{"tacoma", "everett", "olympia"}[i%3], Ready: true})
 	}
-	n.ApplyList(0, backends)
+	n.SetBackends(0, backends)
 	return n
 }
 
@@ -107,7 +107,7 @@
 		b.Ready = b.Site == "tacoma"
 		backends = append(backends, b.Backend)
 	}
-	n.ApplyList(now+0.3, backends)
+	n.SetBackends(now+0.3, backends)
 	if o := n.Step(now+0.4, busyDemand); o.Admit["quote"][0] >= 1 {
 		t.Errorf("with the others delisted: %+v", o.Admit)
 	}
@@ -162,7 +162,7 @@
 		}
 		backends = append(backends, b.Backend)
 	}
-	n.ApplyList(20, backends)
+	n.SetBackends(20, backends)
 	if got := n.availableFraction(n.cfg.Plan.Sites[1]); got > 0.51 {
 		t.Errorf("cold: %.2f of its capacity", got)
 	}
--- a/internal/sites/watch.go
+++ b/internal/sites/watch.go
@@ -129,8 +129,8 @@
 
 func (w *Watch) advance(now float64) { w.now = max(w.now, now) }
 
-// ApplyList replaces the list of backends.
-func (w *Watch) ApplyList(now float64, backends []Backend) {
+// SetBackends replaces the list of backends.
+func (w *Watch) SetBackends(now float64, backends []Backend) {
 	w.advance(now)
 	old := w.backends
 	w.backends, w.order = make(map[uint32]*backendState, len(backends)), w.order[:0]
--- a/internal/sites/watch_test.go
+++ b/internal/sites/watch_test.go
@@ -37,7 +37,7 @@
 	for i := range 24 {
 		p.backends = append(p.backends, Backend{ID: uint32(i + 1), Site: []string{"tacoma", "everett", "olympia"}[i%3], Ready: true})
 	}
-	p.w.ApplyList(p.now, p.backends)
+	p.w.SetBackends(p.now, p.backends)
 	return p
 }
 
@@ -162,7 +162,7 @@
 			for i := range p.backends {
 				p.backends[i].Ready = !p.dead[p.backends[i].ID]
 			}
-			p.w.ApplyList(p.now, p.backends)
+			p.w.SetBackends(p.now, p.backends)
 			p.run(20)
 		},
 	} {
@@ -233,11 +233,11 @@
 	p := newSimulation(t, 0)
 	p.run(1)
 	p.forSite("tacoma", func(b *Backend) { b.Ready = false })
-	p.w.ApplyList(p.now, p.backends)
+	p.w.SetBackends(p.now, p.backends)
 	p.run(0.5)
 	p.wantState("tacoma", Lost)
 	p.forSite("tacoma", func(b *Backend) { b.Ready, b.Launched = true, p.now })
-	p.w.ApplyList(p.now, p.backends)
+	p.w.SetBackends(p.now, p.backends)
 	p.run(1)
 	p.wantState("tacoma", Returning)
 }
@@ -249,7 +249,7 @@
 	for id := range uint32(8) {
 		backends = append(backends, Backend{ID: id + 1, Site: "a", Ready: true})
 	}
-	w.ApplyList(0, backends)
+	w.SetBackends(0, backends)
 	for _, id := range []uint32{1, 2} {
 		w.RecordSend(10, id)
 		w.RecordOutcome(10.5, id, TimedOut, 0.5)
@@ -265,7 +265,7 @@
 		t.Errorf("it is %v", w.State("a"))
 	}
 	v := NewWatch()
-	v.ApplyList(0, backends)
+	v.SetBackends(0, backends)
 	for _, id := range []uint32{1, 2} {
 		v.RecordSend(10, id)
 		v.RecordOutcome(10.5, id, TimedOut, 0.5)
@@ -298,7 +298,7 @@
 // A site of one backend is lost with it; a site that was never ready is not.
 func TestSingleBackendSite(t *testing.T) {
 	w := NewWatch()
-	w.ApplyList(0, []Backend{{ID: 1, Site: "a", Ready: true}, {ID: 2, Site: "b"}})
+	w.SetBackends(0, []Backend{{ID: 1, Site: "a", Ready: true}, {ID: 2, Site: "b"}})
 	w.RecordSend(10, 1)
 	w.RecordOutcome(10.5, 1, TimedOut, 0.5)
 	changes, probe := w.Update(10.9)
--- a/internal/siting/siting.go
+++ b/internal/siting/siting.go
@@ -27,9 +27,9 @@
 	return &Adapter{Node: sites.NewNode(cfg)}
 }
 
-// ApplyList replaces the list of backends.
-func (a *Adapter) ApplyList(now time.Duration, backends []sites.Backend) {
-	a.Node.ApplyList(now.Seconds(), backends)
+// SetBackends replaces the list of backends.
+func (a *Adapter) SetBackends(now time.Duration, backends []sites.Backend) {
+	a.Node.SetBackends(now.Seconds(), backends)
 }
 
 // RecordSend records the start of an attempt at a backend.
--- a/policy/copy.go
+++ b/policy/copy.go
@@ -9,8 +9,8 @@
 // hedgeAfter returns the seconds after which an attempt of a class is late; at most half the aim.
 func (c *class) hedgeAfter() float64 {
 	late := c.latency.MeanPlus(lateDeviations)
-	if aim := c.Aim.Seconds(); aim > 0 {
-		late = min(late, aim/2)
+	if target := c.Aim.Seconds(); target > 0 {
+		late = min(late, target/2)
 	}
 	return late
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -100,7 +100,7 @@
 			full = s
 		}
 	}
-	play := func(from, to time.Duration, rejected int) (n int) { // so many of three are rejected
+	simulate := func(from, to time.Duration, rejected int) (n int) { // so many of three are rejected
 		for at := from; at < to; at += 50 * time.Millisecond {
 			send := sendRequest(b, at, fmt.Sprint("r", at), "low")
 			for tries := 0; send.Kind == ActSend && tries < 3; tries++ {
@@ -121,11 +121,11 @@
 		}
 		return n
 	}
-	rejected := play(now, now+10*time.Second, 2)
+	rejected := simulate(now, now+10*time.Second, 2)
 	if fair := 200 / len(inSubset); rejected == 0 || rejected > 2*fair {
 		t.Errorf("%d of 200 requests went to a backend that rejects most, a fair share is %d", rejected, fair)
 	}
-	if n := play(now+10*time.Second, now+30*time.Second, 0); n < 400/2/len(inSubset) {
+	if n := simulate(now+10*time.Second, now+30*time.Second, 0); n < 400/2/len(inSubset) {
 		t.Errorf("%d of 400 requests are sent there once it has free connections again", n)
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -87,7 +87,7 @@
 	}
 	b := &Balancer{cfg: cfg, tuning: tuning, rng: rand.New(rand.NewPCG(seed, 0)), backends: map[uint32]*backend{},
 		requests: map[string]*request{}, tenantByName: map[string]*tenant{},
-		retryTokens: maxRetryTokens, minAim: math.Inf(1), halfMinDeadline: math.Inf(1),
+		retryTokens: maxRetryTokens, minTarget: math.Inf(1), halfMinDeadline: math.Inf(1),
 		nodesPerBackend: 1, sharingFactor: 1, loadTrend: 1}
 	for i, c := range cfg.Classes {
 		b.classes = append(b.classes, &class{Class: c, index: i, localFraction: 1, minRemaining: c.Deadline.Seconds()})
@@ -95,7 +95,7 @@
 			b.halfMinDeadline = min(b.halfMinDeadline, d/2)
 		}
 		if a := c.Aim.Seconds(); a > 0 {
-			b.minAim = min(b.minAim, a)
+			b.minTarget = min(b.minTarget, a)
 		}
 	}
 	for _, t := range cfg.Tenants {
@@ -112,7 +112,8 @@
 	b.now = t
 	if b.sharingFactor > 1 {
 		// The other nodes' load moves like this one's, and reports will show it only later.
-		b.loadTrend = math.Pow(b.inFlightTrend.Ratio(t, b.inFlight, trendDecaySeconds, minSamples, 2), 1-1/b.sharingFactor)
+		b.loadTrend = math.Pow(b.inFlightTrend.Ratio(t, b.inFlight, trendDecaySeconds, minSamples, 2),
+			1-1/b.sharingFactor)
 	}
 	switch ev.Kind {
 	case EvRequest:
@@ -258,7 +259,7 @@
 	}
 	wait := b.cfg.RetryAfter.Seconds() // after the aim no retry can be in time; before it part of a queue may clear
 	if now < r.usefulUntil {
-		wait = min(wait, b.minAim/4)
+		wait = min(wait, b.minTarget/4)
 	}
 	b.do(Action{Kind: ActRefuse, ID: r.id, Wait: toDuration(wait)})
 }
@@ -398,7 +399,8 @@
 		b.recordFailure(now, s, health.UnreachableDecayAttempts)
 	case Failed, Reset:
 		b.recordFailure(now, s, health.DecayAttempts)
-		if ev.Outcome == Failed && s.classRecord(b, r.class).Failed(now, health.UnreachableDecayAttempts, b.rng.Float64) {
+		if ev.Outcome == Failed &&
+			s.classRecord(b, r.class).Failed(now, health.UnreachableDecayAttempts, b.rng.Float64) {
 			b.log("backend %d ejected for class %s for %.1f s: it fails such requests", s.ID, r.class.Name,
 				s.classRecord(b, r.class).Ejected-now)
 		}
@@ -522,7 +524,7 @@
 	if b.tuning.H > 0 {
 		return b.tuning.H
 	}
-	h := max(min(onsetFraction*r, fullFraction*s.minFullOccupancy, b.tuning.AimPart*b.minAim/b.serviceTime(s)),
+	h := max(min(onsetFraction*r, fullFraction*s.minFullOccupancy, b.tuning.AimPart*b.minTarget/b.serviceTime(s)),
 		s.minThreshold())
 	return max(minH, h*b.capacityFraction(s, b.now)) // a cold backend completes only that fraction
 }
@@ -641,7 +643,7 @@
 	kinds, all := map[string]*pool{}, &pool{}
 	dt := max(now-b.refreshedAt, 1e-3)
 	// Sends may grow only as fast as fills a backend up to H before the reports show it.
-	b.pace.Tick(dt, 2*b.tuning.AimPart*min(b.minAim, 1)/(reportMaxAgeSeconds*reportMaxAgeSeconds))
+	b.pace.Tick(dt, 2*b.tuning.AimPart*min(b.minTarget, 1)/(reportMaxAgeSeconds*reportMaxAgeSeconds))
 	b.refreshedAt, b.firstRefreshAt = now, cmp.Or(b.firstRefreshAt, now)
 	decay := math.Exp(-dt / rateDecaySeconds)
 	b.pickCount, b.pickSeconds = b.pickCount*decay, b.pickSeconds*decay+rateDecaySeconds*(1-decay)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -278,7 +278,7 @@
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
 	failing, failed := true, 0
 	to := map[string]map[uint32]int{"once": {}, "low": {}}
-	play := func(from, n int) {
+	simulate := func(from, n int) {
 		for i := from; i < from+n; i++ {
 			now, class := t0+time.Duration(i)*5*time.Millisecond, []string{"once", "low"}[i%2]
 			if i%50 == 0 {
@@ -296,7 +296,7 @@
 			endAttempt(b, now, send, o, Load{Known: true})
 		}
 	}
-	play(0, 2000) // 10 s
+	simulate(0, 2000) // 10 s
 	if failed < 3 || failed > 12 {
 		t.Errorf("%d of 1000 requests were sent to the backend that fails their class, want 3 to 12", failed)
 	}
@@ -307,9 +307,9 @@
 		t.Error("the backend was ejected for all classes")
 	}
 	failing = false
-	play(2000, 4000) // 20 s, longer than the longest ejection
+	simulate(2000, 4000) // 20 s, longer than the longest ejection
 	clear(to["once"])
-	play(6000, 400)
+	simulate(6000, 400)
 	if n := to["once"][1]; n < 60 {
 		t.Errorf("once it answers the class again the backend gets %d of 200", n)
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -121,7 +121,7 @@
 	trafficShare    float64    // this node's share of all traffic
 	nodesPerBackend float64    // mean number of nodes that work with a backend
 	firstRefreshAt  float64    // 0 before the first refresh
-	meanWorth       float64    // recent mean worth of a request
+	meanUtility     float64    // recent mean worth of a request
 	remoteLatency   decay.Mean // latencies of answers from other zones as multiples of their class's local mean
 	sends           decay.Mean // count of attempts; the sum counts those that left the zone at a price
 	othersLoad      decay.EWMA // mean occupancy of a backend by the other nodes' requests
@@ -138,7 +138,7 @@
 	loadTrend       float64       // assumed change of the other nodes' load since the reports, a factor
 	actions         []Action
 
-	minAim, halfMinDeadline        float64 // shortest aim and half the shortest deadline; infinite if none is set
+	minTarget, halfMinDeadline     float64 // shortest aim and half the shortest deadline; infinite if none is set
 	requestCount, lowPriorityCount float64 // decayed counts of all requests and of low-priority ones
 	pickCount, pickSeconds         float64 // decayed count of picks and the decayed time over which they were counted
 }
--- a/policy/unreported_test.go
+++ b/policy/unreported_test.go
@@ -88,7 +88,7 @@
 const (
 	overloadedMeanWork = 25 * time.Millisecond // mean service time of a request
 	overloadedCores    = 2
-	overloadedAim      = 190 * time.Millisecond
+	overloadedTarget   = 190 * time.Millisecond
 	overloadedDeadline = 440 * time.Millisecond
 	overloadedStart    = 50 * 365 * 24 * time.Hour // as with a clock that started long ago
 )
@@ -104,14 +104,14 @@
 		end, outcome = now+send.Wait, TimedOut
 	}
 	f.add(end, node, Event{Kind: EvOutcome, ID: send.ID, Backend: send.Backend, Took: end - now, Outcome: outcome, Finished: true})
-	if outcome == OK && end-now <= overloadedAim {
+	if outcome == OK && end-now <= overloadedTarget {
 		f.inTime++
 	}
 }
 
-// play simulates one second for each load, a fraction of the backends' capacity. It returns the answers in time of the
+// simulate simulates one second for each load, a fraction of the backends' capacity. It returns the answers in time of the
 // last five seconds as a fraction of the capacity.
-func (f *overloadedFleet) play(load ...float64) float64 {
+func (f *overloadedFleet) simulate(load ...float64) float64 {
 	capacity := float64(len(f.busyUntil)*overloadedCores) / overloadedMeanWork.Seconds()
 	for second, fraction := range load {
 		n := int(fraction * capacity)
@@ -156,7 +156,7 @@
 	}
 	for number := range nodes {
 		b, err := New(Settings{Nodes: nodes, Number: number, NoReports: true, MaxAttempts: 4, Cancel: true,
-			Classes: []Class{{Name: "only", Aim: overloadedAim, Deadline: overloadedDeadline, Worth: 4, LateWorth: 0.1}}}, uint64(number))
+			Classes: []Class{{Name: "only", Aim: overloadedTarget, Deadline: overloadedDeadline, Worth: 4, LateWorth: 0.1}}}, uint64(number))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -165,7 +165,7 @@
 		f.add(overloadedStart, number, Event{Kind: EvTimer, Token: "tick"})
 	}
 	quiet, burst := 0.6, 1.5
-	if got := f.play(quiet, quiet, quiet, quiet, quiet, burst, burst, burst, burst, burst, burst, burst, burst); got < 0.8 {
+	if got := f.simulate(quiet, quiet, quiet, quiet, quiet, burst, burst, burst, burst, burst, burst, burst, burst); got < 0.8 {
 		t.Errorf("under a burst %.2f of the capacity is answered in time", got)
 	}
 }
--- a/policy/worth.go
+++ b/policy/worth.go
@@ -17,18 +17,18 @@
 // not ranked among themselves, so the lowest of them counts like the others.
 func (b *Balancer) rankClasses(decay float64) {
 	b.requestCount, b.lowPriorityCount = b.requestCount*decay, b.lowPriorityCount*decay
-	var requests, worth, work float64
+	var requests, utility, work float64
 	for _, c := range b.classes {
 		c.requests *= decay
 		c.overQuota *= decay
 		c.latency.Decay(decay)
 		requests += c.requests
-		worth += c.requests * c.Worth
+		utility += c.requests * c.Worth
 		work += c.requests * c.meanLatency()
 	}
-	b.meanWorth = worth / max(requests, 1e-9)
+	b.meanUtility = utility / max(requests, 1e-9)
 	for _, c := range b.classes {
-		c.lowPriority = c.Worth*work < worth*c.meanLatency()
+		c.lowPriority = c.Worth*work < utility*c.meanLatency()
 	}
 }
 
--- a/policy/zone.go
+++ b/policy/zone.go
@@ -31,7 +31,7 @@
 // fraction l/best-1 of l to the latencies of the others (M/M/1). Crossing pays if the other zone loses less by more
 // than the price.
 func (b *Balancer) computeLocalFraction(c *class, dt float64) float64 {
-	if c.localLatency.N < priorSamples || b.meanWorth <= 0 {
+	if c.localLatency.N < priorSamples || b.meanUtility <= 0 {
 		return 1
 	}
 	latency := min(max(c.localLatency.Sum/c.localLatency.N, 1e-6), 1e6)
@@ -39,12 +39,12 @@
 		latency < c.bestLocalLatency {
 		c.bestLocalLatency = latency
 	}
-	if b.cfg.CrossPrice <= 0 || math.IsInf(b.minAim, 1) || c.Worth <= 0 {
+	if b.cfg.CrossPrice <= 0 || math.IsInf(b.minTarget, 1) || c.Worth <= 0 {
 		return 1 // without a price, an aim or a worth there is nothing to weigh
 	}
 	target := c.Aim.Seconds()
 	if target <= 0 {
-		target = b.minAim
+		target = b.minTarget
 	}
 	// Other zones are assumed to be at the lowest local latency until enough of their answers are known.
 	remoteRatio := min((b.remoteLatency.Sum+priorSamples*c.bestLocalLatency/latency)/
@@ -52,7 +52,7 @@
 	loss := func(latency float64) float64 {
 		return math.Exp(-target/latency) * (1 + target/latency*max(0, latency/c.bestLocalLatency-1))
 	}
-	price := b.cfg.CrossPrice * b.meanWorth / c.Worth // as a fraction of the request's worth
+	price := b.cfg.CrossPrice * b.meanUtility / c.Worth // as a fraction of the request's worth
 	return 1 / (1 + math.Exp(-crossingSteepness*(loss(latency*remoteRatio)+price-loss(latency))/price))
 }
 
--- a/policy/zone_test.go
+++ b/policy/zone_test.go
@@ -93,7 +93,7 @@
 
 func TestLocalFractionIsInRange(t *testing.T) {
 	b := newTestBalancer(t, settings(func(s *Settings) { s.CrossPrice = 0.08 }), Entry{ID: 1, Zone: "a"})
-	b.meanWorth = 3
+	b.meanUtility = 3
 	c := b.classes[0]
 	for _, near := range []decay.Mean{{}, {Sum: 0, N: 100}, {Sum: 1e-9, N: 10}, {Sum: 50, N: 100}, {Sum: 1e9, N: 100}, {Sum: 1e300, N: 10}} {
 		for _, far := range []decay.Mean{{}, {Sum: 0, N: 50}, {Sum: 1e-9, N: 50}, {Sum: 1e300, N: 50}} {
