--- a/internal/controlnet/daemon.go
+++ b/internal/controlnet/daemon.go
@@ -258,11 +258,11 @@
 		return err
 	}
 	if info.Mode().Type() != os.ModeSocket {
-		return fmt.Errorf("%s exists and is not a socket: choose an unused path", path)
+		return fmt.Errorf("%s exists and is not a socket: use a path that does not exist", path)
 	}
 	if c, err := net.Dial("unix", path); err == nil {
 		c.Close()
-		return fmt.Errorf("another process listens on %s: give each process a path of its own", path)
+		return fmt.Errorf("another process answers on %s: use a different path for each process", path)
 	}
 	return os.Remove(path)
 }
--- a/internal/controlplane/changelog/store.go
+++ b/internal/controlplane/changelog/store.go
@@ -121,7 +121,7 @@
 }
 
 // Apply atomically applies to a replica the changes after the position from up to t.Position. Errors are ErrGap if the
-// replica is not at from and lacks changes in between, ErrBehind if it already is at t.Position or later, ErrFenced for
+// replica is not at from and lacks changes in between, ErrNotNewer if it already is at t.Position or later, ErrFenced for
 // changes of an older epoch, and those of resource.ValidateEach.
 func (s *Store) Apply(t resource.Transaction, from resource.Position) error {
 	if err := s.checkDeltaPositions(t.Position, from); err != nil {
@@ -197,7 +197,7 @@
 }
 
 // Replace atomically replaces all resources by those of a snapshot and clears the history. A snapshot of the store's own
-// position is accepted, so that a replica with a wrong digest can be repaired. Errors are ErrFenced, ErrBehind, and those
+// position is accepted, so that a replica with a wrong digest can be repaired. Errors are ErrFenced, ErrNotNewer, and those
 // of package resource.
 func (s *Store) Replace(position resource.Position, all []resource.Resource) error {
 	if err := s.checkSnapshotPosition(position); err != nil {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -43,7 +43,7 @@
 	ID                string // unique among open requests
 	Class             string
 	Tenant            string
-	RequiredProtocols uint8         // bit set of protocols that its backend has to speak, see SpeaksRPC
+	RequiredProtocols uint8         // bit set of protocols that its backend has to speak, see ProtocolRPC
 	ClientRetry       bool          // the client has marked it as a retry
 	Arrived           time.Time     // when its first byte was received
 	ClientTimeout     time.Duration // how long the client waits, counted from Arrived
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -15,7 +15,7 @@
 // ListedBackend is a backend as a list describes it. Backend is the runtime object.
 type ListedBackend = membership.Backend
 
-// ProtocolRPC is the bit for JSON-RPC in policy.Entry.Speaks and Request.Needs.
+// ProtocolRPC is the bit for JSON-RPC in policy.Entry.Protocols and Request.RequiredProtocols.
 const ProtocolRPC = 1
 
 // List is a full backend list or a delta, in the format of PROTOCOL.
--- a/internal/engine/sites.go
+++ b/internal/engine/sites.go
@@ -5,8 +5,8 @@
 	"craneglade/internal/siting"
 )
 
-// WatchSites has the engine track the health state of sites, and the policy apply the resulting orders. StepSites has to be
-// called at intervals of siting.Every.
+// WatchSites has the engine track the health state of sites, and the policy apply the resulting directives. StepSites has to
+// be called at intervals of siting.StepInterval.
 func (e *Engine) WatchSites(l *siting.Adapter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -28,7 +28,7 @@
 }
 
 // StepSites updates the state of the sites to the current time. It returns the backends to probe with a connection, whose
-// results go to Probed, and notes for the operator.
+// results go to RecordProbe, and notes for the operator.
 func (e *Engine) StepSites() (probe []*Backend, notes []sites.Note) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -54,10 +54,10 @@
 	Bodies           *message.Store
 	Clock            engine.Clock
 	Quota            *quota.Quota                 // descriptors for client connections
-	RejectSlots      int                          // connections beyond the quota, to refuse clients with an answer
+	RejectSlots      int                          // connections beyond the quota, to reject clients with an answer
 	MaxRequestConns  int                          // open connections that carry or have carried a request
 	TenantShares     map[string]float64           // quota of each tenant at this node, in requests per second
-	SinceLastReceive func(net.Conn) time.Duration // how long the last bytes waited in the kernel; nil for sock.Waited
+	SinceLastReceive func(net.Conn) time.Duration // how long the last bytes waited in the kernel; nil for sock.SinceLastReceive
 	Log              *slog.Logger
 }
 
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -384,7 +384,7 @@
 }
 
 // Responses too large for memory are streamed. A client that reads gets all of it, and detects a truncation if the backend stops. The
-// connection of a client that does not read is closed after writeTime.
+// connection of a client that does not read is closed after httpfront's write timeout.
 func TestLargeResponses(t *testing.T) {
 	t.Parallel()
 	large := strings.Repeat("a large price list ", 50000)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -216,7 +216,7 @@
 	p.replica.CountRequest(p.now(), tenant)
 }
 
-// CountOverflow counts a request that goes to another site because its client's own is lost.
+// CountOverflow counts a request that goes to another site because its client's own is degraded or lost.
 func (p *Peers) CountOverflow(site string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/shared/localcounts.go
+++ b/internal/shared/localcounts.go
@@ -44,7 +44,7 @@
 	r.count(quotaPrefix + tenant)
 }
 
-// CountOverflow counts a request of this node's clients that goes to another site because their own is lost.
+// CountOverflow counts a request of this node's clients that goes to another site because their own is degraded or lost.
 func (r *Replica) CountOverflow(now time.Duration, site string) {
 	r.advance(now)
 	r.count(overflowPrefix + site)
--- a/internal/sites/plan.go
+++ b/internal/sites/plan.go
@@ -40,7 +40,7 @@
 type OverflowTarget struct {
 	Site     string
 	Fraction float64 // fraction of the lost site's load
-	MaxRate  float64 // maximum load; 0 for as much as there is headroom for
+	MaxRate  float64 // maximum mean requests per second; 0 for as much as there is headroom for
 }
 
 // DefaultMaxUtilization is the fraction of its capacity up to which a site is loaded where a plan does not set one. At 85%
--- a/policy/api.go
+++ b/policy/api.go
@@ -30,10 +30,10 @@
 // Class describes one class of requests.
 type Class struct {
 	Name      string
-	Aim       time.Duration // latency target: an answer within it has the full worth
+	Aim       time.Duration // latency target: an answer within it has the full utility
 	Deadline  time.Duration // client timeout; 0: not set
-	Worth     float64
-	LateWorth float64 // fraction of the worth that an answer after the aim has
+	Worth     float64       // utility of an answer
+	LateWorth float64       // fraction of the utility that an answer after the target has
 	Effect    Effect
 	Group     Group
 	Window    time.Duration // Keyed: time for which repeats are dropped, from the send of the first attempt
@@ -48,14 +48,14 @@
 // Settings are the settings of a node at its start. A duration or count of 0 means that it is not set.
 type Settings struct {
 	Zone        string        // zone of this node
-	CrossPrice  float64       // of an attempt that leaves the zone, as a multiple of the mean worth of a request
+	CrossPrice  float64       // of an attempt that leaves the zone, as a multiple of the mean utility of a request
 	Nodes       int           // nodes in service, this one included; at least 1
 	Number      int           // index of this node among them, from 0
 	MustAsk     bool          // the list comes only on request
 	MustAskIn   time.Duration // time within which a lost list must be requested again; 0: not set
 	Classes     []Class
 	Tenants     []Tenant
-	OverShare   float64       // worth of a request over its tenant's quota, as a fraction of its normal worth
+	OverShare   float64       // utility of a request over its tenant's quota, as a fraction of its normal utility
 	MaxAttempts int           // per request; at least 1
 	Cancel      bool          // attempts may be cancelled
 	QueueOnly   bool          // load reports hold the queue length only, not the requests in work
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -68,7 +68,7 @@
 	return ramp * coldCores / coldWork
 }
 
-// simulate simulates nodes with warm backends and two cold ones, at a load that is a fraction of the warm ones' capacity.
+// simulate runs nodes with warm backends and two cold ones, at a load that is a fraction of the warm ones' capacity.
 // With replaced, the warm ones are removed a second after the cold ones start. It returns the highest number of sends
 // to a cold backend in a window, as a fraction of its budget: N + 2 x root of N + 2 for an allowed mean of N.
 func (f *coldFleet) simulate(nodes, warm int, loadFraction float64, replaced bool, end float64) (worst float64, sent int) {
--- a/policy/copy.go
+++ b/policy/copy.go
@@ -6,7 +6,7 @@
 // latencies about 1 in 150.
 const lateDeviations = 4.0
 
-// hedgeAfter returns the seconds after which an attempt of a class is late; at most half the aim.
+// hedgeAfter returns the seconds after which an attempt of a class is late; at most half the latency target.
 func (c *class) hedgeAfter() float64 {
 	late := c.latency.MeanPlus(lateDeviations)
 	if target := c.Aim.Seconds(); target > 0 {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -171,7 +171,7 @@
 		usefulUntil: now + remaining, zoneDraw: b.gates.Draw(b.rng)}
 	if target := c.Aim.Seconds(); target > 0 && c.LateWorth == 0 {
 		// A client's retry with less time left than any recent first try belongs to an older request: the time that the
-		// client has waited for that counts against the aim.
+		// client has waited for that counts against the latency target.
 		if ev.ClientRetry && remaining < c.minRemaining-1e-3 {
 			target -= max(0, c.Deadline.Seconds()-remaining)
 		} else if !ev.ClientRetry {
@@ -241,7 +241,7 @@
 	r.open++
 	s.inFlight++
 	b.inFlight++
-	timeoutAt := r.deadline // a time-out at the aim would draw a client's retry that is worth nothing
+	timeoutAt := r.deadline // a time-out at the target would draw a client's retry that is worth nothing
 	if s.mode != normal {
 		timeoutAt = r.usefulUntil // here it mostly queues, and delays requests that could still be in time
 	}
@@ -257,7 +257,7 @@
 		b.do(Action{Kind: ActFail, ID: r.id}) // a refusal would promise that it has not run
 		return
 	}
-	wait := b.cfg.RetryAfter.Seconds() // after the aim no retry can be in time; before it part of a queue may clear
+	wait := b.cfg.RetryAfter.Seconds() // after the target no retry can be in time; before it part of a queue may clear
 	if now < r.usefulUntil {
 		wait = min(wait, b.minTarget/4)
 	}
@@ -519,7 +519,7 @@
 }
 
 // thresholdH returns H, from which on requests are diverted. It is at most what a backend completes in a fraction of
-// the shortest aim: an answer after the aim is wasted work, however long the deadline.
+// the shortest latency target: an answer after it is wasted work, however long the deadline.
 func (b *Balancer) thresholdH(s *backend, r float64) float64 {
 	if b.tuning.H > 0 {
 		return b.tuning.H
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -78,7 +78,7 @@
 	r := 20.0
 	set := settings()
 	set.Classes = set.Classes[:2]
-	set.Classes[0].Aim, set.Classes[1].Aim = 0, 0 // H is then 0.9 R: no aim bounds it
+	set.Classes[0].Aim, set.Classes[1].Aim = 0, 0 // H is then 0.9 R: no latency target bounds it
 	h := onsetFraction * r
 	l := h * abatementFraction / onsetFraction
 	below := func(x float64) float64 { return x - 1e-6 }
@@ -158,7 +158,7 @@
 			b.refresh(now.Seconds())
 			sent = map[string]int{}
 		}
-		setEstimate(s, now, 7) // between H (6: 0.3 of the aim) and R (20)
+		setEstimate(s, now, 7) // between H (6: 0.3 of the target) and R (20)
 		if a := sendRequest(b, now, string(rune(1000+i)), name); a.Kind == ActSend {
 			sent[name]++
 		}
@@ -1004,7 +1004,7 @@
 		{"retry with as much time", true, 1200 * time.Millisecond, 0, ActSend, 1200 * time.Millisecond},
 		{"retry that is 0.9 s old", true, 1100 * time.Millisecond, 0, ActSend, 1100 * time.Millisecond},
 		{"retry that is 1.5 s old", true, 500 * time.Millisecond, 0, ActRefuse, time.Second},
-		{"the same if late answers have worth", true, 500 * time.Millisecond, 0.5, ActSend, 500 * time.Millisecond},
+		{"the same if late answers have utility", true, 500 * time.Millisecond, 0.5, ActSend, 500 * time.Millisecond},
 	} {
 		b := newTestBalancer(t, settings(func(s *Settings) { s.Classes[1].LateWorth = c.late }), Entry{ID: 1, Zone: "a"})
 		first := func(id string, left time.Duration, repeat bool) Action {
@@ -1070,7 +1070,7 @@
 	}
 }
 
-// A retry for an answer that comes too late to have any worth is wasted work.
+// A retry for an answer that comes too late to have any utility is wasted work.
 func TestNoRetryAfterLatencyTarget(t *testing.T) {
 	for _, c := range []struct {
 		after time.Duration
--- a/policy/state.go
+++ b/policy/state.go
@@ -27,7 +27,7 @@
 	latency          decay.Moments // latencies of answers
 	hedgeable        []*attempt    // first attempts that may be hedged, in the order of the sends
 	minRemaining     float64       // lowest recent time to the deadline at the arrival of a first try
-	lowPriority      bool          // worth less than the average in relation to its latency
+	lowPriority      bool          // its utility in relation to its latency is below the average
 	localLatency     decay.Mean    // latencies of answers that took no priced cross-zone send
 	bestLocalLatency float64       // lowest recent mean of them
 	localFraction    float64       // fraction of requests that stay in this zone if a backend there can take them
@@ -58,7 +58,7 @@
 	lowPriority       bool    // diverted before others
 	requiredProtocols uint8   // that its backend must speak
 	deadline          float64 // when the client gives up
-	usefulUntil       float64 // when an answer no longer has any worth
+	usefulUntil       float64 // when an answer no longer has any utility
 	zoneDraw          float64 // random draw that decides whether it may use zones limited to a fraction of the requests
 	attempts          []*attempt
 	firstAttempt      attempt     // most requests have only one, which then needs no allocation
@@ -121,7 +121,7 @@
 	trafficShare    float64    // this node's share of all traffic
 	nodesPerBackend float64    // mean number of nodes that work with a backend
 	firstRefreshAt  float64    // 0 before the first refresh
-	meanUtility     float64    // recent mean worth of a request
+	meanUtility     float64    // recent mean utility of a request
 	remoteLatency   decay.Mean // latencies of answers from other zones as multiples of their class's local mean
 	sends           decay.Mean // count of attempts; the sum counts those that left the zone at a price
 	othersLoad      decay.EWMA // mean occupancy of a backend by the other nodes' requests
@@ -138,7 +138,7 @@
 	loadTrend       float64       // assumed change of the other nodes' load since the reports, a factor
 	actions         []Action
 
-	minTarget, halfMinDeadline     float64 // shortest aim and half the shortest deadline; infinite if none is set
+	minTarget, halfMinDeadline     float64 // shortest latency target, half the shortest deadline; +Inf if unset
 	requestCount, lowPriorityCount float64 // decayed counts of all requests and of low-priority ones
 	pickCount, pickSeconds         float64 // decayed count of picks and the decayed time over which they were counted
 }
--- a/policy/unreported_test.go
+++ b/policy/unreported_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// simulate simulates one second for each load, a fraction of the backends' capacity. It returns the answers in time of the
+// simulate runs one second for each load, a fraction of the backends' capacity. It returns the answers in time of the
 // last five seconds as a fraction of the capacity.
 func (f *overloadedFleet) simulate(load ...float64) float64 {
 	capacity := float64(len(f.busyUntil)*overloadedCores) / overloadedMeanWork.Seconds()
--- a/policy/worth.go
+++ b/policy/worth.go
@@ -13,7 +13,7 @@
 	return b.rng.Float64() > cmp.Or(t.withinQuota, t.QuotaPerS*b.trafficShare/t.rate)
 }
 
-// rankClasses marks the low-priority classes: those whose worth per second of latency is below the average. They are
+// rankClasses marks the low-priority classes: those whose utility per second of latency is below the average. They are
 // not ranked among themselves, so the lowest of them counts like the others.
 func (b *Balancer) rankClasses(decay float64) {
 	b.requestCount, b.lowPriorityCount = b.requestCount*decay, b.lowPriorityCount*decay
--- a/policy/zone.go
+++ b/policy/zone.go
@@ -27,9 +27,9 @@
 }
 
 // computeLocalFraction returns the fraction of a class's requests that stay in the node's zone. Latencies are taken as
-// exponential: with a mean of l an answer misses its aim with probability exp(-aim/l), and one more request adds a
-// fraction l/best-1 of l to the latencies of the others (M/M/1). Crossing pays if the other zone loses less by more
-// than the price.
+// exponential: with a mean of l an answer misses its target with probability exp(-target/l), and one more request adds
+// a fraction l/best-1 of l to the latencies of the others (M/M/1). Leaving the zone pays if the other zone loses less
+// by more than the price.
 func (b *Balancer) computeLocalFraction(c *class, dt float64) float64 {
 	if c.localLatency.N < priorSamples || b.meanUtility <= 0 {
 		return 1
@@ -40,7 +40,7 @@
 		c.bestLocalLatency = latency
 	}
 	if b.cfg.CrossPrice <= 0 || math.IsInf(b.minTarget, 1) || c.Worth <= 0 {
-		return 1 // without a price, an aim or a worth there is nothing to weigh
+		return 1 // without a price, a target or a utility there is nothing to weigh
 	}
 	target := c.Aim.Seconds()
 	if target <= 0 {
@@ -52,7 +52,7 @@
 	loss := func(latency float64) float64 {
 		return math.Exp(-target/latency) * (1 + target/latency*max(0, latency/c.bestLocalLatency-1))
 	}
-	price := b.cfg.CrossPrice * b.meanUtility / c.Worth // as a fraction of the request's worth
+	price := b.cfg.CrossPrice * b.meanUtility / c.Worth // as a fraction of the request's utility
 	return 1 / (1 + math.Exp(-crossingSteepness*(loss(latency*remoteRatio)+price-loss(latency))/price))
 }
 
--- a/policy/zone_test.go
+++ b/policy/zone_test.go
@@ -86,7 +86,7 @@
 	// Requests worth ten times as much leave the zone for a smaller gain.
 	got := simulateZones(t, 0.05, both, 350*ms, 100*ms)
 	if got["top"] < got["low"]+0.2 {
-		t.Errorf("%.2f of the class with the higher worth leave the zone and %.2f of the other, want 0.2 more",
+		t.Errorf("%.2f of the class with the higher utility leave the zone and %.2f of the other, want 0.2 more",
 			got["top"], got["low"])
 	}
 }
