--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -261,7 +261,7 @@
 		out = append(out, lab.Setting{Name: "sites " + filepath.Base(file), Tuning: policy.DefaultTuning(), Sites: plans[len(plans)-1]})
 	}
 	for _, text := range c.Share {
-		use, err := settings.ParseUse(strings.Split(text, ","))
+		use, err := settings.ParseFeatures(strings.Split(text, ","))
 		if err != nil {
 			return nil, usage("--share: %w", err)
 		}
--- a/internal/controlnet/daemon.go
+++ b/internal/controlnet/daemon.go
@@ -130,7 +130,7 @@
 		BytesPerSecond:    float64(limits.BytesPerSecond),
 		BurstBytes:        burstSeconds * float64(limits.BytesPerSecond),
 		MaxSnapshots:      limits.MaxSnapshots,
-		HeartbeatInterval: limits.Heartbeat.D(),
+		HeartbeatInterval: limits.HeartbeatInterval.D(),
 		Seed:              seed(d.cfg.Name),
 		Age:               func(region string, now time.Duration) time.Duration { return d.age(subscribers, region, now) },
 	})
--- a/internal/controlnet/member.go
+++ b/internal/controlnet/member.go
@@ -97,7 +97,7 @@
 	m := &member{cfg: cfg, log: log, clock: clock, names: map[uint64]string{}, links: map[uint64]*memberLink{},
 		served:   changelog.NewStore(cfg.Region, changelog.Limits{}),
 		received: make(chan memberMessage, maxReceivedMessages), proposals: make(chan *proposal), done: make(chan struct{}),
-		tick: max(minTick, cfg.Limits.Heartbeat.D()/ticksPerHeartbeat), lastTick: clock()}
+		tick: max(minTick, cfg.Limits.HeartbeatInterval.D()/ticksPerHeartbeat), lastTick: clock()}
 	m.state.lastContact = -unknownAge
 	var ids []uint64
 	for _, peer := range cfg.Members {
--- a/internal/controlnet/member_test.go
+++ b/internal/controlnet/member_test.go
@@ -53,7 +53,7 @@
 		}
 		all = append(all, &testMember{t: t, cfg: &settings.ControlProcess{Role: settings.RoleWriter, Name: x.Name, Region: "north",
 			Regions: []string{"north"}, Listen: x.Address, Socket: state + ".sock", Cluster: "test", Keys: [][]byte{testKey}, StateDir: state, Members: members,
-			Limits: settings.ControlLimits{BytesPerSecond: 8 << 20, MaxSnapshots: 4, MaxSubscribers: 10, Heartbeat: tomlfile.Duration(200 * time.Millisecond),
+			Limits: settings.ControlLimits{BytesPerSecond: 8 << 20, MaxSnapshots: 4, MaxSubscribers: 10, HeartbeatInterval: tomlfile.Duration(200 * time.Millisecond),
 				ParentTimeout: tomlfile.Duration(time.Second), LogBytes: 128 << 10}}})
 	}
 	return all
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -82,7 +82,7 @@
 				if to == "sites" {
 					e.WatchSites(siting.New(&e.settings, nil))
 				} else {
-					e.SetFleetState(&replicaState{shared.New(shared.Config{Name: "n0", Nodes: 1, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), BytesPerSecond: 8192, DatagramBytes: 1400}, time.Hour), time.Hour})
+					e.SetFleetState(&replicaState{shared.New(shared.Config{Name: "n0", Nodes: 1, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), BytesPerSecond: 8192, MaxDatagramBytes: 1400}, time.Hour), time.Hour})
 				}
 				e.takeList(&List{Version: 1, Full: true, Backends: all}, policy.ListFull)
 				b.ReportAllocs()
--- a/internal/kit/lab/share.go
+++ b/internal/kit/lab/share.go
@@ -15,7 +15,7 @@
 // Sharing has the nodes share state, as peers that gossip over a network that loses part of what they say. Who is
 // here is not found out by SWIM's own messages: a node that ends is told as dead to all after deadAfter.
 type Sharing struct {
-	Use     shared.Use
+	Use     shared.Features
 	Loss    float64 // part of the datagrams
 	BytesPS int     // of a node
 }
@@ -44,7 +44,7 @@
 		quotas[t.Name] = t.QuotaPerS
 	}
 	n.shared = shared.New(shared.Config{Name: n.Name, Self: escrow.Node{Number: n.index, Incarnation: uint64(n.life) + 1}, Nodes: set.Nodes, Site: n.Site,
-		Quotas: quotas, OverflowSites: planned(n.w.opt.Sites), Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: o.Use, BytesPerSecond: o.BytesPS, DatagramBytes: datagram}, epoch+n.w.now)
+		Quotas: quotas, OverflowSites: planned(n.w.opt.Sites), Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Features: o.Use, BytesPerSecond: o.BytesPS, MaxDatagramBytes: datagram}, epoch+n.w.now)
 	life := n.life
 	n.every(life, shareStep, func() {
 		n.speak(n.shared.Step(epoch + n.w.now))
--- a/internal/kit/lab/share_test.go
+++ b/internal/kit/lab/share_test.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		set := Setting{Tuning: policy.DefaultTuning(), Share: &Sharing{Use: shared.Use{Quotas: true, Ejections: true}, Loss: 0.2, BytesPS: 64 << 10}}
+		set := Setting{Tuning: policy.DefaultTuning(), Share: &Sharing{Use: shared.Features{Quotas: true, Ejections: true}, Loss: 0.2, BytesPS: 64 << 10}}
 		b, err := playSetting("greedy", s, seed, set)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/kit/scale/mesh/mesh.go
+++ b/internal/kit/scale/mesh/mesh.go
@@ -95,7 +95,7 @@
 	}
 	replica := func(number int) *shared.Replica {
 		return shared.New(shared.Config{Name: name(number), Self: escrow.Node{Number: number, Incarnation: 1}, Nodes: nodes, Site: site(number),
-			Quotas: quotas, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: shared.Use{Quotas: true}, BytesPerSecond: bytesPS, DatagramBytes: datagram}, m.now)
+			Quotas: quotas, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Features: shared.Features{Quotas: true}, BytesPerSecond: bytesPS, MaxDatagramBytes: datagram}, m.now)
 	}
 	m.full = replica(0)
 	m.join(m.full, 0)
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -124,7 +124,7 @@
 func (n *node) demand() (out []ClassDemand) {
 	policy := &n.cfg.Settings.Policy
 	for _, d := range n.engine.Demand() {
-		entry := ClassDemand{Class: d.Class, Rate: d.Rate, OverQuota: d.Over, Work: d.Work, OverQuotaUtility: policy.OverShare}
+		entry := ClassDemand{Class: d.Class, Rate: d.Rate, OverQuota: d.OverQuota, Work: d.Work, OverQuotaUtility: policy.OverShare}
 		for _, c := range policy.Classes {
 			if c.Name == d.Class {
 				entry.Utility = c.Worth
--- a/internal/node/races_test.go
+++ b/internal/node/races_test.go
@@ -237,12 +237,12 @@
 func TestIdleWaitIsBounded(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		aim   string
-		conns int
+		target string
+		conns  int
 	}{{"30", 1}, {"0.1", 2}} {
 		b := newStubBackend(t, respondOK)
 		frozen := time.Now()
-		r := startNode(t, newStubDiscovery(t), strings.ReplaceAll(settingsJSON, `"aim_s":30`, `"aim_s":`+c.aim), func(cfg *Config) {
+		r := startNode(t, newStubDiscovery(t), strings.ReplaceAll(settingsJSON, `"aim_s":30`, `"aim_s":`+c.target), func(cfg *Config) {
 			cfg.now = func() time.Time { return frozen } // the clock never ends an idle wait
 			cfg.sleep = func(context.Context, time.Duration) bool { return true }
 		}, b.entry("s-1"))
@@ -253,7 +253,7 @@
 			}
 		}
 		if n := b.connections(); n != c.conns {
-			t.Errorf("latency target %s s: %d connections, want %d", c.aim, n, c.conns)
+			t.Errorf("latency target %s s: %d connections, want %d", c.target, n, c.conns)
 		}
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -89,8 +89,8 @@
 		quotas[t.Name] = t.QuotaPerS
 	}
 	p.replica = shared.New(shared.Config{Name: cfg.Name, Self: escrow.Node{Number: cfg.Policy.Number, Incarnation: uint64(time.Now().UnixMilli())},
-		Nodes: cfg.Policy.Nodes, Site: cfg.Policy.Zone, Quotas: quotas, OverflowSites: cfg.OverflowSites, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: f.Features,
-		BytesPerSecond: int(f.BytesPerSecond), DatagramBytes: f.MaxDatagramBytes}, p.now())
+		Nodes: cfg.Policy.Nodes, Site: cfg.Policy.Zone, Quotas: quotas, OverflowSites: cfg.OverflowSites, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Features: f.Features,
+		BytesPerSecond: int(f.BytesPerSecond), MaxDatagramBytes: f.MaxDatagramBytes}, p.now())
 	keys, err := memberlist.NewKeyring(f.Keys, f.Keys[0])
 	if err != nil {
 		return nil, fmt.Errorf("fleet.key_file: %w", err)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -35,7 +35,7 @@
 }
 
 func fleetOf(listen, cluster string, keys [][]byte, seeds ...string) *settings.Fleet {
-	return &settings.Fleet{Listen: listen, Advertise: listen, Seeds: seeds, Cluster: cluster, Keys: keys, Features: shared.Use{Escrow: true, Ejections: true},
+	return &settings.Fleet{Listen: listen, Advertise: listen, Seeds: seeds, Cluster: cluster, Keys: keys, Features: shared.Features{Escrow: true, Ejections: true},
 		BytesPerSecond: settings.DefaultBytesPerSecond, MaxDatagramBytes: 1400, LeaveTimeout: tomlfile.Duration(100 * time.Millisecond)}
 }
 
--- a/internal/settings/control.go
+++ b/internal/settings/control.go
@@ -38,7 +38,7 @@
 	maxControlBytes              = 1 << 30
 	maxNameBytes                 = resource.MaxNameBytes
 	maxParents                   = 64
-	defaultHeartbeat             = time.Second
+	defaultHeartbeatInterval     = time.Second
 	defaultParentTimeout         = 3 * time.Second
 	defaultLogBytes              = 16 << 20
 	minLogBytes                  = 64 << 10
@@ -186,12 +186,12 @@
 
 // ControlLimits limits what a control plane process spends on its subscribers.
 type ControlLimits struct {
-	BytesPerSecond tomlfile.Size     `toml:"bytes"`       // maximum per second sent to all subscribers together
-	MaxSnapshots   int               `toml:"snapshots"`   // sent at the same time
-	MaxSubscribers int               `toml:"subscribers"` // concurrent sessions
-	Heartbeat      tomlfile.Duration `toml:"heartbeat"`   // interval of messages to a subscriber while nothing changes
-	ParentTimeout  tomlfile.Duration `toml:"silence"`     // silence after which this process closes the connection to a parent of its own
-	LogBytes       tomlfile.Size     `toml:"log"`         // size of the log since the last snapshot at which a writer makes another
+	BytesPerSecond    tomlfile.Size     `toml:"bytes"`       // maximum per second sent to all subscribers together
+	MaxSnapshots      int               `toml:"snapshots"`   // sent at the same time
+	MaxSubscribers    int               `toml:"subscribers"` // concurrent sessions
+	HeartbeatInterval tomlfile.Duration `toml:"heartbeat"`   // interval of messages to a subscriber while nothing changes
+	ParentTimeout     tomlfile.Duration `toml:"silence"`     // silence after which this process closes the connection to a parent of its own
+	LogBytes          tomlfile.Size     `toml:"log"`         // size of the log since the last snapshot at which a writer makes another
 }
 
 // LoadControlProcess reads and checks the settings file of a control plane process. An error is one line that names
@@ -348,15 +348,15 @@
 		l.MaxSubscribers = defaultServedSubscribers
 	}
 	if !keys.Has("limits.heartbeat") {
-		l.Heartbeat = tomlfile.Duration(defaultHeartbeat)
+		l.HeartbeatInterval = tomlfile.Duration(defaultHeartbeatInterval)
 	}
 	switch {
 	case l.MaxSnapshots < 1 || l.MaxSnapshots > maxServedSubscribers:
 		return keys.Problem("limits.snapshots", "%d is outside 1 to %d", l.MaxSnapshots, maxServedSubscribers)
 	case l.MaxSubscribers < 1 || l.MaxSubscribers > maxServedSubscribers:
 		return keys.Problem("limits.subscribers", "%d is outside 1 to %d", l.MaxSubscribers, maxServedSubscribers)
-	case l.Heartbeat.D() < 50*time.Millisecond || l.Heartbeat.D() > 10*time.Second:
-		return keys.Problem("limits.heartbeat", "%v is outside 50ms to 10s", l.Heartbeat.D())
+	case l.HeartbeatInterval.D() < 50*time.Millisecond || l.HeartbeatInterval.D() > 10*time.Second:
+		return keys.Problem("limits.heartbeat", "%v is outside 50ms to 10s", l.HeartbeatInterval.D())
 	}
 	if l.ParentTimeout, err = checkParentTimeout(keys, "limits.silence", l.ParentTimeout); err != nil {
 		return err
--- a/internal/settings/control_test.go
+++ b/internal/settings/control_test.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Limits.Heartbeat.D() != time.Second || c.Limits.MaxSnapshots != 64 || c.Limits.MaxSubscribers != 1000 || c.Limits.BytesPerSecond != 8<<20 || c.Limits.ParentTimeout.D() != 3*time.Second || c.Regions[0] != "north" || len(c.Members) != 1 || c.Members[0].ID != 1 {
+	if c.Limits.HeartbeatInterval.D() != time.Second || c.Limits.MaxSnapshots != 64 || c.Limits.MaxSubscribers != 1000 || c.Limits.BytesPerSecond != 8<<20 || c.Limits.ParentTimeout.D() != 3*time.Second || c.Regions[0] != "north" || len(c.Members) != 1 || c.Members[0].ID != 1 {
 		t.Errorf("%+v", c)
 	}
 	checkErrors(t, writer, parse, []struct{ old, new, want string }{
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -28,7 +28,7 @@
 	Audit            string            `toml:"audit"`     // file that records each change of a spendable budget, for test runs
 	Skew             []Skew            `toml:"skew"`      // offsets of the clock used for shared state, for test runs
 	Keys             [][]byte          `toml:"-"`         // read from key_file
-	Features         shared.Use        `toml:"-"`         // parsed from use
+	Features         shared.Features   `toml:"-"`         // parsed from use
 	LeaveTimeout     tomlfile.Duration `toml:"leave"`     // how long a node that shuts down announces that it leaves
 }
 
@@ -46,9 +46,9 @@
 	minDatagramBytes        = 256
 )
 
-// ParseUse parses what shared state is used for: quotas, escrow, ejections and crossing, or nothing.
-func ParseUse(names []string) (shared.Use, error) {
-	var u shared.Use
+// ParseFeatures parses what shared state is used for: quotas, escrow, ejections and crossing, or nothing.
+func ParseFeatures(names []string) (shared.Features, error) {
+	var u shared.Features
 	for _, name := range names {
 		switch strings.TrimSpace(name) {
 		case "quotas":
@@ -99,9 +99,9 @@
 	if f.Keys, err = checkCluster(keys, "fleet.", f.Cluster, f.KeyFile); err != nil {
 		return err
 	}
-	f.Features = shared.Use{Quotas: true}
+	f.Features = shared.Features{Quotas: true}
 	if keys.Has("fleet.use") {
-		if f.Features, err = ParseUse(f.Use); err != nil {
+		if f.Features, err = ParseFeatures(f.Use); err != nil {
 			return keys.Problem("fleet.use", "%v", err)
 		}
 	}
--- a/internal/settings/fleet_test.go
+++ b/internal/settings/fleet_test.go
@@ -29,10 +29,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f := f.Fleet; f.Advertise != f.Listen || len(f.Keys) != 2 || len(f.Keys[1]) != 16 || f.Features != (shared.Use{Quotas: true}) || f.BytesPerSecond != DefaultBytesPerSecond || f.MaxDatagramBytes != 1400 {
+	if f := f.Fleet; f.Advertise != f.Listen || len(f.Keys) != 2 || len(f.Keys[1]) != 16 || f.Features != (shared.Features{Quotas: true}) || f.BytesPerSecond != DefaultBytesPerSecond || f.MaxDatagramBytes != 1400 {
 		t.Errorf("%+v", f)
 	}
-	if f, err := Parse("own.toml", []byte(good+`use = ["ejections", "escrow"]`)); err != nil || f.Fleet.Features != (shared.Use{Escrow: true, Ejections: true}) {
+	if f, err := Parse("own.toml", []byte(good+`use = ["ejections", "escrow"]`)); err != nil || f.Fleet.Features != (shared.Features{Escrow: true, Ejections: true}) {
 		t.Errorf("%v", err)
 	}
 	for _, x := range []struct{ old, new, want string }{
--- a/internal/settings/sites.go
+++ b/internal/settings/sites.go
@@ -11,7 +11,7 @@
 type Sites struct {
 	Watch          bool       `toml:"watch"`  // watch the health state of each site, also without a plan
 	MaxUtilization float64    `toml:"full"`   // fraction of its capacity up to which a site is filled
-	ShedOrder      []string   `toml:"refuse"` // classes in the order in which their requests are refused
+	RefuseFirst    []string   `toml:"refuse"` // classes in the order in which their requests are refused
 	Sites          []PlanSite `toml:"site"`
 
 	Plan *sites.Plan `toml:"-"` // nil without sites
@@ -62,7 +62,7 @@
 	if keys.Has("sites.watch") && !s.Watch {
 		return keys.Problem("sites.watch", "a plan requires it: omit it, or remove [[sites.site]]")
 	}
-	p := &sites.Plan{MaxUtilization: s.MaxUtilization, RefuseFirst: s.ShedOrder}
+	p := &sites.Plan{MaxUtilization: s.MaxUtilization, RefuseFirst: s.RefuseFirst}
 	for _, x := range s.Sites {
 		site := sites.Site{Name: x.Name, Capacity: x.Capacity, Backends: x.Backends, Nodes: x.Nodes, Load: x.Load, Reserve: x.Reserve}
 		for _, w := range x.OverflowTargets {
--- a/internal/shared/broadcasts.go
+++ b/internal/shared/broadcasts.go
@@ -108,7 +108,7 @@
 func (r *Replica) entriesPerSecond() float64 {
 	nodes := float64(r.roster.PeerCount() + 1)
 	transmissions := retransmitFactor * max(1, math.Ceil(math.Log10(nodes+1)))
-	bytesPerSecond := min(float64(r.cfg.BytesPerSecond), maxDatagramsPerSecond*float64(r.cfg.DatagramBytes))
+	bytesPerSecond := min(float64(r.cfg.BytesPerSecond), maxDatagramsPerSecond*float64(r.cfg.MaxDatagramBytes))
 	return entryByteFraction * bytesPerSecond / (typicalEntryBytes * transmissions * nodes)
 }
 
--- a/internal/shared/budgets.go
+++ b/internal/shared/budgets.go
@@ -27,10 +27,10 @@
 
 // eachBudget calls f with the name of each budget in use, in a fixed order.
 func (r *Replica) eachBudget(f func(budget string)) {
-	if r.cfg.Use.Crossing {
+	if r.cfg.Features.Crossing {
 		r.eachOverflowBudget(func(budget, _ string) { f(budget) })
 	}
-	if r.cfg.Use.Escrow {
+	if r.cfg.Features.Escrow {
 		r.eachQuotaBudget(func(budget, _ string) { f(budget) })
 	}
 }
--- a/internal/shared/localcounts.go
+++ b/internal/shared/localcounts.go
@@ -30,7 +30,7 @@
 			add(quotaPrefix + tenant)
 		}
 	}
-	if cfg.Use.Crossing {
+	if cfg.Features.Crossing {
 		for _, site := range cfg.OverflowSites {
 			add(overflowPrefix + site)
 		}
--- a/internal/shared/queue_test.go
+++ b/internal/shared/queue_test.go
@@ -13,7 +13,7 @@
 	tenants := []string{"a", "b", "c", "d"}
 	for i := range f.nodes {
 		cfg := config(i, nodes, 9)
-		cfg.Use = Use{Quotas: true}
+		cfg.Features = Features{Quotas: true}
 		cfg.Quotas = map[string]float64{}
 		for _, tenant := range tenants {
 			cfg.Quotas[tenant] = quotaPerSecond
--- a/internal/shared/replica.go
+++ b/internal/shared/replica.go
@@ -20,8 +20,8 @@
 // stepInterval is the interval at which Step is to be called.
 const stepInterval = 250 * time.Millisecond
 
-// Use selects what the shared state is used for. The state is sent to other nodes in any case.
-type Use struct {
+// Features selects what the shared state is used for. The state is sent to other nodes in any case.
+type Features struct {
 	Quotas    bool // quotas are enforced by the request counts of all nodes
 	Escrow    bool // quotas are enforced by this node's share; all shares together never exceed the quota
 	Ejections bool // a backend that a quorum of nodes finds unhealthy is ejected here too
@@ -38,10 +38,10 @@
 	OverflowSites  []string           // sites that can take the load of lost ones
 	Terms          escrow.Terms       // of loans between nodes
 	Limits         judgement.Limits   // of ejections
-	Use            Use
+	Features       Features
 	BytesPerSecond int // that this node can send
 
-	DatagramBytes int // size of the largest datagram
+	MaxDatagramBytes int // size of the largest datagram
 }
 
 // Message is a frame for one member.
@@ -111,7 +111,7 @@
 	r.roster.SetStaleAfter(r.staleAfter())
 	r.queueUpdates()
 	messages := r.planLoans(now)
-	if r.cfg.Use.Ejections {
+	if r.cfg.Features.Ejections {
 		r.updateEjections()
 	}
 	r.table.Prune(r.clock.now, pruneAfterStale*r.staleAfter())
--- a/internal/shared/replica_test.go
+++ b/internal/shared/replica_test.go
@@ -37,7 +37,7 @@
 
 func config(i, n int, incarnation uint64) Config {
 	return Config{Name: fmt.Sprintf("n%d", i), Self: escrow.Node{Number: i, Incarnation: incarnation}, Nodes: n, Site: []string{"north", "south"}[i%2],
-		Quotas: map[string]float64{"a": quotaPerSecond, "none": 0}, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: Use{Escrow: true, Ejections: true}, BytesPerSecond: 64 << 10, DatagramBytes: 1400}
+		Quotas: map[string]float64{"a": quotaPerSecond, "none": 0}, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Features: Features{Escrow: true, Ejections: true}, BytesPerSecond: 64 << 10, MaxDatagramBytes: 1400}
 }
 
 func newFleet(t testing.TB, n int) *fleet {
@@ -153,7 +153,7 @@
 func TestWithinAShareByCounts(t *testing.T) {
 	f := newFleet(t, 6)
 	for _, r := range f.nodes {
-		r.cfg.Use = Use{Quotas: true}
+		r.cfg.Features = Features{Quotas: true}
 	}
 	f.run(15*time.Second, func(i int, r *Replica) { // 420 requests per second, and the quota is 100
 		for range 1 + i {
@@ -282,7 +282,7 @@
 	f := newFleet(t, 6)
 	for i := range f.nodes {
 		c := config(i, 6, 9)
-		c.Use, c.OverflowSites = Use{Crossing: true}, []string{"east", "west"}
+		c.Features, c.OverflowSites = Features{Crossing: true}, []string{"east", "west"}
 		f.incarnations[i] = 9
 		f.nodes[i] = New(c, f.now)
 	}
--- a/internal/shared/scale_test.go
+++ b/internal/shared/scale_test.go
@@ -24,7 +24,7 @@
 	tb.Helper()
 	before := heapInUse()
 	cfg := config(0, nodes, 1)
-	cfg.Use, cfg.BytesPerSecond = Use{Quotas: true}, allowedBytesPerSecond
+	cfg.Features, cfg.BytesPerSecond = Features{Quotas: true}, allowedBytesPerSecond
 	cfg.Quotas = map[string]float64{}
 	for i := range tenants {
 		cfg.Quotas[fmt.Sprint("tenant-", i)] = quotaPerSecond
@@ -106,7 +106,7 @@
 			f.rng = rand.New(rand.NewPCG(seed, 2))
 			for i := range f.nodes {
 				cfg := config(i, n, 9)
-				cfg.Use, cfg.BytesPerSecond = Use{Quotas: true}, allowedBytesPerSecond
+				cfg.Features, cfg.BytesPerSecond = Features{Quotas: true}, allowedBytesPerSecond
 				cfg.Quotas = map[string]float64{"a": quotaPerSecond, "b": quotaPerSecond, "c": quotaPerSecond, "d": quotaPerSecond}
 				f.nodes[i] = New(cfg, f.now)
 				f.nodes[i].SetBackends([]judgement.Backend{})
--- a/internal/shared/view.go
+++ b/internal/shared/view.go
@@ -29,10 +29,10 @@
 	for site, count := range r.roster.Sites(r.clock.now) {
 		v.LiveNodes[site] = count.Lower
 	}
-	if r.cfg.Use.Quotas || r.cfg.Use.Escrow {
+	if r.cfg.Features.Quotas || r.cfg.Features.Escrow {
 		r.viewQuotas(now, &v)
 	}
-	if r.cfg.Use.Crossing {
+	if r.cfg.Features.Crossing {
 		r.viewOverflow(now, &v)
 	}
 	for _, b := range r.backends {
@@ -52,7 +52,7 @@
 			return // it has counted nothing yet
 		}
 		var allowed, rate float64
-		if r.cfg.Use.Escrow { // this node's share, against its own requests
+		if r.cfg.Features.Escrow { // this node's share, against its own requests
 			allowed = r.cfg.Quotas[tenant] * r.viewShare(now, budget, v)
 			rate = localRate
 		} else { // the whole quota, against the requests of all nodes
--- a/internal/sites/node.go
+++ b/internal/sites/node.go
@@ -26,10 +26,10 @@
 
 // Demand is the demand of this node's clients for one class.
 type Demand struct {
-	Class string
-	Rate  float64 // requests a second
-	Over  float64 // requests a second over their tenants' quotas, which Rate includes
-	Work  float64 // of one request, in any unit common to all classes
+	Class     string
+	Rate      float64 // requests a second
+	OverQuota float64 // requests a second over their tenants' quotas, which Rate includes
+	Work      float64 // of one request, in any unit common to all classes
 }
 
 // Zone limits the use of a site by this node.
@@ -249,7 +249,7 @@
 			work = d.Work / mean
 		}
 		n.kinds = append(n.kinds, Kind{d.Class, false, utility, work}, Kind{d.Class, true, utility * n.cfg.OverQuotaUtility, work})
-		local = append(local, max(0, d.Rate-d.Over)*work, min(d.Over, d.Rate)*work)
+		local = append(local, max(0, d.Rate-d.OverQuota)*work, min(d.OverQuota, d.Rate)*work)
 	}
 	total, home := sum(local), p.index(n.cfg.Home)
 	for i, s := range p.Sites {
--- a/policy/sites_test.go
+++ b/policy/sites_test.go
@@ -90,7 +90,7 @@
 		t.Fatalf("%d classes, want 4", n)
 	}
 	for _, d := range b.Demand() {
-		if want := map[string]float64{"top": 50}[d.Class]; d.Rate < 0.8*want || d.Rate > 1.3*want || d.Over > 0 {
+		if want := map[string]float64{"top": 50}[d.Class]; d.Rate < 0.8*want || d.Rate > 1.3*want || d.OverQuota > 0 {
 			t.Errorf("%+v, want %v a second", d, want)
 		}
 	}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -45,7 +45,7 @@
 	// The counts decay with each refresh, so they stand for a decayed time too.
 	seconds := max(historyDecaySeconds*(1-math.Exp((b.firstRefreshAt-b.refreshedAt)/historyDecaySeconds)), 1e-3)
 	for _, c := range b.classes {
-		out = append(out, sites.Demand{Class: c.Name, Rate: c.requests / seconds, Over: c.overQuota / seconds,
+		out = append(out, sites.Demand{Class: c.Name, Rate: c.requests / seconds, OverQuota: c.overQuota / seconds,
 			Work: c.meanLatency()})
 	}
 	return out
