--- a/internal/bodies/bodies_test.go
+++ b/internal/bodies/bodies_test.go
@@ -123,7 +123,7 @@
 	quote := Class{MaxSize: 150, MaxInMemory: 60}
 	for i, c := range []struct {
 		class          Class
-		shut           bool
+		disabled       bool
 		reserved, size int64
 		want           Tier
 		memory         int64
@@ -138,7 +138,7 @@
 		{noStream, false, 0, 20, TooLarge, 100, 300}, // all totals are used up
 		{save, true, 0, 20, TooLarge, 100, 300},
 	} {
-		b.SetDiskDisabled(c.shut)
+		b.SetDiskDisabled(c.disabled)
 		got, err := b.Extend(c.class, c.reserved, c.size)
 		if got != c.want || (err != nil) != (c.want == TooLarge) || b.Used(Memory) != c.memory || b.Used(Disk) != c.disk {
 			t.Errorf("%d: %v (%v), want %v; memory %d, disk %d", i, got, err, c.want, b.Used(Memory), b.Used(Disk))
--- a/internal/controlnet/process.go
+++ b/internal/controlnet/process.go
@@ -56,11 +56,11 @@
 	Late bool // it may have been published a while ago, because all parents were silent before
 }
 
-// LimitsFor returns the limits of a subscriber that abandons a parent after a silence. All other times of the default limits
-// are scaled in proportion, except for the connect timeout.
-func LimitsFor(silence time.Duration) subscriber.Limits {
+// LimitsFor returns the limits of a subscriber that abandons a parent after parentTimeout without a message. All other times
+// of the default limits are scaled in proportion, except for the connect timeout.
+func LimitsFor(parentTimeout time.Duration) subscriber.Limits {
 	l := subscriber.DefaultLimits()
-	factor := silence.Seconds() / l.SilenceTimeout.Seconds()
+	factor := parentTimeout.Seconds() / l.SilenceTimeout.Seconds()
 	for _, d := range []*time.Duration{&l.SilenceTimeout, &l.MaxLag, &l.CatchUpTimeout, &l.StaleAfter, &l.ReturnAfter, &l.BackoffBase, &l.BackoffLimit, &l.AcknowledgeInterval, &l.WentBackAfter} {
 		*d = time.Duration(d.Seconds() * factor * float64(time.Second))
 	}
--- a/internal/engine/shutdown_test.go
+++ b/internal/engine/shutdown_test.go
@@ -16,7 +16,9 @@
 // SIGTERM, and one when the answers are due.
 func TestShutdownAllowsForTwoStalls(t *testing.T) {
 	t.Parallel()
-	class := func(aim, deadline time.Duration) policy.Class { return policy.Class{Aim: aim, Deadline: deadline} }
+	class := func(target, deadline time.Duration) policy.Class {
+		return policy.Class{Aim: target, Deadline: deadline}
+	}
 	for _, c := range []struct {
 		name                     string
 		classes                  []policy.Class
--- a/internal/httpcarrier/carrier.go
+++ b/internal/httpcarrier/carrier.go
@@ -98,9 +98,9 @@
 // Carry sends the request once and waits for the answer. A connection that it abandons is closed before it returns, so
 // that consecutive attempts never overlap.
 func (n *Carrier) Carry(ctx context.Context, a *engine.Attempt) engine.Result {
-	fresh := false
-	res := n.carry(ctx, a, &fresh)
-	res.NewConnection = fresh
+	newConn := false
+	res := n.carry(ctx, a, &newConn)
+	res.NewConnection = newConn
 	return res
 }
 
--- a/internal/httpcarrier/pool.go
+++ b/internal/httpcarrier/pool.go
@@ -110,9 +110,9 @@
 	for {
 		c := p.take(k, once, p.maxSettleWait)
 		if c == nil {
-			fresh, err := p.connect(ctx, k, backend)
+			conn, err := p.connect(ctx, k, backend)
 			if !errors.Is(err, errNoDescriptor) {
-				return fresh, err
+				return conn, err
 			}
 			if c = p.take(k, once, settleTime); c == nil {
 				return nil, err
--- a/internal/httpfront/framing.go
+++ b/internal/httpfront/framing.go
@@ -36,11 +36,11 @@
 // scan processes the next bytes of the connection. It ignores those after the head.
 func (f *framing) scan(p []byte) {
 	for len(p) > 0 && !f.ended {
-		text, rest, whole := bytes.Cut(p, []byte("\n"))
+		text, rest, complete := bytes.Cut(p, []byte("\n"))
 		space := maxFramingLineBytes - len(f.line)
 		f.truncated = f.truncated || len(text) > space
 		f.line = append(f.line, text[:min(len(text), space)]...)
-		if !whole {
+		if !complete {
 			return
 		}
 		f.endLine()
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -165,11 +165,11 @@
 func (s *Front) evictIdle(forClient bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	spare := s.account.EvictionCandidate(s.now(), forClient, func(c *admission.Conn) bool { return sock.Pending(c.Owner.(*clientConn).Conn) != sock.Empty })
-	if spare != nil {
-		s.evict(spare.Owner.(*clientConn))
+	victim := s.account.EvictionCandidate(s.now(), forClient, func(c *admission.Conn) bool { return sock.Pending(c.Owner.(*clientConn).Conn) != sock.Empty })
+	if victim != nil {
+		s.evict(victim.Owner.(*clientConn))
 	}
-	return spare != nil
+	return victim != nil
 }
 
 // releaseDescriptor returns a connection's descriptor to the quota. s.mu is held.
--- a/internal/node/chunked_test.go
+++ b/internal/node/chunked_test.go
@@ -41,26 +41,26 @@
 	t.Parallel()
 	b := newStubBackend(t, echo)
 	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
-	usual := quote("x").body
+	body := quote("x").body
 	largest := strings.Repeat("a door ", message.MaxBodyBytes)[:message.MaxBodyBytes]
 	endless := strings.Repeat("e", 4000)
 	for i, c := range []struct {
 		name, lines, body, wire string
 	}{
-		{"one chunk", codingLine, usual, inChunks(usual, 100)},
-		{"a byte in each", codingLine, usual, inChunks(usual, 1)},
-		{"header in other case", "transfer-encoding: CHUNKED\r\n", usual, inChunks(usual, 4)},
-		{"folded", "Transfer-Encoding:\r\n Chunked\r\n", usual, inChunks(usual, 4)},
+		{"one chunk", codingLine, body, inChunks(body, 100)},
+		{"a byte in each", codingLine, body, inChunks(body, 1)},
+		{"header in other case", "transfer-encoding: CHUNKED\r\n", body, inChunks(body, 4)},
+		{"folded", "Transfer-Encoding:\r\n Chunked\r\n", body, inChunks(body, 4)},
 		{"no body", codingLine, "", "0\r\n\r\n"},
-		{"leading zeros in sizes", codingLine, usual, "0006\r\n" + usual + "\r\n00000\r\n\r\n"},
+		{"leading zeros in sizes", codingLine, body, "0006\r\n" + body + "\r\n00000\r\n\r\n"},
 		{"size in upper case", codingLine, strings.Repeat("x", 0xab), "AB\r\n" + strings.Repeat("x", 0xab) + "\r\n0\r\n\r\n"},
-		{"extensions", codingLine, usual, "2;a;b=c;d=\"e;f\"\r\na \r\n4; g = h\r\ndoor\r\n0;last\r\n\r\n"},
-		{"a long extension", codingLine, usual, "6;" + endless + "\r\n" + usual + "\r\n0\r\n\r\n"},
-		{"trailers", "Trailer: X-Sum\r\n" + codingLine, usual, "6\r\n" + usual + "\r\n0\r\nX-Sum: 1\r\nX-Request-Id: other\r\n\r\n"},
+		{"extensions", codingLine, body, "2;a;b=c;d=\"e;f\"\r\na \r\n4; g = h\r\ndoor\r\n0;last\r\n\r\n"},
+		{"a long extension", codingLine, body, "6;" + endless + "\r\n" + body + "\r\n0\r\n\r\n"},
+		{"trailers", "Trailer: X-Sum\r\n" + codingLine, body, "6\r\n" + body + "\r\n0\r\nX-Sum: 1\r\nX-Request-Id: other\r\n\r\n"},
 		{"max size in one chunk", codingLine, largest, inChunks(largest, len(largest))},
 		{"max size in several chunks", codingLine, largest, inChunks(largest, 999)},
 		{"max size, a byte in each", codingLine, largest, inChunks(largest, 1)},
-		{"an expectation", "Expect: 100-continue\r\n" + codingLine, usual, inChunks(usual, 4)},
+		{"an expectation", "Expect: 100-continue\r\n" + codingLine, body, inChunks(body, 4)},
 	} {
 		q := quote(fmt.Sprint("q", i))
 		q.body = c.body
--- a/internal/peers/frame/frame_test.go
+++ b/internal/peers/frame/frame_test.go
@@ -31,11 +31,11 @@
 	go io.Copy(far, nearAcceptor) // what the acceptor sends passes unchanged
 	var accepted *Conn
 	var acceptErr error
-	var begun sync.WaitGroup
-	begun.Go(func() { accepted, acceptErr = Accept(farAcceptor, acceptor) })
-	begun.Go(func() { io.CopyN(w.to, w.from, int64(helloSize)) })
+	var started sync.WaitGroup
+	started.Go(func() { accepted, acceptErr = Accept(farAcceptor, acceptor) })
+	started.Go(func() { io.CopyN(w.to, w.from, int64(helloSize)) })
 	dialed, err := Dial(near, dialer)
-	begun.Wait()
+	started.Wait()
 	if err != nil || acceptErr != nil {
 		t.Fatalf("dial: %v, accept: %v", err, acceptErr)
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -125,7 +125,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	held, known := false, 0
+	borrowed, known := false, 0
 	for line := range strings.Lines(string(text)) {
 		var a AuditRecord
 		if err := json.Unmarshal([]byte(line), &a); err == nil && a.Budget == "" {
@@ -134,9 +134,9 @@
 		} else if err != nil || a.Node != "n1" || a.Budget != "quota/a" || a.At == 0 || a.Own < 0 || a.Own > escrow.Base(1, 3) {
 			t.Errorf("%s: %v", line, err)
 		}
-		held = held || len(a.Borrowed) > 0 && a.Borrowed[0].Grains > 0 && a.Borrowed[0].Until > a.At
+		borrowed = borrowed || len(a.Borrowed) > 0 && a.Borrowed[0].Grains > 0 && a.Borrowed[0].Until > a.At
 	}
-	if !held || known != 3 {
+	if !borrowed || known != 3 {
 		t.Errorf("the audit has no loan, or %d nodes, want 3:\n%s", known, text)
 	}
 }
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -58,7 +58,7 @@
 // record is what is known of an address.
 type record struct {
 	fails        int           // consecutive failures
-	silent       int           // consecutive attempts without a response
+	unanswered   int           // consecutive attempts without a response
 	backoffUntil time.Duration // end of its backoff
 	answeredAt   time.Duration // when it last responded; 0 for never
 	lastUsed     time.Duration
@@ -109,7 +109,7 @@
 // RecordSilence records that an attempt timed out without any response from an address.
 func (m *History) RecordSilence(now time.Duration, addr string) {
 	r := m.record(now, addr)
-	if r.silent++; r.silent >= maxSilentAttempts {
+	if r.unanswered++; r.unanswered >= maxSilentAttempts {
 		m.RecordFailure(now, addr) // it accepts connections and then hangs; the backend may be healthy at other addresses
 	}
 }
--- a/internal/rpcfront/front.go
+++ b/internal/rpcfront/front.go
@@ -417,11 +417,11 @@
 // parse parses a message. For an invalid one it returns the error answer, which is empty for a notification.
 func (c *conn) parse(v jsontext.Value, arrived time.Time) (call *rpccarrier.Call, id jsontext.Value, errAnswer []byte) {
 	m, err := jsonrpc.Parse(v, "")
-	refuse := func(code int, text, why string) []byte {
+	refuse := func(code int, text, reason string) []byte {
 		if m.IsNotification() {
 			return []byte{} // a notification gets no answer
 		}
-		return jsonrpc.AppendError(nil, m.ID, code, text, quote(why))
+		return jsonrpc.AppendError(nil, m.ID, code, text, quote(reason))
 	}
 	if err != nil {
 		m.ID = idOrNull(m.ID) // an invalid request is not a notification, even without an id
--- a/internal/shared/queue_test.go
+++ b/internal/shared/queue_test.go
@@ -30,15 +30,15 @@
 	f.run(2*time.Minute, func(_ int, r *Replica) { r.CountRequest(f.now, "a") })
 	for i, r := range f.nodes {
 		for _, tenant := range tenants {
-			heard := 0
+			received := 0
 			r.table.Rates(r.clock.now, quotaPrefix+tenant, func(of int, _ float64, age time.Duration) {
-				heard++
+				received++
 				if age > 3*r.RepeatInterval() {
 					t.Errorf("node %d has a count of node %d for tenant %s that is %v old; counts are repeated every %v", i, of, tenant, age, r.RepeatInterval())
 				}
 			})
-			if heard != nodes-1 {
-				t.Errorf("node %d knows the counts of %d others for tenant %s", i, heard, tenant)
+			if received != nodes-1 {
+				t.Errorf("node %d knows the counts of %d others for tenant %s", i, received, tenant)
 			}
 		}
 	}
--- a/internal/shared/replica_test.go
+++ b/internal/shared/replica_test.go
@@ -160,15 +160,15 @@
 			r.CountRequest(f.now, "a")
 		}
 	})
-	whole := 0.0
+	total := 0.0
 	for i, r := range f.nodes {
-		whole += r.localCounts["quota/a"].Rate()
+		total += r.localCounts["quota/a"].Rate()
 		if got := r.View(f.now).QuotaFractions["a"]; got < 0.22 || got > 0.27 {
 			t.Errorf("node %d: %.3f of its requests are within the quota, want 100 of %d", i, got, 20*21)
 		}
 	}
-	if whole < 410 || whole > 430 {
-		t.Fatalf("the test sends %.0f requests per second, want 420", whole)
+	if total < 410 || total > 430 {
+		t.Fatalf("the test sends %.0f requests per second, want 420", total)
 	}
 	alone := New(f.nodes[5].cfg, f.now)
 	for range 100 {
--- a/internal/shared/scale_test.go
+++ b/internal/shared/scale_test.go
@@ -74,7 +74,7 @@
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("nodes=%d/tenants=%d", size.nodes, size.tenants), func(b *testing.B) {
 			r, now, heap := replicaWithAllCounts(b, size.nodes, size.tenants)
-			whole := len(r.State(now))
+			entries := len(r.State(now))
 			b.Run("step", func(b *testing.B) {
 				for b.Loop() { // the time stands still, as the received counts would expire otherwise
 					r.Step(now)
@@ -82,7 +82,7 @@
 				}
 				b.ReportMetric(float64(heap), "heap-B")
 				b.ReportMetric(r.RepeatInterval().Seconds(), "interval-s")
-				b.ReportMetric(float64(whole), "whole-B")
+				b.ReportMetric(float64(entries), "whole-B")
 			})
 			b.Run("view", func(b *testing.B) {
 				for b.Loop() {
--- a/internal/sites/divide.go
+++ b/internal/sites/divide.go
@@ -22,7 +22,7 @@
 	MaxFlows [][]float64 // from, to: maximum load that may be moved
 	Limit    []float64   // by site: load that it may carry now, at the plan's utilization
 	Refused  []float64   // by kind, over all sites
-	Asked    []float64
+	Demand   []float64
 }
 
 // Divide divides the demand of all sites' clients, by site and kind, among the available sites. order is the order of
@@ -30,10 +30,10 @@
 // overflow targets of a site can't take what the fleet could carry, more of that site's own requests are refused, in the
 // same order. Load goes to overflow targets by their fractions while they have headroom; what does not fit one target goes
 // to the site's others.
-func (p *Plan) Divide(available []Availability, asked [][]float64, order []int) *Division {
+func (p *Plan) Divide(available []Availability, demand [][]float64, order []int) *Division {
 	n, kinds := len(p.Sites), len(order)
 	d := &Division{Own: make([]float64, n), Moved: make([]float64, n), Headroom: make([]float64, n), Limit: make([]float64, n),
-		Refused: make([]float64, kinds), Asked: make([]float64, kinds)}
+		Refused: make([]float64, kinds), Demand: make([]float64, kinds)}
 	total := 0.0
 	for i, s := range p.Sites {
 		d.Limit[i] = s.Capacity * p.MaxUtilization * min(1, max(0, available[i].Fraction))
@@ -42,14 +42,14 @@
 	}
 	for i := range n {
 		for k := range kinds {
-			d.Asked[k] += asked[i][k]
+			d.Demand[k] += demand[i][k]
 		}
 	}
-	admitted := admitByPriority(total, d.Asked, order)
+	admitted := admitByPriority(total, d.Demand, order)
 	overflow := make([]float64, n) // load that each site has to move
 	for i, s := range p.Sites {
 		d.Admitted = append(d.Admitted, slices.Clone(admitted))
-		own := dot(admitted, asked[i])
+		own := dot(admitted, demand[i])
 		if available[i].Degraded {
 			d.Own[i] = min(own, d.Limit[i])
 			overflow[i] = own - d.Own[i]
@@ -61,10 +61,10 @@
 	d.distribute(p, available, overflow)
 	for i := range n {
 		if overflow[i] > 1e-9 { // its targets are full: more of its own requests are refused
-			d.Admitted[i] = admitByPriority(d.Own[i]+sum(d.Flows[i]), asked[i], order)
+			d.Admitted[i] = admitByPriority(d.Own[i]+sum(d.Flows[i]), demand[i], order)
 		}
 		for k := range kinds {
-			d.Refused[k] += asked[i][k] * (1 - d.Admitted[i][k])
+			d.Refused[k] += demand[i][k] * (1 - d.Admitted[i][k])
 		}
 	}
 	return d
@@ -141,15 +141,15 @@
 
 // admitByPriority returns the fraction of each kind that is admitted: all of some kinds, a fraction of one, and nothing of
 // those that come before it in the order of refusal.
-func admitByPriority(capacity float64, asked []float64, order []int) []float64 {
-	admit := make([]float64, len(asked))
+func admitByPriority(capacity float64, demand []float64, order []int) []float64 {
+	admit := make([]float64, len(demand))
 	for _, k := range slices.Backward(order) {
-		if asked[k] > capacity {
-			admit[k] = max(0, capacity) / asked[k]
+		if demand[k] > capacity {
+			admit[k] = max(0, capacity) / demand[k]
 			break // and none of the others, whether requested or not
 		}
 		admit[k] = 1
-		capacity -= asked[k]
+		capacity -= demand[k]
 	}
 	return admit
 }
@@ -170,11 +170,11 @@
 
 // MaxLoadFactor returns the multiple of the demand at which requests begin to be refused, or infinity where there is no
 // demand. It is accurate to a thousandth.
-func (p *Plan) MaxLoadFactor(available []Availability, asked [][]float64, order []int) float64 {
+func (p *Plan) MaxLoadFactor(available []Availability, demand [][]float64, order []int) float64 {
 	refusesAt := func(factor float64) bool {
-		more := make([][]float64, len(asked))
-		for i := range asked {
-			for _, x := range asked[i] {
+		more := make([][]float64, len(demand))
+		for i := range demand {
+			for _, x := range demand[i] {
 				more[i] = append(more[i], x*factor)
 			}
 		}
--- a/internal/sites/node.go
+++ b/internal/sites/node.go
@@ -61,7 +61,7 @@
 	availability   []Availability
 	division       *Division
 	kinds          []Kind
-	asked          [][]float64
+	demand         [][]float64
 	headroomShares map[string]float64 // by site: this node's share of the headroom for lost sites' load; nil if unknown
 	liveNodes      map[string]int     // by site: nodes confirmed alive; nil where nodes do not exchange state
 	degraded       bool               // this node's own site is lost or returning
@@ -82,7 +82,7 @@
 	n.watch.RecordOutcome(now, id, outcome, took)
 }
 
-// RecordProbe records whether a connection that Directives asked for was established.
+// RecordProbe records whether a connection that Directives requested was established.
 func (n *Node) RecordProbe(now float64, id uint32, up bool) {
 	n.noteChanges(n.watch.RecordProbe(now, id, up))
 }
@@ -179,7 +179,7 @@
 	}
 	n.estimateDemand(demand)
 	order := p.RefusalOrder(n.kinds)
-	d := p.Divide(n.availability, n.asked, order)
+	d := p.Divide(n.availability, n.demand, order)
 	n.division = d
 	home := p.index(n.cfg.Home)
 	if home < 0 {
@@ -236,7 +236,7 @@
 // from the loads of the plan, scaled as this site's differs from its plan, and with the same mix of kinds.
 func (n *Node) estimateDemand(all []Demand) {
 	p := n.cfg.Plan
-	n.kinds, n.asked = n.kinds[:0], n.asked[:0]
+	n.kinds, n.demand = n.kinds[:0], n.demand[:0]
 	var local []float64
 	mean := n.meanWork(all)
 	for _, d := range all {
@@ -270,7 +270,7 @@
 				siteDemand[k] = local[k] / total * load
 			}
 		}
-		n.asked = append(n.asked, siteDemand)
+		n.demand = append(n.demand, siteDemand)
 	}
 }
 
@@ -334,16 +334,16 @@
 
 // refusedFractions returns, by class, the fraction of a site's clients' requests that is refused.
 func (n *Node) refusedFractions(site int) map[string]float64 {
-	asked, refused := map[string]float64{}, map[string]float64{}
+	demand, refused := map[string]float64{}, map[string]float64{}
 	for k, kind := range n.kinds {
-		asked[kind.Class] += n.asked[site][k]
-		refused[kind.Class] += n.asked[site][k] * (1 - n.division.Admitted[site][k])
+		demand[kind.Class] += n.demand[site][k]
+		refused[kind.Class] += n.demand[site][k] * (1 - n.division.Admitted[site][k])
 	}
 	for class, x := range refused {
 		if x <= 1e-9 {
 			delete(refused, class)
 		} else {
-			refused[class] = x / asked[class]
+			refused[class] = x / demand[class]
 		}
 	}
 	return refused
--- a/internal/sites/plan_test.go
+++ b/internal/sites/plan_test.go
@@ -84,8 +84,8 @@
 func TestDivideByFractions(t *testing.T) {
 	p := threeSites()
 	p.Sites[0].Overflow = []OverflowTarget{{"everett", 0.7, 20}, {"olympia", 0.3, 0}}
-	asked := [][]float64{{40}, {50}, {50}}
-	d := p.Divide([]Availability{{Degraded: true}, {Fraction: 1}, {Fraction: 1}}, asked, []int{0})
+	demand := [][]float64{{40}, {50}, {50}}
+	d := p.Divide([]Availability{{Degraded: true}, {Fraction: 1}, {Fraction: 1}}, demand, []int{0})
 	if d.Flows[0][1] != 20 || d.Flows[0][2] != 20 || d.Own[0] != 0 || d.Refused[0] != 0 {
 		t.Errorf("moved %v, refused %v", d.Flows[0], d.Refused)
 	}
@@ -123,7 +123,7 @@
 	amount := rapid.Float64Range(0, 200)
 	p := &Plan{MaxUtilization: rapid.Float64Range(0.5, 1).Draw(t, "full")}
 	var states []Availability
-	var asked [][]float64
+	var demand [][]float64
 	for i := range n {
 		s := Site{Name: string(rune('a' + i)), Capacity: rapid.Float64Range(1, 300).Draw(t, "capacity"), Backends: 1, Nodes: 1,
 			Reserve: rapid.SampledFrom([]float64{0, 0, 0.3, 0.7}).Draw(t, "reserve")}
@@ -144,9 +144,9 @@
 		for range kinds {
 			row = append(row, amount.Draw(t, "asked"))
 		}
-		asked = append(asked, row)
+		demand = append(demand, row)
 	}
-	return p, states, asked, rapid.Permutation(indices(kinds)).Draw(t, "order")
+	return p, states, demand, rapid.Permutation(indices(kinds)).Draw(t, "order")
 }
 
 func indices(n int) (out []int) {
@@ -160,13 +160,13 @@
 // more than its maximum, and no kind is refused while a kind before it in the order of refusal is admitted.
 func TestDivideInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, states, asked, order := drawPlan(t)
+		p, states, demand, order := drawPlan(t)
 		if err := p.Validate(); err != nil {
 			t.Fatal(err)
 		}
-		d := p.Divide(states, asked, order)
+		d := p.Divide(states, demand, order)
 		const eps = 1e-6
-		carried, refused, all := sum(d.Own)+sum(d.Moved), sum(d.Refused), sum(d.Asked)
+		carried, refused, all := sum(d.Own)+sum(d.Moved), sum(d.Refused), sum(d.Demand)
 		if math.Abs(carried+refused-all) > eps*(1+all) {
 			t.Fatalf("%.4f carried and %.4f refused of %.4f", carried, refused, all)
 		}
@@ -183,7 +183,7 @@
 				}
 			}
 			for k, a := range order[1:] {
-				if first := order[k]; asked[i][a] > 0 && d.Admitted[i][first] > 0 && d.Admitted[i][a] < 1 {
+				if first := order[k]; demand[i][a] > 0 && d.Admitted[i][first] > 0 && d.Admitted[i][a] < 1 {
 					t.Fatalf("%s: kind %d is admitted to %.3f, and kind %d, which goes after it, to %.3f", s.Name, first, d.Admitted[i][first], a, d.Admitted[i][a])
 				}
 			}
@@ -194,7 +194,7 @@
 // The load may grow until the remaining sites are full, after no loss, one and several.
 func TestMaxLoadFactor(t *testing.T) {
 	p := threeSites()
-	asked := [][]float64{{30}, {30}, {30}}
+	demand := [][]float64{{30}, {30}, {30}}
 	for _, c := range []struct {
 		lost []int
 		want float64
@@ -203,7 +203,7 @@
 		for _, i := range c.lost {
 			states[i] = Availability{Degraded: true}
 		}
-		if got := p.MaxLoadFactor(states, asked, []int{0}); math.Abs(got-c.want) > 0.01 {
+		if got := p.MaxLoadFactor(states, demand, []int{0}); math.Abs(got-c.want) > 0.01 {
 			t.Errorf("%v lost: load factor %.3f, want %.3f", c.lost, got, c.want)
 		}
 	}
--- a/internal/sites/work.go
+++ b/internal/sites/work.go
@@ -43,10 +43,10 @@
 	if !(total > 0) || !(loadFactor >= 0) {
 		return nil, fmt.Errorf("invalid load: the shares of the kinds add up to %v, and the load is %v times the plan's", total, loadFactor)
 	}
-	asked := make([][]float64, len(p.Sites))
+	demand := make([][]float64, len(p.Sites))
 	for i, s := range p.Sites {
 		for _, x := range fractions {
-			asked[i] = append(asked[i], s.Load*loadFactor*x/total)
+			demand[i] = append(demand[i], s.Load*loadFactor*x/total)
 		}
 	}
 	order := p.RefusalOrder(kinds)
@@ -61,11 +61,11 @@
 				c.Lost = append(c.Lost, s.Name)
 			}
 		}
-		d := p.Divide(available, asked, order)
-		c.Carried, c.Refused, c.MaxLoadFactor = sum(d.Own)+sum(d.Moved), sum(d.Refused), p.MaxLoadFactor(available, asked, order)
+		d := p.Divide(available, demand, order)
+		c.Carried, c.Refused, c.MaxLoadFactor = sum(d.Own)+sum(d.Moved), sum(d.Refused), p.MaxLoadFactor(available, demand, order)
 		for _, k := range order {
-			if d.Asked[k] > 0 && d.Refused[k] > 1e-9*d.Asked[k] {
-				c.Kinds = append(c.Kinds, KindRefused{kinds[k].Class, kinds[k].OverQuota, d.Refused[k] / d.Asked[k]})
+			if d.Demand[k] > 0 && d.Refused[k] > 1e-9*d.Demand[k] {
+				c.Kinds = append(c.Kinds, KindRefused{kinds[k].Class, kinds[k].OverQuota, d.Refused[k] / d.Demand[k]})
 			}
 		}
 		for i, s := range p.Sites {
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -43,13 +43,13 @@
 					count[id]++
 				}
 			}
-			fewest, most := nodes, 0
+			lowest, highest := nodes, 0
 			for _, id := range ids {
-				fewest, most = min(fewest, count[id]), max(most, count[id])
+				lowest, highest = min(lowest, count[id]), max(highest, count[id])
 			}
 			mean := float64(nodes*size) / float64(backends)
-			if fewest == 0 || float64(most) > mean+3 || float64(fewest) < mean-3 {
-				t.Errorf("%d nodes, %d backends: %d to %d nodes per backend, mean %.1f", nodes, backends, fewest, most, mean)
+			if lowest == 0 || float64(highest) > mean+3 || float64(lowest) < mean-3 {
+				t.Errorf("%d nodes, %d backends: %d to %d nodes per backend, mean %.1f", nodes, backends, lowest, highest, mean)
 			}
 			if nodes <= 4 && size != backends {
 				t.Errorf("%d nodes, %d backends: a subset of %d", nodes, backends, size)
--- a/policy/drive_test.go
+++ b/policy/drive_test.go
@@ -138,12 +138,12 @@
 			at += time.Duration(w.rng.ExpFloat64() / rate * float64(time.Second))
 			i++
 			c := w.set.Classes[w.rng.IntN(len(w.set.Classes))]
-			left := time.Duration(float64(c.Deadline) * (0.3 + 0.7*w.rng.Float64()))
+			remaining := time.Duration(float64(c.Deadline) * (0.3 + 0.7*w.rng.Float64()))
 			if w.rng.IntN(100) == 0 {
-				left = 0
+				remaining = 0
 			}
 			id := fmt.Sprintf("r%d-%d", n, i)
-			w.schedule(at, n, policy.Event{Kind: policy.EvRequest, ID: id, Class: c.Name, Remaining: left, ClientRetry: w.rng.IntN(4) == 0})
+			w.schedule(at, n, policy.Event{Kind: policy.EvRequest, ID: id, Class: c.Name, Remaining: remaining, ClientRetry: w.rng.IntN(4) == 0})
 			if w.rng.IntN(50) == 0 {
 				w.schedule(at+time.Duration(w.rng.Int64N(int64(300*ms))), n, policy.Event{Kind: policy.EvDisconnected, ID: id})
 			}
@@ -188,8 +188,8 @@
 		}
 		w.actions = append(w.actions, out...)
 	}
-	for n, asks := range w.requests {
-		for id, a := range asks {
+	for n, requests := range w.requests {
+		for id, a := range requests {
 			if a.answers == 0 && !a.disconnected {
 				w.violation("rule 1: node %d: no answer to %s", n, id)
 			}
--- a/policy/paper_test.go
+++ b/policy/paper_test.go
@@ -31,7 +31,7 @@
 		var over [3]mean         // time in each mode, by cycle
 		n, m := 0, normal
 		var spent [3]float64
-		for begun := false; cycles.n < 20000; {
+		for started := false; cycles.n < 20000; {
 			up := lambda // diverted and discarded requests never reach the queue: the arrivals are thinned
 			switch m {
 			case overload:
@@ -54,14 +54,14 @@
 			if before != normal || m == normal {
 				continue
 			}
-			if begun { // the next onset ends a cycle
+			if started { // the next onset ends a cycle
 				returns.add(spent[overload] + spent[discard])
 				cycles.add(spent[normal] + spent[overload] + spent[discard])
 				for k := range over {
 					over[k].add(spent[k])
 				}
 			}
-			begun, spent = true, [3]float64{}
+			started, spent = true, [3]float64{}
 		}
 		check := func(name string, got, se, exact float64) {
 			t.Helper()
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -620,10 +620,10 @@
 	for i := 0; i < 5; i++ {
 		b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil)
 		from := now
-		for asked := false; !asked; {
+		for subscribed := false; !subscribed; {
 			now += 250 * time.Millisecond
 			for _, a := range b.Handle(now, &Event{Kind: EvTimer, Token: "tick"}, nil) {
-				asked = asked || a.Kind == ActSubscribe
+				subscribed = subscribed || a.Kind == ActSubscribe
 			}
 			if now > from+set.MustAskIn {
 				t.Fatalf("loss %d: no subscription for %v", i, now-from)
@@ -993,12 +993,12 @@
 // overloaded fleet from answering first tries in time.
 func TestLateClientRetryIsRefused(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		repeat bool
-		left   time.Duration
-		late   float64
-		want   ActionKind
-		wait   time.Duration
+		name      string
+		repeat    bool
+		remaining time.Duration
+		late      float64
+		want      ActionKind
+		wait      time.Duration
 	}{
 		{"first try", false, 900 * time.Millisecond, 0, ActSend, 900 * time.Millisecond},
 		{"retry with as much time", true, 1200 * time.Millisecond, 0, ActSend, 1200 * time.Millisecond},
@@ -1013,7 +1013,7 @@
 		setEstimate(b.backends[1], t0, 0)
 		first("earlier", 1200*time.Millisecond, false)
 		b.backends[1].inFlight = 0
-		if got := first("r", c.left, c.repeat); got.Kind != c.want || got.Wait.Round(time.Millisecond) != c.wait {
+		if got := first("r", c.remaining, c.repeat); got.Kind != c.want || got.Wait.Round(time.Millisecond) != c.wait {
 			t.Errorf("%s: %+v, want kind %d with %v", c.name, got, c.want, c.wait)
 		}
 	}
