--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -13,16 +13,16 @@
 import "math"
 
 const (
-	rateSeconds        = 1.0  // time constant of the rate of sends
-	refusalSeconds     = 2.0  // of the refused fraction
-	demandSeconds      = 0.9  // of the present demand
-	baselineSeconds    = 6.0  // of the baseline demand
-	minRefusedFraction = 0.03 // below this refused fraction there is no limit
-	surgeFactor        = 1.15 // nor below this multiple of the baseline demand,
-	takeoverFactor     = 2.2  // nor above this one, as clients of other nodes have moved here
-	burstSeconds       = 0.25 // burst in seconds of the rate,
-	burstSends         = 2.0  // and in sends in addition
-	minAdmitFraction   = 0.2  // of the demand that is always allowed: a rate of 0 could not grow
+	rateDecaySeconds     = 1.0  // time constant of the rate of sends
+	refusalDecaySeconds  = 2.0  // of the refused fraction
+	demandDecaySeconds   = 0.9  // of the present demand
+	baselineDecaySeconds = 6.0  // of the baseline demand
+	minRefusedFraction   = 0.03 // below this refused fraction there is no limit
+	surgeFactor          = 1.15 // nor below this multiple of the baseline demand,
+	takeoverFactor       = 2.2  // nor above this one, as clients of other nodes have moved here
+	burstSeconds         = 0.25 // burst in seconds of the rate,
+	burstSends           = 2.0  // and in sends in addition
+	minAdmitFraction     = 0.2  // of the demand that is always allowed: a rate of 0 could not grow
 )
 
 // Pacer limits the sends of one node. Its zero value has no history and no limit.
@@ -42,10 +42,10 @@
 // sends may grow in a second.
 func (p *Pacer) Tick(dt, growth float64) {
 	smooth := func(x *float64, value, timeConstant float64) { *x += (value - *x) * (1 - math.Exp(-dt/timeConstant)) }
-	smooth(&p.rate, p.sendCount/dt, rateSeconds)
-	smooth(&p.demand, p.requestCount/dt, demandSeconds)
-	smooth(&p.baseline, p.requestCount/dt, baselineSeconds)
-	smooth(&p.refused, (p.requestCount-p.sentCount)/max(1, p.requestCount), refusalSeconds)
+	smooth(&p.rate, p.sendCount/dt, rateDecaySeconds)
+	smooth(&p.demand, p.requestCount/dt, demandDecaySeconds)
+	smooth(&p.baseline, p.requestCount/dt, baselineDecaySeconds)
+	smooth(&p.refused, (p.requestCount-p.sentCount)/max(1, p.requestCount), refusalDecaySeconds)
 	p.growth, p.sendCount, p.requestCount, p.sentCount = growth, 0, 0, 0
 }
 
@@ -67,7 +67,7 @@
 		p.tokens, p.refilledAt = burstSends, now
 		return true
 	}
-	p.tokens = min(burstSends+burstSeconds*p.rate, p.tokens+(now-p.refilledAt)*max(minAdmitFraction*p.demand, p.rate*(1+p.growth*rateSeconds)))
+	p.tokens = min(burstSends+burstSeconds*p.rate, p.tokens+(now-p.refilledAt)*max(minAdmitFraction*p.demand, p.rate*(1+p.growth*rateDecaySeconds)))
 	p.refilledAt = now
 	if p.tokens < 0 || lowPriority && p.tokens < 1 {
 		return false
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -122,30 +122,30 @@
 // Order returns a backend's addresses in the order in which to dial them: the one that responded last, then one of each family in
 // turn, and at the end those in backoff, by the end of their backoff. It omits none.
 func (m *History) Order(now time.Duration, addrs []string) []string {
-	type place struct {
-		addr       string
-		back       time.Duration
-		worked     time.Duration
-		turn, kind int
+	type candidate struct {
+		addr         string
+		backoffUntil time.Duration
+		answeredAt   time.Duration
+		turn, kind   int
 	}
 	var turns [3]int
-	all := make([]place, 0, len(addrs))
+	all := make([]candidate, 0, len(addrs))
 	for _, a := range addrs {
-		p := place{addr: a, kind: family(a)}
+		p := candidate{addr: a, kind: family(a)}
 		p.turn = turns[p.kind]
 		turns[p.kind]++
 		if r := m.records[a]; r != nil {
 			if r.backoffUntil > now {
-				p.back = r.backoffUntil
+				p.backoffUntil = r.backoffUntil
 			}
 			if now-r.answeredAt < historyRetention {
-				p.worked = r.answeredAt
+				p.answeredAt = r.answeredAt
 			}
 		}
 		all = append(all, p)
 	}
-	slices.SortStableFunc(all, func(a, b place) int {
-		return cmp.Or(cmp.Compare(a.back, b.back), -cmp.Compare(a.worked, b.worked), cmp.Compare(a.turn, b.turn), cmp.Compare(a.kind, b.kind))
+	slices.SortStableFunc(all, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(a.backoffUntil, b.backoffUntil), -cmp.Compare(a.answeredAt, b.answeredAt), cmp.Compare(a.turn, b.turn), cmp.Compare(a.kind, b.kind))
 	})
 	out := make([]string, len(all))
 	for i := range all {
