--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -261,7 +261,7 @@
 		out = append(out, lab.Setting{Name: "sites " + filepath.Base(file), Tuning: policy.DefaultTuning(), Sites: sitePlans[len(sitePlans)-1]})
 	}
 	for _, text := range c.Share {
-		use, err := settings.ParseUse(strings.Split(text, ","))
+		use, err := settings.ParseFeatures(strings.Split(text, ","))
 		if err != nil {
 			return nil, usageError("--share: %w", err)
 		}
--- a/internal/controlplane/changelog/store.go
+++ b/internal/controlplane/changelog/store.go
@@ -19,9 +19,9 @@
 // Errors of Append, Apply and Replace. What they return wraps one of these or is an error of package resource, and the
 // store is unchanged.
 var (
-	ErrFenced = errors.New("epoch is older than the log's") // from a deposed writer
-	ErrGap    = errors.New("does not follow the log's position")
-	ErrBehind = errors.New("not after the log's position") // duplicate, late, or from a log restored to an earlier position
+	ErrFenced   = errors.New("epoch is older than the log's") // from a deposed writer
+	ErrGap      = errors.New("does not follow the log's position")
+	ErrNotNewer = errors.New("not after the log's position") // duplicate, late, or from a log restored to an earlier position
 )
 
 // Limits bounds the history of a store. Zero fields mean the defaults.
@@ -121,7 +121,7 @@
 }
 
 // Apply atomically applies to a replica the changes after the position from up to t.Position. Errors are ErrGap if the
-// replica is not at from and lacks changes in between, ErrBehind if it already is at t.Position or later, ErrFenced for
+// replica is not at from and lacks changes in between, ErrNotNewer if it already is at t.Position or later, ErrFenced for
 // changes of an older epoch, and those of resource.ValidateEach.
 func (s *Store) Apply(t resource.Transaction, from resource.Position) error {
 	if err := s.checkDeltaPositions(t.Position, from); err != nil {
@@ -143,7 +143,7 @@
 	case to.Epoch < s.position.Epoch:
 		return ErrFenced
 	case to.Compare(s.position) <= 0 || to.Version <= from.Version:
-		return ErrBehind
+		return ErrNotNewer
 	case from != s.position:
 		return ErrGap
 	}
@@ -197,7 +197,7 @@
 }
 
 // Replace atomically replaces all resources by those of a snapshot and clears the history. A snapshot of the store's own
-// position is accepted, so that a replica with a wrong digest can be repaired. Errors are ErrFenced, ErrBehind, and those
+// position is accepted, so that a replica with a wrong digest can be repaired. Errors are ErrFenced, ErrNotNewer, and those
 // of package resource.
 func (s *Store) Replace(position resource.Position, all []resource.Resource) error {
 	if err := s.checkSnapshotPosition(position); err != nil {
@@ -230,7 +230,7 @@
 	case position.Epoch < s.position.Epoch:
 		return ErrFenced
 	case position.Compare(s.position) < 0:
-		return ErrBehind
+		return ErrNotNewer
 	}
 	return nil
 }
--- a/internal/engine/sites.go
+++ b/internal/engine/sites.go
@@ -5,8 +5,8 @@
 	"craneglade/internal/siting"
 )
 
-// WatchSites has the engine track the health state of sites, and the policy apply the resulting orders. StepSites has to be
-// called at intervals of siting.Every.
+// WatchSites has the engine track the health state of sites, and the policy apply the resulting directives. StepSites has to
+// be called at intervals of siting.StepInterval.
 func (e *Engine) WatchSites(l *siting.Adapter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -24,11 +24,11 @@
 		all = append(all, sites.Backend{ID: b.Number, Site: b.Zone, Ready: b.writesStopAt.Load() == nil,
 			Launched: b.launched.Seconds()})
 	}
-	e.sites.ApplyList(e.clock.Now(), all)
+	e.sites.SetBackends(e.clock.Now(), all)
 }
 
 // StepSites updates the state of the sites to the current time. It returns the backends to probe with a connection, whose
-// results go to Probed, and notes for the operator.
+// results go to RecordProbe, and notes for the operator.
 func (e *Engine) StepSites() (probe []*Backend, notes []sites.Note) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -48,8 +48,8 @@
 	return probe, e.sites.Node.Notes()
 }
 
-// Probed records whether a connection that StepSites asked for was established.
-func (e *Engine) Probed(b *Backend, up bool) {
+// RecordProbe records whether a connection that StepSites asked for was established.
+func (e *Engine) RecordProbe(b *Backend, up bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sites.RecordProbe(e.clock.Now(), b.Number, up)
--- a/internal/kit/lab/node.go
+++ b/internal/kit/lab/node.go
@@ -262,7 +262,7 @@
 	if n.sites != nil {
 		n.sites.RecordSend(epoch+sim.now, act.Backend)
 		if n.shared != nil && n.sites.Node.IsOverflow(b.plan.Site) {
-			n.shared.CountCrossSite(epoch+sim.now, b.plan.Site)
+			n.shared.CountOverflow(epoch+sim.now, b.plan.Site)
 		}
 	}
 	a.connEpoch = b.connEpoch
--- a/internal/kit/lab/share.go
+++ b/internal/kit/lab/share.go
@@ -15,7 +15,7 @@
 // Sharing makes the nodes share state by gossip over a network that loses some datagrams. Membership is not detected by
 // SWIM's messages here: all nodes are notified of a node's end after deadNoticeDelay.
 type Sharing struct {
-	Use     shared.Use
+	Use     shared.Features
 	Loss    float64 // fraction of the datagrams that is lost
 	BytesPS int     // bandwidth limit of a node, in bytes per second
 }
@@ -44,7 +44,7 @@
 		quotas[t.Name] = t.QuotaPerS
 	}
 	n.shared = shared.New(shared.Config{Name: n.Name, Self: escrow.Node{Number: n.index, Incarnation: uint64(n.incarnation) + 1}, Nodes: set.Nodes, Site: n.Site,
-		Quotas: quotas, OverflowSites: plannedSites(n.sim.opt.Sites), Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: o.Use, BytesPerSecond: o.BytesPS, DatagramBytes: datagramBytes}, epoch+n.sim.now)
+		Quotas: quotas, OverflowSites: plannedSites(n.sim.opt.Sites), Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Features: o.Use, BytesPerSecond: o.BytesPS, MaxDatagramBytes: datagramBytes}, epoch+n.sim.now)
 	incarnation := n.incarnation
 	n.repeat(incarnation, shareStepInterval, func() {
 		n.sendMessages(n.shared.Step(epoch + n.sim.now))
--- a/internal/kit/lab/site.go
+++ b/internal/kit/lab/site.go
@@ -59,7 +59,7 @@
 		e := n.known[id]
 		all = append(all, sites.Backend{ID: id, Site: e.Zone, Ready: e.State == policy.Active, Launched: e.Launched.Seconds()})
 	}
-	n.sites.ApplyList(epoch+n.sim.now, all)
+	n.sites.SetBackends(epoch+n.sim.now, all)
 }
 
 // probe opens a connection to a backend and, if that succeeds, keeps it in the pool for requests.
--- a/internal/kit/scale/mesh/mesh.go
+++ b/internal/kit/scale/mesh/mesh.go
@@ -95,7 +95,7 @@
 	}
 	replica := func(number int) *shared.Replica {
 		return shared.New(shared.Config{Name: nodeName(number), Self: escrow.Node{Number: number, Incarnation: 1}, Nodes: nodes, Site: siteName(number),
-			Quotas: quotas, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: shared.Use{Quotas: true}, BytesPerSecond: bytesPerSecond, DatagramBytes: maxDatagramBytes}, m.now)
+			Quotas: quotas, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Features: shared.Features{Quotas: true}, BytesPerSecond: bytesPerSecond, MaxDatagramBytes: maxDatagramBytes}, m.now)
 	}
 	m.full = replica(0)
 	m.joinMembers(m.full, 0)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -89,8 +89,8 @@
 		quotas[t.Name] = t.QuotaPerS
 	}
 	p.replica = shared.New(shared.Config{Name: cfg.Name, Self: escrow.Node{Number: cfg.Policy.Number, Incarnation: uint64(time.Now().UnixMilli())},
-		Nodes: cfg.Policy.Nodes, Site: cfg.Policy.Zone, Quotas: quotas, OverflowSites: cfg.OverflowSites, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: f.Features,
-		BytesPerSecond: int(f.BytesPerSecond), DatagramBytes: f.MaxDatagramBytes}, p.now())
+		Nodes: cfg.Policy.Nodes, Site: cfg.Policy.Zone, Quotas: quotas, OverflowSites: cfg.OverflowSites, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Features: f.Features,
+		BytesPerSecond: int(f.BytesPerSecond), MaxDatagramBytes: f.MaxDatagramBytes}, p.now())
 	keys, err := memberlist.NewKeyring(f.Keys, f.Keys[0])
 	if err != nil {
 		return nil, fmt.Errorf("fleet.key_file: %w", err)
@@ -209,21 +209,21 @@
 	}
 }
 
-// Request counts a request of this node's clients.
+// CountRequest counts a request of this node's clients.
 func (p *Peers) CountRequest(tenant string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replica.CountRequest(p.now(), tenant)
 }
 
-// Crossed counts a request that goes to another site because its client's own is lost.
-func (p *Peers) CountCrossSite(site string) {
+// CountOverflow counts a request that goes to another site because its client's own is degraded or lost.
+func (p *Peers) CountOverflow(site string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.replica.CountCrossSite(p.now(), site)
+	p.replica.CountOverflow(p.now(), site)
 }
 
-// Outcome records how an attempt at a backend ended.
+// RecordOutcome records how an attempt at a backend ended.
 func (p *Peers) RecordOutcome(k judgement.Key, o policy.Outcome) {
 	if known, failed := shared.Evidence(o); known {
 		p.mu.Lock()
@@ -232,7 +232,7 @@
 	}
 }
 
-// Listed sets the list of backends.
+// SetBackends sets the list of backends.
 func (p *Peers) SetBackends(list []judgement.Backend) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/shared/localcounts.go
+++ b/internal/shared/localcounts.go
@@ -30,7 +30,7 @@
 			add(quotaPrefix + tenant)
 		}
 	}
-	if cfg.Use.Crossing {
+	if cfg.Features.Crossing {
 		for _, site := range cfg.OverflowSites {
 			add(overflowPrefix + site)
 		}
@@ -44,8 +44,8 @@
 	r.count(quotaPrefix + tenant)
 }
 
-// CountCrossSite counts a request of this node's clients that goes to another site because their own is lost.
-func (r *Replica) CountCrossSite(now time.Duration, site string) {
+// CountOverflow counts a request of this node's clients that goes to another site because their own is degraded or lost.
+func (r *Replica) CountOverflow(now time.Duration, site string) {
 	r.advance(now)
 	r.count(overflowPrefix + site)
 }
--- a/internal/shared/replica_test.go
+++ b/internal/shared/replica_test.go
@@ -37,7 +37,7 @@
 
 func config(i, n int, incarnation uint64) Config {
 	return Config{Name: fmt.Sprintf("n%d", i), Self: escrow.Node{Number: i, Incarnation: incarnation}, Nodes: n, Site: []string{"north", "south"}[i%2],
-		Quotas: map[string]float64{"a": quotaPerSecond, "none": 0}, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Use: Use{Escrow: true, Ejections: true}, BytesPerSecond: 64 << 10, DatagramBytes: 1400}
+		Quotas: map[string]float64{"a": quotaPerSecond, "none": 0}, Terms: escrow.DefaultTerms(), Limits: judgement.DefaultLimits(), Features: Features{Escrow: true, Ejections: true}, BytesPerSecond: 64 << 10, MaxDatagramBytes: 1400}
 }
 
 func newFleet(t testing.TB, n int) *fleet {
@@ -153,22 +153,22 @@
 func TestWithinAShareByCounts(t *testing.T) {
 	f := newFleet(t, 6)
 	for _, r := range f.nodes {
-		r.cfg.Use = Use{Quotas: true}
+		r.cfg.Features = Features{Quotas: true}
 	}
 	f.run(15*time.Second, func(i int, r *Replica) { // 420 requests per second, and the quota is 100
 		for range 1 + i {
 			r.CountRequest(f.now, "a")
 		}
 	})
-	whole := 0.0
+	total := 0.0
 	for i, r := range f.nodes {
-		whole += r.localCounts["quota/a"].Rate()
+		total += r.localCounts["quota/a"].Rate()
 		if got := r.View(f.now).QuotaFractions["a"]; got < 0.22 || got > 0.27 {
 			t.Errorf("node %d: %.3f of its requests are within the quota, want 100 of %d", i, got, 20*21)
 		}
 	}
-	if whole < 410 || whole > 430 {
-		t.Fatalf("the test sends %.0f requests per second, want 420", whole)
+	if total < 410 || total > 430 {
+		t.Fatalf("the test sends %.0f requests per second, want 420", total)
 	}
 	alone := New(f.nodes[5].cfg, f.now)
 	for range 100 {
@@ -282,7 +282,7 @@
 	f := newFleet(t, 6)
 	for i := range f.nodes {
 		c := config(i, 6, 9)
-		c.Use, c.OverflowSites = Use{Crossing: true}, []string{"east", "west"}
+		c.Features, c.OverflowSites = Features{Crossing: true}, []string{"east", "west"}
 		f.incarnations[i] = 9
 		f.nodes[i] = New(c, f.now)
 	}
@@ -296,7 +296,7 @@
 	for range 10 {
 		f.run(time.Second, func(i int, r *Replica) {
 			if i < 2 {
-				r.CountCrossSite(f.now, "east")
+				r.CountOverflow(f.now, "east")
 			}
 		})
 		sum := 0.0
--- a/internal/shared/scale_test.go
+++ b/internal/shared/scale_test.go
@@ -24,7 +24,7 @@
 	tb.Helper()
 	before := heapInUse()
 	cfg := config(0, nodes, 1)
-	cfg.Use, cfg.BytesPerSecond = Use{Quotas: true}, allowedBytesPerSecond
+	cfg.Features, cfg.BytesPerSecond = Features{Quotas: true}, allowedBytesPerSecond
 	cfg.Quotas = map[string]float64{}
 	for i := range tenants {
 		cfg.Quotas[fmt.Sprint("tenant-", i)] = quotaPerSecond
@@ -74,7 +74,7 @@
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("nodes=%d/tenants=%d", size.nodes, size.tenants), func(b *testing.B) {
 			r, now, heap := replicaWithAllCounts(b, size.nodes, size.tenants)
-			whole := len(r.State(now))
+			entries := len(r.State(now))
 			b.Run("step", func(b *testing.B) {
 				for b.Loop() { // the time stands still, as the received counts would expire otherwise
 					r.Step(now)
@@ -82,7 +82,7 @@
 				}
 				b.ReportMetric(float64(heap), "heap-B")
 				b.ReportMetric(r.RepeatInterval().Seconds(), "interval-s")
-				b.ReportMetric(float64(whole), "whole-B")
+				b.ReportMetric(float64(entries), "whole-B")
 			})
 			b.Run("view", func(b *testing.B) {
 				for b.Loop() {
@@ -106,7 +106,7 @@
 			f.rng = rand.New(rand.NewPCG(seed, 2))
 			for i := range f.nodes {
 				cfg := config(i, n, 9)
-				cfg.Use, cfg.BytesPerSecond = Use{Quotas: true}, allowedBytesPerSecond
+				cfg.Features, cfg.BytesPerSecond = Features{Quotas: true}, allowedBytesPerSecond
 				cfg.Quotas = map[string]float64{"a": quotaPerSecond, "b": quotaPerSecond, "c": quotaPerSecond, "d": quotaPerSecond}
 				f.nodes[i] = New(cfg, f.now)
 				f.nodes[i].SetBackends([]judgement.Backend{})
--- a/internal/sites/node.go
+++ b/internal/sites/node.go
@@ -26,10 +26,10 @@
 
 // Demand is the demand of this node's clients for one class.
 type Demand struct {
-	Class string
-	Rate  float64 // requests a second
-	Over  float64 // requests a second over their tenants' quotas, which Rate includes
-	Work  float64 // of one request, in any unit common to all classes
+	Class     string
+	Rate      float64 // requests a second
+	OverQuota float64 // requests a second over their tenants' quotas, which Rate includes
+	Work      float64 // of one request, in any unit common to all classes
 }
 
 // Zone limits the use of a site by this node.
@@ -61,7 +61,7 @@
 	availability   []Availability
 	division       *Division
 	kinds          []Kind
-	asked          [][]float64
+	demand         [][]float64
 	headroomShares map[string]float64 // by site: this node's share of the headroom for lost sites' load; nil if unknown
 	liveNodes      map[string]int     // by site: nodes confirmed alive; nil where nodes do not exchange state
 	degraded       bool               // this node's own site is lost or returning
@@ -71,8 +71,8 @@
 // NewNode returns a node without backends.
 func NewNode(cfg Config) *Node { return &Node{cfg: cfg, watch: NewWatch(), noted: map[string]bool{}} }
 
-// ApplyList replaces the list of backends.
-func (n *Node) ApplyList(now float64, backends []Backend) { n.watch.ApplyList(now, backends) }
+// SetBackends replaces the list of backends.
+func (n *Node) SetBackends(now float64, backends []Backend) { n.watch.SetBackends(now, backends) }
 
 // RecordSend records the start of an attempt at a backend.
 func (n *Node) RecordSend(now float64, id uint32) { n.watch.RecordSend(now, id) }
@@ -82,7 +82,7 @@
 	n.watch.RecordOutcome(now, id, outcome, took)
 }
 
-// RecordProbe records whether a connection that Directives asked for was established.
+// RecordProbe records whether a connection that Directives requested was established.
 func (n *Node) RecordProbe(now float64, id uint32, up bool) {
 	n.noteChanges(n.watch.RecordProbe(now, id, up))
 }
@@ -179,7 +179,7 @@
 	}
 	n.estimateDemand(demand)
 	order := p.RefusalOrder(n.kinds)
-	d := p.Divide(n.availability, n.asked, order)
+	d := p.Divide(n.availability, n.demand, order)
 	n.division = d
 	home := p.index(n.cfg.Home)
 	if home < 0 {
@@ -236,7 +236,7 @@
 // from the loads of the plan, scaled as this site's differs from its plan, and with the same mix of kinds.
 func (n *Node) estimateDemand(all []Demand) {
 	p := n.cfg.Plan
-	n.kinds, n.asked = n.kinds[:0], n.asked[:0]
+	n.kinds, n.demand = n.kinds[:0], n.demand[:0]
 	var local []float64
 	mean := n.meanWork(all)
 	for _, d := range all {
@@ -249,7 +249,7 @@
 			work = d.Work / mean
 		}
 		n.kinds = append(n.kinds, Kind{d.Class, false, utility, work}, Kind{d.Class, true, utility * n.cfg.OverQuotaUtility, work})
-		local = append(local, max(0, d.Rate-d.Over)*work, min(d.Over, d.Rate)*work)
+		local = append(local, max(0, d.Rate-d.OverQuota)*work, min(d.OverQuota, d.Rate)*work)
 	}
 	total, home := sum(local), p.index(n.cfg.Home)
 	for i, s := range p.Sites {
@@ -270,7 +270,7 @@
 				siteDemand[k] = local[k] / total * load
 			}
 		}
-		n.asked = append(n.asked, siteDemand)
+		n.demand = append(n.demand, siteDemand)
 	}
 }
 
@@ -334,16 +334,16 @@
 
 // refusedFractions returns, by class, the fraction of a site's clients' requests that is refused.
 func (n *Node) refusedFractions(site int) map[string]float64 {
-	asked, refused := map[string]float64{}, map[string]float64{}
+	demand, refused := map[string]float64{}, map[string]float64{}
 	for k, kind := range n.kinds {
-		asked[kind.Class] += n.asked[site][k]
-		refused[kind.Class] += n.asked[site][k] * (1 - n.division.Admitted[site][k])
+		demand[kind.Class] += n.demand[site][k]
+		refused[kind.Class] += n.demand[site][k] * (1 - n.division.Admitted[site][k])
 	}
 	for class, x := range refused {
 		if x <= 1e-9 {
 			delete(refused, class)
 		} else {
-			refused[class] = x / asked[class]
+			refused[class] = x / demand[class]
 		}
 	}
 	return refused
--- a/policy/copy.go
+++ b/policy/copy.go
@@ -6,11 +6,11 @@
 // latencies about 1 in 150.
 const lateDeviations = 4.0
 
-// hedgeAfter returns the seconds after which an attempt of a class is late; at most half the aim.
+// hedgeAfter returns the seconds after which an attempt of a class is late; at most half the latency target.
 func (c *class) hedgeAfter() float64 {
 	late := c.latency.MeanPlus(lateDeviations)
-	if aim := c.Aim.Seconds(); aim > 0 {
-		late = min(late, aim/2)
+	if target := c.Aim.Seconds(); target > 0 {
+		late = min(late, target/2)
 	}
 	return late
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -78,7 +78,7 @@
 	r := 20.0
 	set := settings()
 	set.Classes = set.Classes[:2]
-	set.Classes[0].Aim, set.Classes[1].Aim = 0, 0 // H is then 0.9 R: no aim bounds it
+	set.Classes[0].Aim, set.Classes[1].Aim = 0, 0 // H is then 0.9 R: no latency target bounds it
 	h := onsetFraction * r
 	l := h * abatementFraction / onsetFraction
 	below := func(x float64) float64 { return x - 1e-6 }
@@ -158,7 +158,7 @@
 			b.refresh(now.Seconds())
 			sent = map[string]int{}
 		}
-		setEstimate(s, now, 7) // between H (6: 0.3 of the aim) and R (20)
+		setEstimate(s, now, 7) // between H (6: 0.3 of the target) and R (20)
 		if a := sendRequest(b, now, string(rune(1000+i)), name); a.Kind == ActSend {
 			sent[name]++
 		}
@@ -278,7 +278,7 @@
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
 	failing, failed := true, 0
 	to := map[string]map[uint32]int{"once": {}, "low": {}}
-	play := func(from, n int) {
+	simulate := func(from, n int) {
 		for i := from; i < from+n; i++ {
 			now, class := t0+time.Duration(i)*5*time.Millisecond, []string{"once", "low"}[i%2]
 			if i%50 == 0 {
@@ -296,7 +296,7 @@
 			endAttempt(b, now, send, o, Load{Known: true})
 		}
 	}
-	play(0, 2000) // 10 s
+	simulate(0, 2000) // 10 s
 	if failed < 3 || failed > 12 {
 		t.Errorf("%d of 1000 requests were sent to the backend that fails their class, want 3 to 12", failed)
 	}
@@ -307,9 +307,9 @@
 		t.Error("the backend was ejected for all classes")
 	}
 	failing = false
-	play(2000, 4000) // 20 s, longer than the longest ejection
+	simulate(2000, 4000) // 20 s, longer than the longest ejection
 	clear(to["once"])
-	play(6000, 400)
+	simulate(6000, 400)
 	if n := to["once"][1]; n < 60 {
 		t.Errorf("once it answers the class again the backend gets %d of 200", n)
 	}
@@ -620,10 +620,10 @@
 	for i := 0; i < 5; i++ {
 		b.Handle(now, &Event{Kind: EvList, List: ListFailed}, nil)
 		from := now
-		for asked := false; !asked; {
+		for subscribed := false; !subscribed; {
 			now += 250 * time.Millisecond
 			for _, a := range b.Handle(now, &Event{Kind: EvTimer, Token: "tick"}, nil) {
-				asked = asked || a.Kind == ActSubscribe
+				subscribed = subscribed || a.Kind == ActSubscribe
 			}
 			if now > from+set.MustAskIn {
 				t.Fatalf("loss %d: no subscription for %v", i, now-from)
@@ -993,18 +993,18 @@
 // overloaded fleet from answering first tries in time.
 func TestLateClientRetryIsRefused(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		repeat bool
-		left   time.Duration
-		late   float64
-		want   ActionKind
-		wait   time.Duration
+		name      string
+		repeat    bool
+		remaining time.Duration
+		late      float64
+		want      ActionKind
+		wait      time.Duration
 	}{
 		{"first try", false, 900 * time.Millisecond, 0, ActSend, 900 * time.Millisecond},
 		{"retry with as much time", true, 1200 * time.Millisecond, 0, ActSend, 1200 * time.Millisecond},
 		{"retry that is 0.9 s old", true, 1100 * time.Millisecond, 0, ActSend, 1100 * time.Millisecond},
 		{"retry that is 1.5 s old", true, 500 * time.Millisecond, 0, ActRefuse, time.Second},
-		{"the same if late answers have worth", true, 500 * time.Millisecond, 0.5, ActSend, 500 * time.Millisecond},
+		{"the same if late answers have utility", true, 500 * time.Millisecond, 0.5, ActSend, 500 * time.Millisecond},
 	} {
 		b := newTestBalancer(t, settings(func(s *Settings) { s.Classes[1].LateWorth = c.late }), Entry{ID: 1, Zone: "a"})
 		first := func(id string, left time.Duration, repeat bool) Action {
@@ -1013,7 +1013,7 @@
 		setEstimate(b.backends[1], t0, 0)
 		first("earlier", 1200*time.Millisecond, false)
 		b.backends[1].inFlight = 0
-		if got := first("r", c.left, c.repeat); got.Kind != c.want || got.Wait.Round(time.Millisecond) != c.wait {
+		if got := first("r", c.remaining, c.repeat); got.Kind != c.want || got.Wait.Round(time.Millisecond) != c.wait {
 			t.Errorf("%s: %+v, want kind %d with %v", c.name, got, c.want, c.wait)
 		}
 	}
@@ -1070,7 +1070,7 @@
 	}
 }
 
-// A retry for an answer that comes too late to have any worth is wasted work.
+// A retry for an answer that comes too late to have any utility is wasted work.
 func TestNoRetryAfterLatencyTarget(t *testing.T) {
 	for _, c := range []struct {
 		after time.Duration
