--- a/cmd/craneglade/systemcalls_test.go
+++ b/cmd/craneglade/systemcalls_test.go
@@ -122,7 +122,7 @@
 func waitUsed(t *testing.T, f *processfaults.Faults) {
 	t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		left, err := f.Left()
+		left, err := f.Remaining()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/cli/rehearse.go
+++ b/internal/cli/rehearse.go
@@ -259,7 +259,7 @@
 	for _, x := range []struct {
 		n    int
 		name string
-	}{{s.Cold, "cold"}, {s.Slow, "slow"}, {s.Leaving, "leaving"}, {s.Silent, "silent"}, {s.Fallen, "fallen"}} {
+	}{{s.Cold, "cold"}, {s.Slow, "slow"}, {s.Draining, "leaving"}, {s.Silent, "silent"}, {s.Fallen, "fallen"}} {
 		if x.n > 0 {
 			boxes = append(boxes, fmt.Sprintf("%d %s", x.n, x.name))
 		}
@@ -269,7 +269,7 @@
 		extra = " (" + strings.Join(boxes, ", ") + ")"
 	}
 	text := fmt.Sprintf("%4.0f s  %4d/s asked  %5.1f%% in time  %3d refused  %3d failed  %4d open  %d nodes  %d boxes%s", min(s.At, s.Length+time.Hour).Seconds(),
-		s.Asked-d.Asked, share, s.Refused-d.Refused, s.Failed+s.Unreached-d.Failed-d.Unreached, s.Open, s.Nodes, s.Boxes, extra)
+		s.Requests-d.Requests, share, s.Refused-d.Refused, s.Failed+s.Unreached-d.Failed-d.Unreached, s.Open, s.Nodes, s.Backends, extra)
 	if !v.live {
 		fmt.Fprintln(v.out, text)
 		return
--- a/internal/kit/nameserver/nameserver.go
+++ b/internal/kit/nameserver/nameserver.go
@@ -20,16 +20,16 @@
 
 // What can go wrong with a question.
 const (
-	Sound    Fault = iota
-	Lose           // no answer
-	Cut            // truncated over UDP, sound over TCP
-	CutHang        // truncated over UDP; over TCP the connection stays open and silent
-	WrongID        // an answer with another id, and no other
-	Poison         // first a forged answer with another id and one to another question, then the sound one
-	Garbage        // bytes that are no message, then the sound answer
-	Servfail       // SERVFAIL
-	Refused        // REFUSED
-	Lame           // a referral, without recursion
+	NoFault      Fault = iota
+	Drop               // no answer
+	Truncate           // truncated over UDP, sound over TCP
+	TruncateHang       // truncated over UDP; over TCP the connection stays open and silent
+	WrongID            // an answer with another id, and no other
+	Poison             // first a forged answer with another id and one to another question, then the sound one
+	Garbage            // bytes that are no message, then the sound answer
+	Servfail           // SERVFAIL
+	Refused            // REFUSED
+	Lame               // a referral, without recursion
 )
 
 // Server answers from Zone. Set its fields before Start, and change them by Set afterwards.
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// Script sets what goes wrong with each question, and how long every answer takes; nil for nothing.
-func (s *Server) Script(fault func(q dns.Question, tcp bool) Fault, delay time.Duration) {
+// SetFaults sets what goes wrong with each question, and how long every answer takes; nil for nothing.
+func (s *Server) SetFaults(fault func(q dns.Question, tcp bool) Fault, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault, s.delay = fault, delay
@@ -122,8 +122,8 @@
 	s.told = f
 }
 
-// Asked is how many questions of a type have come.
-func (s *Server) Asked(kind uint16) int {
+// Queries is how many questions of a type have come.
+func (s *Server) Queries(kind uint16) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.asked[kind]
@@ -133,7 +133,7 @@
 	s.mu.Lock()
 	m := s.message(q)
 	s.asked[q.Question[0].Qtype]++
-	fault, delay := Sound, s.delay
+	fault, delay := NoFault, s.delay
 	if s.fault != nil {
 		fault = s.fault(q.Question[0], tcp)
 	}
@@ -143,12 +143,12 @@
 		return
 	}
 	switch fault {
-	case Lose:
+	case Drop:
 		return
-	case Cut, CutHang:
+	case Truncate, TruncateHang:
 		if !tcp {
 			m.Answer, m.Extra, m.Truncated = nil, nil, true
-		} else if fault == CutHang {
+		} else if fault == TruncateHang {
 			timing.Sleep(s.ctx, time.Minute)
 			return
 		}
@@ -181,7 +181,7 @@
 		m.Extra = nil // nobody needs these, and leaving them out cuts no answer
 	}
 	m.Truncate(size)
-	if fault == Sound && told != nil {
+	if fault == NoFault && told != nil {
 		told(q.Question[0], m)
 	}
 	w.WriteMsg(m)
--- a/internal/kit/processfaults/processfaults.go
+++ b/internal/kit/processfaults/processfaults.go
@@ -91,8 +91,8 @@
 	return f.write(callTable, entry[:])
 }
 
-// Left is how many calls are still to fail.
-func (f *Faults) Left() (int, error) {
+// Remaining is how many calls are still to fail.
+func (f *Faults) Remaining() (int, error) {
 	table, err := os.ReadFile(f.path(callTable))
 	if err != nil {
 		return 0, err
--- a/internal/kit/relay/relay.go
+++ b/internal/kit/relay/relay.go
@@ -28,7 +28,7 @@
 // Event is one thing that went through, or did not.
 type Event struct {
 	From, To int // nodes, from 0; From is -1 for nobody that is known
-	How      string
+	Outcome  string
 	Bytes    int
 	Stream   bool // it is the opening of one
 }
@@ -52,7 +52,7 @@
 
 type rule struct {
 	of func(from, to int) bool
-	Trouble
+	Fault
 }
 
 // New makes a network for n nodes, on loopback addresses that nobody else uses. Note is called with each thing that went
@@ -83,7 +83,7 @@
 	}
 	for i := range n {
 		// The node's own port must be free too: nobody else has this address, then.
-		own, err := net.Listen("tcp", r.Node(i))
+		own, err := net.Listen("tcp", r.NodeAddr(i))
 		if err != nil {
 			return err
 		}
@@ -107,18 +107,18 @@
 	return nil
 }
 
-// Node is the address that node i listens on, and Relay the one that it tells others.
-func (r *Net) Node(i int) string {
+// NodeAddr is the address that node i listens on, and Relay the one that it tells others.
+func (r *Net) NodeAddr(i int) string {
 	return net.JoinHostPort(r.ips[i].String(), strconv.Itoa(nodePort))
 }
 
-// Relay is the address at which others reach node i.
-func (r *Net) Relay(i int) string {
+// RelayAddr is the address at which others reach node i.
+func (r *Net) RelayAddr(i int) string {
 	return net.JoinHostPort(r.ips[i].String(), strconv.Itoa(relayPort))
 }
 
-// Set begins a trouble on the links that of names, and returns what ends it.
-func (r *Net) Set(t Trouble, of func(from, to int) bool) (end func()) {
+// Inject begins a trouble on the links that of names, and returns what ends it.
+func (r *Net) Inject(t Fault, of func(from, to int) bool) (end func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.next++
@@ -131,10 +131,10 @@
 	}
 }
 
-func (r *Net) now(from, to int) (t Trouble) {
+func (r *Net) now(from, to int) (t Fault) {
 	for _, x := range r.trouble {
 		if x.of(from, to) {
-			t = t.with(x.Trouble)
+			t = t.with(x.Fault)
 		}
 	}
 	return t
@@ -234,7 +234,7 @@
 		r.hold(from, to)
 		return
 	}
-	d, err := net.DialTimeout("tcp", r.Node(to), dialTime)
+	d, err := net.DialTimeout("tcp", r.NodeAddr(to), dialTime)
 	if err != nil {
 		return // it is down, and so is the stream
 	}
--- a/internal/kit/relay/relay_test.go
+++ b/internal/kit/relay/relay_test.go
@@ -18,7 +18,7 @@
 	r, err := New(2, 7, func(e Event) {
 		mu.Lock()
 		defer mu.Unlock()
-		told[e.How]++
+		told[e.Outcome]++
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -73,15 +73,15 @@
 
 func TestDatagrams(t *testing.T) {
 	r, told := network(t)
-	one, two := udp(t, r.Node(0)), udp(t, r.Node(1))
+	one, two := udp(t, r.NodeAddr(0)), udp(t, r.NodeAddr(1))
 	buf := make([]byte, 100)
-	send(t, one, r.Relay(1), 1)
-	if n, from, err := two.ReadFrom(buf); err != nil || string(buf[:n]) != "0123456789" || from.String() != r.Relay(1) {
+	send(t, one, r.RelayAddr(1), 1)
+	if n, from, err := two.ReadFrom(buf); err != nil || string(buf[:n]) != "0123456789" || from.String() != r.RelayAddr(1) {
 		t.Fatalf("%q from %v, %v", buf[:n], from, err)
 	}
-	end := r.Set(Trouble{Drop: 1}, func(from, to int) bool { return from == 0 && to == 1 })
-	send(t, one, r.Relay(1), 20)
-	send(t, two, r.Relay(0), 1) // the other way is as it was
+	end := r.Inject(Fault{Drop: 1}, func(from, to int) bool { return from == 0 && to == 1 })
+	send(t, one, r.RelayAddr(1), 20)
+	send(t, two, r.RelayAddr(0), 1) // the other way is as it was
 	if n, _, err := one.ReadFrom(buf); err != nil || n != 10 {
 		t.Fatalf("%d bytes, %v", n, err)
 	}
@@ -91,8 +91,8 @@
 		}
 	}
 	end()
-	end = r.Set(Trouble{Twice: 1, Spoil: 1, Delay: 5 * time.Millisecond}, func(int, int) bool { return true })
-	send(t, one, r.Relay(1), 1)
+	end = r.Inject(Fault{Duplicate: 1, Corrupt: 1, Delay: 5 * time.Millisecond}, func(int, int) bool { return true })
+	send(t, one, r.RelayAddr(1), 1)
 	for range 2 {
 		if n, _, err := two.ReadFrom(buf); err != nil || n != 10 || string(buf[:n]) == "0123456789" {
 			t.Fatalf("%q, %v", buf[:n], err)
@@ -101,8 +101,8 @@
 	end()
 	// Who is nobody's node is not heard.
 	stranger := udp(t, "127.0.0.1:0")
-	send(t, stranger, r.Relay(1), 1)
-	send(t, one, r.Relay(1), 1)
+	send(t, stranger, r.RelayAddr(1), 1)
+	send(t, one, r.RelayAddr(1), 1)
 	if n, _, err := two.ReadFrom(buf); err != nil || string(buf[:n]) != "0123456789" {
 		t.Fatalf("%q, %v", buf[:n], err)
 	}
@@ -115,7 +115,7 @@
 
 func TestStreams(t *testing.T) {
 	r, _ := network(t)
-	ln, err := net.Listen("tcp", r.Node(1))
+	ln, err := net.Listen("tcp", r.NodeAddr(1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 	dial := func() net.Conn {
 		t.Helper()
 		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(r.ips[0].String())}, Timeout: patience}
-		c, err := d.Dial("tcp", r.Relay(1))
+		c, err := d.Dial("tcp", r.RelayAddr(1))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -152,7 +152,7 @@
 		t.Fatalf("%q, %v", buf, err)
 	}
 	// A cut link keeps what is written; when it heals the stream has broken.
-	end := r.Set(Trouble{Cut: true}, func(from, to int) bool { return from == 0 })
+	end := r.Inject(Fault{Cut: true}, func(from, to int) bool { return from == 0 })
 	if _, err := c.Write([]byte("again")); err != nil {
 		t.Fatal(err)
 	}
@@ -179,7 +179,7 @@
 
 // The same seed gives the same fates, whatever else happens, and troubles add up.
 func TestFates(t *testing.T) {
-	trouble := Trouble{Drop: 0.2, Twice: 0.3, Spoil: 0.1, Delay: time.Millisecond}
+	trouble := Fault{Drop: 0.2, Duplicate: 0.3, Corrupt: 0.1, Delay: time.Millisecond}
 	a, b := newLink(3, 0, 1), newLink(3, 0, 1)
 	got := map[string]int{}
 	for i := range 1000 {
@@ -194,10 +194,10 @@
 			}
 		}
 	}
-	if got[Dropped] < 150 || got[Dropped] > 250 || sum(got, Doubled, Spoiled) < 200 {
+	if got[Dropped] < 150 || got[Dropped] > 250 || sum(got, Duplicated, Corrupted) < 200 {
 		t.Errorf("%v", got)
 	}
-	both := trouble.with(Trouble{Cut: true, Drop: 0.5})
+	both := trouble.with(Fault{Cut: true, Drop: 0.5})
 	if !both.Cut || both.Drop != 0.6 || both.Delay != time.Millisecond {
 		t.Errorf("%+v", both)
 	}
--- a/internal/kit/relay/trouble.go
+++ b/internal/kit/relay/trouble.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// Trouble is what happens to what goes from one node to another. Its zero value lets everything through as it is.
-type Trouble struct {
-	Cut   bool          // nothing comes through; streams stand still and break
-	Drop  float64       // part of the datagrams that is lost
-	Twice float64       // part that comes twice
-	Spoil float64       // part with a byte changed
-	Delay time.Duration // of each; up to as much again by chance, so that some overtake others
+// Fault is what happens to what goes from one node to another. Its zero value lets everything through as it is.
+type Fault struct {
+	Cut       bool          // nothing comes through; streams stand still and break
+	Drop      float64       // part of the datagrams that is lost
+	Duplicate float64       // part that comes twice
+	Corrupt   float64       // part with a byte changed
+	Delay     time.Duration // of each; up to as much again by chance, so that some overtake others
 }
 
 // with is both troubles at once.
-func (a Trouble) with(b Trouble) Trouble {
+func (a Fault) with(b Fault) Fault {
 	part := func(x, y float64) float64 { return 1 - (1-x)*(1-y) }
-	return Trouble{a.Cut || b.Cut, part(a.Drop, b.Drop), part(a.Twice, b.Twice), part(a.Spoil, b.Spoil), a.Delay + b.Delay}
+	return Fault{a.Cut || b.Cut, part(a.Drop, b.Drop), part(a.Duplicate, b.Duplicate), part(a.Corrupt, b.Corrupt), a.Delay + b.Delay}
 }
 
 // Fates, as they are told.
 const (
-	Passed  = "passed"
-	Dropped = "dropped"
-	Cut     = "cut"
-	Doubled = "doubled"
-	Spoiled = "spoiled"
-	Unknown = "unknown" // of nobody that the relay stands for
+	Passed     = "passed"
+	Dropped    = "dropped"
+	Cut        = "cut"
+	Duplicated = "doubled"
+	Corrupted  = "spoiled"
+	Unknown    = "unknown" // of nobody that the relay stands for
 )
 
 // fate is what becomes of one datagram.
@@ -48,8 +48,8 @@
 }
 
 // draw takes the same number of draws whatever the trouble, so that one that ends leaves the others' course as it was.
-func (l *link) draw(t Trouble, size int) fate {
-	drop, twice, spoil, at := l.rng.Float64() < t.Drop, l.rng.Float64() < t.Twice, l.rng.Float64() < t.Spoil, l.rng.Float64()
+func (l *link) draw(t Fault, size int) fate {
+	drop, twice, spoil, at := l.rng.Float64() < t.Drop, l.rng.Float64() < t.Duplicate, l.rng.Float64() < t.Corrupt, l.rng.Float64()
 	late := [2]float64{l.rng.Float64(), l.rng.Float64()}
 	delay := func(i int) time.Duration { return t.Delay + time.Duration(late[i]*float64(t.Delay)) }
 	f := fate{how: Passed, spoil: -1}
@@ -59,12 +59,12 @@
 	case drop:
 		return fate{how: Dropped, spoil: -1}
 	case twice:
-		f.how, f.delays = Doubled, []time.Duration{delay(0), delay(1)}
+		f.how, f.delays = Duplicated, []time.Duration{delay(0), delay(1)}
 	default:
 		f.delays = []time.Duration{delay(0)}
 	}
 	if spoil && size > 0 {
-		f.how, f.spoil = Spoiled, int(at*float64(size))
+		f.how, f.spoil = Corrupted, int(at*float64(size))
 	}
 	return f
 }
--- a/internal/kit/run/fleet.go
+++ b/internal/kit/run/fleet.go
@@ -49,7 +49,7 @@
 		if e.From >= 0 {
 			by = r.nodes[e.From].Name
 		}
-		rec := trace.Record{Kind: trace.Peer, T: trace.US(r.clock().Now()), Node: r.nodes[e.To].Name, Text: by, How: e.How, Bytes: int64(e.Bytes)}
+		rec := trace.Record{Kind: trace.Peer, T: trace.US(r.clock().Now()), Node: r.nodes[e.To].Name, Text: by, How: e.Outcome, Bytes: int64(e.Bytes)}
 		if e.Stream {
 			rec.Why = "stream"
 		}
@@ -65,9 +65,9 @@
 	}
 	var some []string
 	for i := range min(seeds, len(r.nodes)) {
-		some = append(some, fmt.Sprintf("%q", r.net.Relay(i)))
+		some = append(some, fmt.Sprintf("%q", r.net.RelayAddr(i)))
 	}
-	return []string{"{peer}", r.net.Node(n.index), "{advertise}", r.net.Relay(n.index), "{seeds}", "[" + strings.Join(some, ", ") + "]",
+	return []string{"{peer}", r.net.NodeAddr(n.index), "{advertise}", r.net.RelayAddr(n.index), "{seeds}", "[" + strings.Join(some, ", ") + "]",
 		"{key}", filepath.Join(r.dir, "fleet.key"), "{audit}", n.audit()}
 }
 
@@ -99,7 +99,7 @@
 		for n := range c.nodes {
 			off[n] = true
 		}
-		c.end = r.net.Set(relay.Trouble{Cut: true}, func(from, to int) bool {
+		c.end = r.net.Inject(relay.Fault{Cut: true}, func(from, to int) bool {
 			out, in := off[from] && !off[to], off[to] && !off[from]
 			return out && s.Text != "in" || in && s.Text != "out"
 		})
@@ -116,9 +116,9 @@
 		if s.By == 0 {
 			return
 		}
-		t := map[string]relay.Trouble{"drop-words": {Drop: s.By}, "double-words": {Twice: s.By}, "spoil-words": {Spoil: s.By},
+		t := map[string]relay.Fault{"drop-words": {Drop: s.By}, "double-words": {Duplicate: s.By}, "spoil-words": {Corrupt: s.By},
 			"late-words": {Delay: time.Duration(s.By * float64(time.Second))}}[s.Text]
-		r.ends[s.Text] = r.net.Set(t, func(int, int) bool { return true })
+		r.ends[s.Text] = r.net.Inject(t, func(int, int) bool { return true })
 	}
 }
 
@@ -139,7 +139,7 @@
 	case s.By > 0 && mend == nil:
 		r.dark[s.Text] = func() {}
 		if r.net != nil {
-			r.dark[s.Text] = r.net.Set(relay.Trouble{Cut: true}, func(a, b int) bool { return r.nodes[a].Site == from && r.nodes[b].Site == to })
+			r.dark[s.Text] = r.net.Inject(relay.Fault{Cut: true}, func(a, b int) bool { return r.nodes[a].Site == from && r.nodes[b].Site == to })
 		}
 	}
 	boxes := slices.Collect(maps.Values(r.boxes))
--- a/internal/kit/run/run.go
+++ b/internal/kit/run/run.go
@@ -48,10 +48,10 @@
 
 // Status is how a rehearsal stands.
 type Status struct {
-	At, Length                                        time.Duration
-	Asked, InTime, Late, Refused, Failed, Unreached   int64 // since the start
-	Open                                              int64
-	Nodes, Boxes, Cold, Slow, Leaving, Silent, Fallen int
+	At, Length                                            time.Duration
+	Requests, InTime, Late, Refused, Failed, Unreached    int64 // since the start
+	Open                                                  int64
+	Nodes, Backends, Cold, Slow, Draining, Silent, Fallen int
 }
 
 // Cost is what the kit itself used while it played.
@@ -321,7 +321,7 @@
 
 func (r *Rehearsal) status(at time.Duration) Status {
 	c := &r.clients.Count
-	s := Status{At: at, Length: r.plan.Scenario.Length.D(), Asked: c.Asked.Load(), InTime: c.InTime.Load(), Late: c.Late.Load(),
+	s := Status{At: at, Length: r.plan.Scenario.Length.D(), Requests: c.Asked.Load(), InTime: c.InTime.Load(), Late: c.Late.Load(),
 		Refused: c.Refused.Load(), Failed: c.Failed.Load(), Unreached: c.Unreached.Load(), Open: c.Open.Load()}
 	for _, n := range r.nodes {
 		n.mu.Lock()
@@ -339,11 +339,11 @@
 			continue
 		}
 		st := b.box.Standing()
-		s.Boxes++
+		s.Backends++
 		for _, x := range []struct {
 			is bool
 			n  *int
-		}{{!st.Warm, &s.Cold}, {st.Slow, &s.Slow}, {st.Draining, &s.Leaving}, {st.Silent, &s.Silent}, {st.Fallen, &s.Fallen}} {
+		}{{!st.Warm, &s.Cold}, {st.Slow, &s.Slow}, {st.Draining, &s.Draining}, {st.Silent, &s.Silent}, {st.Fallen, &s.Fallen}} {
 			if x.is {
 				*x.n++
 			}
--- a/internal/node/names_test.go
+++ b/internal/node/names_test.go
@@ -123,8 +123,8 @@
 	if err := dns.Set(); err != nil { // no such name
 		t.Fatal(err)
 	}
-	asked := dns.Asked(33)
-	wait(t, "two more queries", func() bool { return dns.Asked(33) >= asked+2 })
+	asked := dns.Queries(33)
+	wait(t, "two more queries", func() bool { return dns.Queries(33) >= asked+2 })
 	n := 0
 	lastSend(t, r, a, func() bool { n++; return n > 50 })
 	for _, m := range r.members() {
--- a/internal/resolve/resolve_test.go
+++ b/internal/resolve/resolve_test.go
@@ -57,12 +57,12 @@
 		fault nameserver.Fault
 		want  error // nil for a correct answer
 	}{
-		{nameserver.Sound, nil}, {nameserver.Cut, nil}, {nameserver.Poison, nil}, {nameserver.Garbage, nil},
-		{nameserver.Lose, context.DeadlineExceeded}, {nameserver.CutHang, context.DeadlineExceeded}, {nameserver.WrongID, context.DeadlineExceeded},
+		{nameserver.NoFault, nil}, {nameserver.Truncate, nil}, {nameserver.Poison, nil}, {nameserver.Garbage, nil},
+		{nameserver.Drop, context.DeadlineExceeded}, {nameserver.TruncateHang, context.DeadlineExceeded}, {nameserver.WrongID, context.DeadlineExceeded},
 		{nameserver.Servfail, ErrServer}, {nameserver.Refused, ErrRefused}, {nameserver.Lame, ErrLame},
 	} {
 		bad, good := server(t, srvRecords(3, 7)...), server(t, srvRecords(3, 7)...)
-		bad.Script(func(dns.Question, bool) nameserver.Fault { return c.fault }, 0)
+		bad.SetFaults(func(dns.Question, bool) nameserver.Fault { return c.fault }, 0)
 		got, ttl, err := client(bad).Backends(t.Context(), site)
 		if c.want != nil {
 			if !errors.Is(err, c.want) {
@@ -107,8 +107,8 @@
 	c := client(s)
 	c.Timeout = 10 * time.Second
 	got, _, err := c.Backends(t.Context(), site)
-	if err != nil || len(got) != 1200 || s.Asked(dns.TypeA) < 500 {
-		t.Errorf("%d backends, %v; %d addresses were queried", len(got), err, s.Asked(dns.TypeA))
+	if err != nil || len(got) != 1200 || s.Queries(dns.TypeA) < 500 {
+		t.Errorf("%d backends, %v; %d addresses were queried", len(got), err, s.Queries(dns.TypeA))
 	}
 	if err := s.Set(srvRecords(5000, 60)...); err != nil {
 		t.Fatal(err)
@@ -125,11 +125,11 @@
 		t.Fatalf("%v, %v", got, err)
 	}
 	far := server(t, name+" 5 IN SRV 0 0 9000 one.elsewhere.org.")
-	far.Script(func(q dns.Question, _ bool) nameserver.Fault {
+	far.SetFaults(func(q dns.Question, _ bool) nameserver.Fault {
 		if q.Qtype == dns.TypeAAAA {
 			return nameserver.Servfail
 		}
-		return nameserver.Sound
+		return nameserver.NoFault
 	}, 0)
 	if got, _, err := client(far).Backends(t.Context(), site); !errors.Is(err, ErrServer) {
 		t.Errorf("%v, %v", got, err)
