--- a/internal/kit/run/fleet.go
+++ b/internal/kit/run/fleet.go
@@ -25,18 +25,18 @@
 )
 
 const (
-	auditEvery = 100 * time.Millisecond
-	seeds      = 3 // nodes that the others are told of
+	auditInterval = 100 * time.Millisecond
+	seedCount     = 3 // nodes whose addresses are in every node's seeds
 )
 
-// cut is some nodes that are cut off from the others.
-type cut struct {
-	nodes map[int]bool // from 0
-	end   func()
+// partition is a set of nodes that are cut off from the others.
+type partition struct {
+	nodes map[int]bool // by index, from 0
+	heal  func()
 }
 
-// connect makes the network between the nodes, where they talk to each other.
-func (r *Rehearsal) connect() (err error) {
+// connectNodes creates the network between the nodes and the fleet's key, if the nodes talk to each other.
+func (r *Rehearsal) connectNodes() (err error) {
 	own := r.plan.Scenario.Nodes.Own
 	if !strings.Contains(own, "{peer}") {
 		return nil
@@ -58,23 +58,23 @@
 	return err
 }
 
-// fleet is what a node's own settings are filled in with for [fleet].
-func (r *Rehearsal) fleet(n *node) []string {
+// fleetSettings returns the placeholders of a node's own settings that belong to [fleet], each followed by its value.
+func (r *Rehearsal) fleetSettings(n *node) []string {
 	if r.net == nil {
 		return nil
 	}
-	var some []string
-	for i := range min(seeds, len(r.nodes)) {
-		some = append(some, fmt.Sprintf("%q", r.net.RelayAddr(i)))
+	var seedAddrs []string
+	for i := range min(seedCount, len(r.nodes)) {
+		seedAddrs = append(seedAddrs, fmt.Sprintf("%q", r.net.RelayAddr(i)))
 	}
-	return []string{"{peer}", r.net.NodeAddr(n.index), "{advertise}", r.net.RelayAddr(n.index), "{seeds}", "[" + strings.Join(some, ", ") + "]",
-		"{key}", filepath.Join(r.dir, "fleet.key"), "{audit}", n.audit()}
+	return []string{"{peer}", r.net.NodeAddr(n.index), "{advertise}", r.net.RelayAddr(n.index), "{seeds}", "[" + strings.Join(seedAddrs, ", ") + "]",
+		"{key}", filepath.Join(r.dir, "fleet.key"), "{audit}", n.auditFile()}
 }
 
-func (n *node) audit() string { return filepath.Join(n.r.dir, n.Name+".audit") }
+func (n *node) auditFile() string { return filepath.Join(n.r.dir, n.Name+".audit") }
 
-// trouble begins or ends a trouble of the links between nodes.
-func (r *Rehearsal) trouble(s *plan.Step) {
+// applyLinkFault begins or ends a fault of the links between nodes.
+func (r *Rehearsal) applyLinkFault(s *plan.Step) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := trace.Record{Kind: trace.Net, T: trace.US(r.clock().Now()), Text: s.Text, How: trace.Begin}
@@ -87,120 +87,122 @@
 	r.out.Add(&rec)
 	switch s.Do {
 	case plan.CutNode:
-		c := r.cuts[s.By]
-		if c == nil {
-			c = &cut{nodes: map[int]bool{}}
-			r.cuts[s.By] = c
+		p := r.partitions[s.By]
+		if p == nil {
+			p = &partition{nodes: map[int]bool{}}
+			r.partitions[s.By] = p
 		} else {
-			c.end()
+			p.heal()
 		}
-		c.nodes[s.Node-1] = true
-		off := map[int]bool{}
-		for n := range c.nodes {
-			off[n] = true
+		p.nodes[s.Node-1] = true
+		isolated := map[int]bool{}
+		for n := range p.nodes {
+			isolated[n] = true
 		}
-		c.end = r.net.Inject(relay.Fault{Cut: true}, func(from, to int) bool {
-			out, in := off[from] && !off[to], off[to] && !off[from]
+		p.heal = r.net.Inject(relay.Fault{Cut: true}, func(from, to int) bool {
+			out, in := isolated[from] && !isolated[to], isolated[to] && !isolated[from]
 			return out && s.Text != "in" || in && s.Text != "out"
 		})
 	case plan.Mend:
-		if c := r.cuts[s.By]; c != nil {
-			c.end()
-			delete(r.cuts, s.By)
+		if p := r.partitions[s.By]; p != nil {
+			p.heal()
+			delete(r.partitions, s.By)
 		}
 	case plan.Words:
-		if end := r.ends[s.Text]; end != nil {
+		if end := r.messageFaults[s.Text]; end != nil {
 			end()
-			delete(r.ends, s.Text)
+			delete(r.messageFaults, s.Text)
 		}
 		if s.By == 0 {
 			return
 		}
 		t := map[string]relay.Fault{"drop-words": {Drop: s.By}, "double-words": {Duplicate: s.By}, "spoil-words": {Corrupt: s.By},
 			"late-words": {Delay: time.Duration(s.By * float64(time.Second))}}[s.Text]
-		r.ends[s.Text] = r.net.Inject(t, func(int, int) bool { return true })
+		r.messageFaults[s.Text] = r.net.Inject(t, func(int, int) bool { return true })
 	}
 }
 
-// darken cuts one way between two sites, or mends it: for nodes and boxes, and for nodes that talk to each other.
-func (r *Rehearsal) darken(s *plan.Step) {
+// applySiteCut cuts one direction between two sites, or ends the cut: between nodes and backends, and between nodes that talk
+// to each other.
+func (r *Rehearsal) applySiteCut(s *plan.Step) {
 	from, to, _ := strings.Cut(s.Text, ">")
 	r.mu.Lock()
 	rec := trace.Record{Kind: trace.Net, T: trace.US(r.clock().Now()), Text: "dark " + s.Text, How: trace.Begin}
-	mend := r.dark[s.Text]
+	heal := r.siteCuts[s.Text]
 	if s.By == 0 {
 		rec.How = trace.Over
 	}
 	r.out.Add(&rec)
 	switch {
-	case s.By == 0 && mend != nil:
-		mend()
-		delete(r.dark, s.Text)
-	case s.By > 0 && mend == nil:
-		r.dark[s.Text] = func() {}
+	case s.By == 0 && heal != nil:
+		heal()
+		delete(r.siteCuts, s.Text)
+	case s.By > 0 && heal == nil:
+		r.siteCuts[s.Text] = func() {}
 		if r.net != nil {
-			r.dark[s.Text] = r.net.Inject(relay.Fault{Cut: true}, func(a, b int) bool { return r.nodes[a].Site == from && r.nodes[b].Site == to })
+			r.siteCuts[s.Text] = r.net.Inject(relay.Fault{Cut: true}, func(a, b int) bool { return r.nodes[a].Site == from && r.nodes[b].Site == to })
 		}
 	}
-	boxes := slices.Collect(maps.Values(r.boxes))
+	backends := slices.Collect(maps.Values(r.backends))
 	r.mu.Unlock()
 	var wg sync.WaitGroup
-	for _, seat := range boxes {
-		wg.Go(func() { r.link(seat) })
+	for _, b := range backends {
+		wg.Go(func() { r.updateCuts(b) })
 	}
 	wg.Wait()
 }
 
-// link tells a box which nodes it is cut off from.
-func (r *Rehearsal) link(seat *boxSeat) {
+// updateCuts applies the present cuts between sites to a backend.
+func (r *Rehearsal) updateCuts(b *backendState) {
 	r.mu.Lock()
-	dark := maps.Clone(r.dark)
+	cuts := maps.Clone(r.siteCuts)
 	r.mu.Unlock()
-	seat.box.Cut(func(n trace.Node) (in, out bool) {
-		return dark[n.Site+">"+seat.plan.Site] != nil, dark[seat.plan.Site+">"+n.Site] != nil
+	b.backend.Cut(func(n trace.Node) (in, out bool) {
+		return cuts[n.Site+">"+b.plan.Site] != nil, cuts[b.plan.Site+">"+n.Site] != nil
 	})
 }
 
-// audits notes what the nodes write of what they may spend and know, until the rehearsal's end and once more.
-func (r *Rehearsal) audits(ctx context.Context) {
+// readAudits copies the nodes' audit files, which state their budgets and their view of the fleet, into the trace until the
+// rehearsal ends, and once more then.
+func (r *Rehearsal) readAudits(ctx context.Context) {
 	if r.net == nil {
 		return
 	}
-	read := make([]int64, len(r.nodes))
+	offsets := make([]int64, len(r.nodes))
 	for {
-		more := timing.Sleep(ctx, auditEvery)
+		running := timing.Sleep(ctx, auditInterval)
 		for i, n := range r.nodes {
-			r.audited(n, &read[i])
+			r.readAudit(n, &offsets[i])
 		}
-		if !more {
+		if !running {
 			return
 		}
 	}
 }
 
-// audited notes the lines of a node's audit that came since the last time.
-func (r *Rehearsal) audited(n *node, from *int64) {
-	f, err := os.Open(n.audit())
+// readAudit records the complete lines of a node's audit file from *offset on, and advances *offset past them.
+func (r *Rehearsal) readAudit(n *node, offset *int64) {
+	f, err := os.Open(n.auditFile())
 	if err != nil {
-		return // it has not begun one
+		return // the node has not created it yet
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.NewSectionReader(f, *from, math.MaxInt64-*from))
+	text, err := io.ReadAll(io.NewSectionReader(f, *offset, math.MaxInt64-*offset))
 	if err != nil {
-		return // it is read again from here
+		return // the next call reads from the same offset
 	}
 	text = text[:bytes.LastIndexByte(text, '\n')+1]
-	*from += int64(len(text))
+	*offset += int64(len(text))
 	us := func(ns int64) int64 { return (ns - r.start.UnixNano()) / 1000 }
 	for line := range bytes.Lines(text) {
 		var a peers.AuditRecord
 		if json.Unmarshal(line, &a) != nil {
-			continue // another program's file
+			continue // not an audit record
 		}
 		rec := trace.Record{Kind: trace.View, T: us(a.At), Node: n.Name, Surely: a.MinNodes, AtMost: a.MaxNodes, Every: a.RepeatInterval / 1000, Listed: a.Backends, Out: a.Ejected, Votes: a.MinVotes}
 		for _, h := range a.Counts {
 			epoch := counts.EpochDuration.Nanoseconds()
-			to := int64(h.Incarnation)*1e6 + int64(h.Epoch)*epoch // a life is named by the Unix milliseconds of its start
+			to := int64(h.Incarnation)*1e6 + int64(h.Epoch)*epoch // an incarnation is the Unix time of its start in milliseconds
 			rec.Counts = append(rec.Counts, trace.Count{Key: h.Key, Of: h.Node, Life: h.Incarnation, Epoch: h.Epoch, Sum: int64(h.Sum), From: us(to - int64(h.ClosedEpochs)*epoch), To: us(to)})
 		}
 		if a.Budget != "" {
--- a/internal/kit/run/names.go
+++ b/internal/kit/run/names.go
@@ -14,104 +14,104 @@
 	"craneglade/internal/kit/trace"
 )
 
-// names is the DNS server of one node, which names the boxes of each site as that node sees them, and notes what its answers
-// tell: a box that an answer lacks and an earlier one had is taken back.
-type names struct {
+// nameServer is the DNS server of one node. It lists the backends of each site at the addresses for that node, and records which
+// backends its answers announce: one that an earlier answer had and a later one lacks is recorded as removed.
+type nameServer struct {
 	server *nameserver.Server
 	node   *node
 	clock  stand.Clock
 	out    *trace.Writer
 	ttl    int64
 
-	mu    sync.Mutex
-	boxes map[string]namedBox // by id: those that are named
-	ids   map[string]string   // by port: whose it is, or was last
-	told  map[string]bool     // by id: the last answer had it; false for one that was taken back
+	mu        sync.Mutex
+	backends  map[string]dnsBackend // by id: in the zone
+	idsByPort map[string]string     // by port: its present or latest owner
+	announced map[string]bool       // by id: whether the latest answer had it
 }
 
-type namedBox struct{ site, host, port string }
+type dnsBackend struct{ site, host, port string }
 
-func (r *Rehearsal) newNames(n *node) (*names, error) {
+func (r *Rehearsal) newNameServer(n *node) (*nameServer, error) {
 	server, err := nameserver.Start()
 	if err != nil {
 		return nil, err
 	}
-	s := &names{server: server, node: n, clock: r.clock(), out: r.out, ttl: int64(r.plan.Scenario.Names.TTL.D() / time.Second),
-		boxes: map[string]namedBox{}, ids: map[string]string{}, told: map[string]bool{}}
-	server.OnAnswer(s.answered)
+	s := &nameServer{server: server, node: n, clock: r.clock(), out: r.out, ttl: int64(r.plan.Scenario.Names.TTL.D() / time.Second),
+		backends: map[string]dnsBackend{}, idsByPort: map[string]string{}, announced: map[string]bool{}}
+	server.OnAnswer(s.recordAnswer)
 	return s, nil
 }
 
 func siteName(site string) string { return "_config._tcp." + strings.ToLower(site) + ".example.org." }
 
-// set names a box, or takes it back.
-func (s *names) set(id, site, addr string, there bool) error {
+// setBackend adds a backend to the zone, or removes it.
+func (s *nameServer) setBackend(id, site, addr string, present bool) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if there {
-		s.boxes[id] = namedBox{site, host, port}
-		s.ids[port] = id
+	if present {
+		s.backends[id] = dnsBackend{site, host, port}
+		s.idsByPort[port] = id
 	} else {
-		delete(s.boxes, id)
+		delete(s.backends, id)
 	}
 	var records []string
-	for id, b := range s.boxes {
+	for id, b := range s.backends {
 		records = append(records, fmt.Sprintf("%s %d IN SRV 0 1 %s %s.example.org.", siteName(b.site), s.ttl, b.port, id), fmt.Sprintf("%s.example.org. %d IN A %s", id, s.ttl, b.host))
 	}
 	return s.server.Set(records...)
 }
 
-// answered notes what an answer tells.
-func (s *names) answered(q dns.Question, m *dns.Msg) {
+// recordAnswer records the backends that an answer announces or no longer has.
+func (s *nameServer) recordAnswer(q dns.Question, m *dns.Msg) {
 	if q.Qtype != dns.TypeSRV || m.Rcode != dns.RcodeSuccess || m.Truncated || len(m.Answer) == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	there := map[string]bool{}
+	present := map[string]bool{}
 	for _, rr := range m.Answer {
 		if srv, ok := rr.(*dns.SRV); ok {
-			id := s.ids[fmt.Sprint(srv.Port)]
-			there[id] = true
-			if back, known := s.told[id]; known && !back {
-				s.tell(id, trace.Ready)
+			id := s.idsByPort[fmt.Sprint(srv.Port)]
+			present[id] = true
+			if current, known := s.announced[id]; known && !current {
+				s.record(id, trace.Ready)
 			}
-			s.told[id] = true
+			s.announced[id] = true
 		}
 	}
-	for id, had := range s.told {
-		if had && !there[id] && s.of(id, q.Name) {
-			s.told[id] = false
-			s.tell(id, trace.Gone)
+	for id, current := range s.announced {
+		if current && !present[id] && s.inSite(id, q.Name) {
+			s.announced[id] = false
+			s.record(id, trace.Gone)
 		}
 	}
 }
 
-// of tells whether a box is of a site. s.mu is held.
-func (s *names) of(id, name string) bool {
-	b := s.node.r.planned(id)
+// inSite reports whether a backend belongs to the site with the DNS name name. s.mu is held.
+func (s *nameServer) inSite(id, name string) bool {
+	b := s.node.r.plannedBackend(id)
 	return b != nil && siteName(b.Site) == dns.CanonicalName(name)
 }
 
-func (s *names) tell(id, state string) {
+func (s *nameServer) record(id, state string) {
 	s.out.Add(&trace.Record{Kind: trace.Told, T: trace.US(s.clock.Now()), Node: s.node.Name, Box: id, State: state, How: trace.ByNames})
 }
 
-// rename has DNS name a box, or take it back, for every node after the names' lag.
-func (r *Rehearsal) rename(id string, there bool) {
+// updateDNS adds a backend to every node's DNS zone, or removes it, after the scenario's DNS lag.
+func (r *Rehearsal) updateDNS(id string, present bool) {
 	if r.plan.Scenario.Names.TTL == 0 {
 		return
 	}
 	r.mu.Lock()
-	seat := r.boxes[id]
+	b := r.backends[id]
 	r.mu.Unlock()
 	r.after(r.plan.Scenario.Names.Lag.D(), func() {
 		for i, n := range r.nodes {
-			if err := n.names.set(id, seat.plan.Site, seat.addrs[i], there); err != nil {
+			if err := n.nameServer.setBackend(id, b.plan.Site, b.addrs[i], present); err != nil {
 				r.mu.Lock()
 				r.errs = append(r.errs, err)
 				r.mu.Unlock()
--- a/internal/kit/run/node.go
+++ b/internal/kit/run/node.go
@@ -22,55 +22,55 @@
 )
 
 const (
-	readyIn  = 15 * time.Second      // a node that is not ready by then does not start
-	readyAsk = 10 * time.Millisecond // between two questions whether it is
-	// PROTOCOL: SIGKILL comes no sooner after SIGTERM than the longest deadline, of longestTold at the most, and killSlack.
-	longestTold = 3 * time.Second
-	killSlack   = 700 * time.Millisecond
-	termLate    = 300 * time.Millisecond // new connections go to a node for so long after SIGTERM
-	startTry    = 3                      // another process may take a port before the node does
-	tailSize    = 4 << 10
+	readyTimeout  = 15 * time.Second      // the start of a node fails after this
+	readyInterval = 10 * time.Millisecond // between queries of /ready
+	// PROTOCOL: SIGKILL follows SIGTERM no sooner than the longest deadline (of which at most maxKillDeadline counts) plus killSlack.
+	maxKillDeadline  = 3 * time.Second
+	killSlack        = 700 * time.Millisecond
+	connectAfterTerm = 300 * time.Millisecond // clients keep opening connections to a node for so long after SIGTERM
+	startAttempts    = 3                      // another process may take a port before the node does
+	tailBytes        = 4 << 10
 )
 
-// node is one node process, through all its lives.
+// node is one node, through all starts of its process.
 type node struct {
 	trace.Node
-	index   int
-	r       *Rehearsal
-	agent   *stand.Agent
-	names   *names // nil without DNS
-	agentAt *stand.AgentServer
+	index       int
+	r           *Rehearsal
+	agent       *stand.Agent
+	nameServer  *nameServer // nil without DNS
+	agentServer *stand.AgentServer
 
-	mu      sync.Mutex
-	addr    string
-	rpc     string // where it speaks JSON-RPC; "" for a scenario without
-	cmd     *exec.Cmd
-	ended   chan struct{} // closed when the process has ended
-	meant   bool          // it is to end
-	revives bool          // it is being started again
-	starts  int
-	tail    *tail
+	mu         sync.Mutex
+	addr       string
+	rpcAddr    string // its JSON-RPC address; "" in a scenario without JSON-RPC
+	cmd        *exec.Cmd
+	ended      chan struct{} // closed when the process has ended
+	stopping   bool          // the kit has ended the process, so that its exit is no crash
+	restarting bool          // a revive is starting it
+	starts     int
+	tail       *tail
 }
 
-// start starts the process and waits until it is ready. The address stays the same through all lives.
+// start starts the process and waits until it is ready. A restarted process has the same address.
 func (n *node) start(ctx context.Context) error {
 	var err error
-	for range startTry {
+	for range startAttempts {
 		if n.addr == "" {
 			if n.addr, err = n.r.nodeAddr(); err != nil {
 				return err
 			}
 		}
-		if n.rpc == "" && n.r.plan.Scenario.Clients.RPC > 0 {
-			if n.rpc, err = n.r.nodeAddr(); err != nil {
+		if n.rpcAddr == "" && n.r.plan.Scenario.Clients.RPC > 0 {
+			if n.rpcAddr, err = n.r.nodeAddr(); err != nil {
 				return err
 			}
-			n.r.clients.RPCNode(n.index, n.rpc)
+			n.r.clients.RPCNode(n.index, n.rpcAddr)
 		}
 		if err = n.launch(ctx); err == nil || ctx.Err() != nil || n.starts > 1 {
 			return err
 		}
-		n.addr, n.rpc = "", ""
+		n.addr, n.rpcAddr = "", ""
 	}
 	return err
 }
@@ -78,20 +78,20 @@
 func (n *node) launch(ctx context.Context) error {
 	n.mu.Lock()
 	n.starts++
-	if n.starts == 1 { // the logs of another rehearsal may stand in the folder
-		if err := os.Remove(n.audit()); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if n.starts == 1 { // the folder may hold the files of another rehearsal
+		if err := os.Remove(n.auditFile()); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			n.mu.Unlock()
 			return err
 		}
 	}
-	path, err := n.write(n.agent.Known())
+	path, err := n.writeConfig(n.agent.Known())
 	if err != nil {
 		n.mu.Unlock()
 		return err
 	}
 	args := n.r.opt.Command[1:]
 	if own := n.r.plan.Scenario.Nodes.Own; own != "" {
-		file, err := n.own(own)
+		file, err := n.writeSettings(own)
 		if err != nil {
 			n.mu.Unlock()
 			return err
@@ -99,50 +99,50 @@
 		args = append(slices.Clone(args), "--config", file)
 	}
 	cmd := exec.Command(n.r.opt.Command[0], args...)
-	cmd.Env = append(append(os.Environ(), n.r.opt.Env...), "GW_NAME="+n.Name, "GW_LISTEN="+n.addr, "GW_DISCOVERY="+n.agentAt.Addr, "GW_CONFIG="+path)
+	cmd.Env = append(append(os.Environ(), n.r.opt.Env...), "GW_NAME="+n.Name, "GW_LISTEN="+n.addr, "GW_DISCOVERY="+n.agentServer.Addr, "GW_CONFIG="+path)
 	n.tail = &tail{}
 	log, err := os.OpenFile(filepath.Join(n.r.dir, n.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		n.mu.Unlock()
 		return err
 	}
-	n.tail.also = log
+	n.tail.log = log
 	cmd.Stdout, cmd.Stderr = n.tail, n.tail
 	if err := cmd.Start(); err != nil {
 		n.mu.Unlock()
 		log.Close()
 		return fmt.Errorf("start node %s: %w", n.Name, err)
 	}
-	n.cmd, n.ended, n.meant = cmd, make(chan struct{}), false
+	n.cmd, n.ended, n.stopping = cmd, make(chan struct{}), false
 	ended := n.ended
-	n.note(trace.Started, "")
+	n.record(trace.Started, "")
 	n.mu.Unlock()
-	n.r.procs.Add(1)
+	n.r.processes.Add(1)
 	go func() {
-		defer n.r.procs.Done()
+		defer n.r.processes.Done()
 		err := cmd.Wait()
 		log.Close()
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		switch {
-		case !n.meant:
-			text := n.tail.last()
-			n.note(trace.Crashed, strings.TrimSpace(fmt.Sprintf("%v: %s", exitText(err), text)))
+		case !n.stopping:
+			text := n.tail.lastLine()
+			n.record(trace.Crashed, strings.TrimSpace(fmt.Sprintf("%v: %s", exitText(err), text)))
 			n.r.clients.Node(n.index, n.addr, stand.Unreachable)
 		default:
-			n.note(trace.Exited, "")
+			n.record(trace.Exited, "")
 		}
 		close(ended)
 	}()
-	if err := n.ready(ctx, ended); err != nil {
+	if err := n.waitReady(ctx, ended); err != nil {
 		return err
 	}
-	n.note(trace.Up, "")
+	n.record(trace.Up, "")
 	n.r.clients.Node(n.index, n.addr, stand.Reachable)
 	return nil
 }
 
-// exitText is how a process ended.
+// exitText describes how a process ended.
 func exitText(err error) string {
 	if err == nil {
 		return "exit status 0"
@@ -150,8 +150,8 @@
 	return err.Error()
 }
 
-// write writes the configuration, with the list that is known.
-func (n *node) write(known stand.Whole) (string, error) {
+// writeConfig writes the configuration file with the backends that the node knows from the start, and returns its path.
+func (n *node) writeConfig(known stand.Whole) (string, error) {
 	text, err := config(n.r.plan, n, known)
 	if err != nil {
 		return "", err
@@ -163,42 +163,43 @@
 	return path, os.Rename(path+".new", path)
 }
 
-// dns is where the node's DNS server answers; "" without one.
-func (n *node) dns() string {
-	if n.names == nil {
+// dnsAddr returns the address of the node's DNS server, or "" without DNS.
+func (n *node) dnsAddr() string {
+	if n.nameServer == nil {
 		return ""
 	}
-	return n.names.server.Addr
+	return n.nameServer.server.Addr
 }
 
-// own writes the node's own settings, and makes the folder that they name.
-func (n *node) own(text string) (string, error) {
+// writeSettings fills in the placeholders of the node's own settings, writes them to a file and returns its path. It creates the
+// folder that {dir} stands for.
+func (n *node) writeSettings(text string) (string, error) {
 	dir, path := filepath.Join(n.r.dir, n.Name), filepath.Join(n.r.dir, n.Name+".toml")
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return "", err
 	}
-	fill := append([]string{"{dir}", dir, "{rpc}", n.rpc, "{dns}", n.dns()}, n.r.fleet(n)...)
+	fill := append([]string{"{dir}", dir, "{rpc}", n.rpcAddr, "{dns}", n.dnsAddr()}, n.r.fleetSettings(n)...)
 	return path, os.WriteFile(path, []byte(strings.NewReplacer(fill...).Replace(text)), 0o600)
 }
 
-func (n *node) note(state, text string) {
+func (n *node) record(state, text string) {
 	n.r.out.Add(&trace.Record{Kind: trace.Proc, T: n.r.clock().Now().Microseconds(), Node: n.Name, State: state, Text: text})
 }
 
-// ready asks until the node says that it is.
-func (n *node) ready(ctx context.Context, ended <-chan struct{}) error {
-	ctx, cancel := context.WithTimeout(ctx, readyIn)
+// waitReady polls /ready until the node answers 200.
+func (n *node) waitReady(ctx context.Context, ended <-chan struct{}) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	tick := time.NewTicker(readyAsk)
+	tick := time.NewTicker(readyInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
 		case <-ended:
-			return fmt.Errorf("node %s ended before it was ready: %s", n.Name, n.tail.last())
+			return fmt.Errorf("node %s ended before it was ready: %s", n.Name, n.tail.lastLine())
 		case <-ctx.Done():
-			return fmt.Errorf("node %s was not ready within %v: %s", n.Name, readyIn, n.tail.last())
+			return fmt.Errorf("node %s was not ready within %v: %s", n.Name, readyTimeout, n.tail.lastLine())
 		}
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.addr+"/ready", nil)
 		if err != nil {
@@ -215,41 +216,42 @@
 	}
 }
 
-// signal sends a signal to the process, which is to end of it if end is set.
-func (n *node) signal(sig syscall.Signal, state string, end bool) (<-chan struct{}, bool) {
+// signal sends a signal to the process; stopping says that the process is meant to end by it. It returns the channel that is
+// closed when the process has ended, and false if it had ended already.
+func (n *node) signal(sig syscall.Signal, state string, stopping bool) (<-chan struct{}, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	select {
 	case <-n.ended:
-		return n.ended, false // it has crashed
+		return n.ended, false // nothing to signal
 	default:
 	}
-	n.meant = n.meant || end
-	n.note(state, "")
+	n.stopping = n.stopping || stopping
+	n.record(state, "")
 	n.cmd.Process.Signal(sig)
 	return n.ended, true
 }
 
-// kill ends the process without a word.
+// kill ends the process by SIGKILL.
 func (n *node) kill() {
 	ended, ok := n.signal(syscall.SIGKILL, trace.Kill, true)
 	if ok {
 		<-ended
 	}
-	n.r.after(n.r.plan.Scenario.Clients.Notice.D(), func() { n.takeOut(ended, stand.Unreachable) })
+	n.r.after(n.r.plan.Scenario.Clients.Notice.D(), func() { n.setReach(ended, stand.Unreachable) })
 }
 
-// earliestKill is how long after SIGTERM a process may be killed.
-func (r *Rehearsal) earliestKill() time.Duration {
+// killDelay returns how long after SIGTERM a process is killed at the earliest.
+func (r *Rehearsal) killDelay() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range r.plan.Scenario.Classes {
 		longest = max(longest, c.Deadline.D())
 	}
-	return min(longest, longestTold) + killSlack
+	return min(longest, maxKillDeadline) + killSlack
 }
 
-// takeOut lets no more clients connect to a life that is over or ends.
-func (n *node) takeOut(ended <-chan struct{}, reach stand.Reach) {
+// setReach restricts how clients reach the node, unless another process than the one that ended belongs to has been started.
+func (n *node) setReach(ended <-chan struct{}, reach stand.Reach) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.ended == ended {
@@ -257,14 +259,14 @@
 	}
 }
 
-// term asks the process to end and sees that it does.
+// term sends SIGTERM to the process, and SIGKILL if it has not ended after killDelay.
 func (n *node) term() {
 	ended, ok := n.signal(syscall.SIGTERM, trace.Term, true)
-	n.r.after(termLate, func() { n.takeOut(ended, stand.Ending) })
+	n.r.after(connectAfterTerm, func() { n.setReach(ended, stand.Ending) })
 	if !ok {
 		return
 	}
-	timer := time.NewTimer(n.r.earliestKill())
+	timer := time.NewTimer(n.r.killDelay())
 	defer timer.Stop()
 	select {
 	case <-ended:
@@ -274,28 +276,28 @@
 	}
 }
 
-// reload gives the node another discovery.
+// reload replaces the node's discovery server and has the node reload its configuration by SIGHUP.
 func (n *node) reload() error {
 	ln, err := n.r.listen("")
 	if err != nil {
 		return err
 	}
 	n.mu.Lock()
-	old := n.agentAt
-	n.agentAt = stand.ServeAgent(n.agent, ln)
-	_, err = n.write(n.agent.List())
+	old := n.agentServer
+	n.agentServer = stand.ServeAgent(n.agent, ln)
+	_, err = n.writeConfig(n.agent.List())
 	n.mu.Unlock()
 	if err != nil {
 		return err
 	}
 	n.agent.Settle(settleTime)
 	n.signal(syscall.SIGHUP, trace.Hup, false)
-	old.Leave(leaveTime)
+	old.Leave(closeDelay)
 	return nil
 }
 
-// use notes what the process holds, where the system tells.
-func (n *node) use() {
+// recordUsage records the process's memory and number of descriptors, on a system that has them in /proc.
+func (n *node) recordUsage() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	select {
@@ -318,9 +320,9 @@
 		Conns: len(fds)})
 }
 
-// tail keeps the end of what a process writes.
+// tail writes a process's output to a log file and keeps the last tailBytes of it.
 type tail struct {
-	also *os.File
+	log  *os.File
 	mu   sync.Mutex
 	text []byte
 }
@@ -329,15 +331,15 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.text = append(t.text, p...)
-	if n := len(t.text); n > tailSize {
-		t.text = append(t.text[:0], t.text[n-tailSize:]...)
+	if n := len(t.text); n > tailBytes {
+		t.text = append(t.text[:0], t.text[n-tailBytes:]...)
 	}
-	_, err := t.also.Write(p)
+	_, err := t.log.Write(p)
 	return len(p), err
 }
 
-// last is the last line that says something.
-func (t *tail) last() string {
+// lastLine returns the first line of a panic or fatal error if there is one, and else the last line.
+func (t *tail) lastLine() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	all := strings.Split(strings.TrimSpace(string(t.text)), "\n")
--- a/internal/kit/run/run.go
+++ b/internal/kit/run/run.go
@@ -1,6 +1,6 @@
-// Package run plays a rehearsal: it starts the nodes as child processes, puts boxes, the box list and clients round
-// them, takes each step of the plan at its time and writes the trace. It decides nothing: what is to happen is in the
-// plan, what it means is the judge's.
+// Package run plays a rehearsal: it starts the nodes as child processes, surrounds them with simulated backends, discovery
+// and clients, carries out each step of the plan at its time and writes the trace. The plan says what happens, and the
+// judge decides what the trace means.
 package run
 
 import (
@@ -27,26 +27,26 @@
 )
 
 const (
-	settleTime = 4 * time.Second         // after SIGHUP what the list has to tell counts as told
-	leaveTime  = 1500 * time.Millisecond // a discovery that is left closes what is open after this
-	heartbeat  = 10 * time.Millisecond
-	lagFrom    = 5 * time.Millisecond // a heartbeat later than this is noted
-	useEvery   = time.Second
+	settleTime        = 4 * time.Second         // for a node to find its new discovery after SIGHUP; until then it is not taken to know list changes
+	closeDelay        = 1500 * time.Millisecond // until the replaced discovery closes its open connections after a reload
+	heartbeatInterval = 10 * time.Millisecond
+	minLag            = 5 * time.Millisecond // a heartbeat that is later than this is recorded
+	usageInterval     = time.Second
 )
 
-// Options say what to play and with what.
+// Options configure a rehearsal.
 type Options struct {
 	Name     string // of the scenario
 	Plan     *plan.Plan
-	Command  []string // that starts one node
-	Env      []string // for it, beside this process's own
-	Dir      string   // for the nodes' configurations and logs; it is not removed
+	Command  []string // starts one node
+	Env      []string // for Command, added to this process's environment
+	Dir      string   // for the nodes' configurations and logs; not removed
 	Trace    io.Writer
-	Progress func(Status) // called once a second; nil for never
-	Note     func(string) // called with a line on what happens; nil for never
+	Progress func(Status) // called once a second if not nil
+	Note     func(string) // called with the text of each announced event if not nil
 }
 
-// Status is how a rehearsal stands.
+// Status is the progress of a rehearsal. The numbers of backends by state count those that are up.
 type Status struct {
 	At, Length                                            time.Duration
 	Requests, InTime, Late, Refused, Failed, Unreached    int64 // since the start
@@ -54,65 +54,65 @@
 	Nodes, Backends, Cold, Slow, Draining, Silent, Fallen int
 }
 
-// Cost is what the kit itself used while it played.
+// Cost is the time and memory that the kit itself used during the play.
 type Cost struct {
 	CPU    time.Duration `json:"cpu_ns"`
 	Wall   time.Duration `json:"wall_ns"`
-	Memory []uint64      `json:"memory_bytes"` // in use by the runtime, at tenths of the play
+	Memory []uint64      `json:"memory_bytes"` // heap and stacks in use, sampled at each tenth of the play
 }
 
-// Rehearsal is one play.
+// Rehearsal is one play of a plan.
 type Rehearsal struct {
-	opt     Options
-	plan    *plan.Plan
-	dir     string
-	host    string // of all listeners
-	out     *trace.Writer
-	start   time.Time
-	clients *stand.Clients
-	nodes   []*node
-	atts    atomic.Int64
-	wg      sync.WaitGroup // all that ends with quit
-	procs   sync.WaitGroup // the nodes' processes
-	quit    context.Context
-
-	mu     sync.Mutex
-	rng    *rand.Rand
-	boxes  map[string]*boxSeat
-	late   time.Duration // of the list, beyond the usual
-	queues []listQueue   // by node
-	resets float64
-	spoils float64
-	errs   []error
-
-	lastPort int // given to a node
-
-	net  *relay.Net // between nodes; nil where they do not talk to each other
-	cuts map[float64]*cut
-	ends map[string]func() // of troubles of what nodes say
-	dark map[string]func() // ways between sites that are cut, as "from>to", and what mends each between nodes
+	opt       Options
+	plan      *plan.Plan
+	dir       string
+	host      string // of all listeners
+	out       *trace.Writer
+	start     time.Time
+	clients   *stand.Clients
+	nodes     []*node
+	attempts  atomic.Int64
+	wg        sync.WaitGroup // goroutines that end when quit is done
+	processes sync.WaitGroup // the nodes' processes
+	quit      context.Context
+
+	mu              sync.Mutex
+	rng             *rand.Rand
+	backends        map[string]*backendState
+	extraListLag    time.Duration // of the list, in addition to the scenario's lag
+	queues          []listQueue   // by node
+	resetFraction   float64
+	corruptFraction float64
+	errs            []error
+
+	lastPort int // last port given to a node
+
+	net           *relay.Net // between nodes; nil if they do not talk to each other
+	partitions    map[float64]*partition
+	messageFaults map[string]func() // by event name: ends a fault of the messages between nodes
+	siteCuts      map[string]func() // by direction, as "from>to": ends the cut between the sites' nodes
 }
 
-// boxSeat is a box and the addresses at which the nodes see it.
-type boxSeat struct {
-	plan  *plan.Box
-	box   *stand.Box
-	addrs []string
-	begun int64 // Unix milliseconds; 0 for long ago
-	up    bool
+// backendState is a backend and its addresses, one for each node.
+type backendState struct {
+	plan          *plan.Box
+	backend       *stand.Box
+	addrs         []string
+	startedMillis int64 // Unix milliseconds; 0 for a backend that is warm from the start
+	up            bool
 }
 
-// listQueue is what is on its way to one node, in order.
+// listQueue holds the list changes on their way to one node, in order.
 type listQueue struct {
-	last    time.Duration
+	lastDue time.Duration
 	entries []stand.Entry
 }
 
 func (r *Rehearsal) clock() stand.Clock { return stand.Clock{Start: r.start} }
 
-// listen listens on an address, or on a port from the kernel. Each rehearsal has a loopback address of its own, where the
-// system has more than one: the port of a box that has gone must not become another rehearsal's, whose boxes a node that
-// is not told yet would then reach.
+// listen listens on addr, or on a port from the kernel if addr is empty. Each rehearsal has a loopback address of its own
+// where the system has more than one: otherwise another rehearsal could get the port of a stopped backend, and a node that
+// has not been notified of the stop yet would connect to that rehearsal's backend.
 func (r *Rehearsal) listen(addr string) (net.Listener, error) {
 	if addr != "" {
 		return net.Listen("tcp", addr)
@@ -120,24 +120,25 @@
 	return net.Listen("tcp", net.JoinHostPort(r.host, "0"))
 }
 
-// nodePorts are the ports from which nodes get theirs: below those that Linux hands out by itself (ip_local_port_range,
-// from 32768 as it comes) and above those of well-known services. A node's port is free before its process binds it and
-// while the process is down; one that the kernel gives to whoever asks could be a box's or another node's by then.
+// Nodes listen on ports from minNodePort up to, not including, endNodePort: below Linux's ephemeral ports
+// (ip_local_port_range, from 32768 by default) and above those of well-known services. A node's port is not bound before
+// its process starts and while the process is down; the kernel could give an ephemeral port to a backend or another node
+// in that time.
 const (
-	nodePortFrom = 12000
-	nodePortTo   = 32000
+	minNodePort = 12000
+	endNodePort = 32000
 )
 
-// nodeAddr is an address for a node to listen on, which nothing else of this rehearsal is given.
+// nodeAddr returns an address for a node to listen on that nothing else in this rehearsal uses.
 func (r *Rehearsal) nodeAddr() (addr string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.lastPort == 0 {
-		r.lastPort = nodePortFrom + rand.IntN(nodePortTo-nodePortFrom)
+		r.lastPort = minNodePort + rand.IntN(endNodePort-minNodePort)
 	}
-	for range nodePortTo - nodePortFrom {
-		if r.lastPort++; r.lastPort >= nodePortTo {
-			r.lastPort = nodePortFrom
+	for range endNodePort - minNodePort {
+		if r.lastPort++; r.lastPort >= endNodePort {
+			r.lastPort = minNodePort
 		}
 		var ln net.Listener
 		if ln, err = net.Listen("tcp", net.JoinHostPort(r.host, strconv.Itoa(r.lastPort))); err == nil {
@@ -150,8 +151,8 @@
 	return "", fmt.Errorf("no port for a node at %s: %w", r.host, err)
 }
 
-// someHost draws an address of 127.0.0.0/8 (RFC 1122, 3.2.1.3). Some systems have only the usual one.
-func someHost() string {
+// loopbackHost returns a random address of 127.0.0.0/8 (RFC 1122, 3.2.1.3), or 127.0.0.1 on a system that has no other.
+func loopbackHost() string {
 	host := netip.AddrFrom4([4]byte{127, byte(1 + rand.IntN(254)), byte(rand.IntN(256)), byte(1 + rand.IntN(254))}).String()
 	ln, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -161,10 +162,11 @@
 	return host
 }
 
-// Play plays the rehearsal to its end. An error means that it could not be played; a node that crashes is in the trace.
+// Play plays the rehearsal to its end. An error means that it could not be played; the crash of a node is not an error and is
+// recorded in the trace.
 func Play(ctx context.Context, opt Options) (*Cost, error) {
 	quit, stop := context.WithCancel(ctx)
-	r := &Rehearsal{opt: opt, plan: opt.Plan, dir: opt.Dir, host: someHost(), start: time.Now(), quit: quit, boxes: map[string]*boxSeat{},
+	r := &Rehearsal{opt: opt, plan: opt.Plan, dir: opt.Dir, host: loopbackHost(), start: time.Now(), quit: quit, backends: map[string]*backendState{},
 		rng: rand.New(rand.NewPCG(opt.Plan.Seed, 6))}
 	s := r.plan.Scenario
 	var nodes []trace.Node
@@ -172,48 +174,48 @@
 		n := &node{Node: trace.Node{Name: fmt.Sprintf("n%d", i+1), Site: s.Sites[i%len(s.Sites)].Name}, index: i, r: r}
 		r.nodes, nodes = append(r.nodes, n), append(nodes, n.Node)
 	}
-	r.queues, r.cuts, r.ends = make([]listQueue, len(nodes)), map[float64]*cut{}, map[string]func(){}
-	r.dark = map[string]func(){}
+	r.queues, r.partitions, r.messageFaults = make([]listQueue, len(nodes)), map[float64]*partition{}, map[string]func(){}
+	r.siteCuts = map[string]func(){}
 	r.out = trace.NewWriter(opt.Trace, deployment.Head(r.plan, opt.Name, r.start.UTC().Format(time.RFC3339Nano), nodes))
 	dialer := &net.Dialer{KeepAlive: -1}
 	dial := func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) }
 	r.clients = stand.NewClients(r.plan, nodes, dial, r.clock(), r.out, deployment.AnswerSlack+deployment.LimitSlack)
-	cost, err := &Cost{}, r.connect()
+	cost, err := &Cost{}, r.connectNodes()
 	if err == nil {
-		err = r.raise(quit)
+		err = r.startAll(quit)
 	}
 	if err == nil {
 		cost, err = r.play(quit)
 	}
-	r.end(stop)
+	r.shutdown(stop)
 	return cost, errors.Join(append([]error{err}, r.errs...)...)
 }
 
-// raise brings up all that is there before the first request.
-func (r *Rehearsal) raise(ctx context.Context) error {
+// startAll starts the initial backends, the discovery and DNS servers, and the nodes, before the first request.
+func (r *Rehearsal) startAll(ctx context.Context) error {
 	for i := range r.plan.Boxes[:r.plan.Initial] {
 		b := &r.plan.Boxes[i]
-		if err := r.startBox(b, true, nil); err != nil {
+		if err := r.startBackend(b, true, nil); err != nil {
 			return err
 		}
 	}
 	for _, n := range r.nodes {
 		var known []stand.Entry
 		for _, b := range r.plan.Boxes[:r.plan.Initial] {
-			known = append(known, r.entry(r.boxes[b.ID], n.index, trace.Ready))
+			known = append(known, r.listEntry(r.backends[b.ID], n.index, trace.Ready))
 		}
 		n.agent = stand.NewAgent(n.Name, r.plan.Scenario.List.Mode == "ask", r.clock(), r.out, known)
 		ln, err := r.listen("")
 		if err != nil {
 			return err
 		}
-		n.agentAt = stand.ServeAgent(n.agent, ln)
+		n.agentServer = stand.ServeAgent(n.agent, ln)
 		if r.plan.Scenario.Names.TTL > 0 {
-			if n.names, err = r.newNames(n); err != nil {
+			if n.nameServer, err = r.newNameServer(n); err != nil {
 				return err
 			}
 			for _, b := range r.plan.Boxes[:r.plan.Initial] {
-				if err := n.names.set(b.ID, b.Site, r.boxes[b.ID].addrs[n.index], true); err != nil {
+				if err := n.nameServer.setBackend(b.ID, b.Site, r.backends[b.ID].addrs[n.index], true); err != nil {
 					return err
 				}
 			}
@@ -232,16 +234,16 @@
 	return first
 }
 
-// play sends the requests and takes the steps.
+// play sends the requests and carries out the plan's steps.
 func (r *Rehearsal) play(ctx context.Context) (*Cost, error) {
-	// The clock of the plan begins now; that of the trace keeps running from the start of the first box.
+	// The plan's times count from here, the trace's times from the start of the rehearsal.
 	begin := r.clock().Now()
 	r.clients.Begin(begin)
 	r.out.Add(&trace.Record{Kind: trace.Event, T: trace.US(begin), How: trace.Begin, Text: "traffic begins"})
-	r.background(ctx, r.beat)
-	r.background(ctx, r.watch)
-	r.background(ctx, r.audits)
-	r.background(ctx, func(ctx context.Context) { r.steps(ctx, begin) })
+	r.background(ctx, r.recordLag)
+	r.background(ctx, r.reportProgress)
+	r.background(ctx, r.readAudits)
+	r.background(ctx, func(ctx context.Context) { r.runSteps(ctx, begin) })
 	cost := &Cost{}
 	tenth := r.plan.Scenario.Length.D() / 10
 	r.background(ctx, func(ctx context.Context) {
@@ -281,7 +283,7 @@
 	}()
 }
 
-// after calls f in a while, unless the rehearsal is over by then.
+// after calls f after d, unless the rehearsal has ended by then.
 func (r *Rehearsal) after(d time.Duration, f func()) {
 	r.background(r.quit, func(ctx context.Context) {
 		if timing.Sleep(ctx, d) {
@@ -290,27 +292,27 @@
 	})
 }
 
-// beat notes when the kit itself is held up.
-func (r *Rehearsal) beat(ctx context.Context) {
+// recordLag records stalls of the kit's own process.
+func (r *Rehearsal) recordLag(ctx context.Context) {
 	for {
-		due := time.Now().Add(heartbeat)
-		if !timing.Sleep(ctx, heartbeat) {
+		due := time.Now().Add(heartbeatInterval)
+		if !timing.Sleep(ctx, heartbeatInterval) {
 			return
 		}
-		if late := time.Since(due); late > lagFrom {
-			r.out.Add(&trace.Record{Kind: trace.Lag, T: trace.US(r.clock().Now()), Late: late.Microseconds()})
+		if lag := time.Since(due); lag > minLag {
+			r.out.Add(&trace.Record{Kind: trace.Lag, T: trace.US(r.clock().Now()), Late: lag.Microseconds()})
 		}
 	}
 }
 
-// watch tells how it goes, and notes what the nodes hold.
-func (r *Rehearsal) watch(ctx context.Context) {
+// reportProgress reports the status, and records the nodes' memory and descriptors, once a second.
+func (r *Rehearsal) reportProgress(ctx context.Context) {
 	begin := r.clock().Now()
 	for {
 		for _, n := range r.nodes {
-			n.use()
+			n.recordUsage()
 		}
-		if !timing.Sleep(ctx, useEvery) {
+		if !timing.Sleep(ctx, usageInterval) {
 			return
 		}
 		if r.opt.Progress != nil {
@@ -334,11 +336,11 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, b := range r.boxes {
+	for _, b := range r.backends {
 		if !b.up {
 			continue
 		}
-		st := b.box.Standing()
+		st := b.backend.Standing()
 		s.Backends++
 		for _, x := range []struct {
 			is bool
@@ -352,13 +354,13 @@
 	return s
 }
 
-// steps takes each step of the plan at its time.
-func (r *Rehearsal) steps(ctx context.Context, begin time.Duration) {
+// runSteps carries out each step of the plan at its time.
+func (r *Rehearsal) runSteps(ctx context.Context, begin time.Duration) {
 	for _, s := range r.plan.Steps {
 		if !timing.Sleep(ctx, begin+s.At-r.clock().Now()) {
 			return
 		}
-		if err := r.step(ctx, s); err != nil && ctx.Err() == nil {
+		if err := r.runStep(ctx, s); err != nil && ctx.Err() == nil {
 			r.mu.Lock()
 			r.errs = append(r.errs, fmt.Errorf("%s at %v: %w", s.Do, s.At, err))
 			r.mu.Unlock()
@@ -366,12 +368,12 @@
 	}
 }
 
-func (r *Rehearsal) step(ctx context.Context, s plan.Step) error {
+func (r *Rehearsal) runStep(ctx context.Context, s plan.Step) error {
 	r.mu.Lock()
-	seat := r.boxes[s.Box]
+	b := r.backends[s.Box]
 	r.mu.Unlock()
-	if seat != nil && !seat.up && s.Do != plan.Restart {
-		return nil // it has gone meanwhile
+	if b != nil && !b.up && s.Do != plan.Restart {
+		return nil // stopped since the plan was made
 	}
 	var n *node
 	if s.Node > 0 {
@@ -384,59 +386,59 @@
 			r.opt.Note(s.Text)
 		}
 	case plan.Start:
-		b := r.planned(s.Box)
+		planned := r.plannedBackend(s.Box)
 		var addrs []string
 		r.mu.Lock()
-		if old := r.boxes[b.After]; b.After != "" && old != nil {
+		if old := r.backends[planned.After]; planned.After != "" && old != nil {
 			addrs = old.addrs
 		}
 		r.mu.Unlock()
-		if err := r.startBox(b, false, addrs); err != nil {
+		if err := r.startBackend(planned, false, addrs); err != nil {
 			return err
 		}
 		r.publish(s.Box, trace.Ready, r.plan.Scenario.List.Add.D())
-		r.rename(s.Box, true)
+		r.updateDNS(s.Box, true)
 	case plan.Drain:
-		r.rename(s.Box, false)
+		r.updateDNS(s.Box, false)
 		if st := s.By; st > 0 {
-			r.after(time.Duration(st*float64(time.Second)), seat.box.Drain)
+			r.after(time.Duration(st*float64(time.Second)), b.backend.Drain)
 		} else {
-			seat.box.Drain()
+			b.backend.Drain()
 		}
 		r.publish(s.Box, trace.Terminating, r.plan.Scenario.List.Lag.D())
 	case plan.Exit, plan.Crash:
 		r.mu.Lock()
-		seat.up = false
+		b.up = false
 		r.mu.Unlock()
-		seat.box.Crash()
-		r.rename(s.Box, false)
+		b.backend.Crash()
+		r.updateDNS(s.Box, false)
 		r.publish(s.Box, trace.Gone, r.plan.Scenario.List.Lag.D())
 	case plan.Restart:
-		seat.box.Stop()
-		if err := r.startBox(seat.plan, false, seat.addrs); err != nil {
+		b.backend.Stop()
+		if err := r.startBackend(b.plan, false, b.addrs); err != nil {
 			return err
 		}
 		r.publish(s.Box, trace.Ready, r.plan.Scenario.List.Add.D())
-		r.rename(s.Box, true)
+		r.updateDNS(s.Box, true)
 	case plan.Slow:
-		seat.box.Slow(s.By)
+		b.backend.Slow(s.By)
 	case plan.Silence:
-		seat.box.Silence()
+		b.backend.Silence()
 	case plan.Return:
-		seat.box.Return()
+		b.backend.Return()
 	case plan.Lose:
-		seat.box.Lose(s.By)
+		b.backend.Lose(s.By)
 	case plan.Fail:
-		seat.box.FailClass(s.Text, s.By > 0)
+		b.backend.FailClass(s.Text, s.By > 0)
 	case plan.Reset, plan.Spoil:
 		r.mu.Lock()
 		if s.Do == plan.Reset {
-			r.resets = s.By
+			r.resetFraction = s.By
 		} else {
-			r.spoils = s.By
+			r.corruptFraction = s.By
 		}
-		for _, b := range r.boxes {
-			b.box.Trouble(r.resets, r.spoils)
+		for _, planned := range r.backends {
+			planned.backend.Trouble(r.resetFraction, r.corruptFraction)
 		}
 		r.mu.Unlock()
 	case plan.Kill:
@@ -452,9 +454,9 @@
 	case plan.Resume:
 		n.signal(syscall.SIGCONT, trace.Goes, false)
 	case plan.CutNode, plan.Mend, plan.Words:
-		r.trouble(&s)
+		r.applyLinkFault(&s)
 	case plan.Dark:
-		r.darken(&s)
+		r.applySiteCut(&s)
 	case plan.Hush, plan.Speak:
 		for _, n := range r.nodes {
 			if s.Text != "" && n.Site != s.Text {
@@ -468,7 +470,7 @@
 		}
 	case plan.Lag:
 		r.mu.Lock()
-		r.late = time.Duration(s.By * float64(time.Second))
+		r.extraListLag = time.Duration(s.By * float64(time.Second))
 		r.mu.Unlock()
 	case plan.Bad:
 		r.clients.Bad(ctx, s.Node, s.Text)
@@ -476,8 +478,8 @@
 	return nil
 }
 
-// revive starts a node again once its last life is over. Of two that wait for one end, one starts it: the other's process
-// would find its port taken, or leave the first one to nobody.
+// revive starts a node again once its process has ended. Of several callers that wait for the same process, only one starts
+// the node: a second process would find the port taken, or would replace the first one in n.cmd, which nobody would then stop.
 func (r *Rehearsal) revive(ctx context.Context, n *node) {
 	n.mu.Lock()
 	ended := n.ended
@@ -488,15 +490,15 @@
 		return
 	}
 	n.mu.Lock()
-	mine := n.ended == ended && !n.revives
-	n.revives = n.revives || mine
+	restart := n.ended == ended && !n.restarting
+	n.restarting = n.restarting || restart
 	n.mu.Unlock()
-	if !mine {
+	if !restart {
 		return
 	}
 	err := n.start(ctx)
 	n.mu.Lock()
-	n.revives = false
+	n.restarting = false
 	n.mu.Unlock()
 	if err != nil && ctx.Err() == nil {
 		r.mu.Lock()
@@ -505,7 +507,7 @@
 	}
 }
 
-func (r *Rehearsal) planned(id string) *plan.Box {
+func (r *Rehearsal) plannedBackend(id string) *plan.Box {
 	for i := range r.plan.Boxes {
 		if r.plan.Boxes[i].ID == id {
 			return &r.plan.Boxes[i]
@@ -514,17 +516,17 @@
 	return nil
 }
 
-// startBox starts a box's process, at given addresses or at new ones.
-func (r *Rehearsal) startBox(b *plan.Box, warm bool, addrs []string) error {
+// startBackend starts a simulated backend, at addrs or, if nil, at new addresses.
+func (r *Rehearsal) startBackend(b *plan.Box, warm bool, addrs []string) error {
 	s := r.plan.Scenario
 	spec := b.Spec
 	if warm {
 		spec.ColdFrom = 1
 	}
 	cfg := stand.BoxConfig{ID: b.ID, Site: b.Site, Kind: b.Kind, Cell: b.Cell, Seed: b.Seed, Spec: spec, Handshake: s.Conn.Handshake.D(),
-		MaxConns: s.Conn.Max, Idle: s.Conn.Idle.D(), Noise: s.Report.Noise, Delay: r.delay(b)}
+		MaxConns: s.Conn.Max, Idle: s.Conn.Idle.D(), Noise: s.Report.Noise, Delay: r.networkDelay(b)}
 	cfg.Report.Every, cfg.Report.Late = s.Report.Every.D(), s.Report.Late.D()
-	var lns []net.Listener
+	var listeners []net.Listener
 	for i := range r.nodes {
 		want := ""
 		if addrs != nil {
@@ -532,35 +534,35 @@
 		}
 		ln, err := r.listen(want)
 		if err != nil && want != "" {
-			ln, err = r.listen("") // the port was taken meanwhile
+			ln, err = r.listen("") // another process has taken the port
 		}
 		if err != nil {
-			for _, l := range lns {
+			for _, l := range listeners {
 				l.Close()
 			}
 			return fmt.Errorf("box %s: %w", b.ID, err)
 		}
-		lns = append(lns, ln)
+		listeners = append(listeners, ln)
 	}
-	seat := &boxSeat{plan: b, up: true}
+	backend := &backendState{plan: b, up: true}
 	if !warm {
-		seat.begun = time.Now().UnixMilli()
+		backend.startedMillis = time.Now().UnixMilli()
 	}
-	seat.box = stand.NewBox(cfg, r.clock(), r.out, &r.atts)
-	for i, ln := range lns {
-		seat.addrs = append(seat.addrs, ln.Addr().String())
-		seat.box.Serve(ln, r.nodes[i].Node)
+	backend.backend = stand.NewBox(cfg, r.clock(), r.out, &r.attempts)
+	for i, ln := range listeners {
+		backend.addrs = append(backend.addrs, ln.Addr().String())
+		backend.backend.Serve(ln, r.nodes[i].Node)
 	}
 	r.mu.Lock()
-	seat.box.Trouble(r.resets, r.spoils)
-	r.boxes[b.ID] = seat
+	backend.backend.Trouble(r.resetFraction, r.corruptFraction)
+	r.backends[b.ID] = backend
 	r.mu.Unlock()
-	r.link(seat)
+	r.updateCuts(backend)
 	return nil
 }
 
-// delay is the way between a site and a box.
-func (r *Rehearsal) delay(b *plan.Box) func(string) time.Duration {
+// networkDelay returns a function that draws the network delay between a site and a backend.
+func (r *Rehearsal) networkDelay(b *plan.Box) func(string) time.Duration {
 	net := r.plan.Scenario.Net
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(b.Seed, 7))
@@ -575,61 +577,62 @@
 	}
 }
 
-func (r *Rehearsal) entry(b *boxSeat, node int, state string) stand.Entry {
+func (r *Rehearsal) listEntry(b *backendState, node int, state string) stand.Entry {
 	e := stand.Entry{ID: b.plan.ID, Addr: b.addrs[node], Zone: b.plan.Site, Kind: b.plan.Kind, Cell: b.plan.Cell, State: state, Weight: 1,
-		Started: b.begun}
+		Started: b.startedMillis}
 	if r.plan.Scenario.Clients.RPC > 0 {
-		e.RPC = e.Addr // boxes tell the protocol by a connection's first byte
+		e.RPC = e.Addr // backends detect the protocol by a connection's first byte
 	}
 	return e
 }
 
-// publish sends a change on its way to every node. What one node is told arrives in the order of the changes.
+// publish sends a list change to every node, each with its own delay. Changes reach a node in the order in which they were
+// published.
 func (r *Rehearsal) publish(id, state string, lag time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	seat, now := r.boxes[id], r.clock().Now()
+	b, now := r.backends[id], r.clock().Now()
 	for i, n := range r.nodes {
-		at := now + lag + r.late + time.Duration(r.rng.Float64()*float64(r.plan.Scenario.List.Spread.D()))
+		at := now + lag + r.extraListLag + time.Duration(r.rng.Float64()*float64(r.plan.Scenario.List.Spread.D()))
 		q := &r.queues[i]
-		q.last = max(q.last, at)
-		q.entries = append(q.entries, r.entry(seat, i, state))
-		r.after(q.last-now, func() {
+		q.lastDue = max(q.lastDue, at)
+		q.entries = append(q.entries, r.listEntry(b, i, state))
+		r.after(q.lastDue-now, func() {
 			r.mu.Lock()
 			e := q.entries[0]
 			q.entries = q.entries[1:]
-			// Under the lock: what is taken off first must arrive first.
+			// Under the lock, so that entries are applied in the order in which they are dequeued.
 			n.agent.Apply(e)
 			r.mu.Unlock()
 		})
 	}
 }
 
-// end brings all down, notes the end and waits for every goroutine.
-func (r *Rehearsal) end(stop context.CancelFunc) {
+// shutdown stops the nodes and all simulated parts, waits for every goroutine and ends the trace.
+func (r *Rehearsal) shutdown(stop context.CancelFunc) {
 	stop()
 	r.wg.Wait()
 	for _, n := range r.nodes {
 		if n.cmd != nil {
-			n.signal(syscall.SIGCONT, trace.Goes, false) // one that is stopped can't end
-			r.procs.Go(n.term)
+			n.signal(syscall.SIGCONT, trace.Goes, false) // a stopped process can't exit
+			r.processes.Go(n.term)
 		}
 	}
-	r.procs.Wait()
+	r.processes.Wait()
 	if r.net != nil {
 		r.net.Close()
 	}
 	r.clients.Wait()
 	r.clients.Close()
-	for _, b := range r.boxes {
-		b.box.Stop()
+	for _, b := range r.backends {
+		b.backend.Stop()
 	}
 	for _, n := range r.nodes {
-		if n.agentAt != nil {
-			n.agentAt.Close()
+		if n.agentServer != nil {
+			n.agentServer.Close()
 		}
-		if n.names != nil {
-			if err := n.names.server.Stop(); err != nil {
+		if n.nameServer != nil {
+			if err := n.nameServer.server.Stop(); err != nil {
 				r.errs = append(r.errs, fmt.Errorf("DNS: %w", err))
 			}
 		}
--- a/internal/kit/run/run_test.go
+++ b/internal/kit/run/run_test.go
@@ -19,22 +19,22 @@
 	"craneglade/internal/kit/trace"
 )
 
-// TestHelperNode is a node's process for the test below: it answers that it is ready until it is told to end.
+// TestHelperNode is the node process of the test below: it answers every request with 200, also /ready, until it is killed.
 func TestHelperNode(t *testing.T) {
 	if os.Getenv("KIT_RUN_NODE") == "" {
-		t.Skip("it is a process of another test")
+		t.Skip("runs only as a child process of another test")
 	}
 	http.ListenAndServe(os.Getenv("GW_LISTEN"), http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 }
 
-// Two events that end a node at one time, and each start it again, start one process: a second one would find the port
-// taken, and the rehearsal would wait for ever for the one that nobody knows any more.
-func TestTwoRevivalsStartOneProcess(t *testing.T) {
+// Two events that end a node at the same time and each restart it must start one process. A second process would find the
+// port taken, and the rehearsal would wait forever for a process that it has lost track of.
+func TestConcurrentRestartsStartOneProcess(t *testing.T) {
 	p := plan.New(scenario.Default(), 1)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	r := &Rehearsal{opt: Options{Command: []string{os.Args[0], "-test.run=^TestHelperNode$"}, Env: []string{"KIT_RUN_NODE=1"}}, plan: p, dir: t.TempDir(),
-		host: someHost(), start: time.Now(), quit: ctx, rng: rand.New(rand.NewPCG(1, 1))}
+		host: loopbackHost(), start: time.Now(), quit: ctx, rng: rand.New(rand.NewPCG(1, 1))}
 	r.out = trace.NewWriter(io.Discard, deployment.Head(p, "test", "", nil))
 	n := &node{Node: trace.Node{Name: "n1", Site: "tacoma"}, r: r}
 	r.nodes = []*node{n}
@@ -44,30 +44,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.agentAt = stand.ServeAgent(n.agent, ln)
-	defer n.agentAt.Close()
+	n.agentServer = stand.ServeAgent(n.agent, ln)
+	defer n.agentServer.Close()
 	if err := n.start(ctx); err != nil {
 		t.Fatal(err)
 	}
-	var both sync.WaitGroup
+	var wg sync.WaitGroup
 	for range 2 {
-		both.Go(func() { r.revive(ctx, n) })
+		wg.Go(func() { r.revive(ctx, n) })
 	}
 	n.signal(9, trace.Kill, true)
-	both.Wait()
+	wg.Wait()
 	if n.starts != 2 || len(r.errs) > 0 {
 		t.Errorf("started %d times, errors %v", n.starts, r.errs)
 	}
 	n.signal(9, trace.Kill, true)
 	stop()
-	r.procs.Wait()
+	r.processes.Wait()
 	r.wg.Wait()
 }
 
-// Addresses of nodes differ, pass over what is taken, and are none that the kernel would give to a box meanwhile.
+// Node addresses are distinct, skip ports in use, and lie outside the ephemeral range, from which the kernel could give them
+// to a backend.
 func TestNodeAddr(t *testing.T) {
-	r := &Rehearsal{host: someHost(), lastPort: nodePortTo - 3}
-	taken, err := net.Listen("tcp", net.JoinHostPort(r.host, strconv.Itoa(nodePortFrom)))
+	r := &Rehearsal{host: loopbackHost(), lastPort: endNodePort - 3}
+	taken, err := net.Listen("tcp", net.JoinHostPort(r.host, strconv.Itoa(minNodePort)))
 	if err != nil {
 		t.Skip("the first port is in use here:", err)
 	}
@@ -80,7 +81,7 @@
 		}
 		_, text, _ := net.SplitHostPort(addr)
 		port, _ := strconv.Atoi(text)
-		if seen[addr] || addr == taken.Addr().String() || port < nodePortFrom || port >= nodePortTo {
+		if seen[addr] || addr == taken.Addr().String() || port < minNodePort || port >= endNodePort {
 			t.Fatalf("given %s after %v, with %s taken", addr, seen, taken.Addr())
 		}
 		seen[addr] = true
