--- a/internal/kit/nameserver/nameserver.go
+++ b/internal/kit/nameserver/nameserver.go
@@ -1,5 +1,5 @@
-// Package nameserver is a stand-in for a DNS server on loopback, over UDP and TCP on one port, that answers by its zone and
-// misbehaves by its script: it cuts answers, loses, delays and forges them, and is shut down.
+// Package nameserver is a DNS server for tests, on loopback, over UDP and TCP on one port. It answers from its zone and injects
+// faults: truncated, lost, delayed and forged answers, and error codes.
 package nameserver
 
 import (
@@ -15,46 +15,46 @@
 	"craneglade/internal/timing"
 )
 
-// Fault is how one question is answered wrongly.
+// Fault is a fault of the answer to one question.
 type Fault uint8
 
-// What can go wrong with a question.
+// Faults of an answer.
 const (
 	NoFault      Fault = iota
 	Drop               // no answer
-	Truncate           // truncated over UDP, sound over TCP
+	Truncate           // truncated over UDP, correct over TCP
 	TruncateHang       // truncated over UDP; over TCP the connection stays open and silent
-	WrongID            // an answer with another id, and no other
-	Poison             // first a forged answer with another id and one to another question, then the sound one
-	Garbage            // bytes that are no message, then the sound answer
+	WrongID            // only an answer with another id
+	Poison             // a forged answer with another id and one to another question, then the correct one
+	Garbage            // bytes that are not a DNS message, then the correct answer
 	Servfail           // SERVFAIL
 	Refused            // REFUSED
-	Lame               // a referral, without recursion
+	Lame               // a non-authoritative referral
 )
 
-// Server answers from Zone. Set its fields before Start, and change them by Set afterwards.
+// Server is a running DNS server. Its zone is empty until Set.
 type Server struct {
 	Addr string // host:port
 
-	mu    sync.Mutex
-	zone  map[string][]dns.RR // by lower-case name
-	fault func(q dns.Question, tcp bool) Fault
-	delay time.Duration
-	asked map[uint16]int // questions by type
-	told  func(q dns.Question, m *dns.Msg)
-	servs []*dns.Server
-	ctx   context.Context // until it is stopped
-	end   context.CancelFunc
-	wg    sync.WaitGroup
+	mu        sync.Mutex
+	zone      map[string][]dns.RR // by lower-case name
+	fault     func(q dns.Question, tcp bool) Fault
+	delay     time.Duration
+	queries   map[uint16]int // number of questions by type
+	onAnswer  func(q dns.Question, m *dns.Msg)
+	listeners []*dns.Server
+	ctx       context.Context // done once the server is stopped
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
 }
 
-// Start listens on a port of 127.0.0.1.
+// Start starts a server on a port of 127.0.0.1.
 func Start() (*Server, error) {
-	s := &Server{zone: map[string][]dns.RR{}, asked: map[uint16]int{}}
+	s := &Server{zone: map[string][]dns.RR{}, queries: map[uint16]int{}}
 	var pc net.PacketConn
 	var ln net.Listener
 	var err error
-	for range 20 { // a port that is free for both
+	for range 20 { // until a port is free for both
 		if pc, err = net.ListenPacket("udp", "127.0.0.1:0"); err != nil {
 			return nil, err
 		}
@@ -67,13 +67,13 @@
 		return nil, err
 	}
 	s.Addr = pc.LocalAddr().String()
-	s.ctx, s.end = context.WithCancel(context.Background())
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	for _, d := range []*dns.Server{{PacketConn: pc}, {Listener: ln}} {
 		tcp := d.Listener != nil
-		d.Handler = dns.HandlerFunc(func(w dns.ResponseWriter, q *dns.Msg) { s.answer(w, q, tcp) })
+		d.Handler = dns.HandlerFunc(func(w dns.ResponseWriter, q *dns.Msg) { s.serve(w, q, tcp) })
 		started := make(chan struct{})
 		d.NotifyStartedFunc = func() { close(started) }
-		s.servs = append(s.servs, d)
+		s.listeners = append(s.listeners, d)
 		s.wg.Go(func() { d.ActivateAndServe() })
 		<-started
 	}
@@ -82,16 +82,17 @@
 
 // Stop shuts the server down.
 func (s *Server) Stop() error {
-	s.end()
+	s.cancel()
 	var err error
-	for _, d := range s.servs {
+	for _, d := range s.listeners {
 		err = errors.Join(err, d.Shutdown())
 	}
 	s.wg.Wait()
 	return err
 }
 
-// Set replaces the zone by records in the form of a zone file; an error names the one that can't be read.
+// Set replaces the zone by records in zone-file form. An error names the record that can't be parsed, and leaves the zone as
+// it was.
 func (s *Server) Set(records ...string) error {
 	zone := map[string][]dns.RR{}
 	for _, text := range records {
@@ -108,36 +109,36 @@
 	return nil
 }
 
-// SetFaults sets what goes wrong with each question, and how long every answer takes; nil for nothing.
+// SetFaults sets the function that chooses the fault of each answer (nil for none), and the delay of every answer.
 func (s *Server) SetFaults(fault func(q dns.Question, tcp bool) Fault, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault, s.delay = fault, delay
 }
 
-// OnAnswer has f called with each sound answer just before it is written.
+// OnAnswer has f called with each answer without a fault just before it is written.
 func (s *Server) OnAnswer(f func(q dns.Question, m *dns.Msg)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told = f
+	s.onAnswer = f
 }
 
-// Queries is how many questions of a type have come.
-func (s *Server) Queries(kind uint16) int {
+// Queries returns the number of questions of a type so far.
+func (s *Server) Queries(qtype uint16) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked[kind]
+	return s.queries[qtype]
 }
 
-func (s *Server) answer(w dns.ResponseWriter, q *dns.Msg, tcp bool) {
+func (s *Server) serve(w dns.ResponseWriter, q *dns.Msg, tcp bool) {
 	s.mu.Lock()
-	m := s.message(q)
-	s.asked[q.Question[0].Qtype]++
+	m := s.resolve(q)
+	s.queries[q.Question[0].Qtype]++
 	fault, delay := NoFault, s.delay
 	if s.fault != nil {
 		fault = s.fault(q.Question[0], tcp)
 	}
-	told := s.told
+	onAnswer := s.onAnswer
 	s.mu.Unlock()
 	if delay > 0 && !timing.Sleep(s.ctx, delay) {
 		return
@@ -155,13 +156,13 @@
 	case WrongID:
 		m.Id++
 	case Poison:
-		bad := m.Copy()
-		bad.Id ^= 0x5555
-		bad.Answer = nil
-		w.WriteMsg(bad)
-		bad = m.Copy()
-		bad.Question[0].Name = "elsewhere.example.org."
-		w.WriteMsg(bad)
+		forged := m.Copy()
+		forged.Id ^= 0x5555
+		forged.Answer = nil
+		w.WriteMsg(forged)
+		forged = m.Copy()
+		forged.Question[0].Name = "elsewhere.example.org."
+		w.WriteMsg(forged)
 	case Garbage:
 		w.Write([]byte{1, 2, 3})
 	case Servfail, Refused:
@@ -178,17 +179,17 @@
 		}
 	}
 	if m.Len() > size {
-		m.Extra = nil // nobody needs these, and leaving them out cuts no answer
+		m.Extra = nil // additional records are optional: omitting them is no truncation
 	}
 	m.Truncate(size)
-	if fault == NoFault && told != nil {
-		told(q.Question[0], m)
+	if fault == NoFault && onAnswer != nil {
+		onAnswer(q.Question[0], m)
 	}
 	w.WriteMsg(m)
 }
 
-// message is the sound answer. s.mu is held.
-func (s *Server) message(q *dns.Msg) *dns.Msg {
+// resolve returns the correct answer. s.mu is held.
+func (s *Server) resolve(q *dns.Msg) *dns.Msg {
 	m := new(dns.Msg)
 	m.SetReply(q)
 	m.Authoritative, m.Compress = true, true
--- a/internal/kit/relay/relay.go
+++ b/internal/kit/relay/relay.go
@@ -16,58 +16,58 @@
 )
 
 const (
-	most      = 200 // nodes: each has an address of its own
-	nodePort  = 17946
-	relayPort = 17947
-	tries     = 20 // networks of loopback addresses that are tried
-	dialTime  = time.Second
-	look      = 20 * time.Millisecond // how often a stream looks whether its link is cut
-	datagram  = 64 << 10
+	maxNodes         = 200 // each node has the last byte of an address of its own
+	nodePort         = 17946
+	relayPort        = 17947
+	listenAttempts   = 20 // each with other loopback addresses
+	dialTimeout      = time.Second
+	pollInterval     = 20 * time.Millisecond // between checks of a stream whether its link is cut
+	maxDatagramBytes = 64 << 10
 )
 
-// Event is one thing that went through, or did not.
+// Event is a datagram or the opening of a stream, forwarded or not.
 type Event struct {
-	From, To int // nodes, from 0; From is -1 for nobody that is known
+	From, To int // nodes, from 0; From is -1 for an unknown sender
 	Outcome  string
 	Bytes    int
-	Stream   bool // it is the opening of one
+	Stream   bool // the opening of a stream
 }
 
-// Net is the network between some nodes. Each node listens at its Node address and tells the others its Relay address.
+// Net is the network between some nodes. Each node listens on its NodeAddr and advertises its RelayAddr to the others.
 type Net struct {
-	ips  []netip.Addr
-	note func(Event)
-	ends context.Context
-	stop context.CancelFunc
-	wg   sync.WaitGroup
-	udp  []*net.UDPConn
-	tcp  []*net.TCPListener
+	ips    []netip.Addr
+	note   func(Event)
+	ctx    context.Context
+	cancel context.CancelFunc
+	wg     sync.WaitGroup
+	udp    []*net.UDPConn
+	tcp    []*net.TCPListener
 
-	mu      sync.Mutex
-	links   map[[2]int]*link
-	trouble map[int]rule // by the id that Set gave
-	next    int
-	seed    uint64
+	mu     sync.Mutex
+	links  map[[2]int]*link
+	faults map[int]rule // by an id that Inject assigns
+	lastID int
+	seed   uint64
 }
 
 type rule struct {
-	of func(from, to int) bool
+	applies func(from, to int) bool
 	Fault
 }
 
-// New makes a network for n nodes, on loopback addresses that nobody else uses. Note is called with each thing that went
-// through, from many goroutines; nil for nobody.
+// New creates a network for n nodes, on loopback addresses that no other process uses. Note, if not nil, is called with each
+// event, from several goroutines.
 func New(n int, seed uint64, note func(Event)) (*Net, error) {
-	if n < 1 || n > most {
-		return nil, fmt.Errorf("relay: %d nodes are outside 1 to %d", n, most)
+	if n < 1 || n > maxNodes {
+		return nil, fmt.Errorf("relay: %d nodes are outside 1 to %d", n, maxNodes)
 	}
 	if note == nil {
 		note = func(Event) {}
 	}
 	var err error
-	for range tries {
-		r := &Net{note: note, links: map[[2]int]*link{}, trouble: map[int]rule{}, seed: seed}
-		r.ends, r.stop = context.WithCancel(context.Background())
+	for range listenAttempts {
+		r := &Net{note: note, links: map[[2]int]*link{}, faults: map[int]rule{}, seed: seed}
+		r.ctx, r.cancel = context.WithCancel(context.Background())
 		a, b := byte(1+rand.IntN(254)), byte(rand.IntN(256))
 		if err = r.listen(n, a, b); err == nil {
 			return r, nil
@@ -82,7 +82,7 @@
 		r.ips = append(r.ips, netip.AddrFrom4([4]byte{127, a, b, byte(i + 1)}))
 	}
 	for i := range n {
-		// The node's own port must be free too: nobody else has this address, then.
+		// If the node's own port is free as well, no other rehearsal uses this address.
 		own, err := net.Listen("tcp", r.NodeAddr(i))
 		if err != nil {
 			return err
@@ -101,53 +101,53 @@
 		r.tcp = append(r.tcp, t)
 	}
 	for i := range n {
-		r.wg.Go(func() { r.datagrams(i) })
-		r.wg.Go(func() { r.streams(i) })
+		r.wg.Go(func() { r.forwardDatagrams(i) })
+		r.wg.Go(func() { r.acceptStreams(i) })
 	}
 	return nil
 }
 
-// NodeAddr is the address that node i listens on, and Relay the one that it tells others.
+// NodeAddr returns the address that node i listens on. The other nodes use RelayAddr instead.
 func (r *Net) NodeAddr(i int) string {
 	return net.JoinHostPort(r.ips[i].String(), strconv.Itoa(nodePort))
 }
 
-// RelayAddr is the address at which others reach node i.
+// RelayAddr returns the address at which the other nodes reach node i.
 func (r *Net) RelayAddr(i int) string {
 	return net.JoinHostPort(r.ips[i].String(), strconv.Itoa(relayPort))
 }
 
-// Inject begins a trouble on the links that of names, and returns what ends it.
-func (r *Net) Inject(t Fault, of func(from, to int) bool) (end func()) {
+// Inject begins a fault on the links for which applies returns true, and returns a function that ends it.
+func (r *Net) Inject(t Fault, applies func(from, to int) bool) (end func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.next++
-	id := r.next
-	r.trouble[id] = rule{of, t}
+	r.lastID++
+	id := r.lastID
+	r.faults[id] = rule{applies, t}
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.trouble, id)
+		delete(r.faults, id)
 	}
 }
 
-func (r *Net) now(from, to int) (t Fault) {
-	for _, x := range r.trouble {
-		if x.of(from, to) {
-			t = t.with(x.Fault)
+func (r *Net) activeFault(from, to int) (t Fault) {
+	for _, x := range r.faults {
+		if x.applies(from, to) {
+			t = t.combine(x.Fault)
 		}
 	}
 	return t
 }
 
-func (r *Net) cut(from, to int) bool {
+func (r *Net) isCut(from, to int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.now(from, to).Cut
+	return r.activeFault(from, to).Cut
 }
 
-// who is the node with an address; -1 for none.
-func (r *Net) who(addr netip.Addr) int {
+// nodeAt returns the index of the node with an address, or -1.
+func (r *Net) nodeAt(addr netip.Addr) int {
 	for i, ip := range r.ips {
 		if ip == addr.Unmap() {
 			return i
@@ -156,19 +156,19 @@
 	return -1
 }
 
-// datagrams carries what is sent to node to.
-func (r *Net) datagrams(to int) {
-	buf := make([]byte, datagram)
-	at := net.UDPAddrFromAddrPort(netip.AddrPortFrom(r.ips[to], nodePort))
+// forwardDatagrams forwards the datagrams to node to.
+func (r *Net) forwardDatagrams(to int) {
+	buf := make([]byte, maxDatagramBytes)
+	dest := net.UDPAddrFromAddrPort(netip.AddrPortFrom(r.ips[to], nodePort))
 	for {
 		n, addr, err := r.udp[to].ReadFromUDPAddrPort(buf)
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // a node that is down refuses
+			continue // an earlier datagram was refused, as the node is down
 		}
-		from := r.who(addr.Addr())
+		from := r.nodeAt(addr.Addr())
 		if from < 0 {
 			r.note(Event{-1, to, Unknown, n, false})
 			continue
@@ -179,108 +179,109 @@
 			l = newLink(r.seed, from, to)
 			r.links[[2]int{from, to}] = l
 		}
-		f := l.draw(r.now(from, to), n)
+		f := l.draw(r.activeFault(from, to), n)
 		r.mu.Unlock()
-		r.note(Event{from, to, f.how, n, false})
+		r.note(Event{from, to, f.outcome, n, false})
 		b := append([]byte(nil), buf[:n]...)
-		if f.spoil >= 0 {
-			b[f.spoil] ^= 1 << (f.spoil % 8)
+		if f.corruptByte >= 0 {
+			b[f.corruptByte] ^= 1 << (f.corruptByte % 8)
 		}
 		for _, d := range f.delays {
 			if d == 0 {
-				r.udp[to].WriteTo(b, at) // one that is lost is lost
+				r.udp[to].WriteTo(b, dest) // UDP: a failed write is a lost datagram
 				continue
 			}
 			r.wg.Go(func() {
-				if timing.Sleep(r.ends, d) {
-					r.udp[to].WriteTo(b, at)
+				if timing.Sleep(r.ctx, d) {
+					r.udp[to].WriteTo(b, dest)
 				}
 			})
 		}
 	}
 }
 
-// streams carries the streams that are opened to node to.
-func (r *Net) streams(to int) {
+// acceptStreams accepts and forwards the streams to node to.
+func (r *Net) acceptStreams(to int) {
 	for {
 		c, err := r.tcp[to].AcceptTCP()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			if !timing.Sleep(r.ends, look) {
+			if !timing.Sleep(r.ctx, pollInterval) {
 				return
 			}
 			continue
 		}
 		r.wg.Go(func() {
 			defer c.Close()
-			r.stream(c, to)
+			r.forwardStream(c, to)
 		})
 	}
 }
 
-func (r *Net) stream(c *net.TCPConn, to int) {
+func (r *Net) forwardStream(c *net.TCPConn, to int) {
 	from := -1
 	if a, ok := c.RemoteAddr().(*net.TCPAddr); ok {
-		from = r.who(a.AddrPort().Addr())
+		from = r.nodeAt(a.AddrPort().Addr())
 	}
 	if from < 0 {
 		r.note(Event{-1, to, Unknown, 0, true})
 		return
 	}
-	if r.cut(from, to) || r.cut(to, from) {
+	if r.isCut(from, to) || r.isCut(to, from) {
 		r.note(Event{from, to, Cut, 0, true})
-		r.hold(from, to)
+		r.waitWhileCut(from, to)
 		return
 	}
-	d, err := net.DialTimeout("tcp", r.NodeAddr(to), dialTime)
+	d, err := net.DialTimeout("tcp", r.NodeAddr(to), dialTimeout)
 	if err != nil {
-		return // it is down, and so is the stream
+		return // the node is down; the caller closes c
 	}
 	defer d.Close()
 	r.note(Event{from, to, Passed, 0, true})
 	ended := make(chan struct{}, 2)
 	r.wg.Go(func() {
-		r.pipe(d, c, from, to)
+		r.copyStream(d, c, from, to)
 		ended <- struct{}{}
 	})
 	r.wg.Go(func() {
-		r.pipe(c, d, to, from)
+		r.copyStream(c, d, to, from)
 		ended <- struct{}{}
 	})
 	for range 2 {
 		select {
 		case <-ended:
-		case <-r.ends.Done():
+		case <-r.ctx.Done():
 			return
 		}
 	}
 }
 
-// hold stands still while a link is cut: nobody refuses what nobody hears.
-func (r *Net) hold(from, to int) {
-	for (r.cut(from, to) || r.cut(to, from)) && timing.Sleep(r.ends, look) {
+// waitWhileCut blocks while a link is cut in either direction: what is sent over a cut link gets no reply, not even a refusal.
+func (r *Net) waitWhileCut(from, to int) {
+	for (r.isCut(from, to) || r.isCut(to, from)) && timing.Sleep(r.ctx, pollInterval) {
 	}
 }
 
-// pipe carries one direction of a stream, until it ends or the link is cut: then both sides see it break.
-func (r *Net) pipe(to, from net.Conn, a, b int) {
+// copyStream forwards one direction of a stream until the stream ends. If the link is cut, it closes both sides when the cut
+// ends.
+func (r *Net) copyStream(to, from net.Conn, fromNode, toNode int) {
 	buf := make([]byte, 16<<10)
 	for {
-		from.SetReadDeadline(time.Now().Add(look))
+		from.SetReadDeadline(time.Now().Add(pollInterval))
 		n, err := from.Read(buf)
 		r.mu.Lock()
-		t := r.now(a, b)
+		t := r.activeFault(fromNode, toNode)
 		r.mu.Unlock()
 		if t.Cut {
-			r.hold(a, b)
+			r.waitWhileCut(fromNode, toNode)
 			to.Close()
 			from.Close()
 			return
 		}
 		if n > 0 {
-			if t.Delay > 0 && !timing.Sleep(r.ends, t.Delay) {
+			if t.Delay > 0 && !timing.Sleep(r.ctx, t.Delay) {
 				return
 			}
 			if _, err := to.Write(buf[:n]); err != nil {
@@ -290,7 +291,7 @@
 		switch {
 		case err == nil:
 		case isTimeout(err):
-			if r.ends.Err() != nil {
+			if r.ctx.Err() != nil {
 				return
 			}
 		default:
@@ -311,9 +312,9 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// Close ends the network and waits for all that it carries.
+// Close shuts the network down and waits for its goroutines.
 func (r *Net) Close() {
-	r.stop()
+	r.cancel()
 	for _, u := range r.udp {
 		u.Close()
 	}
--- a/internal/kit/relay/relay_test.go
+++ b/internal/kit/relay/relay_test.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-const patience = 10 * time.Second
+const timeout = 10 * time.Second
 
-// network is two nodes with a relay between them, and what it told.
-func network(t *testing.T) (*Net, func() map[string]int) {
+// newNetwork creates a network of two nodes, and returns it with a function that counts its events by outcome.
+func newNetwork(t *testing.T) (*Net, func() map[string]int) {
 	t.Helper()
 	var mu sync.Mutex
-	told := map[string]int{}
+	counts := map[string]int{}
 	r, err := New(2, 7, func(e Event) {
 		mu.Lock()
 		defer mu.Unlock()
-		told[e.Outcome]++
+		counts[e.Outcome]++
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		out := map[string]int{}
-		for k, v := range told {
+		for k, v := range counts {
 			out[k] = v
 		}
 		return out
@@ -46,14 +46,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(timeout))
 	return c
 }
 
-// sum is how many of the fates there were, of those that are named.
-func sum(told map[string]int, hows ...string) (n int) {
-	for _, h := range hows {
-		n += told[h]
+// sum adds up the counts of some outcomes.
+func sum(counts map[string]int, outcomes ...string) (n int) {
+	for _, h := range outcomes {
+		n += counts[h]
 	}
 	return n
 }
@@ -72,7 +72,7 @@
 }
 
 func TestDatagrams(t *testing.T) {
-	r, told := network(t)
+	r, counts := newNetwork(t)
 	one, two := udp(t, r.NodeAddr(0)), udp(t, r.NodeAddr(1))
 	buf := make([]byte, 100)
 	send(t, one, r.RelayAddr(1), 1)
@@ -81,13 +81,13 @@
 	}
 	end := r.Inject(Fault{Drop: 1}, func(from, to int) bool { return from == 0 && to == 1 })
 	send(t, one, r.RelayAddr(1), 20)
-	send(t, two, r.RelayAddr(0), 1) // the other way is as it was
+	send(t, two, r.RelayAddr(0), 1) // the other direction has no fault
 	if n, _, err := one.ReadFrom(buf); err != nil || n != 10 {
 		t.Fatalf("%d bytes, %v", n, err)
 	}
-	for deadline := time.Now().Add(patience); told()[Dropped] < 20; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(timeout); counts()[Dropped] < 20; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%v", told())
+			t.Fatalf("%v", counts())
 		}
 	}
 	end()
@@ -99,22 +99,22 @@
 		}
 	}
 	end()
-	// Who is nobody's node is not heard.
+	// Datagrams from an unknown sender are not forwarded.
 	stranger := udp(t, "127.0.0.1:0")
 	send(t, stranger, r.RelayAddr(1), 1)
 	send(t, one, r.RelayAddr(1), 1)
 	if n, _, err := two.ReadFrom(buf); err != nil || string(buf[:n]) != "0123456789" {
 		t.Fatalf("%q, %v", buf[:n], err)
 	}
-	for deadline := time.Now().Add(patience); told()[Unknown] < 1; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(timeout); counts()[Unknown] < 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%v", told())
+			t.Fatalf("%v", counts())
 		}
 	}
 }
 
 func TestStreams(t *testing.T) {
-	r, _ := network(t)
+	r, _ := newNetwork(t)
 	ln, err := net.Listen("tcp", r.NodeAddr(1))
 	if err != nil {
 		t.Fatal(err)
@@ -134,12 +134,12 @@
 	defer ln.Close()
 	dial := func() net.Conn {
 		t.Helper()
-		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(r.ips[0].String())}, Timeout: patience}
+		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(r.ips[0].String())}, Timeout: timeout}
 		c, err := d.Dial("tcp", r.RelayAddr(1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(timeout))
 		return c
 	}
 	c := dial()
@@ -151,21 +151,21 @@
 	if _, err := io.ReadFull(c, buf); err != nil || string(buf) != "hello" {
 		t.Fatalf("%q, %v", buf, err)
 	}
-	// A cut link keeps what is written; when it heals the stream has broken.
+	// A cut link keeps back what is written; the stream breaks when the cut ends.
 	end := r.Inject(Fault{Cut: true}, func(from, to int) bool { return from == 0 })
 	if _, err := c.Write([]byte("again")); err != nil {
 		t.Fatal(err)
 	}
-	held := dial()
-	defer held.Close()
-	held.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-	if _, err := held.Read(buf); !isTimeout(err) {
-		t.Errorf("a stream over a cut link: %v", err)
+	blocked := dial()
+	defer blocked.Close()
+	blocked.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
+	if _, err := blocked.Read(buf); !isTimeout(err) {
+		t.Errorf("read from a stream over a cut link: %v, want a timeout", err)
 	}
 	end()
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(timeout))
 	if n, err := io.ReadFull(c, buf); err == nil || isTimeout(err) {
-		t.Errorf("%q came over a link that was cut, %v", buf[:n], err)
+		t.Errorf("%q forwarded by a stream that a cut should have broken, %v", buf[:n], err)
 	}
 	after := dial()
 	defer after.Close()
@@ -177,27 +177,27 @@
 	}
 }
 
-// The same seed gives the same fates, whatever else happens, and troubles add up.
-func TestFates(t *testing.T) {
-	trouble := Fault{Drop: 0.2, Duplicate: 0.3, Corrupt: 0.1, Delay: time.Millisecond}
+// The same seed gives the same fates, and faults that apply at the same time combine.
+func TestFaultDrawsRepeat(t *testing.T) {
+	fault := Fault{Drop: 0.2, Duplicate: 0.3, Corrupt: 0.1, Delay: time.Millisecond}
 	a, b := newLink(3, 0, 1), newLink(3, 0, 1)
 	got := map[string]int{}
 	for i := range 1000 {
-		x, y := a.draw(trouble, 100), b.draw(trouble, 100)
-		if x.how != y.how || x.spoil != y.spoil || len(x.delays) != len(y.delays) {
+		x, y := a.draw(fault, 100), b.draw(fault, 100)
+		if x.outcome != y.outcome || x.corruptByte != y.corruptByte || len(x.delays) != len(y.delays) {
 			t.Fatalf("%d: %+v and %+v", i, x, y)
 		}
-		got[x.how]++
+		got[x.outcome]++
 		for _, d := range x.delays {
 			if d < time.Millisecond || d > 2*time.Millisecond {
-				t.Fatalf("%v late", d)
+				t.Fatalf("delay of %v, want 1 to 2 ms", d)
 			}
 		}
 	}
 	if got[Dropped] < 150 || got[Dropped] > 250 || sum(got, Duplicated, Corrupted) < 200 {
 		t.Errorf("%v", got)
 	}
-	both := trouble.with(Fault{Cut: true, Drop: 0.5})
+	both := fault.combine(Fault{Cut: true, Drop: 0.5})
 	if !both.Cut || both.Drop != 0.6 || both.Delay != time.Millisecond {
 		t.Errorf("%+v", both)
 	}
