--- a/internal/kit/chain/chain.go
+++ b/internal/kit/chain/chain.go
@@ -1,9 +1,9 @@
 // Package chain solves the queue M|M|1|<L,H>|R of Abaev, Gaidamaka, Samouylov et al., "Simulation of Overload Control in SIP
-// Server Networks" (ECMS 2012), exactly: the one model of a box under hysteretic overload control for which every figure is
-// known. Measured against it, a mode rule shows whether it is the paper's.
+// Server Networks" (ECMS 2012), exactly. It is the one model of a server under hysteretic overload control for which every
+// figure is known, so that an implementation of the paper's mode rule can be tested against it.
 //
-// The process X(t) = (s, n) has a mode s (0 normal, 1 overload, 2 discard) and n requests at the box. Requests come as a
-// Poisson stream; in overload each is dropped with probability q, in discard all are.
+// The process X(t) = (s, n) has a mode s (0 normal, 1 overload, 2 discard) and n requests at the server. Requests arrive as a
+// Poisson process; in overload each is dropped with probability q, in discard all are.
 package chain
 
 import (
@@ -13,25 +13,25 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// Model is one box. Times are in the unit of 1/Mu.
+// Model is one server with its queue. Times are in the unit of 1/Mu.
 type Model struct {
-	Lambda, Mu float64 // rates of arrivals and of service
+	Lambda, Mu float64 // arrival and service rates
 	Q          float64 // dropping probability in overload
-	L, H, R    int     // abatement, onset and discard threshold, L <= H < R
-	Exit       int     // discard ends once so many are left: H in the paper, fewer for a rule that waits longer
+	L, H, R    int     // abatement, onset and discard thresholds, L <= H < R
+	Exit       int     // discard ends at this number of requests: H in the paper, less for a rule that discards for longer
 }
 
-// Solution is what is known of a model in equilibrium.
+// Solution is the steady state of a model.
 type Solution struct {
-	P      [3]float64 // share of the time in each mode
-	Return float64    // mean time from the onset of overload until it is normal again: the paper's M_H
+	P      [3]float64 // fraction of the time in each mode
+	Return float64    // mean time from the onset of overload until the return to normal mode: the paper's M_H
 	Cycle  float64    // mean time of a whole control cycle: the paper's tau
 }
 
 // state is (s, n).
-type state struct{ s, n int }
+type state struct{ mode, n int }
 
-// Solve solves the model by its balance equations. An error says which threshold makes no sense.
+// Solve solves the model's balance equations. It returns an error for parameters out of range.
 func (m Model) Solve() (Solution, error) {
 	switch {
 	case m.Lambda <= 0 || m.Mu <= 0:
@@ -39,13 +39,13 @@
 	case m.Q < 0 || m.Q > 1:
 		return Solution{}, fmt.Errorf("chain: q of %v is outside 0 to 1", m.Q)
 	case m.L < 1 || m.L > m.H || m.H >= m.R || m.Exit < m.L || m.Exit >= m.R:
-		return Solution{}, fmt.Errorf("chain: L %d, H %d, exit %d and R %d are not in their order", m.L, m.H, m.Exit, m.R)
+		return Solution{}, fmt.Errorf("chain: L %d, H %d, exit %d and R %d are out of order", m.L, m.H, m.Exit, m.R)
 	}
 	var states []state
-	at := map[state]int{}
+	index := map[state]int{}
 	add := func(s, from, to int) {
 		for n := from; n <= to; n++ {
-			at[state{s, n}] = len(states)
+			index[state{s, n}] = len(states)
 			states = append(states, state{s, n})
 		}
 	}
@@ -54,34 +54,34 @@
 	add(2, m.Exit+1, m.R)
 
 	n := len(states)
-	rates := mat.NewDense(n, n, nil) // of leaving i for j; the diagonal is what leaves i
+	rates := mat.NewDense(n, n, nil) // transition rates from i to j; the diagonal is minus the total rate out of i
 	for i, x := range states {
-		for _, y := range m.next(x) {
+		for _, y := range m.transitions(x) {
 			if y.rate == 0 {
 				continue
 			}
-			j := at[y.to]
+			j := index[y.to]
 			rates.Set(i, j, rates.At(i, j)+y.rate)
 			rates.Set(i, i, rates.At(i, i)-y.rate)
 		}
 	}
-	// Balance: p times rates is 0; one equation is the others', and makes room for the sum of 1.
+	// Balance: p times rates is 0. One of these equations follows from the others and is replaced by the sum of p, which is 1.
 	balance := mat.DenseCopyOf(rates.T())
 	for j := range n {
 		balance.Set(n-1, j, 1)
 	}
-	right := mat.NewVecDense(n, nil)
-	right.SetVec(n-1, 1)
+	rhs := mat.NewVecDense(n, nil)
+	rhs.SetVec(n-1, 1)
 	var p mat.VecDense
-	if err := p.SolveVec(balance, right); err != nil {
+	if err := p.SolveVec(balance, rhs); err != nil {
 		return Solution{}, fmt.Errorf("chain: %w", err)
 	}
 	var out Solution
 	for i, x := range states {
-		out.P[x.s] += p.AtVec(i)
+		out.P[x.mode] += p.AtVec(i)
 	}
-	// Mean times until normal, from each state that is not: rates times them is -1.
-	first := m.H // states before it are normal
+	// Mean times until normal mode from each state of the other modes: rates times them is -1.
+	first := m.H // states before it are in normal mode
 	k := n - first
 	times := mat.DenseCopyOf(rates.Slice(first, n, first, n))
 	ones := mat.NewVecDense(k, nil)
@@ -92,7 +92,7 @@
 	if err := mean.SolveVec(times, ones); err != nil {
 		return Solution{}, fmt.Errorf("chain: %w", err)
 	}
-	out.Return = mean.AtVec(at[state{1, m.H}] - first)
+	out.Return = mean.AtVec(index[state{1, m.H}] - first)
 	out.Cycle = out.Return + out.Return*out.P[0]/(1-out.P[0])
 	if math.IsNaN(out.Return) {
 		return Solution{}, fmt.Errorf("chain: no solution")
@@ -100,18 +100,18 @@
 	return out, nil
 }
 
-type step struct {
+type transition struct {
 	to   state
 	rate float64
 }
 
-// next is what can follow a state.
-func (m Model) next(x state) [2]step {
-	up, down := step{state{x.s, x.n + 1}, m.Lambda}, step{state{x.s, x.n - 1}, m.Mu}
-	switch x.s {
+// transitions returns the transitions out of a state: an arrival and a departure.
+func (m Model) transitions(x state) [2]transition {
+	up, down := transition{state{x.mode, x.n + 1}, m.Lambda}, transition{state{x.mode, x.n - 1}, m.Mu}
+	switch x.mode {
 	case 0:
 		if up.to.n == m.H {
-			up.to.s = 1
+			up.to.mode = 1
 		}
 		if x.n == 0 {
 			down.rate = 0
@@ -119,19 +119,19 @@
 	case 1:
 		up.rate *= 1 - m.Q
 		if up.to.n == m.R {
-			up.to.s = 2
+			up.to.mode = 2
 		}
 		if down.to.n < m.L {
-			down.to.s = 0
+			down.to.mode = 0
 		}
 	case 2:
 		up.rate = 0
 		if down.to.n == m.Exit {
-			down.to.s = 1
+			down.to.mode = 1
 			if m.Exit < m.L {
-				down.to.s = 0
+				down.to.mode = 0
 			}
 		}
 	}
-	return [2]step{up, down}
+	return [2]transition{up, down}
 }
--- a/internal/kit/chain/chain_test.go
+++ b/internal/kit/chain/chain_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Table 1 of the paper: load 1.2, service 5 ms, R = 100. Its figures are rounded; where they part from the exact solution by
-// more than their rounding, by how much stands here and in docs/design/simulation.md.
+// Table 1 of the paper: load 1.2, service 5 ms, R = 100. Its figures are rounded; where they differ from the exact solution by
+// more than their rounding, the last columns and docs/design/simulation.md say by how much.
 func TestTable1(t *testing.T) {
 	for _, x := range []struct {
 		q           float64
@@ -15,7 +15,7 @@
 		ret         float64 // ms
 		b1, b2      float64 // percent
 		cycle       float64 // ms
-		offR, offB1 float64 // by how much the table parts: parts of the figure
+		offR, offB1 float64 // largest deviation, as a fraction of the table's figure
 		offB2, offC float64
 	}{
 		{0.6, 78, 90, 121, 16.0, 0.0072, 455, 0.034, 0.042, 0.004, 0.012},
@@ -39,12 +39,12 @@
 			}
 		}
 		if sum := got.P[0] + got.P[1] + got.P[2]; math.Abs(sum-1) > 1e-9 {
-			t.Errorf("shares sum to %v", sum)
+			t.Errorf("fractions of the time in each mode sum to %v", sum)
 		}
 	}
 }
 
-// Without a difference between the modes the box is M/M/1/R, of which all is known: p_n is proportional to rho^n.
+// If the modes accept the same requests the model is the queue M/M/1/R, with p_n proportional to rho^n.
 func TestPlainQueue(t *testing.T) {
 	m := Model{Lambda: 0.8, Mu: 1, Q: 0, L: 5, H: 5, R: 10, Exit: 9}
 	got, err := m.Solve()
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestBadModels(t *testing.T) {
+func TestInvalidModels(t *testing.T) {
 	for _, m := range []Model{{}, {Lambda: 1, Mu: 1, Q: 2, L: 1, H: 2, R: 3, Exit: 2}, {Lambda: 1, Mu: 1, L: 3, H: 2, R: 5, Exit: 2},
 		{Lambda: 1, Mu: 1, L: 1, H: 5, R: 5, Exit: 5}} {
 		if _, err := m.Solve(); err == nil || strings.Contains(err.Error(), "\n") {
--- a/internal/kit/processfaults/preload/faultcalls.c
+++ b/internal/kit/processfaults/preload/faultcalls.c
@@ -1,10 +1,10 @@
 /*
- * Makes chosen system calls of one process fail a given number of times, for tests. Preloaded into it, this library installs
- * a filter (seccomp(2), user notification) that asks a thread of the library about each such call: the thread has the call
- * fail, as the table in FAULTCALLS_FILE says, or go on. The Go runtime enters the kernel by itself, so that wrapping
- * functions of the C library would see nothing.
+ * Makes chosen system calls of a process fail a given number of times, for tests. This library is preloaded into the process
+ * and installs a seccomp(2) filter with user notification. A thread of the library is notified of each such call, and lets
+ * it fail, as the table in FAULTCALLS_FILE says, or proceed. Wrapping functions of the C library would not do: the Go runtime
+ * makes system calls without them.
  *
- * The file holds ENTRIES of struct fault. The test writes it while the process runs; times counts down here.
+ * The file holds ENTRIES of struct fault. The test writes it while the process runs; this library counts times down.
  */
 #define _GNU_SOURCE
 #include <errno.h>
@@ -27,9 +27,9 @@
 #define ENTRIES 8
 
 struct fault {
-	int32_t call;  /* its number */
-	int32_t error; /* errno's value */
-	int64_t times; /* how often it still fails */
+	int32_t call;  /* system call number */
+	int32_t error; /* errno to fail with */
+	int64_t times; /* calls that are still to fail */
 };
 
 static struct fault *faults;
@@ -45,7 +45,7 @@
 	_exit(120);
 }
 
-/* The error with which a call is to fail now; 0 for none. */
+/* Returns the errno with which a call is to fail now, or 0, and counts the failure. */
 static int next_error(int call)
 {
 	for (int i = 0; i < ENTRIES; i++) {
@@ -58,7 +58,7 @@
 	return 0;
 }
 
-/* Answers the filter's questions for as long as the process lasts. */
+/* Answers the filter's notifications until the process ends. */
 static void *answer(void *unused)
 {
 	(void)unused;
@@ -78,11 +78,11 @@
 		reply.error = -next_error(question.data.nr);
 		if (reply.error == 0)
 			reply.flags = SECCOMP_USER_NOTIF_FLAG_CONTINUE;
-		ioctl(listener, SECCOMP_IOCTL_NOTIF_SEND, &reply); /* an error: the caller is gone */
+		ioctl(listener, SECCOMP_IOCTL_NOTIF_SEND, &reply); /* fails if the caller no longer waits */
 	}
 }
 
-/* Has the kernel ask about the watched calls of this thread and of those that it starts. */
+/* Installs the filter for this thread and the threads that it starts. Returns the descriptor that notifications come from. */
 static int install_filter(void)
 {
 	struct sock_filter program[2 * WATCHED + 2];
@@ -113,7 +113,7 @@
 		fail("faultcalls: mmap");
 	close(file);
 
-	/* The thread starts before the filter, which does not bind it, and takes no signal of the process. */
+	/* The thread starts before the filter is installed, so that its own calls are not filtered, and blocks all signals. */
 	sigfillset(&all);
 	pthread_sigmask(SIG_SETMASK, &all, &before);
 	pthread_mutex_lock(&installed);
--- a/internal/kit/processfaults/preload/stepclock.c
+++ b/internal/kit/processfaults/preload/stepclock.c
@@ -1,9 +1,9 @@
 /*
- * Steps the wall clock of one process, for tests: preloaded into it, this library adds an offset to CLOCK_REALTIME. Every
- * other clock runs on, as on a machine whose wall clock is set.
+ * Steps the wall clock of a process, for tests: this library is preloaded into the process and adds an offset to
+ * CLOCK_REALTIME. The other clocks are unchanged, as on a machine whose wall clock is set.
  *
  * The Go runtime reads clocks by the vDSO's clock_gettime and not by the C library's, so the entry of that function is
- * rewritten, in this process's own copy of the page, to jump to the one below.
+ * overwritten, in this process's own copy of the page, with a jump to the function below.
  *
  * STEPCLOCK_FILE names a file of 8 bytes: the offset in nanoseconds, which the test changes while the process runs.
  */
@@ -23,7 +23,7 @@
 
 static volatile int64_t *offset;
 
-/* Go calls this on a small stack of its own, where nothing but a plain system call is safe. */
+/* Go calls this on a small stack of its own, where only a bare system call is safe. */
 static int stepped_clock_gettime(clockid_t clock, struct timespec *now)
 {
 	long status;
@@ -42,8 +42,8 @@
 	_exit(120);
 }
 
-/* Has the code at entry jump to target: movabs $target, %rax; jmp *%rax. The page is not writable, and may be sealed against
- * mprotect: a write to this process's own memory file makes a copy of it. */
+/* Overwrites the code at entry with a jump to target: movabs $target, %rax; jmp *%rax. The page is not writable, and may be
+ * sealed against mprotect, so the write goes through this process's /proc/self/mem, which makes a private copy of the page. */
 static void redirect(void *entry, void *target)
 {
 	unsigned char jump[12] = {0x48, 0xb8, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xe0};
--- a/internal/kit/processfaults/processfaults.go
+++ b/internal/kit/processfaults/processfaults.go
@@ -1,6 +1,6 @@
-// Package processfaults plays faults below a program to processes of this machine, for tests: a wall clock that is set while
-// they run, and system calls that fail for a moment. It needs no rights: two small libraries are built with the C compiler and
-// preloaded into the processes, which have to be linked against the C library.
+// Package processfaults injects faults below running processes, for tests: steps of the wall clock, and system calls that
+// fail a given number of times. It needs no privileges: two small libraries are built with the C compiler and preloaded into
+// the processes, which have to be linked against the C library.
 package processfaults
 
 import (
@@ -17,31 +17,31 @@
 //go:embed preload/*.c
 var sources embed.FS
 
-// The files of a Faults' folder. The processes have the tables mapped.
+// Files in the folder of a Faults, which the processes map into memory.
 const (
 	clockTable = "clock" // the offset of the wall clock, in nanoseconds
-	callTable  = "calls" // of entries as preload/faultcalls.c has them
+	callTable  = "calls" // an array of struct fault of preload/faultcalls.c
 )
 
 const (
-	offsetSize = 8  // bytes
-	entrySize  = 16 // bytes
-	entries    = 8
+	offsetSize   = 8  // bytes
+	entrySize    = 16 // bytes
+	tableEntries = 8
 )
 
-// Faults are those of the processes that are started with its Environment. Its methods may be called while they run, but not
-// at once.
-type Faults struct{ folder string }
+// Faults controls the faults of the processes that are started with its Environment. Its methods may be called while the
+// processes run, but not concurrently.
+type Faults struct{ dir string }
 
-// New builds the libraries in a folder. Nothing is wrong yet.
-func New(folder string) (*Faults, error) {
+// New builds the libraries in a folder. It injects no fault yet.
+func New(dir string) (*Faults, error) {
 	for _, name := range []string{"stepclock", "faultcalls"} {
-		if err := build(folder, name); err != nil {
+		if err := build(dir, name); err != nil {
 			return nil, err
 		}
 	}
-	f := &Faults{folder}
-	for name, size := range map[string]int{clockTable: offsetSize, callTable: entries * entrySize} {
+	f := &Faults{dir}
+	for name, size := range map[string]int{clockTable: offsetSize, callTable: tableEntries * entrySize} {
 		if err := os.WriteFile(f.path(name), make([]byte, size), 0o600); err != nil {
 			return nil, err
 		}
@@ -49,13 +49,13 @@
 	return f, nil
 }
 
-// build builds one library.
-func build(folder, name string) error {
+// build compiles one library.
+func build(dir, name string) error {
 	text, err := sources.ReadFile("preload/" + name + ".c")
 	if err != nil {
 		return err
 	}
-	source, library := filepath.Join(folder, name+".c"), filepath.Join(folder, name+".so")
+	source, library := filepath.Join(dir, name+".c"), filepath.Join(dir, name+".so")
 	if err := os.WriteFile(source, text, 0o600); err != nil {
 		return err
 	}
@@ -66,23 +66,23 @@
 	return nil
 }
 
-func (f *Faults) path(name string) string { return filepath.Join(f.folder, name) }
+func (f *Faults) path(name string) string { return filepath.Join(f.dir, name) }
 
-// Environment is what a process needs beside its own environment, as NAME=value.
+// Environment returns the variables to add to a process's environment, as NAME=value.
 func (f *Faults) Environment() []string {
 	return []string{"LD_PRELOAD=" + f.path("stepclock.so") + ":" + f.path("faultcalls.so"), "STEPCLOCK_FILE=" + f.path(clockTable),
 		"FAULTCALLS_FILE=" + f.path(callTable)}
 }
 
-// SetClock sets the wall clocks so far from the machine's.
+// SetClock sets the offset of the processes' wall clocks from the machine's.
 func (f *Faults) SetClock(offset time.Duration) error {
 	var value [offsetSize]byte
 	binary.NativeEndian.PutUint64(value[:], uint64(offset))
 	return f.write(clockTable, value[:])
 }
 
-// Fail has the next calls of a kind fail with an error, so many in all processes together. It takes back what an earlier Fail
-// has left over.
+// Fail has the next calls of a system call fail with errno, times in all processes together. It replaces what remains of an
+// earlier Fail.
 func (f *Faults) Fail(call int, errno syscall.Errno, times int) error {
 	var entry [entrySize]byte
 	binary.NativeEndian.PutUint32(entry[0:], uint32(call))
@@ -91,7 +91,7 @@
 	return f.write(callTable, entry[:])
 }
 
-// Remaining is how many calls are still to fail.
+// Remaining returns the number of calls that are still to fail.
 func (f *Faults) Remaining() (int, error) {
 	table, err := os.ReadFile(f.path(callTable))
 	if err != nil {
@@ -100,7 +100,7 @@
 	return int(binary.NativeEndian.Uint64(table[8:])), nil
 }
 
-// write writes the first bytes of a table in place.
+// write overwrites the first bytes of a table file in place.
 func (f *Faults) write(name string, value []byte) error {
 	file, err := os.OpenFile(f.path(name), os.O_WRONLY, 0)
 	if err != nil {
