--- a/internal/kit/proof/proof_test.go
+++ b/internal/kit/proof/proof_test.go
@@ -1,8 +1,8 @@
-// Package proof shows that the judge can be believed: programs that are known to break a rule, each in one way, are
-// rehearsed, and the judge has to name that rule, the right request or box, and the moment within a second. Sound
-// programs must not be blamed.
+// Package proof tests the judge by mutation testing: it rehearses programs with a planted fault, each of which breaks one
+// rule in a known way. The judge has to name that rule, the right request or backend, and the time to within a second. It
+// must find nothing wrong with the same programs without a fault.
 //
-// CI plays each fault once. The whole table is made again by
+// CI plays each fault with one seed. The whole table is produced by
 //
 //	go test ./internal/kit/proof -count=1 -v -timeout 2h -seeds 20 -sound 20
 package proof
@@ -30,40 +30,40 @@
 )
 
 var (
-	seeds = flag.Int("seeds", 1, "seeds to play each fault with")
-	sound = flag.Int("sound", 0, "seeds to play each shipped scenario with on the sound daemon")
-	lanes = flag.Int("lanes", 0, "rehearsals at a time; 0: one for each core but one, two at least")
+	seeds         = flag.Int("seeds", 1, "seeds to play each fault with")
+	sound         = flag.Int("sound", 0, "seeds to play each shipped scenario with on the sound daemon")
+	parallelPlays = flag.Int("lanes", 0, "rehearsals at a time; 0: one for each core but one, two at least")
 )
 
 const (
-	near   = time.Second // how far from the true moment a violation may be put
-	replay = 5           // times that a void rehearsal is played again
+	maxMomentError = time.Second // between a planted fault and the violation that names it
+	maxPlays       = 5           // plays of one rehearsal whose verdicts are void, before the test is skipped
 )
 
-// fault is one way to break a rule.
+// fault is a planted fault of the proxy or of the daemon.
 type fault struct {
-	name  string
-	names []string // of the violations that it may show as
-	// Of the daemon's: one line of a source file, and what stands there instead.
+	name       string
+	violations []string // names of the violations that may follow from it
+	// For a fault of the daemon: a passage of a source file and its replacement.
 	file, old, new string
-	day            string // under testdata; proof.toml where none is named
+	scenario       string // file under testdata; proof.toml if empty
 }
 
 var proxyFaults = []fault{
-	{name: "drop", names: []string{judge.CutOff}},
-	{name: "hang", names: []string{judge.NoAnswer}},
-	{name: "late", names: []string{judge.LateAnswer}},
-	{name: "swap", names: []string{judge.WrongAnswer}},
-	{name: "invent", names: []string{judge.WrongAnswer}},
-	{name: "twice", names: []string{judge.SecondAnswer}},
-	{name: "after", names: []string{judge.SentAfterEnd}},
-	{name: "crash", names: []string{judge.NodeCrashed}},
-	{name: "unsafe", names: []string{judge.UnsafeTwice}},
-	{name: "group", names: []string{judge.OutsideGroup}},
-	{name: "window", names: []string{judge.AfterWindow}},
-	{name: "refuse", names: []string{judge.FalseRefusal}},
-	{name: "drain", names: []string{judge.Drained}},
-	{name: "cold", names: []string{judge.Flooded}},
+	{name: "drop", violations: []string{judge.CutOff}},
+	{name: "hang", violations: []string{judge.NoAnswer}},
+	{name: "late", violations: []string{judge.LateAnswer}},
+	{name: "swap", violations: []string{judge.WrongAnswer}},
+	{name: "invent", violations: []string{judge.WrongAnswer}},
+	{name: "twice", violations: []string{judge.SecondAnswer}},
+	{name: "after", violations: []string{judge.SentAfterEnd}},
+	{name: "crash", violations: []string{judge.NodeCrashed}},
+	{name: "unsafe", violations: []string{judge.UnsafeTwice}},
+	{name: "group", violations: []string{judge.OutsideGroup}},
+	{name: "window", violations: []string{judge.AfterWindow}},
+	{name: "refuse", violations: []string{judge.FalseRefusal}},
+	{name: "drain", violations: []string{judge.Drained}},
+	{name: "cold", violations: []string{judge.Flooded}},
 }
 
 const (
@@ -72,62 +72,64 @@
 )
 
 var daemonFaults = []fault{
-	{name: "drains not taken in", names: []string{judge.Drained}, file: "internal/engine/list.go",
+	{name: "drains not taken in", violations: []string{judge.Drained}, file: "internal/engine/list.go",
 		old: `			x.State = policy.Draining`,
 		new: `			x.State = policy.Active; ` + engineLogged + `"-", "box", s.ID)`},
-	{name: "a reset counts as never run", names: []string{judge.UnsafeTwice, judge.FalseRefusal, judge.OutsideGroup, judge.AfterWindow},
+	{name: "a reset counts as never run", violations: []string{judge.UnsafeTwice, judge.FalseRefusal, judge.OutsideGroup, judge.AfterWindow},
 		file: "internal/httpcarrier/carrier.go",
 		old:  `		outcome := policy.Reset // unless shown otherwise it may have run`,
 		new:  `		outcome := policy.ConnectFailed; ` + logged + `r.ID)`},
-	{name: "failures told as refusals", names: []string{judge.FalseRefusal}, file: "internal/engine/engine.go",
+	{name: "failures told as refusals", violations: []string{judge.FalseRefusal}, file: "internal/engine/engine.go",
 		old: `			e.finish(a.ID, Answer{Kind: Failed})`,
 		new: `			e.finish(a.ID, Answer{Kind: Refused}); ` + engineLogged + `a.ID)`},
-	{name: "the deadline read too long", names: []string{judge.LateAnswer, judge.NoAnswer}, file: "internal/engine/engine.go",
+	{name: "the deadline read too long", violations: []string{judge.LateAnswer, judge.NoAnswer}, file: "internal/engine/engine.go",
 		old: `	remaining := r.ClientTimeout - time.Since(r.Arrived) - Transit`,
 		new: `	remaining := r.ClientTimeout + 150*time.Millisecond; time.AfterFunc(r.ClientTimeout, func() { ` + engineLogged + `r.ID) })`},
-	{name: "groups not looked at", names: []string{judge.OutsideGroup}, file: "policy/policy.go",
+	{name: "groups not looked at", violations: []string{judge.OutsideGroup}, file: "policy/policy.go",
 		old: `		(group != GroupZone || s.Zone == m.Zone) && (group != GroupCell || s.Cell == m.Cell)`,
 		new: `		(group != GroupZone || s.Zone == m.Zone || b.planted(r.id)) && (group != GroupCell || s.Cell == m.Cell)`},
-	{name: "the window not looked at", names: []string{judge.AfterWindow}, file: "policy/policy.go",
+	{name: "the window not looked at", violations: []string{judge.AfterWindow}, file: "policy/policy.go",
 		old: `		c.Effect == Safe || c.Effect == Keyed && now < r.retryBefore)`,
 		new: `		c.Effect == Safe || c.Effect == Keyed && (now < r.retryBefore || b.planted(r.id) && func() bool { r.retryBefore = 0; return true }()))`},
-	{name: "a reset ends the node", names: []string{judge.NodeCrashed}, file: "internal/httpcarrier/carrier.go",
+	{name: "a reset ends the node", violations: []string{judge.NodeCrashed}, file: "internal/httpcarrier/carrier.go",
 		old: `		outcome := policy.Reset // unless shown otherwise it may have run`,
 		new: `		outcome := policy.Reset; ` + logged + `"-"); panic("planted")`},
-	{name: "a reset under a streamed body counts as never run", names: []string{judge.FalseRefusal}, file: "internal/httpcarrier/carrier.go", day: "limits.toml",
+	{name: "a reset under a streamed body counts as never run", violations: []string{judge.FalseRefusal}, file: "internal/httpcarrier/carrier.go", scenario: "limits.toml",
 		old: `		outcome := policy.Reset // unless shown otherwise it may have run`,
 		new: `		outcome := policy.Reset; if p != nil && p.Drained != nil { outcome = policy.ConnectFailed; ` + logged + `r.ID) }`},
-	{name: "a body read back with a wrong byte", names: []string{judge.Unasked}, file: "internal/httpcarrier/carrier.go", day: "limits.toml",
+	{name: "a body read back with a wrong byte", violations: []string{judge.Unasked}, file: "internal/httpcarrier/carrier.go", scenario: "limits.toml",
 		old: `		err = p.Send(ctx, c)`,
 		new: `		if p.Tier == bodies.Disk { ` + logged + `r.ID); c.Conn = &plantedFlip{Conn: c.Conn} }; err = p.Send(ctx, c)`},
-	{name: "no room for a body, and no word of it", names: []string{judge.CutOff}, file: "internal/httpfront/read.go", day: "limits.toml",
+	{name: "no room for a body, and no word of it", violations: []string{judge.CutOff}, file: "internal/httpfront/read.go", scenario: "limits.toml",
 		old: `	if rej := s.readBody(c, r, end); rej != nil {`,
 		new: `	if rej := s.readBody(c, r, end); rej != nil && rej.Status == 503 { r.Release(); s.log.Info("planted", "id", r.ID); return nil, nil } else if rej != nil {`},
-	{name: "a drain that DNS tells not taken in", names: []string{judge.Drained}, file: "internal/engine/members.go", day: "dns.toml",
+	{name: "a drain that DNS tells not taken in", violations: []string{judge.Drained}, file: "internal/engine/members.go", scenario: "dns.toml",
 		old: `	changed, requery := e.members.UpdateNames(e.clock.Now(), source, backends)`,
 		new: `	changed, requery := e.members.UpdateNames(e.clock.Now(), source, backends); for i := range changed { if !changed[i].Use { ` + engineLogged + `"-", "box", changed[i].Backend.ID) } }; changed = nil`},
-	{name: "an answer for the request before", names: []string{judge.WrongAnswer}, file: "internal/engine/engine.go",
+	{name: "an answer for the request before", violations: []string{judge.WrongAnswer}, file: "internal/engine/engine.go",
 		old: `		r.done <- Answer{Payload: res.Reply}`,
 		new: `		r.done <- Answer{Payload: e.planted(r.ID, res.Reply)}`},
 }
 
-// rpcFaults are lines of the JSON-RPC side, played on its own day.
+// rpcFaults are faults of the daemon's JSON-RPC side, played with a scenario of their own.
 var rpcFaults = []fault{
-	{name: "a connection that broke counts as never run", names: []string{judge.UnsafeTwice, judge.FalseRefusal, judge.OutsideGroup, judge.AfterWindow},
-		file: "internal/rpccarrier/carrier.go", day: "jsonrpc.toml",
+	{name: "a connection that broke counts as never run", violations: []string{judge.UnsafeTwice, judge.FalseRefusal, judge.OutsideGroup, judge.AfterWindow},
+		file: "internal/rpccarrier/carrier.go", scenario: "jsonrpc.toml",
 		old: `			return engine.Result{Outcome: policy.Reset} // its last byte was written: it may have run`,
 		new: `			n.cfg.Log.Info("planted", "id", "-"); return engine.Result{Outcome: policy.ConnectFailed}`},
-	{name: "drains not taken in where a box speaks JSON-RPC", names: []string{judge.Drained}, file: "internal/engine/list.go", day: "jsonrpc.toml",
+	{name: "drains not taken in where a box speaks JSON-RPC", violations: []string{judge.Drained}, file: "internal/engine/list.go", scenario: "jsonrpc.toml",
 		old: `			x.State = policy.Draining`,
 		new: `			x.State = policy.Draining; if s.RPC != "" { x.State = policy.Active; ` + engineLogged + `"-", "box", s.ID) }`},
-	// Where the request whose answer is given away has a second attempt out, that one's answer comes to it as well: the same
-	// bytes are then a second answer to it and a wrong one to the other, and the judge says the former.
-	{name: "an answer given to another's id", names: []string{judge.WrongAnswer, judge.SecondAnswer}, file: "internal/rpccarrier/carrier.go", day: "jsonrpc.toml",
+	// If the request whose answer goes to another request has a second attempt in flight, that attempt's answer reaches the
+	// right request. The misdirected bytes are then both a second answer to the one request and a wrong answer to the other,
+	// and the judge reports the former.
+	{name: "an answer given to another's id", violations: []string{judge.WrongAnswer, judge.SecondAnswer}, file: "internal/rpccarrier/carrier.go", scenario: "jsonrpc.toml",
 		old: `	c := l.calls[id]`,
 		new: `	c := l.calls[id]; for other, to := range l.calls { if other != id && len(id) > 0 && id[len(id)-1]%2 == 1 { l.carrier.cfg.Log.Info("planted", "id", "-"); id, c = other, to; break } }`},
 }
 
-// helpers is what the changed lines of a package call to say what they do; each is a file of its own in the overlay.
+// helpers holds, by faulty source file, the code that its replaced passages call, for example to log that the fault was
+// planted. It is added to the build overlay as a file of its own.
 var helpers = map[string]string{
 	"policy/policy.go": `package policy
 
@@ -186,8 +188,8 @@
 	}
 }
 
-// broken builds the daemon with a fault's line in place of the source's.
-func broken(t *testing.T, f fault, out string) {
+// buildFaulty builds the daemon with a fault's passage replaced.
+func buildFaulty(t *testing.T, f fault, out string) {
 	t.Helper()
 	dir := t.TempDir()
 	path := filepath.Join(root(t), f.file)
@@ -196,7 +198,7 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(string(text), f.old+"\n"); n != 1 {
-		t.Fatalf("%s: the line stands there %d times, not once:\n%s", f.file, n, f.old)
+		t.Fatalf("%s: the passage occurs %d times, want 1:\n%s", f.file, n, f.old)
 	}
 	changed := filepath.Join(dir, "changed.go")
 	replace := map[string]string{path: changed}
@@ -221,14 +223,14 @@
 	build(t, out, "./cmd/craneglade", "-overlay", overlay)
 }
 
-// planted is something done wrong on purpose.
+// planted is one occurrence of a planted fault, as the faulty program logged it.
 type planted struct {
 	at      time.Time
 	id, box string
 }
 
-// truth reads what a program said of its own faults.
-func truth(t *testing.T, dir string) []planted {
+// plantedIn reads the planted faults from the nodes' logs in a folder.
+func plantedIn(t *testing.T, dir string) []planted {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
@@ -242,7 +244,7 @@
 		}
 		in := bufio.NewScanner(f)
 		for in.Scan() {
-			if p, ok := said(in.Text()); ok {
+			if p, ok := parsePlanted(in.Text()); ok {
 				all = append(all, p)
 			}
 		}
@@ -251,8 +253,8 @@
 	return all
 }
 
-// said reads one line: the proxy's own form, or the daemon's log.
-func said(line string) (planted, bool) {
+// parsePlanted parses a log line in the proxy's form or the daemon's. It reports false for a line of anything else.
+func parsePlanted(line string) (planted, bool) {
 	fields := strings.Fields(line)
 	if len(fields) == 4 && fields[0] == "planted" {
 		ns, err := strconv.ParseInt(fields[1], 10, 64)
@@ -281,17 +283,17 @@
 	return p, err == nil
 }
 
-// played is one rehearsal.
-type played struct {
-	rep   *report.Report
-	start time.Time
-	truth []planted
-	logs  string // the folder of the nodes' logs
-	runs  int
+// rehearsal is the result of a rehearsal.
+type rehearsal struct {
+	report  *report.Report
+	start   time.Time
+	planted []planted
+	logs    string // the folder of the nodes' logs
+	plays   int
 }
 
-// rehearse plays a scenario until it is not void.
-func rehearse(t *testing.T, craneglade, scenario string, seed int, env []string, node ...string) played {
+// rehearse plays a scenario until its verdict is not void, and skips the test after maxPlays plays.
+func rehearse(t *testing.T, craneglade, scenario string, seed int, env []string, node ...string) rehearsal {
 	t.Helper()
 	for n := 1; ; n++ {
 		dir := t.TempDir()
@@ -311,66 +313,67 @@
 		if err != nil {
 			t.Fatalf("%v\n%s", err, text)
 		}
-		rep, err := report.Read(f)
+		played, err := report.Read(f)
 		f.Close()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if rep.Verdict.Void != "" && n < replay {
+		if played.Verdict.Void != "" && n < maxPlays {
 			continue
 		}
-		if rep.Verdict.Void != "" {
-			t.Skipf("this machine is too busy to rehearse on: %s", rep.Verdict.Void)
+		if played.Verdict.Void != "" {
+			t.Skipf("this machine is too busy to rehearse on: %s", played.Verdict.Void)
 		}
-		begun, err := time.Parse(time.RFC3339Nano, rep.Started)
+		started, err := time.Parse(time.RFC3339Nano, played.Started)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return played{rep, begun, truth(t, dir), dir, n}
+		return rehearsal{played, started, plantedIn(t, dir), dir, n}
 	}
 }
 
-// blamed checks that a verdict names a fault rightly. It returns how far off its moments are.
-func blamed(t *testing.T, f fault, p played) time.Duration {
+// checkNamed checks that a verdict names only the planted fault, at times when it was planted. It returns the largest
+// deviation of these times.
+func checkNamed(t *testing.T, f fault, p rehearsal) time.Duration {
 	t.Helper()
-	v := p.rep.Verdict
+	v := p.report.Verdict
 	if len(v.Violations) == 0 {
-		t.Errorf("%s, seed %d: nothing was named, and %d were planted", f.name, p.rep.Seed, len(p.truth))
+		t.Errorf("%s, seed %d: no violation found, though %d were planted", f.name, p.report.Seed, len(p.planted))
 	}
 	worst := time.Duration(0)
 	for _, x := range v.Violations {
-		if !slices.Contains(f.names, x.Name) {
-			t.Errorf("%s, seed %d: named as %s", f.name, p.rep.Seed, p.rep.Line(x))
+		if !slices.Contains(f.violations, x.Name) {
+			t.Errorf("%s, seed %d: found as %s", f.name, p.report.Seed, p.report.Line(x))
 			continue
 		}
 		at := p.start.Add(time.Duration(x.At) * time.Microsecond)
-		off := time.Duration(math.MaxInt64)
-		for _, m := range p.truth {
+		offset := time.Duration(math.MaxInt64)
+		for _, m := range p.planted {
 			if (m.id == "-" || m.id == x.Request) && (m.box == "-" || x.Box == "" || m.box == x.Box || m.id != "-") {
 				d := at.Sub(m.at).Abs()
-				if f.names[0] == judge.Drained && m.id == "-" && at.After(m.at) {
-					d = 0 // from when the drain is not taken in on, every send to that box is the fault
+				if f.violations[0] == judge.Drained && m.id == "-" && at.After(m.at) {
+					d = 0 // once the drain has been ignored, each later send to that backend is due to the fault
 				}
-				off = min(off, d)
+				offset = min(offset, d)
 			}
 		}
-		if off > near {
-			t.Errorf("%s, seed %d: off by %v, or not planted: %s", f.name, p.rep.Seed, off, p.rep.Line(x))
+		if offset > maxMomentError {
+			t.Errorf("%s, seed %d: %v from the nearest planted fault: %s", f.name, p.report.Seed, offset, p.report.Line(x))
 			continue
 		}
-		worst = max(worst, off)
+		worst = max(worst, offset)
 	}
 	return worst
 }
 
-func parallel() int {
-	if *lanes > 0 {
-		return *lanes
+func concurrency() int {
+	if *parallelPlays > 0 {
+		return *parallelPlays
 	}
-	return max(2, runtime.NumCPU()-1) // one takes a third of a core; most of its time is waiting
+	return max(2, runtime.NumCPU()-1) // a rehearsal uses a third of a core and mostly waits
 }
 
-// TestFaults rehearses every planted fault, and the sound forms beside them.
+// TestFaults rehearses every planted fault, and the programs without a fault.
 func TestFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("rehearsals take seconds each")
@@ -383,40 +386,40 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	slots := make(chan struct{}, parallel())
-	sow := func(name string, play func(t *testing.T, seed int) (time.Duration, int)) {
+	slots := make(chan struct{}, concurrency())
+	runCase := func(name string, play func(t *testing.T, seed int) (time.Duration, int)) {
 		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
-			worst, runs := time.Duration(0), 0
+			worst, plays := time.Duration(0), 0
 			for seed := 1; seed <= *seeds; seed++ {
-				off, n := func() (time.Duration, int) {
+				offset, n := func() (time.Duration, int) {
 					slots <- struct{}{}
-					defer func() { <-slots }() // also where a busy machine ends the test
+					defer func() { <-slots }() // also if play skips the test on a busy machine
 					return play(t, seed)
 				}()
-				worst, runs = max(worst, off), runs+n
+				worst, plays = max(worst, offset), plays+n
 			}
-			t.Logf("| %s | %d seeds | %d rehearsals | moments off by at most %v | failed: %v |", name, *seeds, runs, worst.Round(time.Millisecond), t.Failed())
+			t.Logf("| %s | %d seeds | %d rehearsals | moments off by at most %v | failed: %v |", name, *seeds, plays, worst.Round(time.Millisecond), t.Failed())
 		})
 	}
 	for _, f := range proxyFaults {
-		sow("proxy: "+f.name, func(t *testing.T, seed int) (time.Duration, int) {
+		runCase("proxy: "+f.name, func(t *testing.T, seed int) (time.Duration, int) {
 			p := rehearse(t, craneglade, day, seed, []string{"PROXY_FAULT=" + f.name}, proxy)
-			return blamed(t, f, p), p.runs
+			return checkNamed(t, f, p), p.plays
 		})
 	}
 	for i, f := range slices.Concat(daemonFaults, rpcFaults) {
-		sow("daemon: "+f.name, func(t *testing.T, seed int) (time.Duration, int) {
+		runCase("daemon: "+f.name, func(t *testing.T, seed int) (time.Duration, int) {
 			bin := filepath.Join(dir, fmt.Sprintf("broken%d", i))
 			if seed == 1 {
-				broken(t, f, bin)
+				buildFaulty(t, f, bin)
 			}
-			on := day
-			if f.day != "" {
-				on = filepath.Join(filepath.Dir(day), f.day)
+			file := day
+			if f.scenario != "" {
+				file = filepath.Join(filepath.Dir(day), f.scenario)
 			}
-			p := rehearse(t, craneglade, on, seed, nil, bin, "serve")
-			return blamed(t, f, p), p.runs
+			p := rehearse(t, craneglade, file, seed, nil, bin, "serve")
+			return checkNamed(t, f, p), p.plays
 		})
 	}
 	for _, x := range []struct {
@@ -424,29 +427,30 @@
 		node      []string
 	}{{"the sound proxy", "proof.toml", []string{proxy}}, {"the sound daemon", "proof.toml", nil}, {"the sound daemon, large bodies", "limits.toml", nil},
 		{"the sound daemon, JSON-RPC", "jsonrpc.toml", nil}, {"the sound daemon, DNS", "dns.toml", nil}} {
-		sow(x.name, func(t *testing.T, seed int) (time.Duration, int) {
+		runCase(x.name, func(t *testing.T, seed int) (time.Duration, int) {
 			p := rehearse(t, craneglade, filepath.Join(filepath.Dir(day), x.day), seed, nil, x.node...)
-			unblamed(t, p)
-			return 0, p.runs
+			checkSound(t, p)
+			return 0, p.plays
 		})
 	}
 }
 
-// unblamed checks that nothing was held against a sound program.
-func unblamed(t *testing.T, p played) {
+// checkSound checks that a verdict on a program without a fault has no violations and nothing undecided, and that each rule is
+// known to be kept.
+func checkSound(t *testing.T, p rehearsal) {
 	t.Helper()
-	v := p.rep.Verdict
+	v := p.report.Verdict
 	for _, x := range append(v.Violations, v.Undecided...) {
-		t.Errorf("%s, seed %d: %s", p.rep.Scenario, p.rep.Seed, p.rep.Line(x))
+		t.Errorf("%s, seed %d: %s", p.report.Scenario, p.report.Seed, p.report.Line(x))
 	}
 	for _, r := range v.Rules() {
 		if !v.Kept(r) {
-			t.Errorf("%s, seed %d: rule %d is not known to be kept", p.rep.Scenario, p.rep.Seed, r)
+			t.Errorf("%s, seed %d: rule %d is not known to be kept", p.report.Scenario, p.report.Seed, r)
 		}
 	}
 }
 
-// TestShipped rehearses the shipped scenarios with the sound daemon.
+// TestShipped rehearses the shipped scenarios with the daemon as it is.
 func TestShipped(t *testing.T) {
 	if *sound == 0 {
 		t.Skip("takes many minutes; -sound N plays each with N seeds")
@@ -454,19 +458,19 @@
 	dir := t.TempDir()
 	craneglade := filepath.Join(dir, "craneglade")
 	build(t, craneglade, "./cmd/craneglade")
-	slots := make(chan struct{}, parallel())
+	slots := make(chan struct{}, concurrency())
 	for _, name := range scenario.Names() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := 1; seed <= *sound; seed++ {
-				p := func() played {
+				p := func() rehearsal {
 					slots <- struct{}{}
 					defer func() { <-slots }()
 					return rehearse(t, craneglade, name, seed, nil)
 				}()
-				unblamed(t, p)
-				t.Logf("| %s | seed %d | %d requests | %.1f%% of the worth in time | kit late p99 %d us |", name, seed, p.rep.Whole.Asked,
-					100*p.rep.Whole.Share, p.rep.Verdict.LateP99)
+				checkSound(t, p)
+				t.Logf("| %s | seed %d | %d requests | %.1f%% of the worth in time | kit late p99 %d us |", name, seed, p.report.Whole.Asked,
+					100*p.report.Whole.Share, p.report.Verdict.LateP99)
 			}
 		})
 	}
--- a/internal/kit/proof/proxy/main.go
+++ b/internal/kit/proof/proxy/main.go
@@ -1,6 +1,6 @@
-// Command proxy is a small plain load balancer for the kit's own proof, with a switch for each way to break a rule.
-// PROXY_FAULT names the fault; without it the proxy keeps all rules. It is not shipped: nothing but the proof builds
-// it. What it does wrong on purpose it says on standard error, with the moment: "planted <Unix ns> <request> <box>".
+// Command proxy is a minimal load balancer for the tests of package proof, with a planted fault for each rule to break.
+// PROXY_FAULT names the fault; without it the proxy keeps all rules. It is not shipped: only those tests build it. It
+// logs each planted fault to standard error: "planted <Unix ns> <request> <backend>".
 package main
 
 import (
@@ -24,11 +24,11 @@
 )
 
 const (
-	often = 0.03                  // part of the requests that a fault strikes, where it can choose
-	early = 40 * time.Millisecond // before its client's deadline a request is given up
+	strikeProbability = 0.03                  // of a fault that can occur at any request
+	deadlineMargin    = 40 * time.Millisecond // a request is abandoned this long before its deadline
 )
 
-type server struct {
+type backend struct {
 	ID      string `json:"id"`
 	Addr    string `json:"addr"`
 	Zone    string `json:"zone"`
@@ -37,18 +37,18 @@
 }
 
 type list struct {
-	Version int64    `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []server `json:"servers"`
+	Version  int64     `json:"version"`
+	Full     bool      `json:"full"`
+	Backends []backend `json:"servers"`
 }
 
 type proxy struct {
-	fault  string
-	window time.Duration
-	mu     sync.Mutex
-	boxes  map[string]server
-	seen   map[string]time.Time // when a box was first listed
-	last   []byte               // the body of some other request's answer
+	fault      string
+	window     time.Duration
+	mu         sync.Mutex
+	backends   map[string]backend
+	firstSeen  map[string]time.Time // when a backend was first listed
+	lastAnswer []byte               // body of the latest served answer
 }
 
 func main() {
@@ -76,12 +76,12 @@
 	if err := json.Unmarshal(text, &cfg); err != nil {
 		return err
 	}
-	p := &proxy{fault: os.Getenv("PROXY_FAULT"), boxes: map[string]server{}, seen: map[string]time.Time{}}
+	p := &proxy{fault: os.Getenv("PROXY_FAULT"), backends: map[string]backend{}, firstSeen: map[string]time.Time{}}
 	for _, g := range cfg.Settings.Grades {
 		p.window = max(p.window, time.Duration(g.Window*float64(time.Second)))
 	}
-	p.take(&cfg.Known, true)
-	go p.follow(ctx, os.Getenv("GW_DISCOVERY"), cfg.Known.Version)
+	p.apply(&cfg.Known, true)
+	go p.pollList(ctx, os.Getenv("GW_DISCOVERY"), cfg.Known.Version)
 	ln, err := net.Listen("tcp", os.Getenv("GW_LISTEN"))
 	if err != nil {
 		return err
@@ -89,7 +89,7 @@
 	srv := &http.Server{Handler: p}
 	go func() {
 		<-ctx.Done()
-		time.Sleep(400 * time.Millisecond) // the front notices only after a while
+		time.Sleep(400 * time.Millisecond) // clients keep connecting until the front notices
 		end, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
 		srv.Shutdown(end)
@@ -101,25 +101,27 @@
 	select {}
 }
 
-// connectTime is for how long a connection may take to come up. To a box that is cut off the kernel would try again a second
-// later, and what is planted would happen that long after it was told.
-const connectTime = 200 * time.Millisecond
+// connectTimeout bounds connection set-up. The kernel retries a SYN to a backend that is cut off after a second: a planted fault
+// would then happen that long after it was logged.
+const connectTimeout = 200 * time.Millisecond
 
-func (p *proxy) planted(id, box string) {
-	fmt.Fprintf(os.Stderr, "planted %d %s %s\n", time.Now().UnixNano(), or(id), or(box))
+func (p *proxy) planted(id, backendID string) {
+	fmt.Fprintf(os.Stderr, "planted %d %s %s\n", time.Now().UnixNano(), orDash(id), orDash(backendID))
 }
 
-func or(s string) string {
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-func (p *proxy) strikes(fault string) bool { return p.fault == fault && rand.Float64() < often }
+func (p *proxy) drawFault(fault string) bool {
+	return p.fault == fault && rand.Float64() < strikeProbability
+}
 
-// follow keeps the list.
-func (p *proxy) follow(ctx context.Context, addr string, version int64) {
+// pollList keeps the list of backends up to date by long polling.
+func (p *proxy) pollList(ctx context.Context, addr string, version int64) {
 	for ctx.Err() == nil {
 		resp, err := http.Get(fmt.Sprintf("http://%s/v1/endpoints?since=%d&timeout_ms=1000", addr, version))
 		if err != nil {
@@ -131,73 +133,73 @@
 		resp.Body.Close()
 		if err == nil && l.Version >= version {
 			version = l.Version
-			p.take(&l, l.Full)
+			p.apply(&l, l.Full)
 		}
 	}
 }
 
-func (p *proxy) take(l *list, full bool) {
+func (p *proxy) apply(l *list, full bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if full {
-		clear(p.boxes)
+		clear(p.backends)
 	}
-	for _, s := range l.Servers {
-		if _, ok := p.seen[s.ID]; !ok {
-			p.seen[s.ID] = time.Now()
+	for _, s := range l.Backends {
+		if _, ok := p.firstSeen[s.ID]; !ok {
+			p.firstSeen[s.ID] = time.Now()
 		}
 		if p.fault == "drain" && s.State == "Terminating" {
-			if _, ok := p.boxes[s.ID]; ok {
-				continue // as if nobody had said so
+			if _, ok := p.backends[s.ID]; ok {
+				continue // ignore the drain
 			}
 		}
 		if s.State == "Ready" {
-			p.boxes[s.ID] = s
+			p.backends[s.ID] = s
 		} else {
-			delete(p.boxes, s.ID)
+			delete(p.backends, s.ID)
 		}
 	}
 }
 
-// pick draws a box that was not tried, in a zone if one is named. Cold ones get little.
-func (p *proxy) pick(tried map[string]bool, zone, not string) (server, bool) {
+// pick draws a backend that was not tried, in zone or outside notZone where these are set. Cold backends are drawn less often.
+func (p *proxy) pick(tried map[string]bool, zone, notZone string) (backend, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var best server
-	top := 0.0
-	for _, s := range p.boxes {
-		if tried[s.ID] || zone != "" && s.Zone != zone || not != "" && s.Zone == not {
+	var best backend
+	bestWeight := 0.0
+	for _, s := range p.backends {
+		if tried[s.ID] || zone != "" && s.Zone != zone || notZone != "" && s.Zone == notZone {
 			continue
 		}
-		w := 0.05 + rand.Float64()
-		age := time.Since(p.seen[s.ID])
+		weight := 0.05 + rand.Float64()
+		age := time.Since(p.firstSeen[s.ID])
 		if s.Started > 0 && age < 8*time.Second {
-			w *= 0.3
+			weight *= 0.3
 			if p.fault == "cold" {
-				w = 10 + float64(s.Started%1e6)
+				weight = 10 + float64(s.Started%1e6)
 			}
 		}
-		if w > top {
-			best, top = s, w
+		if weight > bestWeight {
+			best, bestWeight = s, weight
 		}
 	}
-	return best, top > 0
+	return best, bestWeight > 0
 }
 
 // outcome is how an attempt ended.
 type outcome int
 
 const (
-	served  outcome = iota
-	never           // it never ran
-	mayHave         // it may have run
+	served     outcome = iota
+	neverRan           // the request can't have run
+	mayHaveRun         // the request may have run
 )
 
-// try sends a request once, on a connection of its own.
-func (p *proxy) try(ctx context.Context, s server, r *http.Request, body []byte) (outcome, []byte) {
-	conn, err := (&net.Dialer{Timeout: connectTime}).DialContext(ctx, "tcp", s.Addr)
+// try sends a request once, on a new connection.
+func (p *proxy) try(ctx context.Context, s backend, r *http.Request, body []byte) (outcome, []byte) {
+	conn, err := (&net.Dialer{Timeout: connectTimeout}).DialContext(ctx, "tcp", s.Addr)
 	if err != nil {
-		return never, nil
+		return neverRan, nil
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
@@ -214,23 +216,23 @@
 	b.WriteString("\r\n")
 	b.Write(body)
 	if n, err := conn.Write(b.Bytes()); err != nil && n < b.Len() {
-		return never, nil
+		return neverRan, nil
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), r)
 	if err != nil {
-		return mayHave, nil
+		return mayHaveRun, nil
 	}
 	defer resp.Body.Close()
 	answer, err := io.ReadAll(resp.Body)
 	switch {
 	case err != nil:
-		return mayHave, nil
+		return mayHaveRun, nil
 	case resp.StatusCode == 200:
 		return served, answer
 	case resp.Header.Get("X-Not-Run") == "1":
-		return never, nil
+		return neverRan, nil
 	}
-	return mayHave, nil
+	return mayHaveRun, nil
 }
 
 func (p *proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -244,48 +246,48 @@
 		http.Error(w, "not a request of this service", http.StatusBadRequest)
 		return
 	}
-	wait := time.Duration(us) * time.Microsecond
-	end := time.Now().Add(wait)
-	ctx, cancel := context.WithDeadline(r.Context(), end.Add(-early))
+	timeout := time.Duration(us) * time.Microsecond
+	end := time.Now().Add(timeout)
+	ctx, cancel := context.WithDeadline(r.Context(), end.Add(-deadlineMargin))
 	defer cancel()
 	keyed := r.Header.Get("Idempotency-Key") != ""
 	unsafe := r.Method == http.MethodPost && !keyed
 	switch {
-	case p.strikes("hang"):
-		time.AfterFunc(time.Until(end), func() { p.planted(id, "") }) // that is when it is due
+	case p.drawFault("hang"):
+		time.AfterFunc(time.Until(end), func() { p.planted(id, "") }) // the answer is missing from the deadline on
 		<-r.Context().Done()
 		return
-	case p.strikes("crash"):
+	case p.drawFault("crash"):
 		p.planted("", "")
 		os.Exit(3)
-	case p.strikes("drop"):
+	case p.drawFault("drop"):
 		p.planted(id, "")
 		if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
 			c.Close()
 		}
 		return
-	case p.strikes("invent"):
+	case p.drawFault("invent"):
 		p.planted(id, "")
 		io.WriteString(w, `{"saved":true}`)
 		return
 	}
 	answer, status := p.serve(ctx, r, id, body, keyed, unsafe)
 	p.mu.Lock()
-	other := p.last
+	other := p.lastAnswer
 	if status == 200 {
-		p.last = answer
+		p.lastAnswer = answer
 	}
 	p.mu.Unlock()
 	switch {
-	case status == 200 && other != nil && p.strikes("swap"):
+	case status == 200 && other != nil && p.drawFault("swap"):
 		p.planted(id, "")
 		answer = other
-	case p.strikes("late"):
-		time.Sleep(time.Until(end)) // that is when it becomes late
+	case p.drawFault("late"):
+		time.Sleep(time.Until(end)) // the answer is late from the deadline on
 		p.planted(id, "")
 		time.Sleep(150 * time.Millisecond)
 	}
-	if status == 200 && p.strikes("twice") {
+	if status == 200 && p.drawFault("twice") {
 		if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
 			time.Sleep(20 * time.Millisecond)
@@ -300,7 +302,7 @@
 	} else {
 		w.Write(answer)
 	}
-	if status == 200 && r.Method == http.MethodGet && p.fault == "after" && rand.Float64() < 10*often {
+	if status == 200 && r.Method == http.MethodGet && p.fault == "after" && rand.Float64() < 10*strikeProbability {
 		w.(http.Flusher).Flush()
 		go func() {
 			time.Sleep(120 * time.Millisecond)
@@ -314,29 +316,29 @@
 	}
 }
 
-// zone is that of the box that made an answer.
+// zone returns the zone of the backend that made an answer.
 func (p *proxy) zone(answer []byte) string {
 	var a struct{ Box string }
 	json.Unmarshal(answer, &a)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.boxes[a.Box].Zone
+	return p.backends[a.Box].Zone
 }
 
-// serve tries boxes as the rules allow, and as the fault has it.
+// serve tries up to three backends as the rules and the planted fault have it, and returns the answer and its status.
 func (p *proxy) serve(ctx context.Context, r *http.Request, id string, body []byte, keyed, unsafe bool) ([]byte, int) {
 	tried := map[string]bool{}
-	zone, not := "", ""
-	var first time.Time // of the attempts that may have run
+	zone, notZone := "", ""
+	var firstMayHaveRun time.Time // start of the first attempt that may have run
 	for range 3 {
-		s, ok := p.pick(tried, zone, not)
+		s, ok := p.pick(tried, zone, notZone)
 		if !ok {
 			break
 		}
 		tried[s.ID] = true
-		begun := time.Now()
+		started := time.Now()
 		switch {
-		case !first.IsZero() && unsafe, zone == "" && not != "", !first.IsZero() && keyed && time.Since(first) > p.window:
+		case !firstMayHaveRun.IsZero() && unsafe, zone == "" && notZone != "", !firstMayHaveRun.IsZero() && keyed && time.Since(firstMayHaveRun) > p.window:
 			p.planted(id, s.ID)
 		case p.fault == "drain" || p.fault == "cold":
 			p.planted(id, s.ID)
@@ -348,15 +350,15 @@
 		if ctx.Err() != nil {
 			return nil, 500
 		}
-		over := keyed && !first.IsZero() && p.fault != "window" && time.Since(first) > p.window-20*time.Millisecond
-		if out == never && over { // a connection that did not come up has taken the window
+		windowOver := keyed && !firstMayHaveRun.IsZero() && p.fault != "window" && time.Since(firstMayHaveRun) > p.window-20*time.Millisecond
+		if out == neverRan && windowOver { // the window passed during a failed connect
 			return nil, 500
 		}
-		if out == never {
+		if out == neverRan {
 			continue
 		}
-		if first.IsZero() {
-			first = begun
+		if firstMayHaveRun.IsZero() {
+			firstMayHaveRun = started
 		}
 		switch {
 		case unsafe && p.fault == "unsafe":
@@ -365,19 +367,19 @@
 			return nil, 503
 		case unsafe:
 			return nil, 500
-		case !keyed: // safe
+		case !keyed: // safe: may be repeated on any backend
 		case keyed && p.fault == "window":
 			zone = s.Zone
-			time.Sleep(time.Until(first.Add(p.window + 100*time.Millisecond)))
-		case keyed && time.Since(first) > p.window-20*time.Millisecond:
+			time.Sleep(time.Until(firstMayHaveRun.Add(p.window + 100*time.Millisecond)))
+		case keyed && time.Since(firstMayHaveRun) > p.window-20*time.Millisecond:
 			return nil, 500
 		case keyed && p.fault == "group":
-			not = s.Zone
+			notZone = s.Zone
 		default:
 			zone = s.Zone
 		}
 	}
-	if first.IsZero() {
+	if firstMayHaveRun.IsZero() {
 		return nil, 503
 	}
 	return nil, 500
--- a/internal/kit/proof/shared_test.go
+++ b/internal/kit/proof/shared_test.go
@@ -13,58 +13,58 @@
 
 var sharedAll = flag.Bool("shared", false, "play every planted fault of what nodes share, and split-fleet; without it a few")
 
-// sharedFaults are lines of what nodes share. None of them says anything of itself: the judge finds them by what the nodes say
-// that they may do, put together.
+// sharedFaults are faults in the state that nodes share. They log nothing when they occur: the judge finds them by comparing
+// the budgets, counts and views that all nodes write to their audit files.
 var sharedFaults = []struct {
 	fault
-	often bool // played by CI
+	inCI bool // played by CI
 }{
-	{fault{name: "a loan that never ends at its borrower", names: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
+	{fault{name: "a loan that never ends at its borrower", violations: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
 		old: `		maps.DeleteFunc(b.borrowed, func(_ int, x loan) bool { return now >= x.expires })`,
 		new: `		maps.DeleteFunc(b.borrowed, func(_ int, x loan) bool { return now >= x.expires+time.Minute })`}, false},
-	{fault{name: "a loan that its owner goes on spending", names: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
+	{fault{name: "a loan that its owner goes on spending", violations: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
 		old: `		n -= d.outstanding()`, new: `		n -= d.outstanding() / 2`}, false},
-	{fault{name: "a grant that counts each time it comes", names: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
+	{fault{name: "a grant that counts each time it comes", violations: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
 		old: `	delete(b.pending, owner)
 	if until := a.sentAt + l.terms.Term; g.Grains > 0 && now < until {
 		b.borrowed[owner] = loan{g.Nonce, min(g.Grains, a.grains), until}`,
 		new: `	if until := a.sentAt + l.terms.Term; g.Grains > 0 && now < until {
 		b.borrowed[owner] = loan{g.Nonce, b.borrowed[owner].grains + min(g.Grains, a.grains), until}`}, true},
-	{fault{name: "a life that spends what the one before it lent", names: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
+	{fault{name: "a life that spends what the one before it lent", violations: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
 		old: `	if l.now < l.quarantineUntil {`, new: `	if l.now < l.quarantineUntil && l.now == 0 {`}, false},
-	{fault{name: "what is given back and kept", names: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
+	{fault{name: "what is given back and kept", violations: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
 		old: `	delete(b.borrowed, owner)
 	delete(b.pending, owner)
 	return Return{budget, l.self, b.lastNonces[owner]}, borrowed || pending`,
 		new: `	delete(b.pending, owner)
 	return Return{budget, l.self, b.lastNonces[owner]}, borrowed || pending`}, false},
-	{fault{name: "more owners' parts than a whole", names: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
+	{fault{name: "more owners' parts than a whole", violations: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
 		old: `	i, n := int64(number), int64(nodes)`, new: `	i, n := int64(number), int64(nodes)-1`}, false},
-	{fault{name: "a loan that is out at its owner for half its term", names: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
+	{fault{name: "a loan that is out at its owner for half its term", violations: []string{judge.Overspent}, file: "internal/shared/escrow/escrow.go",
 		old: `	d.loans = append(d.loans, loan{a.Nonce, grains, now + l.terms.lenderTerm()})`,
 		new: `	d.loans = append(d.loans, loan{a.Nonce, grains, now + l.terms.Term/2})`}, false},
-	{fault{name: "a quorum of one", names: []string{judge.NoQuorum}, file: "internal/shared/judgement/judgement.go", day: "quorum.toml",
+	{fault{name: "a quorum of one", violations: []string{judge.NoQuorum}, file: "internal/shared/judgement/judgement.go", scenario: "quorum.toml",
 		old: `		if !succeededLately(k) && t.Unhealthy >= p.limits.Quorum && t.Unhealthy > t.Healthy {`,
 		new: `		if !succeededLately(k) && t.Unhealthy >= 1 && t.Unhealthy > t.Healthy {`}, false},
-	{fault{name: "no ceiling", names: []string{judge.OverCeiling}, file: "internal/shared/judgement/judgement.go", day: "ceiling.toml",
+	{fault{name: "no ceiling", violations: []string{judge.OverCeiling}, file: "internal/shared/judgement/judgement.go", scenario: "ceiling.toml",
 		old: `	return float64(ejected) <= p.limits.MaxFleetFraction*float64(len(p.siteOf)) && float64(ejectedInSite) <= p.limits.MaxSiteFraction*float64(p.siteSizes[site])`,
 		new: `	return float64(ejectedInSite) <= 2*float64(p.siteSizes[site])`}, false},
-	{fault{name: "the last word counts, and not the newest", names: []string{judge.TurnedBack, judge.Behind}, file: "internal/shared/counts/counts.go", day: "counts.toml",
+	{fault{name: "the last word counts, and not the newest", violations: []string{judge.TurnedBack, judge.Behind}, file: "internal/shared/counts/counts.go", scenario: "counts.toml",
 		old: `	joined := Join(old.Window, window)`, new: `	joined := window`}, false},
-	{fault{name: "an earlier life believed", names: []string{judge.Behind, judge.TurnedBack}, file: "internal/shared/counts/counts.go", day: "counts.toml",
+	{fault{name: "an earlier life believed", violations: []string{judge.Behind, judge.TurnedBack}, file: "internal/shared/counts/counts.go", scenario: "counts.toml",
 		old: `		if a.Incarnation > b.Incarnation {`, new: `		if a.Incarnation < b.Incarnation {`}, false},
-	{fault{name: "a life that begins its counts anew under the name of the one before", names: []string{judge.Behind, judge.TurnedBack}, file: "internal/peers/peers.go", day: "counts.toml",
+	{fault{name: "a life that begins its counts anew under the name of the one before", violations: []string{judge.Behind, judge.TurnedBack}, file: "internal/peers/peers.go", scenario: "counts.toml",
 		old: `	p.replica = shared.New(shared.Config{Name: cfg.Name, Self: escrow.Node{Number: cfg.Policy.Number, Incarnation: uint64(time.Now().UnixMilli())},`,
 		new: `	p.replica = shared.New(shared.Config{Name: cfg.Name, Self: escrow.Node{Number: cfg.Policy.Number, Incarnation: uint64(time.Now().Unix() / 3600 * 3600000)},`}, false},
-	{fault{name: "requests counted twice", names: []string{judge.Miscounted}, file: "internal/shared/counts/counts.go", day: "counts.toml",
+	{fault{name: "requests counted twice", violations: []string{judge.Miscounted}, file: "internal/shared/counts/counts.go", scenario: "counts.toml",
 		old: `	w.Counts[0] += n`, new: `	w.Counts[0] += 2 * n`}, false},
-	{fault{name: "a bound that leaves silent members out", names: []string{judge.OutOfBounds}, file: "internal/shared/roster/roster.go", day: "counts.toml",
+	{fault{name: "a bound that leaves silent members out", violations: []string{judge.OutOfBounds}, file: "internal/shared/roster/roster.go", scenario: "counts.toml",
 		old: `	c := Count{Lower: 1, Upper: max(r.configured, 1)}`, new: `	c := Count{Lower: 1, Upper: 1}`}, false},
-	{fault{name: "a seed is asked once", names: []string{judge.Apart}, file: "internal/peers/peers.go", day: "apart.toml",
+	{fault{name: "a seed is asked once", violations: []string{judge.Apart}, file: "internal/peers/peers.go", scenario: "apart.toml",
 		old: `		case <-time.After(rejoinEvery):`, new: `		case <-time.After(time.Hour):`}, false},
 }
 
-// TestSharedFaults rehearses planted faults of what nodes share, and the sound daemon beside them.
+// TestSharedFaults rehearses planted faults of the state that nodes share, and the daemon without a fault.
 func TestSharedFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("rehearsals take seconds each")
@@ -76,59 +76,59 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	slots := make(chan struct{}, parallel())
-	play := func(t *testing.T, day string, seed int, node ...string) played {
+	slots := make(chan struct{}, concurrency())
+	play := func(t *testing.T, file string, seed int, node ...string) rehearsal {
 		slots <- struct{}{}
 		defer func() { <-slots }()
-		return rehearse(t, craneglade, day, seed, nil, node...)
+		return rehearse(t, craneglade, file, seed, nil, node...)
 	}
 	for i, f := range sharedFaults {
-		if !f.often && !*sharedAll {
+		if !f.inCI && !*sharedAll {
 			continue
 		}
 		t.Run(strings.ReplaceAll(f.name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
 			bin := filepath.Join(dir, fmt.Sprintf("broken%d", i))
-			broken(t, f.fault, bin)
-			day := "shared.toml"
-			if f.day != "" {
-				day = f.day
+			buildFaulty(t, f.fault, bin)
+			file := "shared.toml"
+			if f.scenario != "" {
+				file = f.scenario
 			}
 			for seed := 1; seed <= *seeds; seed++ {
-				p := play(t, filepath.Join(data, day), seed, bin, "serve")
+				p := play(t, filepath.Join(data, file), seed, bin, "serve")
 				named := 0
-				for _, x := range p.rep.Verdict.Violations {
-					if slices.Contains(f.names, x.Name) {
+				for _, x := range p.report.Verdict.Violations {
+					if slices.Contains(f.violations, x.Name) {
 						named++
 					} else {
-						t.Errorf("seed %d: named as %s", seed, p.rep.Line(x))
+						t.Errorf("seed %d: found as %s", seed, p.report.Line(x))
 					}
 				}
 				if named == 0 {
-					t.Errorf("seed %d: it is not named as any of %v", seed, f.names)
+					t.Errorf("seed %d: no violation found, want one of %v", seed, f.violations)
 				}
 			}
 			t.Logf("| %s | %d seeds | failed: %v |", f.name, *seeds, t.Failed())
 		})
 	}
-	days := []string{filepath.Join(data, "shared.toml")}
+	files := []string{filepath.Join(data, "shared.toml")}
 	if *sharedAll {
-		days = append(days, "split-fleet")
+		files = append(files, "split-fleet")
 		for _, name := range []string{"apart", "ceiling", "quorum", "counts", "storm", "skew", "restart"} {
-			days = append(days, filepath.Join(data, name+".toml"))
+			files = append(files, filepath.Join(data, name+".toml"))
 		}
 	}
-	for _, day := range days {
-		t.Run("the-sound-daemon-"+filepath.Base(day), func(t *testing.T) {
+	for _, file := range files {
+		t.Run("the-sound-daemon-"+filepath.Base(file), func(t *testing.T) {
 			t.Parallel()
 			for seed := 1; seed <= *seeds; seed++ {
-				p := play(t, day, seed)
-				unblamed(t, p)
-				if p.rep.Verdict.Shares == 0 {
+				p := play(t, file, seed)
+				checkSound(t, p)
+				if p.report.Verdict.Shares == 0 {
 					t.Errorf("seed %d: the nodes shared nothing", seed)
 				}
 			}
-			t.Logf("| %s | %d seeds | failed: %v |", filepath.Base(day), *seeds, t.Failed())
+			t.Logf("| %s | %d seeds | failed: %v |", filepath.Base(file), *seeds, t.Failed())
 		})
 	}
 }
