--- a/internal/kit/proof/proof_test.go
+++ b/internal/kit/proof/proof_test.go
@@ -36,8 +36,8 @@
 )
 
 const (
-	maxMomentError = time.Second // between a planted fault and the violation that names it
-	maxPlays       = 5           // plays of one rehearsal whose verdicts are void, before the test is skipped
+	maxTimeError = time.Second // between a planted fault and the violation that names it
+	maxPlays     = 5           // plays of one rehearsal whose verdicts are void, before the test is skipped
 )
 
 // fault is a planted fault of the proxy or of the daemon.
@@ -225,8 +225,8 @@
 
 // planted is one occurrence of a planted fault, as the faulty program logged it.
 type planted struct {
-	at      time.Time
-	id, box string
+	at          time.Time
+	id, backend string
 }
 
 // plantedIn reads the planted faults from the nodes' logs in a folder.
@@ -263,7 +263,7 @@
 	if !strings.Contains(line, "planted") || !strings.HasPrefix(line, "time=") {
 		return planted{}, false
 	}
-	p := planted{id: "-", box: "-"}
+	p := planted{id: "-", backend: "-"}
 	var err error
 	for i, w := range fields {
 		k, v, _ := strings.Cut(w, "=")
@@ -273,7 +273,7 @@
 		case "id":
 			p.id = strings.Trim(v, `"`)
 		case "box":
-			p.box = v
+			p.backend = v
 		case "msg":
 			if v == `"planted` && i+1 < len(fields) {
 				p.id = strings.TrimSuffix(fields[i+1], `"`)
@@ -349,7 +349,7 @@
 		at := p.start.Add(time.Duration(x.At) * time.Microsecond)
 		offset := time.Duration(math.MaxInt64)
 		for _, m := range p.planted {
-			if (m.id == "-" || m.id == x.Request) && (m.box == "-" || x.Box == "" || m.box == x.Box || m.id != "-") {
+			if (m.id == "-" || m.id == x.Request) && (m.backend == "-" || x.Box == "" || m.backend == x.Box || m.id != "-") {
 				d := at.Sub(m.at).Abs()
 				if f.violations[0] == judge.Drained && m.id == "-" && at.After(m.at) {
 					d = 0 // once the drain has been ignored, each later send to that backend is due to the fault
@@ -357,7 +357,7 @@
 				offset = min(offset, d)
 			}
 		}
-		if offset > maxMomentError {
+		if offset > maxTimeError {
 			t.Errorf("%s, seed %d: %v from the nearest planted fault: %s", f.name, p.report.Seed, offset, p.report.Line(x))
 			continue
 		}
@@ -382,7 +382,7 @@
 	craneglade, proxy := filepath.Join(dir, "craneglade"), filepath.Join(dir, "proxy")
 	build(t, craneglade, "./cmd/craneglade")
 	build(t, proxy, "./internal/kit/proof/proxy")
-	day, err := filepath.Abs("testdata/proof.toml")
+	scenarioFile, err := filepath.Abs("testdata/proof.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -404,7 +404,7 @@
 	}
 	for _, f := range proxyFaults {
 		runCase("proxy: "+f.name, func(t *testing.T, seed int) (time.Duration, int) {
-			p := rehearse(t, craneglade, day, seed, []string{"PROXY_FAULT=" + f.name}, proxy)
+			p := rehearse(t, craneglade, scenarioFile, seed, []string{"PROXY_FAULT=" + f.name}, proxy)
 			return checkNamed(t, f, p), p.plays
 		})
 	}
@@ -414,21 +414,21 @@
 			if seed == 1 {
 				buildFaulty(t, f, bin)
 			}
-			file := day
+			file := scenarioFile
 			if f.scenario != "" {
-				file = filepath.Join(filepath.Dir(day), f.scenario)
+				file = filepath.Join(filepath.Dir(scenarioFile), f.scenario)
 			}
 			p := rehearse(t, craneglade, file, seed, nil, bin, "serve")
 			return checkNamed(t, f, p), p.plays
 		})
 	}
 	for _, x := range []struct {
-		name, day string
-		node      []string
+		name, scenarioFile string
+		node               []string
 	}{{"the sound proxy", "proof.toml", []string{proxy}}, {"the sound daemon", "proof.toml", nil}, {"the sound daemon, large bodies", "limits.toml", nil},
 		{"the sound daemon, JSON-RPC", "jsonrpc.toml", nil}, {"the sound daemon, DNS", "dns.toml", nil}} {
 		runCase(x.name, func(t *testing.T, seed int) (time.Duration, int) {
-			p := rehearse(t, craneglade, filepath.Join(filepath.Dir(day), x.day), seed, nil, x.node...)
+			p := rehearse(t, craneglade, filepath.Join(filepath.Dir(scenarioFile), x.scenarioFile), seed, nil, x.node...)
 			checkSound(t, p)
 			return 0, p.plays
 		})
--- a/internal/kit/proof/proxy/main.go
+++ b/internal/kit/proof/proxy/main.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	strikeProbability = 0.03                  // of a fault that can occur at any request
-	deadlineMargin    = 40 * time.Millisecond // a request is abandoned this long before its deadline
+	faultRate      = 0.03                  // fraction of the requests for a fault that can occur at any of them
+	deadlineMargin = 40 * time.Millisecond // a request is abandoned this long before its deadline
 )
 
 type backend struct {
@@ -116,9 +116,7 @@
 	return s
 }
 
-func (p *proxy) drawFault(fault string) bool {
-	return p.fault == fault && rand.Float64() < strikeProbability
-}
+func (p *proxy) drawFault(fault string) bool { return p.fault == fault && rand.Float64() < faultRate }
 
 // pollList keeps the list of backends up to date by long polling.
 func (p *proxy) pollList(ctx context.Context, addr string, version int64) {
@@ -302,7 +300,7 @@
 	} else {
 		w.Write(answer)
 	}
-	if status == 200 && r.Method == http.MethodGet && p.fault == "after" && rand.Float64() < 10*strikeProbability {
+	if status == 200 && r.Method == http.MethodGet && p.fault == "after" && rand.Float64() < 10*faultRate {
 		w.(http.Flusher).Flush()
 		go func() {
 			time.Sleep(120 * time.Millisecond)
