--- a/internal/kit/relay/relay.go
+++ b/internal/kit/relay/relay.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	maxNodes         = 200 // each node has the last byte of an address of its own
+	maxNodes         = 200 // a node's address ends in its number, from 1
 	nodePort         = 17946
 	relayPort        = 17947
 	listenAttempts   = 20 // each with other loopback addresses
--- a/internal/kit/run/fleet.go
+++ b/internal/kit/run/fleet.go
@@ -35,7 +35,7 @@
 	heal  func()
 }
 
-// connectNodes creates the network between the nodes and the fleet's key, if the nodes talk to each other.
+// connectNodes writes the fleet's key file and creates the network between the nodes, if they talk to each other.
 func (r *Rehearsal) connectNodes() (err error) {
 	own := r.plan.Scenario.Nodes.Own
 	if !strings.Contains(own, "{peer}") {
--- a/internal/kit/run/node.go
+++ b/internal/kit/run/node.go
@@ -250,7 +250,8 @@
 	return min(longest, maxKillDeadline) + killSlack
 }
 
-// setReach restricts how clients reach the node, unless another process than the one that ended belongs to has been started.
+// setReach sets how clients reach the node, unless its process has been replaced since: ended is the channel of the process that
+// the caller means.
 func (n *node) setReach(ended <-chan struct{}, reach stand.Reach) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/kit/run/run.go
+++ b/internal/kit/run/run.go
@@ -373,7 +373,7 @@
 	b := r.backends[s.Box]
 	r.mu.Unlock()
 	if b != nil && !b.up && s.Do != plan.Restart {
-		return nil // stopped since the plan was made
+		return nil // the backend is no longer running
 	}
 	var n *node
 	if s.Node > 0 {
