--- a/cmd/craneglade/systemcalls_test.go
+++ b/cmd/craneglade/systemcalls_test.go
@@ -122,7 +122,7 @@
 func waitForFailures(t *testing.T, f *processfaults.Faults) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		remaining, err := f.Left()
+		remaining, err := f.Remaining()
 		if err != nil {
 			t.Fatal(err)
 		}
