--- a/internal/kit/proof/proof_test.go
+++ b/internal/kit/proof/proof_test.go
@@ -103,7 +103,7 @@
 	{name: "no room for a body, and no word of it", violations: []string{judge.CutOff}, file: "internal/httpfront/read.go", scenario: "limits.toml",
 		old: `	if rej := s.readBody(c, r, end); rej != nil {`,
 		new: `	if rej := s.readBody(c, r, end); rej != nil && rej.Status == 503 { r.Release(); s.log.Info("planted", "id", r.ID); return nil, nil } else if rej != nil {`},
-	{name: "a drain that DNS tells not taken in", violations: []string{judge.SentToDraining}, file: "internal/engine/members.go", scenario: "dns.toml",
+	{name: "a drain that DNS tells not taken in", violations: []string{judge.SentToDraining}, file: "internal/engine/membership.go", scenario: "dns.toml",
 		old: `	changed, requery := e.members.UpdateNames(e.clock.Now(), source, backends)`,
 		new: `	changed, requery := e.members.UpdateNames(e.clock.Now(), source, backends); for i := range changed { if !changed[i].Use { ` + engineLogged + `"-", "box", changed[i].Backend.ID) } }; changed = nil`},
 	{name: "an answer for the request before", violations: []string{judge.WrongAnswer}, file: "internal/engine/engine.go",
