--- a/cmd/craneglade/draingrace_test.go
+++ b/cmd/craneglade/draingrace_test.go
@@ -19,7 +19,7 @@
 
 // A wall clock set back by an hour must not extend the drain grace: a request whose connection is established after the grace is
 // not written to the backend. The end of the grace was once kept as Unix time, which the clock step moved an hour ahead.
-func TestWallClockThatIsSetBackLeavesNoGrace(t *testing.T) {
+func TestWallClockSetBackDoesNotExtendGrace(t *testing.T) {
 	const grace = 500 * time.Millisecond
 	backend := newFullBacklogBackend(t)
 	list := newDrainDiscovery(t, backend.addr)
--- a/cmd/craneglade/main_test.go
+++ b/cmd/craneglade/main_test.go
@@ -277,7 +277,7 @@
 
 // SIGHUP during start must not terminate the program when it is started as in the deployment, whose command ignores the signal
 // until the program handles it: the Go runtime leaves it at the system's default, which terminates. A later SIGHUP reloads.
-func TestSIGHUPWhileTheProgramStarts(t *testing.T) {
+func TestSIGHUPDuringStart(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, "made for "+r.Header.Get("X-Request-Id"))
 	}))
--- a/cmd/craneglade/processor_test.go
+++ b/cmd/craneglade/processor_test.go
@@ -12,7 +12,7 @@
 
 // Logs the processor time of a node per request, from its start to its exit and without client and backend, and its memory and
 // descriptors with twenty clients, for docs/CAPACITY.md.
-func TestProcessorOfARequest(t *testing.T) {
+func TestRequestProcessorTime(t *testing.T) {
 	const clients, requestsPerClient = 20, 200
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, "made for "+r.Header.Get("X-Request-Id"))
--- a/cmd/craneglade/races_test.go
+++ b/cmd/craneglade/races_test.go
@@ -54,7 +54,7 @@
 }
 
 // SIGTERM before discovery has returned a list: the program must exit with status 0.
-func TestSIGTERMBeforeTheFirstList(t *testing.T) {
+func TestSIGTERMBeforeFirstList(t *testing.T) {
 	cmd := exec.Command(buildProgram(t))
 	ln, err := net.Listen("tcp", "127.0.0.1:0") // connections are established and never answered
 	if err != nil {
@@ -68,7 +68,7 @@
 
 // Idle clients that use up a node's descriptors while discovery is down must not block the poll of discovery, readiness checks,
 // connections to backends or refusals to clients: once discovery returns, its list is used.
-func TestIdleClientsFillTheDescriptorsWhileDiscoveryIsDown(t *testing.T) {
+func TestIdleClientsExhaustDescriptorsDuringDiscoveryOutage(t *testing.T) {
 	const sockets = 96
 	backend := func(name string, hits *atomic.Int64) *httptest.Server {
 		return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/craneglade/restart_test.go
+++ b/cmd/craneglade/restart_test.go
@@ -15,7 +15,7 @@
 
 // Settings other than discovery change only with a restart: SIGHUP follows the new discovery address in a file and leaves a
 // tenant's quota as it was. The time from start to readiness is logged for docs/CAPACITY.md.
-func TestAShareTakesARestart(t *testing.T) {
+func TestQuotaChangeNeedsRestart(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, "made for "+r.Header.Get("X-Request-Id"))
 	}))
--- a/cmd/craneglade/shutdown_test.go
+++ b/cmd/craneglade/shutdown_test.go
@@ -56,7 +56,7 @@
 
 // A process that stalls for the longest tolerated time, at SIGTERM or before SIGKILL, must have responded to all forwarded
 // requests when it is killed.
-func TestHeldUpProcessAnswersBeforeItIsKilled(t *testing.T) {
+func TestStalledProcessRespondsBeforeSIGKILL(t *testing.T) {
 	bin := buildForDeployment(t)
 	t.Run("no stall", func(t *testing.T) {
 		checkAllAnswered(t, bin, shutdownFaults{})
@@ -71,7 +71,7 @@
 
 // Connections that arrive while the node still accepts them, but that it cannot accept as it is stalled until after that time,
 // must be served. If the listener were closed before they are accepted, the kernel would reset them.
-func TestConnectionsInTheBacklogAreAnsweredWhileLeaving(t *testing.T) {
+func TestBacklogConnectionsAreServedDuringShutdown(t *testing.T) {
 	const (
 		stallStart  = 380 * time.Millisecond // PROTOCOL: new connections arrive for up to 0.4 s after SIGTERM
 		stallEnd    = stallStart + stallTime
@@ -102,7 +102,7 @@
 }
 
 // A step of the wall clock during a shutdown must not move its time limits.
-func TestWallClockIsSetDuringAShutdown(t *testing.T) {
+func TestWallClockStepDuringShutdown(t *testing.T) {
 	bin := buildForDeployment(t)
 	t.Run("back by an hour", func(t *testing.T) {
 		checkAllAnswered(t, bin, shutdownFaults{clockStep: -time.Hour})
--- a/cmd/craneglade/systemcalls_test.go
+++ b/cmd/craneglade/systemcalls_test.go
@@ -21,7 +21,7 @@
 const consecutiveFailures = 3
 
 // Transient errors of accept(2) must not stop a listener: a client that connects meanwhile is served by the same process.
-func TestAcceptThatFailsForAMoment(t *testing.T) {
+func TestTransientAcceptErrors(t *testing.T) {
 	p, calls := startWithFaults(t, nil)
 	for _, errno := range []syscall.Errno{unix.ECONNABORTED, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM,
 		unix.ENETDOWN, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.ETIMEDOUT, unix.EINTR} {
--- a/internal/bodies/bodies_test.go
+++ b/internal/bodies/bodies_test.go
@@ -154,7 +154,7 @@
 }
 
 // Bodies that grow concurrently, in any order, never exceed a total, and all their space is released.
-func TestExtendHolds(t *testing.T) {
+func TestConcurrentExtendStaysWithinTotals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{Memory: int64(rapid.IntRange(0, 300).Draw(t, "memory")), Heads: 50, Disk: int64(rapid.IntRange(0, 300).Draw(t, "disk"))}
 		b := NewBudget(l)
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -69,7 +69,7 @@
 
 // However long discovery is down and however calls fail meanwhile, a source gets a response within 6 s after discovery can be
 // reached again, even if a call that started just before hangs.
-func TestToldWithinSixSecondsOfDiscoverysReturn(t *testing.T) {
+func TestResponseWithinSixSecondsOfDiscoveryReturn(t *testing.T) {
 	for _, push := range []bool{true, false} {
 		worst := time.Duration(0)
 		for seed := range uint64(5000) {
@@ -100,7 +100,7 @@
 
 // A watch that stops responding at any time is abandoned, and the source gets a response to another call within 6 s, or if lists
 // are not pushed within 2 s after the watch's wait, if that is later. With push this holds also if the next call is refused at first.
-func TestToldAfterASilentWatch(t *testing.T) {
+func TestResponseAfterHungWatch(t *testing.T) {
 	for _, push := range []bool{true, false} {
 		worst := time.Duration(-time.Hour)
 		for seed := range uint64(2000) {
@@ -134,7 +134,7 @@
 }
 
 // After a reload the new discovery's list arrives within 4 s, even if the first call hangs.
-func TestToldAfterAReload(t *testing.T) {
+func TestFullListAfterReload(t *testing.T) {
 	for _, push := range []bool{true, false} {
 		w := newSimulation(t, push, true, 7)
 		start := w.now
--- a/internal/discovery/size_test.go
+++ b/internal/discovery/size_test.go
@@ -13,7 +13,7 @@
 
 // A full list of the largest service fits the size that a node reads, and one of all 170,000 backends does not: these have to be
 // split, or subscribed to in part.
-func TestWhatAListOfAllBackendsTakes(t *testing.T) {
+func TestFullListSizeLimit(t *testing.T) {
 	for _, n := range []int{200, largestService, 170000} {
 		l := engine.List{Version: 1, Full: true}
 		for i := range n {
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -71,9 +71,9 @@
 func (s *replicaState) SetBackends(all []judgement.Backend)         { s.replica.SetBackends(all) }
 func (s *replicaState) View() shared.View                           { return s.replica.View(s.now) }
 
-// BenchmarkDeltaTold is BenchmarkReplaced for a node that shares state and one that watches sites: both are passed all
+// BenchmarkDeltaWithSharingOrSites is BenchmarkReplaced for a node that shares state and one that watches sites: both are passed all
 // backends when one is added or removed.
-func BenchmarkDeltaTold(b *testing.B) {
+func BenchmarkDeltaWithSharingOrSites(b *testing.B) {
 	for _, to := range []string{"sharer", "sites"} {
 		for _, n := range []int{100, 1000, 5000, 20000} {
 			b.Run(fmt.Sprintf("%s/backends=%d", to, n), func(b *testing.B) {
@@ -111,9 +111,9 @@
 	}
 }
 
-// BenchmarkAllGone measures a list that removes 10,000 of 10,001 backends, and how long a request waits for the engine's lock
+// BenchmarkMassRemoval measures a list that removes 10,000 of 10,001 backends, and how long a request waits for the engine's lock
 // when their grace ends.
-func BenchmarkAllGone(b *testing.B) {
+func BenchmarkMassRemoval(b *testing.B) {
 	const n = 10000
 	all := entries(n + 1)
 	var longest, forgetTime time.Duration
--- a/internal/engine/shutdown_test.go
+++ b/internal/engine/shutdown_test.go
@@ -130,7 +130,7 @@
 
 // A process that stalls before it reads the update of a drain, and again between its last check of the clock and the write, still
 // writes within the grace. Of a long grace a tenth is reserved for the delay of the update.
-func TestGraceLeavesTimeForBeingHeldUp(t *testing.T) {
+func TestDrainGraceToleratesStalls(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ grace, want time.Duration }{
 		{10 * time.Second, 9 * time.Second}, {time.Second, 700 * time.Millisecond}, {500 * time.Millisecond, 200 * time.Millisecond},
@@ -143,7 +143,7 @@
 }
 
 // No attempt starts for a client that has disconnected, even if its front has not called Cancel yet.
-func TestAttemptDoesNotBeginForAClientThatLeft(t *testing.T) {
+func TestNoAttemptStartsForDisconnectedClient(t *testing.T) {
 	t.Parallel()
 	disconnected := false
 	a := &Attempt{Request: &Request{Disconnected: func() bool { return disconnected }}, Backend: &Backend{}}
--- a/internal/httpfront/framing_test.go
+++ b/internal/httpfront/framing_test.go
@@ -17,7 +17,7 @@
 }
 
 // The framing of each head is judged alike, whether it arrives in one read or byte by byte.
-func TestFramingOfAHead(t *testing.T) {
+func TestHeadFraming(t *testing.T) {
 	t.Parallel()
 	padding := strings.Repeat("X-Padding: "+strings.Repeat("p", 900)+"\r\n", 12)
 	for _, c := range []struct {
@@ -78,7 +78,7 @@
 }
 
 // Empty lines before the request line must not be taken for the end of the head, or the header fields after them are missed.
-func TestFramingBehindEmptyLines(t *testing.T) {
+func TestFramingAfterEmptyLines(t *testing.T) {
 	t.Parallel()
 	for _, lead := range []string{"\r\n", "\n", "\r\n\n\r\n"} {
 		for _, bytewise := range []bool{false, true} {
--- a/internal/httpfront/front_test.go
+++ b/internal/httpfront/front_test.go
@@ -17,7 +17,7 @@
 )
 
 // The protocol guarantees that a client with a bad request is answered within 3 s and an idle connection stays for 2 s.
-func TestTimesOwedToClients(t *testing.T) {
+func TestTimeoutsKeepProtocolGuarantees(t *testing.T) {
 	if headTimeout+bodyTimeout > 2800*time.Millisecond || idleTimeout < 2*time.Second {
 		t.Error("head and body timeouts must end before 3 s, and an idle connection must stay for 2 s")
 	}
@@ -25,7 +25,7 @@
 
 // A body has one second after the head's deadline. A larger one has the time that its size so far allows, but no more than
 // the client timeout.
-func TestTimeOfABody(t *testing.T) {
+func TestBodyDeadline(t *testing.T) {
 	arrived := time.Unix(1000, 0)
 	head := arrived.Add(headTimeout)
 	r := &message.Request{Request: engine.Request{Arrived: arrived, ClientTimeout: 4 * time.Second}}
@@ -71,7 +71,7 @@
 
 // A connection whose answer was prepared before the shutdown closed the idle connections, and written after it, must not
 // become idle: nothing would close it any more.
-func TestNoConnectionRestsOnceAllAreToEnd(t *testing.T) {
+func TestNoConnectionBecomesIdleDuringShutdown(t *testing.T) {
 	t.Parallel()
 	f := New(Config{Clock: engine.NewClock(), Log: slog.New(slog.DiscardHandler)})
 	c := &clientConn{}
@@ -106,7 +106,7 @@
 }
 
 // An attempt notices the client's close on its socket. Data that the client sends after its request is not a close.
-func TestLastLookSeesAClose(t *testing.T) {
+func TestCloseProbeSeesAClose(t *testing.T) {
 	t.Parallel()
 	client, server := tcpPair(t)
 	l := closeProbe{probe: sock.NewPeeker(server)}
@@ -159,7 +159,7 @@
 }
 
 // A connection that is evicted in the middle of a request answers it with 503: the client is not at fault, and nothing ran.
-func TestCutInTheMiddleOfARequest(t *testing.T) {
+func TestEvictionMidRequestAnswers503(t *testing.T) {
 	t.Parallel()
 	f := New(Config{Clock: engine.NewClock(), Log: slog.New(slog.DiscardHandler)})
 	client, conn := tcpPair(t)
--- a/internal/kit/capacity/capacity_test.go
+++ b/internal/kit/capacity/capacity_test.go
@@ -27,8 +27,8 @@
 }
 
 // Each derived table of the page must be what the figures of docs/capacity/measured.toml give. To update the page: go test
-// ./internal/kit/capacity -run TestThePageFollowsFromTheFigures -update
-func TestThePageFollowsFromTheFigures(t *testing.T) {
+// ./internal/kit/capacity -run TestPageMatchesDerivedTables -update
+func TestPageMatchesDerivedTables(t *testing.T) {
 	d := load(t)
 	text, err := os.ReadFile(pagePath)
 	if err != nil {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -243,7 +243,7 @@
 // Random updates of all sources in any order. A backend that some source withdraws is out of use after the confirmation delay, with
 // the grace counted from no later than that withdrawal, until that source or a new process in the list restores it. A backend that
 // no source withdraws stays in use.
-func TestAnyNews(t *testing.T) {
+func TestRandomUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := fleet()
 		now := sec
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// BenchmarkAdded measures the latency that a node adds: calls sent one by one straight to a backend, and through a node.
-func BenchmarkAdded(b *testing.B) {
+// BenchmarkAddedLatency measures the latency that a node adds: calls sent one by one straight to a backend, and through a node.
+func BenchmarkAddedLatency(b *testing.B) {
 	t := &testing.T{}
 	x := newRPCBackend(t, respondRPC)
 	_, addr := startRPCNode(t, nil, x.entry("s-1"))
@@ -200,8 +200,8 @@
 	}
 }
 
-// BenchmarkCallsAtOneRate measures the CPU time of a request and of a call, sent every 4 ms, at either front.
-func BenchmarkCallsAtOneRate(b *testing.B) {
+// BenchmarkCallsAtFixedRate measures the CPU time of a request and of a call, sent every 4 ms, at either front.
+func BenchmarkCallsAtFixedRate(b *testing.B) {
 	for _, name := range []string{"http", "jsonrpc"} {
 		b.Run(name, func(b *testing.B) {
 			t := &testing.T{}
@@ -226,8 +226,8 @@
 	}
 }
 
-// BenchmarkAtRest measures the heap of a node without clients: for each backend on its list, and for each tenant in its settings.
-func BenchmarkAtRest(b *testing.B) {
+// BenchmarkIdleMemory measures the heap of a node without clients: for each backend on its list, and for each tenant in its settings.
+func BenchmarkIdleMemory(b *testing.B) {
 	heap := func(backends, tenants int) float64 {
 		t := &testing.T{}
 		var known []engine.ListedBackend
--- a/internal/node/chunked_test.go
+++ b/internal/node/chunked_test.go
@@ -37,7 +37,7 @@
 
 // A chunked body reaches the backend complete, with Content-Length and without a transfer coding. The bytes after the last chunk are
 // the next request.
-func TestBodiesInChunksAreServed(t *testing.T) {
+func TestChunkedBodiesAreServed(t *testing.T) {
 	t.Parallel()
 	b := newStubBackend(t, echo)
 	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
@@ -94,7 +94,7 @@
 
 // Pipelined requests in the connection's buffer are framed like the first one, also if one of them hides the next behind a
 // conflicting length.
-func TestChunksBehindOneAnother(t *testing.T) {
+func TestPipelinedChunkedRequests(t *testing.T) {
 	t.Parallel()
 	b := newStubBackend(t, echo)
 	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
@@ -187,7 +187,7 @@
 }
 
 // If a client disconnects between two chunks, nothing reaches a backend. If it stops sending, it gets 408 after the timeout.
-func TestBodiesInChunksThatDoNotEnd(t *testing.T) {
+func TestUnfinishedChunkedBodies(t *testing.T) {
 	t.Parallel()
 	b := newStubBackend(t, respondOK)
 	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
@@ -220,7 +220,7 @@
 }
 
 // A client that waits for 100 Continue gets it, and chunks that arrive byte by byte are served.
-func TestChunksAByteAtATime(t *testing.T) {
+func TestChunksByteByByte(t *testing.T) {
 	t.Parallel()
 	b := newStubBackend(t, echo)
 	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
@@ -243,7 +243,7 @@
 
 // Bodies of unknown size are placed in each tier: memory, then disk. If the disk fails, they use memory beyond the normal share of
 // their class, as their length has to be known before they are sent.
-func TestEachTierTakesChunks(t *testing.T) {
+func TestChunkedBodiesUseEachTier(t *testing.T) {
 	t.Parallel()
 	d := &disk{}
 	b := newStubBackend(t, echo)
@@ -308,7 +308,7 @@
 
 // If the disk fails during a body of unknown size, the bytes before are lost with it. Nothing was sent to a backend, and the client may
 // retry.
-func TestDiskFailsUnderChunks(t *testing.T) {
+func TestDiskFailureDuringChunkedBody(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
 		name   string
@@ -346,7 +346,7 @@
 }
 
 // A body of unknown size uses more memory as it grows. If none is left, it is rejected and its memory is released.
-func TestChunksUnderTheBudgetOfMemory(t *testing.T) {
+func TestChunkedBodiesRespectMemoryBudget(t *testing.T) {
 	t.Parallel()
 	b := newStubBackend(t, echo)
 	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -13,7 +13,7 @@
 
 // A disconnect is detected even if more data lies between the request and the close: another request, or more than any buffer holds.
 // The attempt is cancelled, and the second request starts none.
-func TestClientLeavesBehindWhatItSentMore(t *testing.T) {
+func TestDisconnectBehindUnreadDataIsDetected(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ name, more string }{
 		{"a second request", view("second").text()},
@@ -61,7 +61,7 @@
 }
 
 // A request whose client disconnects before it is read starts no attempt, though the close is queued in the kernel behind the request.
-func TestClientGoneBeforeItsRequestIsRead(t *testing.T) {
+func TestClientDisconnectsBeforeRequestIsRead(t *testing.T) {
 	t.Parallel()
 	for _, extra := range []string{"", view("second").text(), strings.Repeat("x", 6000)} {
 		t.Run(fmt.Sprint(len(extra), " bytes behind"), func(t *testing.T) {
@@ -83,7 +83,7 @@
 }
 
 // A second request queued in the kernel behind the first is not taken for a close: both are served.
-func TestSecondRequestBehindABody(t *testing.T) {
+func TestSecondRequestIsNotTakenForClose(t *testing.T) {
 	t.Parallel()
 	b := newStubBackend(t, respondOK)
 	r, reading, unblock, _ := startNodeBlockedReading(t, b)
@@ -100,7 +100,7 @@
 }
 
 // A connection that closes after its response is not reset, whatever the client still sends: a reset would destroy the response.
-func TestLastAnswerIsNotReset(t *testing.T) {
+func TestLastResponseIsNotReset(t *testing.T) {
 	t.Parallel()
 	release, unblock := gate()
 	defer unblock()
@@ -124,7 +124,7 @@
 
 // A request that is being received when a node closes its connections during shutdown is read and served. Only idle connections are
 // closed then.
-func TestRequestThatIsComingWhenConnectionsEnd(t *testing.T) {
+func TestPartialRequestIsServedWhenIdleConnectionsClose(t *testing.T) {
 	t.Parallel()
 	b := newStubBackend(t, respondOK)
 	// The connections are closed 0.65 s after the signal, and a request that has started to arrive may take 2.5 s.
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -90,7 +90,7 @@
 
 // Truncated lists and failed calls change nothing, and are logged in one line, however often they come. The next valid list is applied at
 // once, whatever its white space and however it is split into packets.
-func TestSpoiltLists(t *testing.T) {
+func TestInvalidLists(t *testing.T) {
 	t.Parallel()
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
@@ -163,7 +163,7 @@
 
 // A discovery whose versions have restarted answers a watch from a version that it has not reached with its own, lower one. Another watch
 // from the higher version would never return a change, so the node fetches the full list.
-func TestDiscoveryThatCountsAnew(t *testing.T) {
+func TestDiscoveryVersionsRestart(t *testing.T) {
 	t.Parallel()
 	b := newStubBackend(t, respondOK)
 	g := newStubDiscovery(t)
@@ -180,7 +180,7 @@
 
 // A drain that arrives after failed calls may have been announced a while ago. It has no grace left, neither for a retry nor for an
 // attempt that waits for its connection.
-func TestNewsAfterALapseLeavesNoGrace(t *testing.T) {
+func TestDrainAfterOutageHasNoGrace(t *testing.T) {
 	t.Parallel()
 	dialing, markDialing := gate()
 	release, unblock := gate()
--- a/internal/node/forms_test.go
+++ b/internal/node/forms_test.go
@@ -18,7 +18,7 @@
 
 // Requests with Content-Length are served in all forms that HTTP/1.1 allows, and their target is forwarded unchanged. Chunked bodies have
 // tests of their own.
-func TestFormsOfARequest(t *testing.T) {
+func TestRequestForms(t *testing.T) {
 	t.Parallel()
 	const target = "/api?key=7f"
 	for _, c := range []struct{ name, text, want string }{
@@ -63,7 +63,7 @@
 
 // Up to four empty lines before a request are skipped, whether they arrive at once or byte by byte: on a new connection, after a response
 // and between pipelined requests. The framing of the body is checked after them as well.
-func TestEmptyLinesBeforeARequest(t *testing.T) {
+func TestEmptyLinesBeforeRequest(t *testing.T) {
 	t.Parallel()
 	both := edit(quote("q").text(), "Host:", "Transfer-Encoding: chunked\r\nHost:")
 	for _, c := range []struct {
@@ -118,7 +118,7 @@
 
 // An empty line after the body of a request leaves its connection idle, and does not start the timeout for the head of the next request.
 // A client that sends only empty lines is disconnected.
-func TestEmptyLinesAreNoRequest(t *testing.T) {
+func TestEmptyLinesAreNotARequest(t *testing.T) {
 	t.Parallel()
 	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, newStubBackend(t, respondOK).entry("s-1"))
 	kept, silent := r.dial(t), r.dial(t)
@@ -137,7 +137,7 @@
 }
 
 // Responses are served in all forms that have a defined end, also if they arrive byte by byte.
-func TestFormsOfAnAnswer(t *testing.T) {
+func TestResponseForms(t *testing.T) {
 	t.Parallel()
 	const want = "a door"
 	for _, c := range []struct{ name, text string }{
@@ -181,7 +181,7 @@
 
 // Only the body of a response counts towards the limit of the body. Neither informational responses before it nor the framing of small
 // chunks may truncate it.
-func TestAnswerIsNotCutByWhatIsAroundIt(t *testing.T) {
+func TestBodyLimitExcludesInformationalHeadsAndFraming(t *testing.T) {
 	t.Parallel()
 	hints := strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: </"+strings.Repeat("a", 900)+">\r\n\r\n", 18)
 	longest := strings.Repeat("x", message.MaxBodyBytes)
--- a/internal/node/lists_test.go
+++ b/internal/node/lists_test.go
@@ -47,7 +47,7 @@
 
 // A full list that arrives after failed calls may have been announced a while ago, so a backend that is missing from it has no grace left:
 // an attempt that waits for its connection to that backend is not written, though the backend still responds.
-func TestLateWholeListLeavesNoGraceToWhatItLeavesOut(t *testing.T) {
+func TestLateFullListLeavesNoGraceToRemovedBackends(t *testing.T) {
 	t.Parallel()
 	removed, other := newStubBackend(t, respondOK), newStubBackend(t, respondOK)
 	g := newStubDiscovery(t)
@@ -68,7 +68,7 @@
 }
 
 // A full list without a failed call before it leaves removed backends their grace: an attempt that was decided before is sent.
-func TestWholeListInTimeLeavesTheGrace(t *testing.T) {
+func TestTimelyFullListKeepsGrace(t *testing.T) {
 	t.Parallel()
 	removed, other := newStubBackend(t, respondOK), newStubBackend(t, respondOK)
 	g := newStubDiscovery(t)
@@ -82,7 +82,7 @@
 }
 
 // A backend that a late list removes is dropped once its grace is over, and its connections are closed.
-func TestBackendThatLeavesByALateListIsForgotten(t *testing.T) {
+func TestBackendRemovedByLateListIsDropped(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name string
@@ -116,7 +116,7 @@
 
 // After a reload during an outage of discovery, the first list of the new one may contain drains that the old one announced a while ago. They
 // have no grace left.
-func TestReloadInALapseLeavesNoGrace(t *testing.T) {
+func TestReloadDuringOutageLeavesNoGrace(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name string
@@ -150,7 +150,7 @@
 
 // A watch whose connection is closed or reset instead of a response, be it a new connection or a kept one (where net/http retries by
 // itself): the next response is applied, and a backend that is missing from its full list gets no new requests, though it still responds.
-func TestWatchThatEndsInsteadOfTelling(t *testing.T) {
+func TestWatchConnectionClosedWithoutResponse(t *testing.T) {
 	t.Parallel()
 	closes := func(c net.Conn) { c.Close() }
 	resets := func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -307,7 +307,7 @@
 
 // Bytes after a response belong to no request. If the connection were reused, a duplicate response would be taken for that of the
 // next request and go to the wrong client.
-func TestSurplusBehindAnAnswer(t *testing.T) {
+func TestDataAfterResponse(t *testing.T) {
 	t.Parallel()
 	for _, surplus := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "\x16\x03 noise"} {
 		for _, late := range []bool{false, true} {
@@ -382,7 +382,7 @@
 
 // A kept connection that the backend has closed is detected before a request is written to it. The request has not run, and is sent
 // on another connection.
-func TestClosedConnectionIsNotUsed(t *testing.T) {
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	t.Parallel()
 	b := newStubBackend(t, func(c net.Conn, r *http.Request, n int) bool {
 		respondOK(c, r, n)
@@ -536,7 +536,7 @@
 }
 
 // A request that waits for a connection while the drain grace of its backend ends must not be written.
-func TestSendAfterGraceIsNotWritten(t *testing.T) {
+func TestRequestIsNotWrittenAfterGrace(t *testing.T) {
 	t.Parallel()
 	b := newStubBackend(t, respondOK)
 	r := startNode(t, newStubDiscovery(t), settingsJSON, nil, b.entry("s-1"))
@@ -615,7 +615,7 @@
 
 // A reload leaves the old discovery at once and fetches the full list of the new one. That counts versions from its own start, so a
 // watch from the old discovery's version would wait for ever.
-func TestReloadFollowsAnotherDiscovery(t *testing.T) {
+func TestReloadSwitchesDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
@@ -697,7 +697,7 @@
 
 // After SIGTERM a node keeps serving its open connections for as long as responses can be sent before SIGKILL. Then it closes them, and
 // exits once all accepted requests are answered. If it closed them at once, its capacity would be missing until its successor is up.
-func TestLeaving(t *testing.T) {
+func TestShutdown(t *testing.T) {
 	t.Parallel()
 	short := strings.ReplaceAll(settingsJSON, `"aim_s":30,"deadline_s":60`, `"aim_s":0.1,"deadline_s":1`)
 	release, unblock := gate()
@@ -744,7 +744,7 @@
 }
 
 // A request that arrives during shutdown is answered before SIGKILL, even if its client would wait longer.
-func TestWhatComesWhileLeavingIsAnsweredInTime(t *testing.T) {
+func TestRequestDuringShutdownIsAnsweredBeforeSIGKILL(t *testing.T) {
 	t.Parallel()
 	short := strings.ReplaceAll(settingsJSON, `"aim_s":30,"deadline_s":60`, `"aim_s":0.1,"deadline_s":1`)
 	release, unblock := gate()
@@ -766,7 +766,7 @@
 
 // A request that is still being received when a node has to have answered everything is rejected: if it were complete just before
 // SIGKILL, it would be accepted and never answered.
-func TestRequestThatGoesOnComingWhileLeaving(t *testing.T) {
+func TestIncompleteRequestIsRejectedBeforeSIGKILL(t *testing.T) {
 	t.Parallel()
 	short := strings.ReplaceAll(settingsJSON, `"aim_s":30,"deadline_s":60`, `"aim_s":0.1,"deadline_s":0.4`)
 	b := newStubBackend(t, respondOK)
@@ -1059,7 +1059,7 @@
 }
 
 // An empty list, sent by mistake, costs neither the connections to the backends nor their state.
-func TestEmptyListIsOutlived(t *testing.T) {
+func TestEmptyListKeepsBackends(t *testing.T) {
 	t.Parallel()
 	b := newStubBackend(t, respondOK)
 	g := newStubDiscovery(t)
--- a/internal/node/races_test.go
+++ b/internal/node/races_test.go
@@ -30,7 +30,7 @@
 
 // A retry that was decided within the repeat window, but whose connection opens after it, is not written: backends may have forgotten the
 // key of the first attempt by then.
-func TestRepeatWhoseConnectionComesUpAfterItsWindow(t *testing.T) {
+func TestRetryIsNotWrittenAfterItsWindow(t *testing.T) {
 	t.Parallel()
 	const window = 300 * time.Millisecond
 	reset := func(_ net.Conn, _ *http.Request, _ int) bool { return false }
@@ -72,7 +72,7 @@
 }
 
 // If the client disconnects while the connection to the backend opens, the request is not written, even if attempts may not be cancelled.
-func TestClientGoneDuringASlowDial(t *testing.T) {
+func TestClientDisconnectsDuringSlowDial(t *testing.T) {
 	t.Parallel()
 	for _, cancel := range []string{"true", "false"} {
 		t.Run("cancel "+cancel, func(t *testing.T) {
@@ -108,7 +108,7 @@
 
 // A second response that arrives some milliseconds after the first is detected before the connection is used again. If the next request
 // were written first, it would be taken for the response to that.
-func TestSecondAnswerThatComesLate(t *testing.T) {
+func TestLateSecondResponseIsDetected(t *testing.T) {
 	t.Parallel()
 	const late = 6 * time.Millisecond
 	var mu sync.Mutex
@@ -155,7 +155,7 @@
 }
 
 // X-Deadline at the backend excludes the time that opening the connection took, as the node does not wait longer.
-func TestDeadlineTellsWhatASlowDialHasLeft(t *testing.T) {
+func TestDeadlineHeaderExcludesDialTime(t *testing.T) {
 	t.Parallel()
 	const dialTime = 300 * time.Millisecond
 	b := newStubBackend(t, respondOK)
@@ -200,7 +200,7 @@
 }
 
 // A response without a length ends with the close of its connection. After a reset it is incomplete and is not forwarded.
-func TestAnswerWithoutLength(t *testing.T) {
+func TestResponseWithoutLength(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name, text string
@@ -259,7 +259,7 @@
 }
 
 // X-Deadline of a retry is at most the time that remains to the client, however long the attempts before took.
-func TestFurtherAttemptTellsWhatIsLeft(t *testing.T) {
+func TestRetryDeadline(t *testing.T) {
 	t.Parallel()
 	const delay = 300 * time.Millisecond // of the first attempt
 	var first, started, reset atomic.Int64
@@ -299,7 +299,7 @@
 
 // A backend accepts a connection and dies before or after the last byte of a request. Once the last byte is sent it may have run, so a
 // request that must not run twice is not retried. The client gets exactly one response.
-func TestBackendKilledBehindItsAccept(t *testing.T) {
+func TestBackendKilledAfterAccept(t *testing.T) {
 	t.Parallel()
 	dead := newStubBackend(t, respondOK)
 	killed := acceptConns(t, &dead.mu, &dead.conns, func(c net.Conn) {
--- a/internal/peers/whole_test.go
+++ b/internal/peers/whole_test.go
@@ -56,7 +56,7 @@
 
 // The bytes that a member sends in a full exchange, without the shared state, grow linearly with the members that it knows.
 // They do not count against the node's byte budget, which is for datagrams.
-func TestBytesOfAWholeExchange(t *testing.T) {
+func TestPushPullBytes(t *testing.T) {
 	var bytesPerMember []float64
 	for _, n := range []int{300, 1500, 5900} {
 		wire, err := newTransport("127.0.0.1:0", 8<<10)
--- a/internal/shared/escrow/escrow_test.go
+++ b/internal/shared/escrow/escrow_test.go
@@ -250,9 +250,9 @@
 	}
 }
 
-// TestTheSumHolds checks with random scripts that the nodes together can never spend more than the budget, through lost,
+// TestSpendableNeverExceedsBudget checks with random scripts that the nodes together can never spend more than the budget, through lost,
 // duplicated and reordered messages, partitions, restarts, stalls and clock steps.
-func TestTheSumHolds(t *testing.T) {
+func TestSpendableNeverExceedsBudget(t *testing.T) {
 	moved := 0
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(t, "nodes")
--- a/internal/shared/replica_test.go
+++ b/internal/shared/replica_test.go
@@ -128,7 +128,7 @@
 }
 
 // A tenant whose requests all arrive at one node gets its whole quota there, but for what the other nodes never lend.
-func TestPartsFollowTheDemand(t *testing.T) {
+func TestSharesFollowDemand(t *testing.T) {
 	f := newFleet(t, 6)
 	f.run(15*time.Second, func(i int, r *Replica) {
 		if i == 2 {
@@ -150,7 +150,7 @@
 
 // With quotas enforced by counts the fraction of requests within a quota is the same at every node, and an isolated node
 // limits itself to its own fraction of the quota.
-func TestWithinAShareByCounts(t *testing.T) {
+func TestQuotaFractionByCounts(t *testing.T) {
 	f := newFleet(t, 6)
 	for _, r := range f.nodes {
 		r.cfg.Features = Features{Quotas: true}
--- a/internal/shared/scale_test.go
+++ b/internal/shared/scale_test.go
@@ -95,7 +95,7 @@
 
 // The age of the other nodes' counts that a node uses, and how many it has at all, with all bytes that are allowed and no
 // loss, in virtual time. More than a dozen nodes only with -long.
-func TestAgeOfCountsByFleet(t *testing.T) {
+func TestCountAgeByFleetSize(t *testing.T) {
 	sizes := []int{12}
 	if *long {
 		sizes = []int{12, 30, 60, 120}
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -60,7 +60,7 @@
 
 // The numbers of the nodes of one zone are unknown: a run of numbers and every third number have to cover the backends
 // evenly too.
-func TestSomeOfTheNodesCoverTheFleetEvenly(t *testing.T) {
+func TestNodeSubsetsCoverTheFleetEvenly(t *testing.T) {
 	ids := backendIDs(20)
 	for name, numbers := range map[string][]int{"a run": {0, 1}, "every third": {0, 3}} {
 		first, step := numbers[0], max(1, numbers[1])
@@ -79,7 +79,7 @@
 }
 
 // Removing a backend changes at most one other member of a subset.
-func TestAPartMovesLittle(t *testing.T) {
+func TestSubsetChangesLittleOnRemoval(t *testing.T) {
 	ids := backendIDs(60)
 	moved := 0
 	for number := range 80 {
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -161,7 +161,7 @@
 
 // All nodes together stay within the budget of a cold backend in every window, whatever their number, however uneven
 // their traffic, and although they learn of it at different times.
-func TestTheColdBudgetHoldsForTheSumOfAllNodes(t *testing.T) {
+func TestColdBudgetOverAllNodes(t *testing.T) {
 	t.Parallel()
 	for _, set := range []struct {
 		share, factor float64
--- a/policy/paper_test.go
+++ b/policy/paper_test.go
@@ -12,7 +12,7 @@
 // Simulated with an M/M/1 queue with exact and immediate reports (load 1.2, service 5 ms, R = 100) and the four
 // settings of the paper's Table 1, the fractions of time in each mode and the times until normal agree with the exact
 // solution within four standard errors.
-func TestModeRuleIsThePapers(t *testing.T) {
+func TestModeTransitionsMatchExactSolution(t *testing.T) {
 	const lambda, mu, r = 1.2, 1.0, 100
 	for i, x := range []struct {
 		q    float64
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -1178,7 +1178,7 @@
 }
 
 // Whatever the load, the fraction of requests that pass a backend in overload must fall as it fills.
-func TestPassingShareFalls(t *testing.T) {
+func TestDivertedFractionGrowsWithOccupancy(t *testing.T) {
 	countPassed := func(n float64) (count int) {
 		b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 		b.requestCount, b.lowPriorityCount = 100, 100
@@ -1203,7 +1203,7 @@
 }
 
 // A backend that looks slow by an old estimate is tried again, with one request at a time and rarely.
-func TestUnusedBackendIsTriedAgain(t *testing.T) {
+func TestUnusedBackendIsProbed(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"}, Entry{ID: 2, Zone: "a"})
 	good, bad := b.backends[1], b.backends[2]
 	tried := 0
@@ -1235,7 +1235,7 @@
 
 // A backend that silently loses a tenth of its requests still has capacity. Counted in its occupancy until they timed
 // out, and then as slow ones, the lost requests kept it in overload while it was idle, and others were refused.
-func TestLostAttemptsAreNoCrowd(t *testing.T) {
+func TestLostAttemptsDoNotCountAsLoad(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
 	type pending struct {
@@ -1278,7 +1278,7 @@
 }
 
 // A timed-out attempt may still run at its backend, but a report a second later would show it.
-func TestTimedOutCountsUntilReportsTell(t *testing.T) {
+func TestTimedOutAttemptsCountUntilNextReport(t *testing.T) {
 	b := newTestBalancer(t, settings(), Entry{ID: 1, Zone: "a"})
 	s := b.backends[1]
 	var sends []Action
@@ -1301,7 +1301,7 @@
 
 // If reports hold the queue only, attempts in flight before the first report must not all count as waiting: at a start,
 // healthy backends with two or three requests in work were taken for overloaded until their reports came.
-func TestWhatIsOutBeforeAReportIsNoCrowd(t *testing.T) {
+func TestInFlightBeforeFirstReportIsNotAllQueued(t *testing.T) {
 	for _, only := range []bool{true, false} {
 		b := newTestBalancer(t, settings(func(s *Settings) { s.QueueOnly = only }), Entry{ID: 1, Zone: "a"})
 		s := b.backends[1]
@@ -1323,7 +1323,7 @@
 
 // A cold backend has a fraction of the capacity of a warm one of its kind, and so the same fraction of its H: with the
 // full H it would be filled the moment all nodes learn of it.
-func TestColdBackendHasItsPartOfH(t *testing.T) {
+func TestColdBackendThresholdIsScaled(t *testing.T) {
 	set := settings()
 	b := newTestBalancer(t, set, Entry{ID: 1, Zone: "a", Kind: "k"})
 	for i := range 200 { // answers so fast that H is well above its lower bound
