--- a/cmd/craneglade/control_test.go
+++ b/cmd/craneglade/control_test.go
@@ -573,7 +573,12 @@
 	<-stopped
 	minValue := <-lastApplied
 	p.writer.start()
-	last := p.writer.position()
+	// A restarted writer responds before it is elected; until then it reports no position.
+	var last string
+	p.eventually("position of the restarted writer", func() bool {
+		last = p.writer.position()
+		return last != "" && last != "-"
+	})
 	p.waitForPosition(last)
 	for _, c := range append([]*controlProcess{p.writer}, p.relays...) {
 		p.eventually(c.name+" at "+last, func() bool { return c.position() == last })
